--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -59,7 +59,7 @@
 		settle(l, 100)
 	}
 	for _, r := range list {
-		r.m.Orders(true, now) // the starts have left: no answer waits for them
+		r.m.Commands(true, now) // the starts have left: no answer waits for them
 	}
 	return l, list
 }
@@ -118,7 +118,7 @@
 		settle(l, 100)
 	}
 	for _, r := range list {
-		r.m.Orders(true, now)
+		r.m.Commands(true, now)
 	}
 	return l, list
 }
@@ -141,7 +141,7 @@
 				l.markStale(list[(i*20+k)%len(list)])
 			}
 			for _, r := range list {
-				r.m.Heard = now
+				r.m.LastHeartbeat = now
 			}
 			l.pass(now)
 		}
@@ -160,10 +160,10 @@
 			now := time.Now()
 			for k := range 20 {
 				r := list[(i*20+k*101)%len(list)]
-				rep := report(l, r, workers.Running, "")
-				for n := range rep.Pieces {
-					if a := r.m.Attempts[attemptID(b, rep.Pieces[n])]; n%3 == 0 && a.ID.Task.Index%50 != 0 && l.jobs[a.ID.Task.Job] != nil && l.jobs[a.ID.Task.Job].spec.Shape != userapi.Gang {
-						rep.Pieces[n].Status, rep.Pieces[n].Cause = workers.Exited, workers.CauseError
+				rep := report(l, r, workers.StatusRunning, "")
+				for n := range rep.Tasks {
+					if a := r.m.Attempts[attemptID(b, rep.Tasks[n])]; n%3 == 0 && a.ID.Task.Index%50 != 0 && l.jobs[a.ID.Task.Job] != nil && l.jobs[a.ID.Task.Job].spec.Shape != userapi.Gang {
+						rep.Tasks[n].Status, rep.Tasks[n].Cause = workers.StatusExited, workers.CauseError
 					}
 				}
 				l.observe(r, rep, false, now)
@@ -177,18 +177,18 @@
 			epoch = settle(l, epoch)
 			for k := range 20 {
 				r := list[(i*20+k*101)%len(list)]
-				r.m.Orders(true, now)
+				r.m.Commands(true, now)
 			}
 		}
 	})
 }
 
-func attemptID(b testing.TB, p workers.Piece) workers.AttemptID {
-	task, err := workers.ParseTaskID(p.Piece)
+func attemptID(b testing.TB, p workers.TaskReport) workers.AttemptID {
+	task, err := workers.ParseTaskID(p.Task)
 	if err != nil {
 		b.Fatal(err)
 	}
-	return workers.AttemptID{Task: task, Try: p.Try}
+	return workers.AttemptID{Task: task, Number: p.Attempt}
 }
 
 // BenchmarkReport is a report's way through the leader's routine when it
@@ -201,7 +201,7 @@
 		b.ResetTimer()
 		for i := range b.N {
 			r := list[i%len(list)]
-			rep := report(l, r, workers.Running, "")
+			rep := report(l, r, workers.StatusRunning, "")
 			l.hello(rep, now, ch)
 			l.commit(now)
 			r.waiter.until = now
@@ -224,7 +224,7 @@
 		for range b.N {
 			now = now.Add(constants.TickEvery)
 			for _, r := range l.sortedMachines() {
-				r.m.Heard, r.m.Answered = now, now
+				r.m.LastHeartbeat, r.m.LastAcknowledged = now, now
 			}
 			l.tick(now)
 		}
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -20,16 +20,16 @@
 	}
 	due := false
 	for _, a := range r.m.Attempts {
-		if a.Halt && a.Status != workers.Exited && (a.Sent || a.Inherited) && now.Sub(a.Pressed) >= again {
+		if a.StopRequested && a.Status != workers.StatusExited && (a.Sent || a.FromEarlierTerm) && now.Sub(a.StopSentAt) >= again {
 			due = true
 		}
 	}
 	if !due {
 		return
 	}
-	var orders []workers.Order
-	for _, o := range r.m.Orders(false, now) {
-		if o.Verb == workers.Stop {
+	var orders []workers.Command
+	for _, o := range r.m.Commands(false, now) {
+		if o.Verb == workers.VerbStop {
 			orders = append(orders, o)
 		}
 	}
@@ -37,8 +37,8 @@
 		return // the next tick tries again
 	}
 	for _, a := range r.m.Attempts {
-		if a.Halt {
-			a.Pressed = now
+		if a.StopRequested {
+			a.StopSentAt = now
 		}
 	}
 }
@@ -55,8 +55,8 @@
 // So many are under way at once at most, half of these for stops alone and half for
 // workers that have been heard of late: a node has few sockets beside those of its
 // workers. It reports false when the order has to wait for others.
-func (l *Leader) command(r *machine, orders []workers.Order, now time.Time) bool {
-	if r.m.Endpoint == "" || r.m.Shift == 0 || r.calling && len(orders) == 0 {
+func (l *Leader) command(r *machine, orders []workers.Command, now time.Time) bool {
+	if r.m.Endpoint == "" || r.m.Epoch == 0 || r.calling && len(orders) == 0 {
 		return true
 	}
 	silent := l.silent(r, now) > l.quiet()
@@ -83,9 +83,9 @@
 	r.calling = true
 	l.counts.Commands++
 	if orders == nil {
-		orders = []workers.Order{}
+		orders = []workers.Command{}
 	}
-	a := workers.Answer{Warrant: l.grant.Term, Shift: r.m.Shift, Orders: orders}
+	a := workers.CommandBatch{Token: l.grant.Term, Epoch: r.m.Epoch, Commands: orders}
 	endpoint := r.m.Endpoint
 	l.tasks.Go(func() error {
 		rep, err := l.d.Workers.Command(l.ctx, endpoint, a)
@@ -108,8 +108,8 @@
 // drain stops what runs on a machine that the cloud takes away, while there
 // is time to save. A notice may be half as long as it says.
 func (l *Leader) drain(r *machine, now time.Time) {
-	for _, a := range r.m.Sorted() {
-		if a.Halt || !a.Live() {
+	for _, a := range r.m.SortedAttempts() {
+		if a.StopRequested || !a.Live() {
 			continue
 		}
 		j := l.jobs[a.ID.Task.Job]
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -356,8 +356,8 @@
 
 // allowForget lets a worker forget an exit that is recorded, or of no interest.
 func (l *Leader) allowForget(r *machine, a *workers.Attempt) {
-	if !a.Settled {
-		a.Settled = true
+	if !a.ExitRecorded {
+		a.ExitRecorded = true
 		l.answerSoon(r)
 	}
 }
@@ -399,19 +399,19 @@
 		return
 	}
 	if j.spec.Shape != userapi.Gang {
-		a.Cleared = true
+		a.StartAllowed = true
 		l.answerSoon(r)
 		return
 	}
 	seats := sortedSeats(j)
 	for _, s := range seats {
-		if s.a.ID.Try == a.ID.Try && !s.a.Committed {
+		if s.a.ID.Number == a.ID.Number && !s.a.Committed {
 			return
 		}
 	}
 	for _, s := range seats {
-		if s.a.ID.Try == a.ID.Try {
-			s.a.Cleared = true
+		if s.a.ID.Number == a.ID.Number {
+			s.a.StartAllowed = true
 			l.answerSoon(s.machine)
 		}
 	}
--- a/internal/leader/commit_test.go
+++ b/internal/leader/commit_test.go
@@ -22,7 +22,7 @@
 	l.openLog(l.committer.log.Head(), 0)
 	plan := func(i int) *workers.Attempt {
 		r := addRig(l, fmt.Sprintf("m-%04d", i), "east", now)
-		a := &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: "j-1", Index: i}, Try: uint64(i)}, Shift: 1, PlannedAt: now}
+		a := &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: "j-1", Index: i}, Number: uint64(i)}, Epoch: 1, PlacedAt: now}
 		r.m.Attempts[a.ID] = a
 		l.noteAdd(r, a)
 		return a
--- a/internal/leader/edges_test.go
+++ b/internal/leader/edges_test.go
@@ -28,8 +28,8 @@
 	addJob(t, l, sweep("j-1", n), now)
 	l.pass(now)
 	settle(l, 100)
-	r.m.Orders(true, now)
-	l.observe(r, report(l, r, workers.Running, ""), false, now)
+	r.m.Commands(true, now)
+	l.observe(r, report(l, r, workers.StatusRunning, ""), false, now)
 	spec := sweep("j-2", n)
 	spec.Owner, spec.WaitsOn = "b", []string{"j-1"}
 	down = addJob(t, l, spec, now)
@@ -39,7 +39,7 @@
 
 // endAll has all tasks on the machine reported done.
 func endAll(l *Leader, r *machine, now time.Time) {
-	l.observe(r, report(l, r, workers.Exited, workers.CauseDone), false, now)
+	l.observe(r, report(l, r, workers.StatusExited, workers.CauseDone), false, now)
 }
 
 // TestEdgesAreThePipeline: where users name edges, what a finisher leaves is held for
@@ -139,7 +139,7 @@
 		for _, name := range l.book.Lapse(now, l.stillWaits) {
 			l.hintsChanged(l.machines[name], now)
 		}
-		r.m.Heard, r.m.Answered = now, now
+		r.m.LastHeartbeat, r.m.LastAcknowledged = now, now
 		l.sure = now
 		l.pass(now)
 		if len(l.book.All()) != 0 || len(other.seats) != 4 {
@@ -228,8 +228,8 @@
 		addJob(t, l, sweep("j-1", 4), now)
 		l.pass(now)
 		settle(l, 100)
-		r.m.Orders(true, now)
-		l.observe(r, report(l, r, workers.Running, ""), false, now)
+		r.m.Commands(true, now)
+		l.observe(r, report(l, r, workers.StatusRunning, ""), false, now)
 		addJob(t, l, sweep("j-2", 4), now)
 		endAll(l, r, now.Add(10*time.Second))
 		if got, want := len(l.book.All()), map[bool]int{true: 4}[inOrder]; got != want {
--- a/internal/leader/faults.go
+++ b/internal/leader/faults.go
@@ -101,8 +101,8 @@
 // failedHere takes in a task's failure.
 func (l *Leader) failedHere(r *machine, j *job, a *workers.Attempt, now time.Time) {
 	ran := time.Duration(0)
-	if !a.RanAt.IsZero() {
-		ran = now.Sub(a.RanAt)
+	if !a.RunningSince.IsZero() {
+		ran = now.Sub(a.RunningSince)
 	}
 	j.avoid[r.m.Name] = now.Add(constants.AvoidFor)
 	j.stale = true
@@ -143,8 +143,8 @@
 	runs := make(map[string]time.Duration)
 	for _, seats := range j.seats {
 		for _, s := range seats {
-			if s.a.Status == workers.Running && !s.a.RanAt.IsZero() {
-				runs[s.machine.m.Name] = max(runs[s.machine.m.Name], s.machine.m.Heard.Sub(s.a.RanAt))
+			if s.a.Status == workers.StatusRunning && !s.a.RunningSince.IsZero() {
+				runs[s.machine.m.Name] = max(runs[s.machine.m.Name], s.machine.m.LastHeartbeat.Sub(s.a.RunningSince))
 			}
 		}
 	}
@@ -186,9 +186,9 @@
 	}
 	r.bad = true
 	l.d.Log.Info("machine taken for faulty", "rig", r.m.Name, "zone", r.m.Zone, "why", why)
-	for _, a := range r.m.Sorted() {
+	for _, a := range r.m.SortedAttempts() {
 		j := l.jobs[a.ID.Task.Job]
-		if j == nil || a.Halt || !a.Live() || a.Status == workers.Running || a.Status == workers.Saving {
+		if j == nil || a.StopRequested || !a.Live() || a.Status == workers.StatusRunning || a.Status == workers.StatusSaving {
 			continue
 		}
 		if j.spec.Shape != userapi.Gang {
--- a/internal/leader/faults_test.go
+++ b/internal/leader/faults_test.go
@@ -35,39 +35,39 @@
 	w.epoch = settle(w.l, w.epoch)
 	for _, r := range w.l.sortedMachines() {
 		here := w.tasks[r.m.Name]
-		for _, o := range r.m.Orders(true, now) {
-			task, _ := workers.ParseTaskID(o.Piece)
-			id := workers.AttemptID{Task: task, Try: o.Try}
+		for _, o := range r.m.Commands(true, now) {
+			task, _ := workers.ParseTaskID(o.Task)
+			id := workers.AttemptID{Task: task, Number: o.Attempt}
 			switch o.Verb {
-			case workers.Run:
+			case workers.VerbRun:
 				if here[id] == nil {
-					here[id] = &really{workers.Running, "", now}
+					here[id] = &really{workers.StatusRunning, "", now}
 					w.starts[task.Job]++
 					if w.faulty[r.m.Name] {
 						w.bad[r.m.Name]++
 					}
 				}
-			case workers.Stop:
-				if k := here[id]; k != nil && k.status != workers.Exited {
-					k.status, k.cause = workers.Exited, "halted"
+			case workers.VerbStop:
+				if k := here[id]; k != nil && k.status != workers.StatusExited {
+					k.status, k.cause = workers.StatusExited, "halted"
 				}
-			case workers.Forget:
+			case workers.VerbForget:
 				delete(here, id)
 			}
 		}
-		rep := &workers.Report{Machine: r.m.Name, MachineType: r.m.Type, Hall: r.m.Zone, Shift: 1, Tick: r.m.Tick + 1, Warrant: w.l.grant.Term}
+		rep := &workers.Heartbeat{Machine: r.m.Name, MachineType: r.m.Type, Zone: r.m.Zone, Epoch: 1, Sequence: r.m.Sequence + 1, Token: w.l.grant.Term}
 		for id, k := range here {
 			switch ran := now.Sub(k.since); {
-			case k.status != workers.Running:
+			case k.status != workers.StatusRunning:
 			case (w.faulty[r.m.Name] || w.mistaken[id.Task.Job]) && ran >= 500*time.Millisecond:
-				k.status, k.cause = workers.Exited, workers.CauseError
+				k.status, k.cause = workers.StatusExited, workers.CauseError
 				if !w.mistaken[id.Task.Job] {
 					w.caught[r.m.Name] = true
 				}
 			case ran >= 10*time.Second:
-				k.status, k.cause = workers.Exited, workers.CauseDone
+				k.status, k.cause = workers.StatusExited, workers.CauseDone
 			}
-			rep.Pieces = append(rep.Pieces, workers.Piece{Piece: id.Task.String(), Try: id.Try, Status: k.status, Cause: k.cause})
+			rep.Tasks = append(rep.Tasks, workers.TaskReport{Task: id.Task.String(), Attempt: id.Number, Status: k.status, Cause: k.cause})
 		}
 		w.l.observe(r, rep, false, now)
 	}
--- a/internal/leader/gap_test.go
+++ b/internal/leader/gap_test.go
@@ -46,7 +46,7 @@
 					time.Sleep(time.Duration(rng.Int64N(int64(3 * time.Second))))
 				}
 				ch := make(chan Reply, 1)
-				l.hello(&workers.Report{Machine: "m-1", MachineType: "g4", Hall: "east", Shift: 1, Tick: tick, Warrant: l.grant.Term}, time.Now(), ch)
+				l.hello(&workers.Heartbeat{Machine: "m-1", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: tick, Token: l.grant.Term}, time.Now(), ch)
 				if rng.IntN(3) == 0 { // the answer is held back, too
 					time.Sleep(time.Duration(rng.Int64N(int64(2 * time.Second))))
 				}
@@ -167,10 +167,10 @@
 }
 
 // direct is workers that note what goes straight to them.
-type direct struct{ orders chan []workers.Order }
+type direct struct{ orders chan []workers.Command }
 
-func (d direct) Command(_ context.Context, _ string, a workers.Answer) (*workers.Report, error) {
-	d.orders <- a.Orders
+func (d direct) Command(_ context.Context, _ string, a workers.CommandBatch) (*workers.Heartbeat, error) {
+	d.orders <- a.Commands
 	return nil, context.Canceled
 }
 
@@ -180,7 +180,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
 		l := testLeader(t)
-		d := direct{make(chan []workers.Order, 1)}
+		d := direct{make(chan []workers.Command, 1)}
 		l.d.Workers = d
 		group, ctx := errgroup.WithContext(t.Context())
 		l.ctx, l.tasks = ctx, group
@@ -189,17 +189,17 @@
 		j := addJob(t, l, sweep("j-1", 3), now)
 		l.pass(now)
 		for _, s := range sortedSeats(j) {
-			s.a.Committed, s.a.Cleared = true, true
+			s.a.Committed, s.a.StartAllowed = true, true
 		}
-		if n := len(r.m.Orders(true, now)); n != 3 {
+		if n := len(r.m.Commands(true, now)); n != 3 {
 			t.Fatalf("%d starts", n)
 		}
 		seats := sortedSeats(j)
-		seats[0].a.Halt, seats[0].a.HaltAt = true, now // to be stopped
-		seats[1].a.Status, seats[1].a.Settled = workers.Exited, true
+		seats[0].a.StopRequested, seats[0].a.StopRequestedAt = true, now // to be stopped
+		seats[1].a.Status, seats[1].a.ExitRecorded = workers.StatusExited, true
 		l.sendStops(r, now)
 		(<-l.calls)()
-		if got := <-d.orders; len(got) != 1 || got[0].Verb != workers.Stop {
+		if got := <-d.orders; len(got) != 1 || got[0].Verb != workers.VerbStop {
 			t.Errorf("straight to the worker went %+v", got)
 		}
 		_ = group.Wait()
--- a/internal/leader/growth_test.go
+++ b/internal/leader/growth_test.go
@@ -27,7 +27,7 @@
 		w.report = testing.AllocsPerRun(200, func() {
 			r := list[next%len(list)]
 			next += 7
-			l.hello(report(l, r, workers.Running, ""), now, ch)
+			l.hello(report(l, r, workers.StatusRunning, ""), now, ch)
 			r.waiter.until = now
 			l.answerSoon(r)
 			l.flush(now)
--- a/internal/leader/images.go
+++ b/internal/leader/images.go
@@ -18,8 +18,8 @@
 	if j == nil {
 		return
 	}
-	have := a.Status == workers.Waiting || a.Status == workers.Running || a.Status == workers.Saving ||
-		a.Status == workers.Exited && a.Cause == workers.CauseDone
+	have := a.Status == workers.StatusWaiting || a.Status == workers.StatusRunning || a.Status == workers.StatusSaving ||
+		a.Status == workers.StatusExited && a.Cause == workers.CauseDone
 	if !have {
 		return
 	}
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -95,7 +95,7 @@
 func (j *job) running() (n int) {
 	for _, seats := range j.seats {
 		for _, s := range seats {
-			if s.a.Status == workers.Running || s.a.Status == workers.Saving {
+			if s.a.Status == workers.StatusRunning || s.a.Status == workers.StatusSaving {
 				n++
 				break
 			}
@@ -210,7 +210,7 @@
 
 // halt stops one attempt.
 func (l *Leader) halt(r *machine, a *workers.Attempt, grace float64, now time.Time) {
-	if r.m.Withdraw(a, grace, now) {
+	if r.m.RequestStop(a, grace, now) {
 		l.vacate(r, a)
 	}
 	l.markStale(r)
@@ -298,12 +298,12 @@
 		a := e.Attempt
 		j := l.jobs[a.ID.Task.Job]
 		l.noteImage(r, j, a, now)
-		switch e.Why {
-		case workers.Alien:
-			if a.Status == workers.Exited {
+		switch e.Kind {
+		case workers.EventUnrecorded:
+			if a.Status == workers.StatusExited {
 				break // an Ended event follows
 			}
-			l.d.Log.Info("task in no record", "piece", a.ID.Task, "try", a.ID.Try, "rig", r.m.Name)
+			l.d.Log.Info("task in no record", "piece", a.ID.Task, "try", a.ID.Number, "rig", r.m.Name)
 			l.occupy(r, a)
 			if j == nil {
 				if g := l.endedJobs[a.ID.Task.Job]; g != nil {
@@ -316,19 +316,19 @@
 				l.halt(r, a, j.spec.StashS+constants.StopGrace.Seconds(), now)
 			}
 			l.noteAdd(r, a)
-		case workers.Seen:
-			l.d.Log.Debug("task seen", "piece", a.ID.Task, "try", a.ID.Try, "rig", r.m.Name, "status", a.Status)
-			if j != nil && a.Status == workers.Running && j.started.IsZero() {
+		case workers.EventStatusChanged:
+			l.d.Log.Debug("task seen", "piece", a.ID.Task, "try", a.ID.Number, "rig", r.m.Name, "status", a.Status)
+			if j != nil && a.Status == workers.StatusRunning && j.started.IsZero() {
 				j.started = now
 				l.fared(j, now)
 			}
-		case workers.Gone:
+		case workers.EventGone:
 			if j != nil {
 				j.again[a.ID.Task.Index] = true
 			}
 			l.vacate(r, a)
 			l.lost(r, j, a, true, now)
-		case workers.Ended:
+		case workers.EventExited:
 			l.vacate(r, a)
 			l.exited(r, j, a, now)
 		}
@@ -348,7 +348,7 @@
 	if replace && l.mayReplace(j, a) {
 		j.short, j.stale = true, true
 		j.avoid[r.m.Name] = now.Add(constants.AvoidFor)
-		l.d.Log.Debug("task of a waiting gang to be replaced", "piece", a.ID.Task, "try", a.ID.Try, "rig", r.m.Name)
+		l.d.Log.Debug("task of a waiting gang to be replaced", "piece", a.ID.Task, "try", a.ID.Number, "rig", r.m.Name)
 		return
 	}
 	l.haltGang(j, 0, now)
@@ -367,14 +367,14 @@
 // task, and that stops the replacement too. Attempts of earlier terms are not
 // completed: what their leader sent last is not known.
 func (l *Leader) mayReplace(j *job, a *workers.Attempt) bool {
-	if a.Halt || a.Inherited || a.ID.Try != j.gangTry || !l.attempts.owns(a.ID.Try) || len(j.seats) == 0 {
+	if a.StopRequested || a.FromEarlierTerm || a.ID.Number != j.gangTry || !l.attempts.owns(a.ID.Number) || len(j.seats) == 0 {
 		return false
 	}
 	for _, s := range sortedSeats(j) {
 		switch {
-		case s.a.Halt, s.a.Inherited, s.a.ID.Try != a.ID.Try:
+		case s.a.StopRequested, s.a.FromEarlierTerm, s.a.ID.Number != a.ID.Number:
 			return false
-		case s.a.Status != "" && s.a.Status != workers.Fetching && s.a.Status != workers.Waiting:
+		case s.a.Status != "" && s.a.Status != workers.StatusFetching && s.a.Status != workers.StatusWaiting:
 			return false
 		}
 	}
@@ -383,7 +383,7 @@
 
 // exited takes in a task's exit.
 func (l *Leader) exited(r *machine, j *job, a *workers.Attempt, now time.Time) {
-	l.d.Log.Debug("task ended", "piece", a.ID.Task, "try", a.ID.Try, "rig", r.m.Name, "cause", a.Cause, "saved", a.Saved)
+	l.d.Log.Debug("task ended", "piece", a.ID.Task, "try", a.ID.Number, "rig", r.m.Name, "cause", a.Cause, "saved", a.Saved)
 	if j == nil || a.ID.Task.Index >= j.spec.Pieces {
 		l.allowForget(r, a)
 		return
@@ -465,10 +465,10 @@
 		Fits: func(d reservations.Downstream) bool { return r.open(now) && l.mayHold(r, d) },
 	}
 	if f.Started.IsZero() {
-		f.Started = a.PlannedAt
+		f.Started = a.PlacedAt
 	}
-	if !a.RanAt.IsZero() {
-		f.Ran = now.Sub(a.RanAt)
+	if !a.RunningSince.IsZero() {
+		f.Ran = now.Sub(a.RunningSince)
 	}
 	if l.book.Finished(f) {
 		l.hintsChanged(r, now)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -43,7 +43,7 @@
 
 // Workers sends orders straight to a worker; the answer is its report.
 type Workers interface {
-	Command(ctx context.Context, endpoint string, a workers.Answer) (*workers.Report, error)
+	Command(ctx context.Context, endpoint string, a workers.CommandBatch) (*workers.Heartbeat, error)
 }
 
 // Deps are the parts of a leader.
@@ -398,17 +398,17 @@
 		// That nobody was answered for a lease is our own doing after we stood
 		// still: who leads now knows better, and if we do it is soon known.
 		if !l.termUnverified {
-			if ev := r.m.CheckLease(l.grant.Term, l.lease, now); len(ev) > 0 {
+			if ev := r.m.ExpireLease(l.grant.Term, l.lease, now); len(ev) > 0 {
 				l.d.Log.Info("machine lost", "rig", r.m.Name, "tasks", len(ev))
 				l.events(r, ev, now)
 			}
 		}
 		l.sendStops(r, now)
-		r.suspect = r.m.Suspect(now)
+		r.suspect = r.m.StartOverdue(now)
 		switch {
-		case r.m.Deaf || r.m.Doubt:
+		case r.m.RepliesLost || r.m.EpochUnconfirmed:
 			l.probe(r, now)
-		case r.m.Warrant < l.grant.Term && shown < constants.ShowsAtOnce && !r.calling && now.Sub(r.called) >= l.lease/2:
+		case r.m.Token < l.grant.Term && shown < constants.ShowsAtOnce && !r.calling && now.Sub(r.called) >= l.lease/2:
 			// Show the worker the new token, so that it turns to this node
 			// soon and an older leader's answers are dropped. A few at a time:
 			// all at once would take more sockets and time than there are.
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -40,8 +40,8 @@
 // addRig gives the leader a machine that has just reported.
 func addRig(l *Leader, name, zone string, now time.Time) *machine {
 	r := l.machine(name, now)
-	r.m.Observe(&workers.Report{Machine: name, MachineType: "g4", Hall: zone, Shift: 1, Tick: 1, Warrant: l.grant.Term}, l.grant.Term, false, now)
-	r.m.Answered = now
+	r.m.Observe(&workers.Heartbeat{Machine: name, MachineType: "g4", Zone: zone, Epoch: 1, Sequence: 1, Token: l.grant.Term}, l.grant.Term, false, now)
+	r.m.LastAcknowledged = now
 	return r
 }
 
@@ -56,9 +56,9 @@
 	}
 	now := t0.Add(l.lease + constants.SilentReturn + time.Second)
 	for i := range 4 {
-		l.machines[fmt.Sprint("m-w", i)].m.Heard = now
+		l.machines[fmt.Sprint("m-w", i)].m.LastHeartbeat = now
 	}
-	l.machines["m-w0"].m.Heard = t0 // one machine of the other zone died
+	l.machines["m-w0"].m.LastHeartbeat = t0 // one machine of the other zone died
 	l.retireMachines(now)
 	for name, r := range l.machines {
 		if want := name == "m-w0"; r.leaving != want {
@@ -75,7 +75,7 @@
 	// The cut heals: three of the four are back a few seconds before the last.
 	back := now.Add(20 * time.Second)
 	for i := range 3 {
-		l.machines[fmt.Sprint("m-e", i)].m.Heard = back
+		l.machines[fmt.Sprint("m-e", i)].m.LastHeartbeat = back
 	}
 	l.retireMachines(back.Add(time.Second))
 	if l.machines["m-e3"].leaving {
@@ -87,7 +87,7 @@
 	}
 	for i := range 4 {
 		r := l.machines[fmt.Sprint("m-e", i)]
-		r.m.Heard, r.leaving = t0, false
+		r.m.LastHeartbeat, r.leaving = t0, false
 	}
 	l.retireMachines(t0.Add(l.lease + constants.UnreachableReturn + time.Second))
 	if !l.machines["m-e0"].leaving {
@@ -112,10 +112,10 @@
 }
 
 // report makes a worker's next report with these tasks in this state.
-func report(l *Leader, r *machine, status, cause string) *workers.Report {
-	rep := &workers.Report{Machine: r.m.Name, MachineType: r.m.Type, Hall: r.m.Zone, Shift: r.m.Shift, Tick: r.m.Tick + 1, Warrant: l.grant.Term}
-	for _, a := range r.m.Sorted() {
-		rep.Pieces = append(rep.Pieces, workers.Piece{Piece: a.ID.Task.String(), Try: a.ID.Try, Status: status, Cause: cause})
+func report(l *Leader, r *machine, status, cause string) *workers.Heartbeat {
+	rep := &workers.Heartbeat{Machine: r.m.Name, MachineType: r.m.Type, Zone: r.m.Zone, Epoch: r.m.Epoch, Sequence: r.m.Sequence + 1, Token: l.grant.Term}
+	for _, a := range r.m.SortedAttempts() {
+		rep.Tasks = append(rep.Tasks, workers.TaskReport{Task: a.ID.Task.String(), Attempt: a.ID.Number, Status: status, Cause: cause})
 	}
 	return rep
 }
@@ -141,23 +141,23 @@
 	r := addRig(l, "m-1", "east", now)
 	j := addJob(t, l, sweep("j-1", 2), now)
 	l.pass(now)
-	if len(j.seats) != 2 || len(r.m.Orders(true, now)) != 0 {
-		t.Fatalf("%d placed, %d orders before the record", len(j.seats), len(r.m.Orders(true, now)))
+	if len(j.seats) != 2 || len(r.m.Commands(true, now)) != 0 {
+		t.Fatalf("%d placed, %d orders before the record", len(j.seats), len(r.m.Commands(true, now)))
 	}
 	epoch := settle(l, 100)
-	if got := r.m.Orders(true, now); len(got) != 2 || got[0].Verb != workers.Run {
+	if got := r.m.Commands(true, now); len(got) != 2 || got[0].Verb != workers.VerbRun {
 		t.Fatalf("after the record: %v", got)
 	}
-	l.observe(r, report(l, r, workers.Running, ""), false, now)
+	l.observe(r, report(l, r, workers.StatusRunning, ""), false, now)
 	if len(r.images) != 1 || !r.images[0].have || l.hints.due[r].IsZero() {
 		t.Errorf("the image is not noted for the next leader")
 	}
-	l.observe(r, report(l, r, workers.Exited, workers.CauseDone), false, now)
-	if !j.closing || len(r.m.Orders(true, now)) != 0 {
-		t.Fatalf("closing %v, orders %v before completion is recorded", j.closing, r.m.Orders(true, now))
+	l.observe(r, report(l, r, workers.StatusExited, workers.CauseDone), false, now)
+	if !j.closing || len(r.m.Commands(true, now)) != 0 {
+		t.Fatalf("closing %v, orders %v before completion is recorded", j.closing, r.m.Commands(true, now))
 	}
 	settle(l, epoch)
-	if got := r.m.Orders(true, now); len(got) != 2 || got[0].Verb != workers.Forget {
+	if got := r.m.Commands(true, now); len(got) != 2 || got[0].Verb != workers.VerbForget {
 		t.Fatalf("after completion: %v", got)
 	}
 	if l.jobs["j-1"] != nil {
@@ -174,8 +174,8 @@
 	addJob(t, l, sweep("j-1", 3), now)
 	l.pass(now)
 	settle(l, 100)
-	r.m.Orders(true, now)
-	l.observe(r, report(l, r, workers.Running, ""), false, now)
+	r.m.Commands(true, now)
+	l.observe(r, report(l, r, workers.StatusRunning, ""), false, now)
 	r.m.Endpoint = "" // nothing to be told directly here
 	l.jobGone("j-1", now)
 	w, _ := l.world(now)
@@ -186,7 +186,7 @@
 	if len(rec.Attempts) != 3 || rec.Jobs["j-1"].Owner != "a" || roomOf(rec.Jobs["j-1"].Room).GPUs != 1 {
 		t.Errorf("the record does not carry them: %+v", rec)
 	}
-	l.observe(r, report(l, r, workers.Exited, "halted"), false, now)
+	l.observe(r, report(l, r, workers.StatusExited, "halted"), false, now)
 	if w, _ = l.world(now); w.Teams["a"].Used.GPUs != 0 {
 		t.Errorf("they count for ever")
 	}
@@ -202,7 +202,7 @@
 	l.pass(now)
 	first := l.next()
 	l.committed(outcome{err: fmt.Errorf("no answer")})
-	if l.committer.backoff == 0 || len(r.m.Orders(true, now)) != 0 {
+	if l.committer.backoff == 0 || len(r.m.Commands(true, now)) != 0 {
 		t.Fatalf("an unknown outcome counts as success")
 	}
 	again := l.next()
@@ -215,7 +215,7 @@
 	}
 	clash := &statestore.Conflict{Failed: []string{wal.HeadKey}}
 	l.committed(outcome{err: clash, failed: clash, head: &head, stamp: 55})
-	if l.ended != nil || len(r.m.Orders(true, now)) != 1 {
+	if l.ended != nil || len(r.m.Commands(true, now)) != 1 {
 		t.Fatalf("the first try stands, but the start does not leave (%v)", l.ended)
 	}
 	addJob(t, l, sweep("j-2", 1), now)
@@ -276,27 +276,27 @@
 	bad := addRig(l, "m-bad", "east", t0)
 	j := addJob(t, l, sweep("j-1", 6), t0)
 	for i := range 2 {
-		a := &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: "j-1", Index: i}, Try: uint64(i + 1)}, Shift: 1,
-			Committed: true, Cleared: true, Sent: true, Status: workers.Running, RanAt: t0}
+		a := &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: "j-1", Index: i}, Number: uint64(i + 1)}, Epoch: 1,
+			Committed: true, StartAllowed: true, Sent: true, Status: workers.StatusRunning, RunningSince: t0}
 		bad.m.Attempts[a.ID] = a
 		l.occupy(bad, a)
 	}
 	for _, s := range []int{24, 30, 35} {
 		j.pace.add(time.Duration(s) * time.Second)
 	}
-	bad.m.Heard = t0.Add(45 * time.Second)
+	bad.m.LastHeartbeat = t0.Add(45 * time.Second)
 	l.checkPace(t0.Add(45 * time.Second))
 	if bad.slow(t0.Add(45 * time.Second)) {
 		t.Fatalf("half as long again is taken for slow")
 	}
 	now := t0.Add(55 * time.Second)
-	bad.m.Heard = now
+	bad.m.LastHeartbeat = now
 	l.checkPace(now)
 	if !bad.slow(now) || bad.open(now) {
 		t.Fatalf("a slow machine is not found")
 	}
-	for _, a := range bad.m.Sorted() {
-		if !a.Halt || a.Grace < j.spec.StashS {
+	for _, a := range bad.m.SortedAttempts() {
+		if !a.StopRequested || a.GraceS < j.spec.StashS {
 			t.Errorf("%v is not saved and stopped", a.ID)
 		}
 	}
@@ -317,7 +317,7 @@
 	old := addJob(t, l, sweep("j-2", 4), t0)
 	old.again[0] = true
 	for _, x := range []*job{j, old} {
-		l.notePace(r, x, &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: x.spec.NameID}}, RanAt: t0}, t0.Add(time.Second))
+		l.notePace(r, x, &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: x.spec.NameID}}, RunningSince: t0}, t0.Add(time.Second))
 		if len(x.pace.runs) != 0 {
 			t.Errorf("%s: a part of a run is taken for a whole one", x.spec.NameID)
 		}
@@ -428,11 +428,11 @@
 	spec.Shape, spec.SamePlace, spec.Accelerators = userapi.Gang, true, 4
 	j := addJob(t, l, spec, now)
 	r := addRig(l, "m-1", "east", now)
-	a := &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: "j-1"}, Try: 9}, Shift: 1, Inherited: true, Sent: true, Committed: true}
+	a := &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: "j-1"}, Number: 9}, Epoch: 1, FromEarlierTerm: true, Sent: true, Committed: true}
 	r.m.Attempts[a.ID] = a
 	l.occupy(r, a)
 	l.dissolve(j, now)
-	if !a.Halt {
+	if !a.StopRequested {
 		t.Errorf("it waits on")
 	}
 }
@@ -441,7 +441,7 @@
 // replacement under the same number, in the same zone; one that has run, or
 // that is told that its mates are gone, starts anew as a whole.
 func TestWaitingGangIsCompleted(t *testing.T) {
-	for _, status := range []string{workers.Waiting, workers.Running} {
+	for _, status := range []string{workers.StatusWaiting, workers.StatusRunning} {
 		now := time.Now()
 		l := testLeader(t)
 		for i := range 3 {
@@ -459,30 +459,30 @@
 		}
 		try := j.gangTry
 		for _, s := range seats {
-			s.machine.m.Orders(true, now)
+			s.machine.m.Commands(true, now)
 			l.observe(s.machine, report(l, s.machine, status, ""), false, now)
 		}
 		lost := seats[1].machine
-		l.events(lost, lost.m.Returned(), now)
+		l.events(lost, lost.m.Terminated(), now)
 		lost.leaving = true
 		l.pass(now)
 		settle(l, epoch)
-		if status == workers.Running {
-			if !seats[0].a.Halt || len(j.seats) != 1 {
+		if status == workers.StatusRunning {
+			if !seats[0].a.StopRequested || len(j.seats) != 1 {
 				t.Errorf("the rest of a running gang goes on: %v", j.seats)
 			}
 			continue
 		}
 		again := sortedSeats(j)
-		if len(again) != 2 || seats[0].a.Halt || j.short {
+		if len(again) != 2 || seats[0].a.StopRequested || j.short {
 			t.Fatalf("not completed: %+v", again)
 		}
 		fresh := again[1]
-		if fresh.a.ID.Try != try || fresh.machine == lost || fresh.machine.m.Zone != seats[0].machine.m.Zone || !fresh.a.Cleared {
+		if fresh.a.ID.Number != try || fresh.machine == lost || fresh.machine.m.Zone != seats[0].machine.m.Zone || !fresh.a.StartAllowed {
 			t.Errorf("replaced by %+v on %s", fresh.a, fresh.machine.m.Name)
 		}
-		l.observe(seats[0].machine, report(l, seats[0].machine, workers.Exited, "mates_gone"), false, now)
-		if len(j.seats) != 0 && !sortedSeats(j)[0].a.Halt {
+		l.observe(seats[0].machine, report(l, seats[0].machine, workers.StatusExited, "mates_gone"), false, now)
+		if len(j.seats) != 0 && !sortedSeats(j)[0].a.StopRequested {
 			t.Errorf("the replacement outlives its gang")
 		}
 	}
@@ -496,34 +496,34 @@
 	l := testLeader(t)
 	l.sure = now
 	r := addRig(l, "m-1", "east", now)
-	answered := r.m.Answered
+	answered := r.m.LastAcknowledged
 	copyOf := report(l, r, "", "")
-	copyOf.Tick = 1
+	copyOf.Sequence = 1
 	ch := make(chan Reply, 1)
 	l.hello(copyOf, now.Add(time.Second), ch)
 	select {
 	case a := <-ch:
-		if a.Status != 503 || !r.m.Answered.Equal(answered) || r.waiter != nil {
-			t.Errorf("a copy got %d, answered %v", a.Status, r.m.Answered)
+		if a.Status != 503 || !r.m.LastAcknowledged.Equal(answered) || r.waiter != nil {
+			t.Errorf("a copy got %d, answered %v", a.Status, r.m.LastAcknowledged)
 		}
 	default:
 		t.Errorf("a copy is kept waiting")
 	}
 	l.market.returned["m-9"] = now
-	l.hello(&workers.Report{Machine: "m-9", MachineType: "g4", Hall: "east", Shift: 1, Tick: 1, Warrant: 3}, now, ch)
+	l.hello(&workers.Heartbeat{Machine: "m-9", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: 1, Token: 3}, now, ch)
 	if a := <-ch; a.Status != 503 || l.machines["m-9"] != nil {
 		t.Errorf("a returned machine is back: %d", a.Status)
 	}
 	delete(l.machines, "m-1")
 	l.ordered = nil
 	j := addJob(t, l, sweep("j-1", 1), now)
-	stale := &workers.Report{Machine: "m-2", MachineType: "g4", Hall: "east", Shift: 1, Tick: 400, Warrant: l.grant.Term - 1}
+	stale := &workers.Heartbeat{Machine: "m-2", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: 400, Token: l.grant.Term - 1}
 	l.hello(stale, now, ch)
 	l.pass(now)
 	if len(j.seats) != 0 {
 		t.Fatalf("work was put on a machine that may be no more")
 	}
-	stale.Tick, stale.Warrant = 401, l.grant.Term
+	stale.Sequence, stale.Token = 401, l.grant.Term
 	l.hello(stale, now, ch)
 	l.pass(now)
 	if len(j.seats) != 1 {
@@ -538,21 +538,21 @@
 	l := testLeader(t)
 	l.sure = now
 	r := addRig(l, "m-1", "east", now)
-	last := r.m.Answered
-	r.m.Deaf = true
+	last := r.m.LastAcknowledged
+	r.m.RepliesLost = true
 	l.markStale(r)
 	ch := make(chan Reply, 1)
 	l.hello(report(l, r, "", ""), now.Add(time.Second), ch)
 	l.flush(now.Add(3 * time.Second))
-	if a := <-ch; a.Status != 503 || !r.m.Answered.Equal(last) {
-		t.Errorf("it got %d, its lease counts from %v", a.Status, r.m.Answered.Sub(last))
+	if a := <-ch; a.Status != 503 || !r.m.LastAcknowledged.Equal(last) {
+		t.Errorf("it got %d, its lease counts from %v", a.Status, r.m.LastAcknowledged.Sub(last))
 	}
 	j := addJob(t, l, sweep("j-1", 1), now)
 	l.pass(now)
 	if len(j.seats) != 0 {
 		t.Errorf("it got work")
 	}
-	if ev := r.m.CheckLease(l.grant.Term, l.lease, last.Add(l.lease+2*time.Second)); r.m.EndedShift != 1 {
+	if ev := r.m.ExpireLease(l.grant.Term, l.lease, last.Add(l.lease+2*time.Second)); r.m.ExpiredEpoch != 1 {
 		t.Errorf("its session never ends: %v", ev)
 	}
 }
@@ -596,16 +596,16 @@
 			"commit": func(*rapid.T) { epoch = settle(l, epoch) },
 			"report": func(*rapid.T) {
 				r := pick()
-				status := rapid.SampledFrom([]string{workers.Fetching, workers.Running, workers.Exited}).Draw(rt, "status")
+				status := rapid.SampledFrom([]string{workers.StatusFetching, workers.StatusRunning, workers.StatusExited}).Draw(rt, "status")
 				cause := ""
-				if status == workers.Exited {
+				if status == workers.StatusExited {
 					cause = rapid.SampledFrom([]string{workers.CauseDone, "halted", workers.CauseError}).Draw(rt, "cause")
 				}
 				rep := report(l, r, status, cause)
 				if rapid.IntRange(0, 4).Draw(rt, "some") == 0 {
-					rep.Pieces = rep.Pieces[:len(rep.Pieces)/2]
+					rep.Tasks = rep.Tasks[:len(rep.Tasks)/2]
 				}
-				r.m.Orders(true, now)
+				r.m.Commands(true, now)
 				l.observe(r, rep, false, now)
 			},
 			"cancel": func(*rapid.T) {
@@ -615,13 +615,13 @@
 			},
 			"session": func(*rapid.T) {
 				r := pick()
-				rep := report(l, r, workers.Running, "")
-				rep.Shift, rep.Pieces = rep.Shift+1, nil
+				rep := report(l, r, workers.StatusRunning, "")
+				rep.Epoch, rep.Tasks = rep.Epoch+1, nil
 				l.observe(r, rep, false, now)
 			},
 			"returned": func(*rapid.T) {
 				r := pick()
-				l.events(r, r.m.Returned(), now)
+				l.events(r, r.m.Terminated(), now)
 				l.forget(r)
 				l.committer.log.Gone(r.m.Name)
 			},
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -11,7 +11,7 @@
 
 // machine is one machine: the worker's session and what the leader keeps of it.
 type machine struct {
-	m     *workers.Machine
+	m     *workers.Agent
 	since time.Time
 
 	// metaNoted is set once its type, place and so on are in the log.
@@ -56,7 +56,7 @@
 func (l *Leader) machine(name string, now time.Time) *machine {
 	r := l.machines[name]
 	if r == nil {
-		r = &machine{m: workers.NewMachine(name), since: now, idleSince: now}
+		r = &machine{m: workers.NewAgent(name), since: now, idleSince: now}
 		l.machines[name] = r
 		l.ordered = nil
 		l.markStale(r)
@@ -84,8 +84,8 @@
 
 // open tells whether new tasks may be put on the machine.
 func (r *machine) open(now time.Time) bool {
-	return r.m.Known && !r.leaving && !r.bad && !now.Before(r.pausedUntil) && r.m.Recall.IsZero() && r.m.Shift > r.m.EndedShift && !r.slow(now) &&
-		!r.m.Deaf && !r.m.Doubt && !r.suspect
+	return r.m.Registered && !r.leaving && !r.bad && !now.Before(r.pausedUntil) && r.m.ReclaimAt.IsZero() && r.m.Epoch > r.m.ExpiredEpoch && !r.slow(now) &&
+		!r.m.RepliesLost && !r.m.EpochUnconfirmed && !r.suspect
 }
 
 // room is what is free on the machine beside its tasks and holds.
--- a/internal/leader/provisioning.go
+++ b/internal/leader/provisioning.go
@@ -124,8 +124,8 @@
 // the leader itself could hear.
 func (l *Leader) silent(r *machine, now time.Time) time.Duration {
 	last := r.since
-	if r.m.Known {
-		last = r.m.Heard
+	if r.m.Registered {
+		last = r.m.LastHeartbeat
 	}
 	if l.wokeAt.After(last) {
 		last = l.wokeAt
@@ -208,7 +208,7 @@
 		}
 		// Tasks that can still save get the time to.
 		silent := l.silent(r, now) > l.lease
-		if r.m.Known && !silent && l.busy(r) {
+		if r.m.Registered && !silent && l.busy(r) {
 			continue
 		}
 		names = append(names, r.m.Name)
@@ -254,7 +254,7 @@
 					continue
 				}
 				// The cloud's word is the strongest proof: all is gone.
-				l.events(r, r.m.Returned(), now)
+				l.events(r, r.m.Terminated(), now)
 				if r.waiter != nil {
 					r.waiter.reply <- Reply{Status: 503}
 				}
@@ -387,7 +387,7 @@
 	for _, r := range l.machines {
 		// A silent machine is not counted on: it is replaced before it is
 		// given up.
-		if !r.leaving && !r.bad && r.m.Recall.IsZero() && l.silent(r, now) <= l.lease {
+		if !r.leaving && !r.bad && r.m.ReclaimAt.IsZero() && l.silent(r, now) <= l.lease {
 			v.Have[r.pool()]++
 		}
 	}
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -49,7 +49,7 @@
 }
 
 func recordAttempt(a *workers.Attempt) wal.Attempt {
-	return wal.Attempt{Piece: a.ID.Task.String(), Try: a.ID.Try, Shift: a.Shift}
+	return wal.Attempt{Piece: a.ID.Task.String(), Try: a.ID.Number, Shift: a.Epoch}
 }
 
 func attemptOf(r wal.Attempt, now time.Time) (*workers.Attempt, error) {
@@ -57,13 +57,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return &workers.Attempt{ID: workers.AttemptID{Task: task, Try: r.Try}, Shift: r.Shift,
-		Committed: true, Cleared: true, Inherited: true, Sent: true, PlannedAt: now}, nil
+	return &workers.Attempt{ID: workers.AttemptID{Task: task, Number: r.Try}, Epoch: r.Shift,
+		Committed: true, StartAllowed: true, FromEarlierTerm: true, Sent: true, PlacedAt: now}, nil
 }
 
 // meta is what is recorded of a machine beside its attempts.
 func (l *Leader) meta(r *machine) wal.Machine {
-	rec := wal.Machine{Type: r.m.Type, Zone: r.m.Zone, Spot: r.m.Spot, Endpoint: r.m.Endpoint, Shift: r.m.Shift, Leaving: r.leaving}
+	rec := wal.Machine{Type: r.m.Type, Zone: r.m.Zone, Spot: r.m.Spot, Endpoint: r.m.Endpoint, Shift: r.m.Epoch, Leaving: r.leaving}
 	for _, h := range l.book.On(r.m.Name) {
 		rec.Holds = append(rec.Holds, recordHold(h))
 	}
@@ -80,7 +80,7 @@
 // record is all that is recorded of a machine.
 func (l *Leader) record(r *machine) wal.Machine {
 	rec := l.meta(r)
-	for _, a := range r.m.Sorted() {
+	for _, a := range r.m.SortedAttempts() {
 		if !a.Live() {
 			continue
 		}
@@ -99,7 +99,7 @@
 	r.metaNoted = true
 	r.leaving = rec.Leaving
 	r.leavingSafe = rec.Leaving
-	r.m.Type, r.m.Zone, r.m.Spot, r.m.Endpoint, r.m.Shift = rec.Type, rec.Zone, rec.Spot, rec.Endpoint, rec.Shift
+	r.m.Type, r.m.Zone, r.m.Spot, r.m.Endpoint, r.m.Epoch = rec.Type, rec.Zone, rec.Spot, rec.Endpoint, rec.Shift
 	for _, ar := range rec.Attempts {
 		a, err := attemptOf(ar, now)
 		if err != nil {
@@ -115,7 +115,7 @@
 				l.endedJobs[id] = g
 			}
 			g.seats++
-			r.m.Withdraw(a, 0, now)
+			r.m.RequestStop(a, 0, now)
 		}
 		l.occupy(r, a)
 	}
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -17,32 +17,32 @@
 }
 
 // observe takes in a report, by whichever way it came.
-func (l *Leader) observe(r *machine, rep *workers.Report, direct bool, now time.Time) (fresh bool) {
-	if rep.Warrant > l.grant.Term {
+func (l *Leader) observe(r *machine, rep *workers.Heartbeat, direct bool, now time.Time) (fresh bool) {
+	if rep.Token > l.grant.Term {
 		l.end(errDeposed)
 		return false
 	}
-	known := r.m.Known
-	r.blind = known && now.Sub(r.m.Heard) > l.quiet()
-	before, deaf, doubt := r.m.Shift, r.m.Deaf, r.m.Doubt
+	known := r.m.Registered
+	r.blind = known && now.Sub(r.m.LastHeartbeat) > l.quiet()
+	before, deaf, doubt := r.m.Epoch, r.m.RepliesLost, r.m.EpochUnconfirmed
 	ev, fresh := r.m.Observe(rep, l.grant.Term, direct, now)
 	if !fresh {
 		return false
 	}
-	r.suspect = r.m.Suspect(now)
-	if r.m.Deaf != deaf {
+	r.suspect = r.m.StartOverdue(now)
+	if r.m.RepliesLost != deaf {
 		l.markStale(r)
-		l.d.Log.Info("machine does not hear", "rig", r.m.Name, "deaf", r.m.Deaf)
+		l.d.Log.Info("machine does not hear", "rig", r.m.Name, "deaf", r.m.RepliesLost)
 		l.dirty = true
 	}
-	r.m.KeptSession(l.lease, now)
-	if r.m.Doubt != doubt {
-		if r.m.Doubt {
+	r.m.ConfirmEpoch(l.lease, now)
+	if r.m.EpochUnconfirmed != doubt {
+		if r.m.EpochUnconfirmed {
 			r.called = time.Time{} // ask it at once
 		}
 		l.dirty = true
 	}
-	if r.m.Deaf || r.m.Doubt {
+	if r.m.RepliesLost || r.m.EpochUnconfirmed {
 		l.probe(r, now)
 	}
 	if !known {
@@ -50,16 +50,16 @@
 		l.markStale(r)
 		l.arrived(r, now)
 	}
-	if before != r.m.Shift {
+	if before != r.m.Epoch {
 		if before != 0 && len(ev) > 0 {
-			l.d.Log.Info("machine began a new session", "rig", r.m.Name, "shift", r.m.Shift, "lost", len(ev))
+			l.d.Log.Info("machine began a new session", "rig", r.m.Name, "shift", r.m.Epoch, "lost", len(ev))
 		}
 		r.images = keepImages(r.images)
 		l.markStale(r)
 		l.dirty = true
 	}
 	l.events(r, ev, now)
-	if !r.m.Recall.IsZero() {
+	if !r.m.ReclaimAt.IsZero() {
 		l.drain(r, now)
 	}
 	return true
@@ -68,12 +68,12 @@
 // Reply is the answer to a report.
 type Reply struct {
 	Status int
-	Answer workers.Answer
+	Answer workers.CommandBatch
 }
 
 // Hello answers a worker's report. The answer may be kept back for a moment
 // so that orders can go with it.
-func (l *Leader) Hello(ctx context.Context, rep *workers.Report) (Reply, bool) {
+func (l *Leader) Hello(ctx context.Context, rep *workers.Heartbeat) (Reply, bool) {
 	ch := make(chan Reply, 1)
 	arrived := time.Now()
 	if !l.do(ctx, func() { l.hello(rep, arrived, ch) }) {
@@ -88,7 +88,7 @@
 	return Reply{}, false
 }
 
-func (l *Leader) hello(rep *workers.Report, arrived time.Time, ch chan<- Reply) {
+func (l *Leader) hello(rep *workers.Heartbeat, arrived time.Time, ch chan<- Reply) {
 	now := time.Now()
 	if now.Sub(l.sure) > l.certainty {
 		// Another node may have accepted a cancellation that we can't know
@@ -103,7 +103,7 @@
 	}
 	r := l.machine(rep.Machine, now)
 	l.counts.Reports++
-	if r.m.Copy(rep) {
+	if r.m.IsDuplicate(rep) {
 		l.counts.Copies++
 		// A late copy tells nothing new, and whoever sent it has given up
 		// waiting: it must not count as contact with the worker.
@@ -117,13 +117,13 @@
 		ch <- Reply{}
 		return
 	}
-	r.m.ReportTick = max(r.m.ReportTick, rep.Tick)
-	if rep.Shift <= r.m.EndedShift || r.m.Deaf {
+	r.m.HeartbeatSequence = max(r.m.HeartbeatSequence, rep.Sequence)
+	if rep.Epoch <= r.m.ExpiredEpoch || r.m.RepliesLost {
 		// It must come to the end of its lease: a 200 might always arrive.
 		ch <- Reply{Status: 503}
 		return
 	}
-	r.m.Answered = arrived
+	r.m.LastAcknowledged = arrived
 	if r.waiter != nil {
 		// The worker has given up the earlier report.
 		r.waiter.reply <- Reply{Status: 503}
@@ -132,9 +132,9 @@
 	if len(r.m.Attempts) == 0 {
 		hold = min(constants.IdleHold, l.lease/4)
 	}
-	r.waiter = &waiter{shift: rep.Shift, arrived: arrived, until: arrived.Add(hold), reply: ch}
+	r.waiter = &waiter{shift: rep.Epoch, arrived: arrived, until: arrived.Add(hold), reply: ch}
 	l.waiters[r] = true
-	if r.m.HasOrders() {
+	if r.m.HasCommands() {
 		l.answerSoon(r)
 	}
 }
@@ -166,7 +166,7 @@
 // into the present answer, and would wait for the worker's next report else.
 func (r *machine) startsPend() bool {
 	for _, a := range r.m.Attempts {
-		if !a.Sent && !a.Halt && a.Shift == r.m.Shift {
+		if !a.Sent && !a.StopRequested && a.Epoch == r.m.Epoch {
 			return true
 		}
 	}
@@ -180,18 +180,18 @@
 		delete(l.waiters, r)
 		return
 	}
-	if w.shift != r.m.Shift || r.m.Deaf {
+	if w.shift != r.m.Epoch || r.m.RepliesLost {
 		w.reply <- Reply{Status: 503}
 	} else {
-		if !r.m.HasOrders() && (now.Before(w.until) || now.Before(w.arrived.Add(constants.PendingHold)) && r.startsPend()) {
+		if !r.m.HasCommands() && (now.Before(w.until) || now.Before(w.arrived.Add(constants.PendingHold)) && r.startsPend()) {
 			return
 		}
-		orders := r.m.Orders(true, now)
+		orders := r.m.Commands(true, now)
 		if orders == nil {
-			orders = []workers.Order{}
+			orders = []workers.Command{}
 		}
 		l.counts.Orders += uint64(len(orders))
-		w.reply <- Reply{Status: 200, Answer: workers.Answer{Warrant: l.grant.Term, Orders: orders}}
+		w.reply <- Reply{Status: 200, Answer: workers.CommandBatch{Token: l.grant.Term, Commands: orders}}
 	}
 	r.waiter = nil
 	delete(l.waiters, r)
--- a/internal/leader/scheduling.go
+++ b/internal/leader/scheduling.go
@@ -188,7 +188,7 @@
 		// a report may be a late copy of one from a machine that is no more.
 		// One that has not been heard for a few reports may well be dead or cut
 		// off: what is put there would wait until its lease is over.
-		r.view.Open = r.view.Total != (placement.Room{}) && r.open(now) && r.m.Warrant == l.grant.Term &&
+		r.view.Open = r.view.Total != (placement.Room{}) && r.open(now) && r.m.Token == l.grant.Term &&
 			l.silent(r, now) <= l.quiet()+constants.IdleHold
 		if r.view.Open && !r.view.Spot {
 			ordinary++
@@ -239,14 +239,14 @@
 		}
 		room := l.needOf(a)
 		uses = append(uses, ownerUse{l.ownerOf(a), room})
-		s := placement.Slot{Index: a.ID.Task.Index, Try: a.ID.Try, Room: room, Ending: a.Halt}
+		s := placement.Slot{Index: a.ID.Task.Index, Try: a.ID.Number, Room: room, Ending: a.StopRequested}
 		if j := l.jobs[a.ID.Task.Job]; j != nil {
 			s.Job = &j.view
 			s.Left, s.Loss = l.outlook(j, a, now)
-			if _, have := pr.Cached[j.spec.Bundle]; !have && (a.Status == "" || a.Status == workers.Fetching) && typ.PullGBPerS > 0 {
+			if _, have := pr.Cached[j.spec.Bundle]; !have && (a.Status == "" || a.Status == workers.StatusFetching) && typ.PullGBPerS > 0 {
 				pr.Fetching++
 				full := j.spec.ImageGB / typ.PullGBPerS * float64(pr.Fetching)
-				pr.Cached[j.spec.Bundle] = max(time.Second, time.Duration(full*float64(time.Second))-now.Sub(a.PlannedAt))
+				pr.Cached[j.spec.Bundle] = max(time.Second, time.Duration(full*float64(time.Second))-now.Sub(a.PlacedAt))
 			}
 		}
 		pr.Slots = append(pr.Slots, s)
@@ -336,10 +336,10 @@
 		// The whole gang goes, and finds whole machines again less easily.
 		again *= constants.GangRestart * time.Duration(j.spec.Pieces)
 	}
-	if a.RanAt.IsZero() {
+	if a.RunningSince.IsZero() {
 		return expect, again
 	}
-	ran := now.Sub(a.RanAt)
+	ran := now.Sub(a.RunningSince)
 	left = max(expect-ran, 5*time.Second)
 	if j.spec.SnapshotS > 0 {
 		loss = time.Duration(j.spec.StashS*float64(time.Second)) + constants.StopGrace
@@ -369,7 +369,7 @@
 		return
 	}
 	for _, s := range j.seats[e.Slot.Index] {
-		if s.machine == r && s.a.ID.Try == e.Slot.Try {
+		if s.machine == r && s.a.ID.Number == e.Slot.Try {
 			l.halt(r, s.a, grace, now)
 		}
 	}
@@ -400,8 +400,8 @@
 				j.gangTry = try
 			}
 		}
-		a := &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: j.spec.NameID, Index: s.Index}, Try: try},
-			Shift: r.m.Shift, PlannedAt: now}
+		a := &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: j.spec.NameID, Index: s.Index}, Number: try},
+			Epoch: r.m.Epoch, PlacedAt: now}
 		r.m.Attempts[a.ID] = a
 		j.servedAt = now
 		l.rates.add(j.spec.Workload)
--- a/internal/leader/stall_test.go
+++ b/internal/leader/stall_test.go
@@ -80,7 +80,7 @@
 	l.noteRound()
 	l.lastRound = time.Now().Add(-still)
 	for _, r := range l.machines {
-		r.m.Heard = r.m.Heard.Add(-still)
+		r.m.LastHeartbeat = r.m.LastHeartbeat.Add(-still)
 	}
 	b := l.market.booting["m-9"]
 	b.since, b.noted = b.since.Add(-still), b.noted.Add(-still)
@@ -155,7 +155,7 @@
 	l.pass(now)
 	settle(l, 100)
 	for _, r := range l.machines {
-		r.m.Orders(true, now)
+		r.m.Commands(true, now)
 	}
 	l.jobGone("j-1", now)
 	stops := l.commanding - constants.CommandsAtOnce/2
@@ -190,7 +190,7 @@
 			settle(l, 100)
 		}
 		for _, r := range l.machines {
-			r.m.Orders(true, now)
+			r.m.Commands(true, now)
 		}
 		now = now.Add(l.quiet() + time.Second)
 		for i := range gang {
@@ -202,7 +202,7 @@
 		l.pass(now)
 		settle(l, 1000)
 		for _, s := range sortedSeats(j) {
-			s.machine.m.Orders(true, now)
+			s.machine.m.Commands(true, now)
 		}
 		if len(j.seats) != gang {
 			t.Fatalf("%d tasks of the gang placed", len(j.seats))
@@ -225,7 +225,7 @@
 
 type hanging chan struct{}
 
-func (h hanging) Command(context.Context, string, workers.Answer) (*workers.Report, error) {
+func (h hanging) Command(context.Context, string, workers.CommandBatch) (*workers.Heartbeat, error) {
 	<-h
 	return nil, statestore.ErrUnknown
 }
@@ -245,27 +245,27 @@
 			l.pass(now)
 			settle(l, 100)
 			for _, r := range []*machine{a, b} {
-				r.m.Orders(true, now)
-				l.observe(r, report(l, r, workers.Running, ""), false, now)
+				r.m.Commands(true, now)
+				l.observe(r, report(l, r, workers.StatusRunning, ""), false, now)
 			}
 			// One machine's tasks end after 10 s, the other's go on for 60.
 			for range 5 {
 				now = now.Add(2 * time.Second)
-				l.observe(a, report(l, a, workers.Running, ""), false, now)
-				l.observe(b, report(l, b, workers.Running, ""), false, now)
+				l.observe(a, report(l, a, workers.StatusRunning, ""), false, now)
+				l.observe(b, report(l, b, workers.StatusRunning, ""), false, now)
 			}
-			l.observe(a, report(l, a, workers.Exited, workers.CauseDone), false, now)
+			l.observe(a, report(l, a, workers.StatusExited, workers.CauseDone), false, now)
 			if _, ok := j.pace.typical(8); !ok {
 				t.Fatal("no run times to compare with")
 			}
 			for range 50 {
 				now = now.Add(time.Second)
 				if !cut {
-					l.observe(b, report(l, b, workers.Running, ""), false, now)
+					l.observe(b, report(l, b, workers.StatusRunning, ""), false, now)
 				}
 				l.checkPace(now)
 			}
-			l.observe(b, report(l, b, workers.Exited, workers.CauseDone), false, now)
+			l.observe(b, report(l, b, workers.StatusExited, workers.CauseDone), false, now)
 			l.checkPace(now)
 			if slow := b.slow(now); slow == cut {
 				t.Errorf("slow: %v", slow)
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -126,7 +126,7 @@
 		}
 		if r.leaving {
 			st.Leaving++
-		} else if r.m.Known {
+		} else if r.m.Registered {
 			c.Up++
 		}
 		if l.busy(r) {
@@ -173,7 +173,7 @@
 		run := 0
 		for _, seats := range j.seats {
 			for _, s := range seats {
-				if s.a.Status != "" && s.a.Status != workers.Fetching {
+				if s.a.Status != "" && s.a.Status != workers.StatusFetching {
 					run++
 				}
 			}
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -36,7 +36,7 @@
 	all, heard := 0, 0
 	for _, r := range l.machines {
 		all++
-		if r.m.Known {
+		if r.m.Registered {
 			heard++
 		}
 	}
--- a/internal/leader/targets_test.go
+++ b/internal/leader/targets_test.go
@@ -16,10 +16,10 @@
 	l := testLeader(t)
 	silent, heard := addRig(l, "m-1", "east", now), addRig(l, "m-2", "east", now)
 	now = now.Add(l.quiet() + constants.IdleHold + time.Second)
-	if now.Sub(silent.m.Heard) >= l.lease {
+	if now.Sub(silent.m.LastHeartbeat) >= l.lease {
 		t.Fatal("the lease is over: nothing is tested")
 	}
-	heard.m.Heard = now
+	heard.m.LastHeartbeat = now
 	addJob(t, l, sweep("j-1", 3), now)
 	l.pass(now)
 	if len(silent.m.Attempts) != 0 || len(heard.m.Attempts) != 3 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -201,7 +201,7 @@
 	set := *n.set
 	set.Params.State = n.limits.within(set.Params.State)
 	l := leader.New(leader.Deps{
-		Settings: &set, Operator: n.op, Store: n.store, Cloud: n.cloud, Workers: workers.NewCourier(n.net.DialContext),
+		Settings: &set, Operator: n.op, Store: n.store, Cloud: n.cloud, Workers: workers.NewCommandClient(n.net.DialContext),
 		Catalog: n.catalog.Load, Drawn: n.store.Budget.Drawn, Vouch: n.allVouch, ReadsLargeRing: n.readsLargeRing, Log: n.log,
 	}, g)
 	n.store.Budget.SetShare(n.share(true))
@@ -260,7 +260,7 @@
 	if !ok {
 		return
 	}
-	rep, err := workers.DecodeReport(raw)
+	rep, err := workers.DecodeHeartbeat(raw)
 	if err != nil {
 		userapi.WriteJSON(w, http.StatusBadRequest, map[string]string{"error": err.Error()})
 		return
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -87,7 +87,7 @@
 	faulty  bool
 	hangs   bool
 	resumed chan struct{} // closed when it goes on after a hang
-	kept    []workers.Report
+	kept    []workers.Heartbeat
 	poke    chan struct{}
 	over    chan struct{} // closed at the end, for copies under way
 }
@@ -247,14 +247,14 @@
 	}
 	if t.began {
 		t.began = false
-		w.judge.Ended(w.opt.Name, t.id.Task, t.id.Try, done)
+		w.judge.Ended(w.opt.Name, t.id.Task, t.id.Number, done)
 	}
 	if t.job != nil && t.job.Shape == userapi.Gang {
 		w.meet.leave(t, done)
 	}
 }
 
-func gangKey(t *task) string { return t.id.Task.Job + "#" + time.Duration(t.id.Try).String() }
+func gangKey(t *task) string { return t.id.Task.Job + "#" + time.Duration(t.id.Number).String() }
 
 func (m *Meeting) join(t *task) (complete bool) {
 	m.mu.Lock()
@@ -302,28 +302,28 @@
 	for _, id := range w.order() {
 		t := w.tasks[id]
 		switch t.status {
-		case workers.Fetching:
+		case workers.StatusFetching:
 			if !w.images[t.job.Bundle] && now.Sub(t.since) < w.opt.Fetch {
 				continue
 			}
 			w.images[t.job.Bundle] = true
 			t.began, t.fails = true, w.faulty
-			w.judge.Began(w.opt.Name, w.opt.Zone, w.opt.Spot, t.id.Task, t.id.Try, t.job)
+			w.judge.Began(w.opt.Name, w.opt.Zone, w.opt.Spot, t.id.Task, t.id.Number, t.job)
 			if t.job.Shape == userapi.Gang {
 				w.meet.join(t)
-				w.set(t, workers.Waiting, now)
+				w.set(t, workers.StatusWaiting, now)
 			} else {
-				w.set(t, workers.Running, now)
+				w.set(t, workers.StatusRunning, now)
 			}
-		case workers.Waiting:
+		case workers.StatusWaiting:
 			complete, _ := w.meet.state(t)
 			switch {
 			case complete:
-				w.set(t, workers.Running, now)
+				w.set(t, workers.StatusRunning, now)
 			case now.Sub(t.since) > w.opt.GangWait:
 				w.exit(t, "alone", false, now)
 			}
-		case workers.Running:
+		case workers.StatusRunning:
 			if t.fails && now.Sub(t.since) >= FailsAfter {
 				w.exit(t, workers.CauseError, false, now)
 				continue
@@ -342,7 +342,7 @@
 			if now.Sub(t.since) >= w.runs(t) {
 				w.exit(t, workers.CauseDone, false, now)
 			}
-		case workers.Saving:
+		case workers.StatusSaving:
 			if now.Sub(t.stopped).Seconds() >= t.job.StashS {
 				w.exit(t, "halted", true, now)
 			}
@@ -366,7 +366,7 @@
 		if ids[i].Task != ids[j].Task {
 			return ids[i].Task.String() < ids[j].Task.String()
 		}
-		return ids[i].Try < ids[j].Try
+		return ids[i].Number < ids[j].Number
 	})
 	return ids
 }
@@ -379,7 +379,7 @@
 func (w *Worker) exit(t *task, cause string, saved bool, now time.Time) {
 	w.leave(t, cause == workers.CauseDone)
 	t.cause, t.saved = cause, saved
-	w.set(t, workers.Exited, now)
+	w.set(t, workers.StatusExited, now)
 }
 
 func (w *Worker) changed() {
@@ -389,13 +389,13 @@
 	}
 }
 
-func (w *Worker) report() workers.Report {
+func (w *Worker) report() workers.Heartbeat {
 	w.tick++
-	r := workers.Report{Machine: w.opt.Name, Endpoint: w.opt.Addr, MachineType: w.opt.Type, Hall: w.opt.Zone, Loaners: w.opt.Spot,
-		Shift: w.shift, Tick: w.tick, Warrant: w.warrant}
+	r := workers.Heartbeat{Machine: w.opt.Name, Endpoint: w.opt.Addr, MachineType: w.opt.Type, Zone: w.opt.Zone, Spot: w.opt.Spot,
+		Epoch: w.shift, Sequence: w.tick, Token: w.warrant}
 	for _, id := range w.order() {
 		t := w.tasks[id]
-		r.Pieces = append(r.Pieces, workers.Piece{Piece: id.Task.String(), Try: id.Try, Status: t.status, Cause: t.cause, Saved: t.saved})
+		r.Tasks = append(r.Tasks, workers.TaskReport{Task: id.Task.String(), Attempt: id.Number, Status: t.status, Cause: t.cause, Saved: t.saved})
 	}
 	return r
 }
@@ -447,12 +447,12 @@
 	}
 	switch status {
 	case http.StatusOK:
-		var a workers.Answer
-		if json.Unmarshal(body, &a) != nil || a.Warrant < w.warrant || rep.Shift != w.shift {
+		var a workers.CommandBatch
+		if json.Unmarshal(body, &a) != nil || a.Token < w.warrant || rep.Epoch != w.shift {
 			return
 		}
-		w.warrant, w.leased = a.Warrant, sent
-		w.execute(a.Orders, time.Now())
+		w.warrant, w.leased = a.Token, sent
+		w.execute(a.Commands, time.Now())
 	case http.StatusMisdirectedRequest:
 		var f struct {
 			Foreman string `json:"foreman"`
@@ -471,7 +471,7 @@
 	}
 }
 
-func (w *Worker) post(ctx context.Context, addr string, rep workers.Report) (int, []byte) {
+func (w *Worker) post(ctx context.Context, addr string, rep workers.Heartbeat) (int, []byte) {
 	raw, err := json.Marshal(rep)
 	if err != nil {
 		return 0, nil
@@ -492,39 +492,39 @@
 	return resp.StatusCode, body
 }
 
-func (w *Worker) execute(orders []workers.Order, now time.Time) {
+func (w *Worker) execute(orders []workers.Command, now time.Time) {
 	for _, o := range orders {
-		id, err := workers.ParseTaskID(o.Piece)
+		id, err := workers.ParseTaskID(o.Task)
 		if err != nil {
 			continue
 		}
-		key := workers.AttemptID{Task: id, Try: o.Try}
+		key := workers.AttemptID{Task: id, Number: o.Attempt}
 		t := w.tasks[key]
 		switch o.Verb {
-		case workers.Run:
+		case workers.VerbRun:
 			if t != nil {
 				continue
 			}
-			t = &task{id: key, status: workers.Fetching, since: now}
+			t = &task{id: key, status: workers.StatusFetching, since: now}
 			w.tasks[key] = t
 			j, ok := w.jobs.Job(id.Job)
 			if !ok {
-				t.status, t.cause = workers.Exited, "unknown"
+				t.status, t.cause = workers.StatusExited, "unknown"
 			}
 			t.job = j
 			w.changed()
-		case workers.Stop:
+		case workers.VerbStop:
 			switch {
-			case t == nil || t.status == workers.Exited:
-			case t.status == workers.Running && t.job.SnapshotS > 0 && o.WindDownS != nil && *o.WindDownS >= t.job.StashS:
+			case t == nil || t.status == workers.StatusExited:
+			case t.status == workers.StatusRunning && t.job.SnapshotS > 0 && o.GraceS != nil && *o.GraceS >= t.job.StashS:
 				t.stopped = now
-				w.set(t, workers.Saving, now)
-			case t.status == workers.Saving && o.WindDownS != nil && *o.WindDownS > 0:
+				w.set(t, workers.StatusSaving, now)
+			case t.status == workers.StatusSaving && o.GraceS != nil && *o.GraceS > 0:
 			default:
 				w.exit(t, "halted", false, now)
 			}
-		case workers.Forget:
-			if t != nil && t.status == workers.Exited {
+		case workers.VerbForget:
+			if t != nil && t.status == workers.StatusExited {
 				delete(w.tasks, key)
 			}
 		}
@@ -532,8 +532,8 @@
 }
 
 func (w *Worker) commands(rw http.ResponseWriter, r *http.Request) {
-	var a workers.Answer
-	if json.NewDecoder(r.Body).Decode(&a) != nil || a.Warrant == 0 || a.Shift == 0 {
+	var a workers.CommandBatch
+	if json.NewDecoder(r.Body).Decode(&a) != nil || a.Token == 0 || a.Epoch == 0 {
 		reply(rw, http.StatusBadRequest, fields{"error": "malformed"})
 		return
 	}
@@ -560,10 +560,10 @@
 		}
 	}
 	status := http.StatusConflict
-	if a.Warrant >= w.warrant && a.Shift == w.shift {
+	if a.Token >= w.warrant && a.Epoch == w.shift {
 		status = http.StatusOK
-		w.warrant = a.Warrant
-		w.execute(a.Orders, time.Now())
+		w.warrant = a.Token
+		w.execute(a.Commands, time.Now())
 	}
 	reply(rw, status, w.report())
 }
--- a/internal/workers/courier.go
+++ b/internal/workers/courier.go
@@ -13,11 +13,11 @@
 )
 
 // Courier carries orders to workers' own addresses.
-type Courier struct{ http *http.Client }
+type CommandClient struct{ http *http.Client }
 
 // NewCourier makes a courier that reaches workers through dial.
-func NewCourier(dial func(ctx context.Context, network, addr string) (net.Conn, error)) *Courier {
-	return &Courier{&http.Client{Transport: &http.Transport{
+func NewCommandClient(dial func(ctx context.Context, network, addr string) (net.Conn, error)) *CommandClient {
+	return &CommandClient{&http.Client{Transport: &http.Transport{
 		DialContext: dial, MaxConnsPerHost: 2, MaxIdleConnsPerHost: 1, MaxIdleConns: constants.CommandsIdle,
 		IdleConnTimeout: constants.HeaderTimeout, DisableCompression: true,
 	}}}
@@ -25,7 +25,7 @@
 
 // Command sends orders; the answer, also to refused ones, is the worker's
 // report.
-func (c *Courier) Command(ctx context.Context, endpoint string, a Answer) (*Report, error) {
+func (c *CommandClient) Command(ctx context.Context, endpoint string, a CommandBatch) (*Heartbeat, error) {
 	ctx, cancel := context.WithTimeout(ctx, constants.CommandTimeout)
 	defer cancel()
 	raw, err := json.Marshal(a)
@@ -48,5 +48,5 @@
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusConflict {
 		return nil, fmt.Errorf("orders: status %d", resp.StatusCode)
 	}
-	return DecodeReport(body)
+	return DecodeHeartbeat(body)
 }
--- a/internal/workers/machine.go
+++ b/internal/workers/machine.go
@@ -9,8 +9,8 @@
 
 // AttemptID names one start of one task.
 type AttemptID struct {
-	Task TaskID
-	Try  uint64
+	Task   TaskID
+	Number uint64
 }
 
 // Attempt is one start of a task on one machine, from the moment it is
@@ -18,106 +18,106 @@
 type Attempt struct {
 	ID AttemptID
 	// Shift is the worker's session that the attempt was planned for.
-	Shift uint64
+	Epoch uint64
 	// Committed is set once the machine's record with this attempt stands.
 	Committed bool
 	// Cleared is set by the owner when `run` may be sent; a gang waits for
 	// the records of all its tasks.
-	Cleared bool
+	StartAllowed bool
 	// Inherited attempts were recorded by an earlier term, which may have an
 	// answer with `run` still under way.
-	Inherited bool
+	FromEarlierTerm bool
 	// Sent tells that a `run` went out, last in the answer to report SentTick.
-	Sent     bool
-	SentTick uint64
+	Sent         bool
+	SentSequence uint64
 	// SentAt is when the first `run` went out; Unheard counts the later
 	// reports that did not list the task.
-	SentAt  time.Time
-	Unheard int
+	SentAt           time.Time
+	MissedHeartbeats int
 	// Status is what the worker said last; empty until it is first seen.
 	Status string
 	Cause  string
 	Saved  bool
 	// Halt is set when the task must stop; Grace is the time it gets to save.
-	Halt    bool
-	Grace   float64
-	HaltAt  time.Time
-	Pressed time.Time // when a stop was last sent directly
+	StopRequested   bool
+	GraceS          float64
+	StopRequestedAt time.Time
+	StopSentAt      time.Time // when a stop was last sent directly
 	// Settled is set once what the exit means is durably recorded, so that
 	// the worker may forget it.
-	Settled bool
+	ExitRecorded bool
 	// SeenAt is when it was first reported, RanAt when first running.
-	SeenAt, RanAt time.Time
+	FirstReportedAt, RunningSince time.Time
 	// PlannedAt is when it was placed here.
-	PlannedAt time.Time
+	PlacedAt time.Time
 }
 
 // Live tells whether the attempt may be, or may come to be, on its machine.
-func (a *Attempt) Live() bool { return a.Status != Exited }
+func (a *Attempt) Live() bool { return a.Status != StatusExited }
 
 // Machine is the leader's view of one worker: its newest session and the
 // attempts that are not proven gone.
-type Machine struct {
+type Agent struct {
 	Name, Endpoint, Type, Zone string
 	Spot                       bool
 
-	Shift, Tick uint64
+	Epoch, Sequence uint64
 	// ReportTick is the newest report's own number: a message with a number
 	// up to it that comes as a report is a late copy.
-	ReportTick uint64
+	HeartbeatSequence uint64
 	// Deaf is set while the worker's reports arrive but our answers evidently
 	// do not reach it. It gets neither work nor a 200 until it shows that it
 	// hears again.
-	Deaf bool
+	RepliesLost bool
 	// Doubt is set when a session has ended although the worker goes on
 	// reporting: it may hear again, or never have heard our answers. It gets
 	// no work until something we sent has evidently arrived.
-	Doubt   bool
-	DoubtAt time.Time
+	EpochUnconfirmed   bool
+	EpochUnconfirmedAt time.Time
 	// Ignored counts the reports in a row that show a stop not carried out.
-	Ignored int
+	IgnoredStops int
 	// Warrant is the highest token that the worker has reported.
-	Warrant uint64
+	Token uint64
 	// Known is set once a report has arrived in this term.
-	Known bool
+	Registered bool
 	// Heard is when the last report arrived, Answered when the last one
 	// arrived that was answered 200. The worker's lease counts from when it
 	// sent that report, which was earlier still.
-	Heard, Answered time.Time
+	LastHeartbeat, LastAcknowledged time.Time
 	// TokenSeen is when the worker first showed that it has our own token;
 	// nobody else can have renewed its lease since.
-	TokenSeen time.Time
+	TokenConfirmedAt time.Time
 	// EndedShift is the newest session proven to be over.
-	EndedShift uint64
+	ExpiredEpoch uint64
 	// Recall is when the cloud takes the machine away; zero if it does not.
-	Recall time.Time
+	ReclaimAt time.Time
 
 	Attempts map[AttemptID]*Attempt
 }
 
 // NewMachine makes an empty view.
-func NewMachine(name string) *Machine {
-	return &Machine{Name: name, Attempts: make(map[AttemptID]*Attempt)}
+func NewAgent(name string) *Agent {
+	return &Agent{Name: name, Attempts: make(map[AttemptID]*Attempt)}
 }
 
 // Why says how an attempt came to its end.
-type Why int
+type EventKind int
 
 // Ends of attempts.
 const (
 	// Ended: the worker reports it exited; Attempt.Cause tells more.
-	Ended Why = iota
+	EventExited EventKind = iota
 	// Gone: proven to be off the machine with no exit seen.
-	Gone
+	EventGone
 	// Seen: not an end; the worker lists the attempt in a new state.
-	Seen
+	EventStatusChanged
 	// Alien: the worker lists a task that no record names.
-	Alien
+	EventUnrecorded
 )
 
 // Event is what a report or the clock says of one attempt.
 type Event struct {
-	Why     Why
+	Kind    EventKind
 	Attempt *Attempt
 }
 
@@ -125,86 +125,86 @@
 // older than what is known; it changes nothing. direct marks the body of an
 // answer to /commands or /status: it may overtake the answer to a report, so
 // what is absent from it proves nothing.
-func (m *Machine) Observe(r *Report, term uint64, direct bool, now time.Time) (events []Event, fresh bool) {
-	if r.Shift <= m.EndedShift || r.Shift < m.Shift || r.Shift == m.Shift && r.Tick <= m.Tick {
+func (agent *Agent) Observe(r *Heartbeat, term uint64, direct bool, now time.Time) (events []Event, fresh bool) {
+	if r.Epoch <= agent.ExpiredEpoch || r.Epoch < agent.Epoch || r.Epoch == agent.Epoch && r.Sequence <= agent.Sequence {
 		return nil, false
 	}
-	if r.Shift > m.Shift {
-		if m.Known && m.Shift > 0 {
+	if r.Epoch > agent.Epoch {
+		if agent.Registered && agent.Epoch > 0 {
 			// Nothing of it can be left from before, so even one that was deaf
 			// may be answered again: if it keeps this session, it hears.
-			m.Doubt, m.Deaf, m.DoubtAt = true, false, now
+			agent.EpochUnconfirmed, agent.RepliesLost, agent.EpochUnconfirmedAt = true, false, now
 		}
-		events = append(events, m.endSession(r.Shift-1)...)
-		m.Shift = r.Shift
-		m.ReportTick = 0
+		events = append(events, agent.expireEpoch(r.Epoch-1)...)
+		agent.Epoch = r.Epoch
+		agent.HeartbeatSequence = 0
 	}
-	m.Tick = r.Tick
+	agent.Sequence = r.Sequence
 	if direct {
-		m.heard() // a command has reached it
+		agent.noteReachable() // a command has reached it
 	} else {
-		m.ReportTick = r.Tick
+		agent.HeartbeatSequence = r.Sequence
 	}
-	m.Known = true
-	m.Heard = now
-	if r.Warrant > m.Warrant {
-		m.Warrant = r.Warrant
-		if r.Warrant == term {
-			m.heard()
+	agent.Registered = true
+	agent.LastHeartbeat = now
+	if r.Token > agent.Token {
+		agent.Token = r.Token
+		if r.Token == term {
+			agent.noteReachable()
 		}
 	}
-	if m.Warrant == term && m.TokenSeen.IsZero() {
-		m.TokenSeen = now
+	if agent.Token == term && agent.TokenConfirmedAt.IsZero() {
+		agent.TokenConfirmedAt = now
 	}
-	m.Endpoint, m.Type, m.Zone, m.Spot = r.Endpoint, r.MachineType, r.Hall, r.Loaners
-	if r.RecallS != nil {
-		m.Recall = now.Add(time.Duration(max(*r.RecallS, 0) * float64(time.Second)))
+	agent.Endpoint, agent.Type, agent.Zone, agent.Spot = r.Endpoint, r.MachineType, r.Zone, r.Spot
+	if r.ReclaimInS != nil {
+		agent.ReclaimAt = now.Add(time.Duration(max(*r.ReclaimInS, 0) * float64(time.Second)))
 	} else {
-		m.Recall = time.Time{}
+		agent.ReclaimAt = time.Time{}
 	}
 
-	listed := make(map[AttemptID]bool, len(r.Pieces))
-	for _, p := range r.Pieces {
-		task, err := ParseTaskID(p.Piece)
+	listed := make(map[AttemptID]bool, len(r.Tasks))
+	for _, p := range r.Tasks {
+		task, err := ParseTaskID(p.Task)
 		if err != nil {
 			continue // DecodeReport has refused these
 		}
-		id := AttemptID{task, p.Try}
+		id := AttemptID{task, p.Attempt}
 		listed[id] = true
-		a, ok := m.Attempts[id]
+		a, ok := agent.Attempts[id]
 		if !ok {
 			// Not in any record: it occupies the machine all the same, so it
 			// is kept in view until it is proven gone.
-			a = &Attempt{ID: id, Shift: r.Shift, Committed: true, Cleared: true, Inherited: true, Sent: true, PlannedAt: now}
-			m.Attempts[id] = a
-			events = append(events, Event{Alien, a})
+			a = &Attempt{ID: id, Epoch: r.Epoch, Committed: true, StartAllowed: true, FromEarlierTerm: true, Sent: true, PlacedAt: now}
+			agent.Attempts[id] = a
+			events = append(events, Event{EventUnrecorded, a})
 		}
-		if a.Status == Exited {
+		if a.Status == StatusExited {
 			continue
 		}
-		if a.SeenAt.IsZero() {
-			a.SeenAt = now
-			if !a.Inherited {
-				m.heard() // it has carried out what we told it
+		if a.FirstReportedAt.IsZero() {
+			a.FirstReportedAt = now
+			if !a.FromEarlierTerm {
+				agent.noteReachable() // it has carried out what we told it
 			}
 		}
 		changed := a.Status != p.Status
 		a.Status, a.Cause, a.Saved = p.Status, p.Cause, p.Saved
-		if a.Status == Running && a.RanAt.IsZero() {
-			a.RanAt = now
+		if a.Status == StatusRunning && a.RunningSince.IsZero() {
+			a.RunningSince = now
 		}
 		switch {
-		case a.Status == Exited:
-			events = append(events, Event{Ended, a})
+		case a.Status == StatusExited:
+			events = append(events, Event{EventExited, a})
 		case changed:
-			events = append(events, Event{Seen, a})
+			events = append(events, Event{EventStatusChanged, a})
 		}
 	}
 	if !direct {
-		m.listen(r, listed, now)
-		for id, a := range m.Attempts {
-			if !listed[id] && m.absenceProves(a, r, term) {
-				events = append(events, m.drop(a)...)
+		agent.detectLostReplies(r, listed, now)
+		for id, a := range agent.Attempts {
+			if !listed[id] && agent.absenceProves(a, r, term) {
+				events = append(events, agent.drop(a)...)
 			}
 		}
 	}
@@ -213,55 +213,57 @@
 }
 
 // heard notes that something we sent has arrived.
-func (m *Machine) heard() { m.Deaf, m.Doubt, m.Ignored = false, false, 0 }
+func (agent *Agent) noteReachable() {
+	agent.RepliesLost, agent.EpochUnconfirmed, agent.IgnoredStops = false, false, 0
+}
 
 // KeptSession ends the doubt about a worker that has kept its session for
 // longer than it could have without our answers.
-func (m *Machine) KeptSession(lease time.Duration, now time.Time) {
-	if m.Doubt && now.Sub(m.DoubtAt) > lease+lease/2 {
-		m.Doubt = false
+func (agent *Agent) ConfirmEpoch(lease time.Duration, now time.Time) {
+	if agent.EpochUnconfirmed && now.Sub(agent.EpochUnconfirmedAt) > lease+lease/2 {
+		agent.EpochUnconfirmed = false
 	}
 }
 
 // listen looks for signs that orders do not reach the worker: starts that two
 // later reports do not list, or stops that several do not heed. Starts that
 // never arrived are withdrawn; the report that shows it proves them gone.
-func (m *Machine) listen(r *Report, listed map[AttemptID]bool, now time.Time) {
+func (agent *Agent) detectLostReplies(r *Heartbeat, listed map[AttemptID]bool, now time.Time) {
 	ignored := false
-	for id, a := range m.Attempts {
+	for id, a := range agent.Attempts {
 		switch {
-		case listed[id] && a.Halt && !a.HaltAt.IsZero() && now.Sub(a.HaltAt) > constants.StopIgnored &&
-			(a.Status == Running || a.Status == Fetching || a.Status == Waiting):
+		case listed[id] && a.StopRequested && !a.StopRequestedAt.IsZero() && now.Sub(a.StopRequestedAt) > constants.StopIgnored &&
+			(a.Status == StatusRunning || a.Status == StatusFetching || a.Status == StatusWaiting):
 			ignored = true
-		case !listed[id] && a.Sent && !a.Inherited && a.Status == "" && r.Tick > a.SentTick:
-			a.Unheard++
-			if a.Unheard >= constants.UnheardReports {
-				m.Deaf = true
+		case !listed[id] && a.Sent && !a.FromEarlierTerm && a.Status == "" && r.Sequence > a.SentSequence:
+			a.MissedHeartbeats++
+			if a.MissedHeartbeats >= constants.UnheardReports {
+				agent.RepliesLost = true
 			}
 		}
 	}
 	if ignored {
-		m.Ignored++
+		agent.IgnoredStops++
 	} else {
-		m.Ignored = 0
+		agent.IgnoredStops = 0
 	}
-	if m.Ignored >= constants.UnheardReports {
-		m.Deaf = true
+	if agent.IgnoredStops >= constants.UnheardReports {
+		agent.RepliesLost = true
 	}
-	if !m.Deaf {
+	if !agent.RepliesLost {
 		return
 	}
-	for id, a := range m.Attempts {
-		if !listed[id] && a.Sent && !a.Inherited && a.Status == "" && !a.Halt {
-			a.Halt, a.HaltAt = true, now
+	for id, a := range agent.Attempts {
+		if !listed[id] && a.Sent && !a.FromEarlierTerm && a.Status == "" && !a.StopRequested {
+			a.StopRequested, a.StopRequestedAt = true, now
 		}
 	}
 }
 
 // Suspect tells whether a start went out so long ago that the worker must have
 // reported it, and has not.
-func (m *Machine) Suspect(now time.Time) bool {
-	for _, a := range m.Attempts {
+func (agent *Agent) StartOverdue(now time.Time) bool {
+	for _, a := range agent.Attempts {
 		if a.Sent && a.Status == "" && !a.SentAt.IsZero() && now.Sub(a.SentAt) > constants.OrderPatience {
 			return true
 		}
@@ -271,23 +273,23 @@
 
 // Copy tells whether a report is a late copy of one that has been taken in,
 // or of an older session. It renews nothing and is not answered.
-func (m *Machine) Copy(r *Report) bool {
-	return r.Shift < m.Shift || r.Shift <= m.EndedShift || r.Shift == m.Shift && r.Tick <= m.ReportTick
+func (agent *Agent) IsDuplicate(r *Heartbeat) bool {
+	return r.Epoch < agent.Epoch || r.Epoch <= agent.ExpiredEpoch || r.Epoch == agent.Epoch && r.Sequence <= agent.HeartbeatSequence
 }
 
 // absenceProves tells whether a report that does not list an attempt proves
 // that it is not on the machine and never will be.
-func (m *Machine) absenceProves(a *Attempt, r *Report, term uint64) bool {
+func (agent *Agent) absenceProves(a *Attempt, r *Heartbeat, term uint64) bool {
 	switch {
-	case a.Status == Exited:
+	case a.Status == StatusExited:
 		// The worker has carried out our `forget`.
-		return a.Settled
-	case a.Inherited:
+		return a.ExitRecorded
+	case a.FromEarlierTerm:
 		// An older leader's answer may be under way until the worker has
 		// seen our token, from when on it drops that answer.
-		return r.Warrant >= term
+		return r.Token >= term
 	case !a.Sent:
-		return a.Halt
+		return a.StopRequested
 	case a.Status != "":
 		// It was there, and only a `forget` or the session's end removes a
 		// task from the reports of one session.
@@ -296,23 +298,23 @@
 	// The worker has one report under way at a time, so a later report shows
 	// that the answer with `run` was dropped. An attempt that is still wanted
 	// stays: the next answer carries its `run` again.
-	return a.Halt && r.Tick > a.SentTick
+	return a.StopRequested && r.Sequence > a.SentSequence
 }
 
-func (m *Machine) drop(a *Attempt) []Event {
-	delete(m.Attempts, a.ID)
-	if a.Status == Exited {
+func (agent *Agent) drop(a *Attempt) []Event {
+	delete(agent.Attempts, a.ID)
+	if a.Status == StatusExited {
 		return nil
 	}
-	return []Event{{Gone, a}}
+	return []Event{{EventGone, a}}
 }
 
 // endSession takes all attempts of sessions up to shift off the machine.
-func (m *Machine) endSession(shift uint64) (events []Event) {
-	m.EndedShift = max(m.EndedShift, shift)
-	for _, a := range m.Attempts {
-		if a.Shift <= shift {
-			events = append(events, m.drop(a)...)
+func (agent *Agent) expireEpoch(shift uint64) (events []Event) {
+	agent.ExpiredEpoch = max(agent.ExpiredEpoch, shift)
+	for _, a := range agent.Attempts {
+		if a.Epoch <= shift {
+			events = append(events, agent.drop(a)...)
 		}
 	}
 	sortEvents(events)
@@ -324,30 +326,30 @@
 // the last report that we answered came in longer ago than the lease lasts.
 // A worker that has not shown our token may still be renewed by an older
 // leader, so for it silence proves nothing.
-func (m *Machine) CheckLease(term uint64, lease time.Duration, now time.Time) []Event {
-	if !m.LeaseOver(term, lease, now) || m.Shift <= m.EndedShift {
+func (agent *Agent) ExpireLease(term uint64, lease time.Duration, now time.Time) []Event {
+	if !agent.LeaseExpired(term, lease, now) || agent.Epoch <= agent.ExpiredEpoch {
 		return nil
 	}
-	return m.endSession(m.Shift)
+	return agent.expireEpoch(agent.Epoch)
 }
 
 // LeaseOver tells whether the session that we know must have lapsed.
-func (m *Machine) LeaseOver(term uint64, lease time.Duration, now time.Time) bool {
-	if !m.Known || m.Warrant != term || m.TokenSeen.IsZero() {
+func (agent *Agent) LeaseExpired(term uint64, lease time.Duration, now time.Time) bool {
+	if !agent.Registered || agent.Token != term || agent.TokenConfirmedAt.IsZero() {
 		return false
 	}
-	last := m.TokenSeen
-	if m.Answered.After(last) {
-		last = m.Answered
+	last := agent.TokenConfirmedAt
+	if agent.LastAcknowledged.After(last) {
+		last = agent.LastAcknowledged
 	}
 	limit := time.Duration(float64(lease)*(1+constants.ClockDrift)) + constants.LeaseProofMargin
 	return now.Sub(last) > limit
 }
 
 // Returned takes everything off a machine that the cloud has confirmed gone.
-func (m *Machine) Returned() (events []Event) {
-	for _, a := range m.Attempts {
-		events = append(events, m.drop(a)...)
+func (agent *Agent) Terminated() (events []Event) {
+	for _, a := range agent.Attempts {
+		events = append(events, agent.drop(a)...)
 	}
 	sortEvents(events)
 	return events
@@ -355,19 +357,19 @@
 
 // Withdraw marks an attempt as no longer wanted. It reports true when no
 // `run` can ever have left for it, so that it is gone at once.
-func (m *Machine) Withdraw(a *Attempt, grace float64, now time.Time) (gone bool) {
-	if a.Status == Exited {
+func (agent *Agent) RequestStop(a *Attempt, grace float64, now time.Time) (gone bool) {
+	if a.Status == StatusExited {
 		return false
 	}
-	if !a.Sent && !a.Inherited {
-		delete(m.Attempts, a.ID)
+	if !a.Sent && !a.FromEarlierTerm {
+		delete(agent.Attempts, a.ID)
 		return true
 	}
-	if !a.Halt {
-		a.Halt, a.Grace, a.HaltAt = true, grace, now
-	} else if grace < a.Grace {
-		a.Grace = grace
-		a.Pressed = time.Time{}
+	if !a.StopRequested {
+		a.StopRequested, a.GraceS, a.StopRequestedAt = true, grace, now
+	} else if grace < a.GraceS {
+		a.GraceS = grace
+		a.StopSentAt = time.Time{}
 	}
 	return false
 }
@@ -375,28 +377,28 @@
 // Orders lists what the worker must be told. Starts go only into the answer
 // to a report of the session that they were planned for, and only once their
 // record stands; answering marks them as sent.
-func (m *Machine) Orders(answering bool, now time.Time) []Order {
-	var out []Order
-	for _, a := range m.Sorted() {
-		o := Order{Piece: a.ID.Task.String(), Try: a.ID.Try}
+func (agent *Agent) Commands(answering bool, now time.Time) []Command {
+	var out []Command
+	for _, a := range agent.SortedAttempts() {
+		o := Command{Task: a.ID.Task.String(), Attempt: a.ID.Number}
 		switch {
-		case a.Status == Exited:
-			if !a.Settled {
+		case a.Status == StatusExited:
+			if !a.ExitRecorded {
 				continue
 			}
-			o.Verb = Forget
-		case a.Halt:
-			if a.Status == "" && !a.Sent && !a.Inherited {
+			o.Verb = VerbForget
+		case a.StopRequested:
+			if a.Status == "" && !a.Sent && !a.FromEarlierTerm {
 				continue
 			}
-			grace := a.Grace
-			o.Verb, o.WindDownS = Stop, &grace
-		case a.Status == "" && answering && a.Committed && a.Cleared && a.Shift == m.Shift && !a.Inherited:
+			grace := a.GraceS
+			o.Verb, o.GraceS = VerbStop, &grace
+		case a.Status == "" && answering && a.Committed && a.StartAllowed && a.Epoch == agent.Epoch && !a.FromEarlierTerm:
 			if !a.Sent {
 				a.SentAt = now
 			}
-			a.Sent, a.SentTick = true, m.Tick
-			o.Verb = Run
+			a.Sent, a.SentSequence = true, agent.Sequence
+			o.Verb = VerbRun
 		default:
 			continue
 		}
@@ -406,11 +408,11 @@
 }
 
 // HasOrders tells whether Orders would list anything.
-func (m *Machine) HasOrders() bool {
-	for _, a := range m.Attempts {
+func (agent *Agent) HasCommands() bool {
+	for _, a := range agent.Attempts {
 		switch {
-		case a.Status == Exited && a.Settled, a.Status != Exited && a.Halt && (a.Sent || a.Inherited),
-			a.Status == "" && !a.Halt && a.Committed && a.Cleared && a.Shift == m.Shift && !a.Inherited:
+		case a.Status == StatusExited && a.ExitRecorded, a.Status != StatusExited && a.StopRequested && (a.Sent || a.FromEarlierTerm),
+			a.Status == "" && !a.StopRequested && a.Committed && a.StartAllowed && a.Epoch == agent.Epoch && !a.FromEarlierTerm:
 			return true
 		}
 	}
@@ -418,9 +420,9 @@
 }
 
 // Sorted lists the attempts in a fixed order.
-func (m *Machine) Sorted() []*Attempt {
-	list := make([]*Attempt, 0, len(m.Attempts))
-	for _, a := range m.Attempts {
+func (agent *Agent) SortedAttempts() []*Attempt {
+	list := make([]*Attempt, 0, len(agent.Attempts))
+	for _, a := range agent.Attempts {
 		list = append(list, a)
 	}
 	sort.Slice(list, func(i, j int) bool { return lessID(list[i].ID, list[j].ID) })
@@ -434,7 +436,7 @@
 	case a.Task.Index != b.Task.Index:
 		return a.Task.Index < b.Task.Index
 	}
-	return a.Try < b.Try
+	return a.Number < b.Number
 }
 
 func sortEvents(ev []Event) {
--- a/internal/workers/machine_test.go
+++ b/internal/workers/machine_test.go
@@ -26,15 +26,15 @@
 	sentAt             time.Time
 }
 
-func (w *simWorker) report() *Report {
+func (w *simWorker) report() *Heartbeat {
 	w.tick++
-	r := &Report{Machine: "m-1", Endpoint: "h:1", MachineType: "t", Hall: "z", Shift: w.shift, Tick: w.tick, Warrant: w.token}
+	r := &Heartbeat{Machine: "m-1", Endpoint: "h:1", MachineType: "t", Zone: "z", Epoch: w.shift, Sequence: w.tick, Token: w.token}
 	for id, st := range w.tasks {
-		p := Piece{Piece: id.Task.String(), Try: id.Try, Status: st}
-		if st == Exited {
+		p := TaskReport{Task: id.Task.String(), Attempt: id.Number, Status: st}
+		if st == StatusExited {
 			p.Cause = CauseDone
 		}
-		r.Pieces = append(r.Pieces, p)
+		r.Tasks = append(r.Tasks, p)
 	}
 	return r
 }
@@ -48,17 +48,17 @@
 	}
 }
 
-func (w *simWorker) execute(orders []Order) {
+func (w *simWorker) execute(orders []Command) {
 	for _, o := range orders {
-		task, _ := ParseTaskID(o.Piece)
-		id := AttemptID{task, o.Try}
+		task, _ := ParseTaskID(o.Task)
+		id := AttemptID{task, o.Attempt}
 		_, has := w.tasks[id]
 		switch {
-		case o.Verb == Run && !has:
-			w.tasks[id] = Running
-		case o.Verb == Stop && has:
-			w.tasks[id] = Exited
-		case o.Verb == Forget && has && w.tasks[id] == Exited:
+		case o.Verb == VerbRun && !has:
+			w.tasks[id] = StatusRunning
+		case o.Verb == VerbStop && has:
+			w.tasks[id] = StatusExited
+		case o.Verb == VerbForget && has && w.tasks[id] == StatusExited:
 			delete(w.tasks, id)
 		}
 	}
@@ -66,12 +66,12 @@
 
 // message is anything under way in the simulated network.
 type message struct {
-	report *Report // to the leader
-	direct bool    // the body of an answer to a command
-	answer *Answer // to the worker, for the report with this tick and shift
+	report *Heartbeat    // to the leader
+	direct bool          // the body of an answer to a command
+	answer *CommandBatch // to the worker, for the report with this tick and shift
 	tick   uint64
 	shift  uint64
-	order  *Answer // a direct command to the worker, of any age
+	order  *CommandBatch // a direct command to the worker, of any age
 }
 
 // TestGoneMeansGone drives a worker and the leader's view of it through
@@ -82,24 +82,24 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		w := &simWorker{shift: 1, tasks: map[AttemptID]string{}, leaseFrom: now}
-		m := NewMachine("m-1")
+		m := NewAgent("m-1")
 		var net []message
 		released := map[AttemptID]bool{}
 		next := 0
 		release := func(ev []Event) {
 			for _, e := range ev {
-				if e.Why == Gone || e.Why == Ended {
+				if e.Kind == EventGone || e.Kind == EventExited {
 					released[e.Attempt.ID] = true
 				}
-				if e.Why == Ended {
-					e.Attempt.Settled = true
+				if e.Kind == EventExited {
+					e.Attempt.ExitRecorded = true
 				}
 			}
 		}
 		// An attempt of the earlier term, in the record we have taken over.
 		old := AttemptID{TaskID{"j-1", 0}, oldTerm<<20 | 1}
-		m.Shift = 1
-		m.Attempts[old] = &Attempt{ID: old, Shift: 1, Committed: true, Cleared: true, Inherited: true, Sent: true}
+		m.Epoch = 1
+		m.Attempts[old] = &Attempt{ID: old, Epoch: 1, Committed: true, StartAllowed: true, FromEarlierTerm: true, Sent: true}
 		take := func(i int) message {
 			msg := net[i]
 			net = append(net[:i:i], net[i+1:]...)
@@ -115,7 +115,7 @@
 					t.Skip()
 				}
 				r := w.report()
-				w.inFlight, w.sentAt = r.Tick, now
+				w.inFlight, w.sentAt = r.Sequence, now
 				net = append(net, message{report: r})
 			},
 			"giveUp": func(t *rapid.T) { w.inFlight = 0 },
@@ -124,33 +124,33 @@
 				if w.inFlight == 0 {
 					t.Skip()
 				}
-				net = append(net, message{answer: &Answer{Warrant: oldTerm, Orders: []Order{{Verb: Run, Piece: old.Task.String(), Try: old.Try}}},
+				net = append(net, message{answer: &CommandBatch{Token: oldTerm, Commands: []Command{{Verb: VerbRun, Task: old.Task.String(), Attempt: old.Number}}},
 					tick: w.inFlight, shift: w.shift})
 			},
 			"plan": func(t *rapid.T) {
-				if !m.Known || m.Shift <= m.EndedShift {
+				if !m.Registered || m.Epoch <= m.ExpiredEpoch {
 					t.Skip()
 				}
 				next++
 				id := AttemptID{TaskID{"j-2", next}, simTerm<<20 | uint64(next)}
-				m.Attempts[id] = &Attempt{ID: id, Shift: m.Shift, Committed: true, Cleared: true}
+				m.Attempts[id] = &Attempt{ID: id, Epoch: m.Epoch, Committed: true, StartAllowed: true}
 			},
 			"halt": func(t *rapid.T) {
-				if list := m.Sorted(); len(list) > 0 {
+				if list := m.SortedAttempts(); len(list) > 0 {
 					a := rapid.SampledFrom(list).Draw(t, "attempt")
-					if m.Withdraw(a, 0, now) {
+					if m.RequestStop(a, 0, now) {
 						released[a.ID] = true
 					}
 				}
 			},
 			"command": func(t *rapid.T) {
-				var stops []Order
-				for _, o := range m.Orders(false, now) {
-					if o.Verb == Stop {
+				var stops []Command
+				for _, o := range m.Commands(false, now) {
+					if o.Verb == VerbStop {
 						stops = append(stops, o)
 					}
 				}
-				net = append(net, message{order: &Answer{Warrant: simTerm, Shift: m.Shift, Orders: stops}})
+				net = append(net, message{order: &CommandBatch{Token: simTerm, Epoch: m.Epoch, Commands: stops}})
 			},
 			"deliver": func(t *rapid.T) {
 				if len(net) == 0 {
@@ -163,22 +163,22 @@
 				}
 				switch {
 				case msg.report != nil:
-					if !msg.direct && m.Copy(msg.report) {
+					if !msg.direct && m.IsDuplicate(msg.report) {
 						return
 					}
 					ev, _ := m.Observe(msg.report, simTerm, msg.direct, now)
 					release(ev)
-					if msg.direct || msg.report.Shift <= m.EndedShift || m.Deaf {
+					if msg.direct || msg.report.Epoch <= m.ExpiredEpoch || m.RepliesLost {
 						return
 					}
-					m.ReportTick = max(m.ReportTick, msg.report.Tick)
-					m.Answered = now
-					net = append(net, message{answer: &Answer{Warrant: simTerm, Orders: m.Orders(true, now)},
-						tick: msg.report.Tick, shift: msg.report.Shift})
+					m.HeartbeatSequence = max(m.HeartbeatSequence, msg.report.Sequence)
+					m.LastAcknowledged = now
+					net = append(net, message{answer: &CommandBatch{Token: simTerm, Commands: m.Commands(true, now)},
+						tick: msg.report.Sequence, shift: msg.report.Epoch})
 				case msg.order != nil:
-					if msg.order.Warrant >= w.token && msg.order.Shift == w.shift {
-						w.token = msg.order.Warrant
-						w.execute(msg.order.Orders)
+					if msg.order.Token >= w.token && msg.order.Epoch == w.shift {
+						w.token = msg.order.Token
+						w.execute(msg.order.Commands)
 					}
 					net = append(net, message{report: w.report(), direct: true})
 				case msg.answer != nil:
@@ -186,12 +186,12 @@
 						return
 					}
 					w.inFlight = 0
-					if msg.answer.Warrant < w.token {
+					if msg.answer.Token < w.token {
 						return
 					}
-					w.token = msg.answer.Warrant
+					w.token = msg.answer.Token
 					w.leaseFrom = w.sentAt
-					w.execute(msg.answer.Orders)
+					w.execute(msg.answer.Commands)
 				}
 			},
 			"lose": func(t *rapid.T) {
@@ -200,10 +200,10 @@
 				}
 				take(rapid.IntRange(0, len(net)-1).Draw(t, "message"))
 			},
-			"lease": func(t *rapid.T) { release(m.CheckLease(simTerm, simLease, now)) },
+			"lease": func(t *rapid.T) { release(m.ExpireLease(simTerm, simLease, now)) },
 			"": func(t *rapid.T) {
 				for id, st := range w.tasks {
-					if released[id] && st != Exited {
+					if released[id] && st != StatusExited {
 						t.Fatalf("%v is on the worker although it was let go", id)
 					}
 				}
@@ -215,9 +215,9 @@
 // TestReportsOutOfOrder: an older report, by session or tick, changes nothing.
 func TestReportsOutOfOrder(t *testing.T) {
 	now := time.Unix(1000, 0)
-	m := NewMachine("m-1")
-	rep := func(shift, tick uint64, pieces ...Piece) *Report {
-		return &Report{Machine: "m-1", MachineType: "t", Hall: "z", Shift: shift, Tick: tick, Warrant: simTerm, Pieces: pieces}
+	m := NewAgent("m-1")
+	rep := func(shift, tick uint64, pieces ...TaskReport) *Heartbeat {
+		return &Heartbeat{Machine: "m-1", MachineType: "t", Zone: "z", Epoch: shift, Sequence: tick, Token: simTerm, Tasks: pieces}
 	}
 	for _, c := range []struct {
 		shift, tick uint64
@@ -230,13 +230,13 @@
 }
 
 // hear makes a machine that has taken in a first report.
-func hear(now time.Time) (*Machine, func(tick uint64, pieces ...Piece) *Report) {
-	m := NewMachine("m-1")
-	rep := func(tick uint64, pieces ...Piece) *Report {
-		return &Report{Machine: "m-1", MachineType: "t", Hall: "z", Shift: 1, Tick: tick, Warrant: simTerm, Pieces: pieces}
+func hear(now time.Time) (*Agent, func(tick uint64, pieces ...TaskReport) *Heartbeat) {
+	m := NewAgent("m-1")
+	rep := func(tick uint64, pieces ...TaskReport) *Heartbeat {
+		return &Heartbeat{Machine: "m-1", MachineType: "t", Zone: "z", Epoch: 1, Sequence: tick, Token: simTerm, Tasks: pieces}
 	}
 	m.Observe(rep(1), simTerm, false, now)
-	m.Answered = now
+	m.LastAcknowledged = now
 	return m, rep
 }
 
@@ -247,35 +247,35 @@
 	now := time.Unix(1000, 0)
 	m, rep := hear(now)
 	id := AttemptID{TaskID{"j-1", 0}, 7}
-	m.Attempts[id] = &Attempt{ID: id, Shift: 1, Committed: true, Cleared: true}
+	m.Attempts[id] = &Attempt{ID: id, Epoch: 1, Committed: true, StartAllowed: true}
 	tick := uint64(1)
 	for i := 1; i <= 2; i++ {
-		if m.Deaf {
+		if m.RepliesLost {
 			t.Fatalf("deaf after %d reports", i-1)
 		}
-		if got := m.Orders(true, now); len(got) != 1 || got[0].Verb != Run {
+		if got := m.Commands(true, now); len(got) != 1 || got[0].Verb != VerbRun {
 			t.Fatalf("orders %v", got)
 		}
 		now = now.Add(6 * time.Second)
-		if !m.Suspect(now) {
+		if !m.StartOverdue(now) {
 			t.Errorf("a start missing for 6 s raises no doubt")
 		}
 		tick++
 		ev, _ := m.Observe(rep(tick), simTerm, false, now)
-		if gone := len(ev) == 1 && ev[0].Why == Gone; gone != (i == 2) {
+		if gone := len(ev) == 1 && ev[0].Kind == EventGone; gone != (i == 2) {
 			t.Fatalf("report %d: %v", i, ev)
 		}
 	}
-	if !m.Deaf || len(m.Attempts) != 0 {
-		t.Fatalf("deaf %v, attempts %v", m.Deaf, m.Attempts)
+	if !m.RepliesLost || len(m.Attempts) != 0 {
+		t.Fatalf("deaf %v, attempts %v", m.RepliesLost, m.Attempts)
 	}
 	// Reports alone do not make it hear; an answer to a command does.
 	m.Observe(rep(8), simTerm, false, now)
-	if !m.Deaf {
+	if !m.RepliesLost {
 		t.Errorf("a report is taken for a sign that it hears")
 	}
 	m.Observe(rep(9), simTerm, true, now)
-	if m.Deaf {
+	if m.RepliesLost {
 		t.Errorf("it stays deaf for ever")
 	}
 }
@@ -284,15 +284,15 @@
 func TestIgnoredStops(t *testing.T) {
 	now := time.Unix(1000, 0)
 	m, rep := hear(now)
-	p := Piece{Piece: "j-1/0", Try: 7, Status: Running}
+	p := TaskReport{Task: "j-1/0", Attempt: 7, Status: StatusRunning}
 	id := AttemptID{TaskID{"j-1", 0}, 7}
-	m.Attempts[id] = &Attempt{ID: id, Shift: 1, Sent: true}
+	m.Attempts[id] = &Attempt{ID: id, Epoch: 1, Sent: true}
 	m.Observe(rep(2, p), simTerm, false, now)
-	m.Withdraw(m.Attempts[id], 0, now)
+	m.RequestStop(m.Attempts[id], 0, now)
 	for i := uint64(0); i < 3; i++ {
 		m.Observe(rep(3+i, p), simTerm, false, now.Add(time.Duration(i)*7*time.Second))
-		if want := i == 2; m.Deaf != want {
-			t.Errorf("after %d reports with the task: deaf %v", i+1, m.Deaf)
+		if want := i == 2; m.RepliesLost != want {
+			t.Errorf("after %d reports with the task: deaf %v", i+1, m.RepliesLost)
 		}
 	}
 	if len(m.Attempts) != 1 {
@@ -304,42 +304,42 @@
 // reporting gets no work until it shows that it hears, by whatever sign.
 func TestNewSessionRaisesDoubt(t *testing.T) {
 	now := time.Unix(1000, 0)
-	for i, sign := range []func(m *Machine, rep func(uint64, ...Piece) *Report){
-		func(*Machine, func(uint64, ...Piece) *Report) {},
-		func(m *Machine, rep func(uint64, ...Piece) *Report) {
+	for i, sign := range []func(m *Agent, rep func(uint64, ...TaskReport) *Heartbeat){
+		func(*Agent, func(uint64, ...TaskReport) *Heartbeat) {},
+		func(m *Agent, rep func(uint64, ...TaskReport) *Heartbeat) {
 			r := rep(30)
-			r.Shift = 2
+			r.Epoch = 2
 			m.Observe(r, simTerm, false, now) // nothing but a report: no sign
 		},
-		func(m *Machine, rep func(uint64, ...Piece) *Report) {
+		func(m *Agent, rep func(uint64, ...TaskReport) *Heartbeat) {
 			r := rep(30)
-			r.Shift = 2
+			r.Epoch = 2
 			m.Observe(r, simTerm, true, now)
 		},
-		func(m *Machine, rep func(uint64, ...Piece) *Report) {
+		func(m *Agent, rep func(uint64, ...TaskReport) *Heartbeat) {
 			id := AttemptID{TaskID{"j-1", 0}, 7}
-			m.Attempts[id] = &Attempt{ID: id, Shift: 2, Sent: true}
-			r := rep(30, Piece{Piece: "j-1/0", Try: 7, Status: Fetching})
-			r.Shift = 2
+			m.Attempts[id] = &Attempt{ID: id, Epoch: 2, Sent: true}
+			r := rep(30, TaskReport{Task: "j-1/0", Attempt: 7, Status: StatusFetching})
+			r.Epoch = 2
 			m.Observe(r, simTerm, false, now)
 		},
 	} {
 		m, rep := hear(now)
-		if m.Doubt {
+		if m.EpochUnconfirmed {
 			t.Fatalf("doubt from the start")
 		}
 		next := rep(20)
-		next.Shift = 2
+		next.Epoch = 2
 		m.Observe(next, simTerm, false, now)
 		sign(m, rep)
-		if want := i < 2; m.Doubt != want {
-			t.Errorf("sign %d: doubt %v, want %v", i, m.Doubt, want)
+		if want := i < 2; m.EpochUnconfirmed != want {
+			t.Errorf("sign %d: doubt %v, want %v", i, m.EpochUnconfirmed, want)
 		}
-		m.KeptSession(simLease, now.Add(simLease))
-		if want := i < 2; m.Doubt != want {
+		m.ConfirmEpoch(simLease, now.Add(simLease))
+		if want := i < 2; m.EpochUnconfirmed != want {
 			t.Errorf("a session of one lease is taken for a sign")
 		}
-		if m.KeptSession(simLease, now.Add(2*simLease)); m.Doubt {
+		if m.ConfirmEpoch(simLease, now.Add(2*simLease)); m.EpochUnconfirmed {
 			t.Errorf("a session kept for two leases is no sign")
 		}
 	}
@@ -354,18 +354,18 @@
 	m.Observe(rep(5), simTerm, false, now)
 	m.Observe(rep(9), simTerm, true, now) // the answer to a command
 	old := rep(50)
-	old.Shift = 0
+	old.Epoch = 0
 	for _, c := range []struct {
-		r    *Report
+		r    *Heartbeat
 		copy bool
 	}{{rep(1), true}, {rep(4), true}, {rep(5), true}, {rep(7), false}, {rep(10), false}, {old, true}} {
-		if got := m.Copy(c.r); got != c.copy {
-			t.Errorf("shift %d tick %d: copy %v, want %v", c.r.Shift, c.r.Tick, got, c.copy)
+		if got := m.IsDuplicate(c.r); got != c.copy {
+			t.Errorf("shift %d tick %d: copy %v, want %v", c.r.Epoch, c.r.Sequence, got, c.copy)
 		}
 	}
-	m.Answered = now
-	m.CheckLease(simTerm, simLease, now.Add(simLease+2*time.Second))
-	if !m.Copy(rep(60)) {
+	m.LastAcknowledged = now
+	m.ExpireLease(simTerm, simLease, now.Add(simLease+2*time.Second))
+	if !m.IsDuplicate(rep(60)) {
 		t.Errorf("a report of a session that is over counts")
 	}
 }
@@ -374,22 +374,22 @@
 // be renewed by an older leader, so its silence proves nothing.
 func TestSilenceOfUnknownToken(t *testing.T) {
 	now := time.Unix(1000, 0)
-	m := NewMachine("m-1")
+	m := NewAgent("m-1")
 	id := AttemptID{TaskID{"j-1", 0}, 1}
-	m.Attempts[id] = &Attempt{ID: id, Shift: 1, Inherited: true, Sent: true}
-	r := &Report{Machine: "m-1", MachineType: "t", Hall: "z", Shift: 1, Tick: 1, Warrant: oldTerm,
-		Pieces: []Piece{{Piece: "j-1/0", Try: 1, Status: Running}}}
+	m.Attempts[id] = &Attempt{ID: id, Epoch: 1, FromEarlierTerm: true, Sent: true}
+	r := &Heartbeat{Machine: "m-1", MachineType: "t", Zone: "z", Epoch: 1, Sequence: 1, Token: oldTerm,
+		Tasks: []TaskReport{{Task: "j-1/0", Attempt: 1, Status: StatusRunning}}}
 	m.Observe(r, simTerm, false, now)
-	m.Answered = now
-	if ev := m.CheckLease(simTerm, simLease, now.Add(time.Hour)); len(ev) != 0 {
+	m.LastAcknowledged = now
+	if ev := m.ExpireLease(simTerm, simLease, now.Add(time.Hour)); len(ev) != 0 {
 		t.Fatalf("silence was taken for proof: %v", ev)
 	}
-	r.Tick, r.Warrant = 2, simTerm
+	r.Sequence, r.Token = 2, simTerm
 	m.Observe(r, simTerm, false, now)
-	if ev := m.CheckLease(simTerm, simLease, now.Add(simLease)); len(ev) != 0 {
+	if ev := m.ExpireLease(simTerm, simLease, now.Add(simLease)); len(ev) != 0 {
 		t.Fatalf("the lease was taken for over too early: %v", ev)
 	}
-	if ev := m.CheckLease(simTerm, simLease, now.Add(simLease+2*time.Second)); len(ev) != 1 || ev[0].Why != Gone {
+	if ev := m.ExpireLease(simTerm, simLease, now.Add(simLease+2*time.Second)); len(ev) != 1 || ev[0].Kind != EventGone {
 		t.Fatalf("a lapsed lease frees nothing: %v", ev)
 	}
 }
@@ -397,29 +397,29 @@
 // TestGangRunsOnlyWhenCleared: `run` waits for the record and the clearance.
 func TestRunWaitsForRecord(t *testing.T) {
 	now := time.Unix(1000, 0)
-	m := NewMachine("m-1")
-	m.Observe(&Report{Machine: "m-1", MachineType: "t", Hall: "z", Shift: 1, Tick: 1, Warrant: simTerm}, simTerm, false, now)
+	m := NewAgent("m-1")
+	m.Observe(&Heartbeat{Machine: "m-1", MachineType: "t", Zone: "z", Epoch: 1, Sequence: 1, Token: simTerm}, simTerm, false, now)
 	id := AttemptID{TaskID{"j-1", 0}, 1}
-	a := &Attempt{ID: id, Shift: 1}
+	a := &Attempt{ID: id, Epoch: 1}
 	m.Attempts[id] = a
 	for i := range 4 {
-		a.Committed, a.Cleared = i&1 != 0, i&2 != 0
+		a.Committed, a.StartAllowed = i&1 != 0, i&2 != 0
 		want := 0
 		if i == 3 {
 			want = 1
 		}
-		if got := len(m.Orders(false, now)); got != 0 {
+		if got := len(m.Commands(false, now)); got != 0 {
 			t.Errorf("a start went out beside an answer")
 		}
-		if got := len(m.Orders(true, now)); got != want {
-			t.Errorf("committed %v cleared %v: %d orders, want %d", a.Committed, a.Cleared, got, want)
+		if got := len(m.Commands(true, now)); got != want {
+			t.Errorf("committed %v cleared %v: %d orders, want %d", a.Committed, a.StartAllowed, got, want)
 		}
 	}
 }
 
 func TestReportDecoding(t *testing.T) {
 	good := `{"rig":"m-1","endpoint":"1.2.3.4:9","rigType":"g","hall":"a","loaners":true,"shift":1,"tick":3,"warrant":2,"recallS":null,"new":{},"pieces":[{"piece":"j-1/0","try":1,"status":"exited","cause":"done"}]}`
-	if r, err := DecodeReport([]byte(good)); err != nil || len(r.Pieces) != 1 {
+	if r, err := DecodeHeartbeat([]byte(good)); err != nil || len(r.Tasks) != 1 {
 		t.Fatalf("good report: %v", err)
 	}
 	for _, bad := range []string{``, `[]`, `{`, `{"rig":"m-1"}`, `{"rig":"a b","rigType":"g","hall":"a","shift":1}`,
@@ -427,7 +427,7 @@
 		`{"rig":"m-1","rigType":"g","hall":"a","shift":1,"pieces":[{"piece":"x","try":1,"status":"running"}]}`,
 		`{"rig":"m-1","rigType":"g","hall":"a","shift":1,"pieces":[{"piece":"j-1/01","try":1,"status":"running"}]}`,
 		`{"rig":"m-1","rigType":"g","hall":"a","shift":1,"pieces":[{"piece":"j-1/0","try":1,"status":"odd"}]}`} {
-		if _, err := DecodeReport([]byte(bad)); err == nil {
+		if _, err := DecodeHeartbeat([]byte(bad)); err == nil {
 			t.Errorf("accepted: %s", bad)
 		}
 	}
@@ -445,14 +445,14 @@
 func TestReportsAreReadAsByTheStandardLibrary(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringMatching(`[a-zA-Z0-9 ./_"\\\x{e4}\x{2028}\n-]{0,12}`)
-		report := Report{Machine: text.Draw(t, "rig"), Endpoint: text.Draw(t, "endpoint"), MachineType: text.Draw(t, "type"), Hall: text.Draw(t, "hall"),
-			Loaners: rapid.Bool().Draw(t, "loaners"), Shift: rapid.Uint64().Draw(t, "shift"), Tick: rapid.Uint64().Draw(t, "tick"), Warrant: rapid.Uint64().Draw(t, "warrant")}
+		report := Heartbeat{Machine: text.Draw(t, "rig"), Endpoint: text.Draw(t, "endpoint"), MachineType: text.Draw(t, "type"), Zone: text.Draw(t, "hall"),
+			Spot: rapid.Bool().Draw(t, "loaners"), Epoch: rapid.Uint64().Draw(t, "shift"), Sequence: rapid.Uint64().Draw(t, "tick"), Token: rapid.Uint64().Draw(t, "warrant")}
 		if rapid.Bool().Draw(t, "notice") {
 			seconds := rapid.Float64Range(-1e9, 1e9).Draw(t, "seconds")
-			report.RecallS = &seconds
+			report.ReclaimInS = &seconds
 		}
 		for range rapid.IntRange(0, 4).Draw(t, "tasks") {
-			report.Pieces = append(report.Pieces, Piece{Piece: text.Draw(t, "piece"), Try: rapid.Uint64().Draw(t, "try"), Status: text.Draw(t, "status"),
+			report.Tasks = append(report.Tasks, TaskReport{Task: text.Draw(t, "piece"), Attempt: rapid.Uint64().Draw(t, "try"), Status: text.Draw(t, "status"),
 				Cause: text.Draw(t, "cause"), Saved: rapid.Bool().Draw(t, "saved")})
 		}
 		raw, err := json.Marshal(report)
@@ -468,7 +468,7 @@
 			at := rapid.IntRange(0, len(raw)).Draw(t, "at")
 			raw = append(append(append([]byte{}, raw[:at]...), rapid.SampledFrom([]string{`"x":1,`, `,`, `null`, `{"a":[1,{}]},`, ` `, "\x00", `"`}).Draw(t, "more")...), raw[at:]...)
 		}
-		var ours, standard Report
+		var ours, standard Heartbeat
 		oursErr, standardErr := fast.Unmarshal(raw, &ours), json.Unmarshal(raw, &standard)
 		if (oursErr == nil) != (standardErr == nil) {
 			t.Fatalf("%q: %v, by the standard library %v", raw, oursErr, standardErr)
--- a/internal/workers/wire.go
+++ b/internal/workers/wire.go
@@ -16,11 +16,11 @@
 
 // States of a task on a worker.
 const (
-	Fetching = "fetching"
-	Waiting  = "waiting"
-	Running  = "running"
-	Saving   = "saving"
-	Exited   = "exited"
+	StatusFetching = "fetching"
+	StatusWaiting  = "waiting"
+	StatusRunning  = "running"
+	StatusSaving   = "saving"
+	StatusExited   = "exited"
 )
 
 // Causes of an exit.
@@ -33,47 +33,47 @@
 
 // Verbs of orders.
 const (
-	Run    = "run"
-	Stop   = "stop"
-	Forget = "forget"
+	VerbRun    = "run"
+	VerbStop   = "stop"
+	VerbForget = "forget"
 )
 
 // Piece is a task as a worker reports it.
-type Piece struct {
-	Piece  string `json:"piece"`
-	Try    uint64 `json:"try"`
-	Status string `json:"status"`
-	Cause  string `json:"cause,omitempty"`
-	Saved  bool   `json:"saved,omitempty"`
+type TaskReport struct {
+	Task    string `json:"piece"`
+	Attempt uint64 `json:"try"`
+	Status  string `json:"status"`
+	Cause   string `json:"cause,omitempty"`
+	Saved   bool   `json:"saved,omitempty"`
 }
 
 // Report is what a worker tells of itself.
-type Report struct {
-	Machine     string   `json:"rig"`
-	Endpoint    string   `json:"endpoint"`
-	MachineType string   `json:"rigType"`
-	Hall        string   `json:"hall"`
-	Loaners     bool     `json:"loaners"`
-	Shift       uint64   `json:"shift"`
-	Tick        uint64   `json:"tick"`
-	Warrant     uint64   `json:"warrant"`
-	RecallS     *float64 `json:"recallS"`
-	Pieces      []Piece  `json:"pieces"`
+type Heartbeat struct {
+	Machine     string       `json:"rig"`
+	Endpoint    string       `json:"endpoint"`
+	MachineType string       `json:"rigType"`
+	Zone        string       `json:"hall"`
+	Spot        bool         `json:"loaners"`
+	Epoch       uint64       `json:"shift"`
+	Sequence    uint64       `json:"tick"`
+	Token       uint64       `json:"warrant"`
+	ReclaimInS  *float64     `json:"recallS"`
+	Tasks       []TaskReport `json:"pieces"`
 }
 
 // Order tells a worker what to do with a task.
-type Order struct {
-	Verb      string   `json:"verb"`
-	Piece     string   `json:"piece"`
-	Try       uint64   `json:"try"`
-	WindDownS *float64 `json:"windDownS,omitempty"`
+type Command struct {
+	Verb    string   `json:"verb"`
+	Task    string   `json:"piece"`
+	Attempt uint64   `json:"try"`
+	GraceS  *float64 `json:"windDownS,omitempty"`
 }
 
 // Answer is the answer to a report; with Shift it is a direct command.
-type Answer struct {
-	Warrant uint64  `json:"warrant"`
-	Shift   uint64  `json:"shift,omitempty"`
-	Orders  []Order `json:"orders"`
+type CommandBatch struct {
+	Token    uint64    `json:"warrant"`
+	Epoch    uint64    `json:"shift,omitempty"`
+	Commands []Command `json:"orders"`
 }
 
 // TaskID names one task of a job.
@@ -95,11 +95,11 @@
 }
 
 // DecodeReport reads and checks a report.
-func DecodeReport(raw []byte) (*Report, error) {
+func DecodeHeartbeat(raw []byte) (*Heartbeat, error) {
 	if t := bytes.TrimSpace(raw); len(t) == 0 || t[0] != '{' {
 		return nil, errors.New("the report is not a JSON object")
 	}
-	var r Report
+	var r Heartbeat
 	if err := json.Unmarshal(raw, &r); err != nil {
 		return nil, fmt.Errorf("the report is not valid: %w", err)
 	}
@@ -108,29 +108,29 @@
 		return nil, fmt.Errorf("rig: %q is not a machine's name", r.Machine)
 	case r.MachineType == "":
 		return nil, errors.New("rigType: is missing")
-	case r.Hall == "":
+	case r.Zone == "":
 		return nil, errors.New("hall: is missing")
-	case r.Shift == 0:
+	case r.Epoch == 0:
 		return nil, errors.New("shift: is missing")
 	}
 	type attempt struct {
 		piece string
 		try   uint64
 	}
-	seen := make(map[attempt]bool, len(r.Pieces))
-	for _, p := range r.Pieces {
-		if _, err := ParseTaskID(p.Piece); err != nil {
+	seen := make(map[attempt]bool, len(r.Tasks))
+	for _, p := range r.Tasks {
+		if _, err := ParseTaskID(p.Task); err != nil {
 			return nil, fmt.Errorf("pieces: %w", err)
 		}
-		key := attempt{p.Piece, p.Try}
+		key := attempt{p.Task, p.Attempt}
 		if seen[key] {
-			return nil, fmt.Errorf("pieces: %s stands twice", p.Piece)
+			return nil, fmt.Errorf("pieces: %s stands twice", p.Task)
 		}
 		seen[key] = true
 		switch p.Status {
-		case Fetching, Waiting, Running, Saving, Exited:
+		case StatusFetching, StatusWaiting, StatusRunning, StatusSaving, StatusExited:
 		default:
-			return nil, fmt.Errorf("pieces: %s: unknown status %q", p.Piece, p.Status)
+			return nil, fmt.Errorf("pieces: %s: unknown status %q", p.Task, p.Status)
 		}
 	}
 	return &r, nil
