--- a/internal/confirmations/confirmations.go
+++ b/internal/confirmations/confirmations.go
@@ -19,13 +19,13 @@
 
 // Memory is what a process knows to be cancelled. A job is noted before any user
 // is told, so what is not in it nobody was told here.
-type Memory struct {
+type CancellationLog struct {
 	mu sync.Mutex
 	// from is since when nothing is missing: the start of the process, or when
 	// the newest entry that was dropped was noted.
-	from time.Time
-	list []entry // in the order of their times
-	most int
+	completeSince time.Time
+	entries       []entry // in the order of their times
+	capacity      int
 }
 
 type entry struct {
@@ -34,47 +34,49 @@
 }
 
 // NewMemory makes the memory of a process that begins now.
-func NewMemory(most int, now time.Time) *Memory { return &Memory{from: now, most: most} }
+func NewCancellationLog(most int, now time.Time) *CancellationLog {
+	return &CancellationLog{completeSince: now, capacity: most}
+}
 
 // Note adds a job.
-func (m *Memory) Note(id string, now time.Time) {
+func (m *CancellationLog) Add(id string, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.list) >= m.most {
-		drop := max(1, m.most/4)
-		m.from = m.list[drop-1].at
-		m.list = append([]entry(nil), m.list[drop:]...)
+	if len(m.entries) >= m.capacity {
+		drop := max(1, m.capacity/4)
+		m.completeSince = m.entries[drop-1].at
+		m.entries = append([]entry(nil), m.entries[drop:]...)
 	}
-	m.list = append(m.list, entry{id, now})
+	m.entries = append(m.entries, entry{id, now})
 }
 
 // Within names the jobs noted in so long a time before now. It reports false when
 // some may be missing: the process is younger, or has forgotten some.
-func (m *Memory) Within(span time.Duration, now time.Time) (ids []string, ok bool) {
+func (m *CancellationLog) Since(span time.Duration, now time.Time) (ids []string, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	from := now.Add(-span)
-	if !m.from.Before(from) {
+	if !m.completeSince.Before(from) {
 		return nil, false
 	}
-	for i := len(m.list) - 1; i >= 0 && !m.list[i].at.Before(from); i-- {
-		ids = append(ids, m.list[i].id)
+	for i := len(m.entries) - 1; i >= 0 && !m.entries[i].at.Before(from); i-- {
+		ids = append(ids, m.entries[i].id)
 	}
 	return ids, true
 }
 
 // Span is for how long the nodes must vouch to reach back to the watch's last
 // proof, by their clocks and counted from when they answer.
-func Span(asked, watched time.Time) time.Duration {
+func Window(asked, watched time.Time) time.Duration {
 	return time.Duration(float64(asked.Sub(watched))*(1+constants.ClockDrift)) + constants.VouchMargin
 }
 
 // Late tells whether answers come too long after the question: they may reach
 // back less far than was asked for.
-func Late(asked, now time.Time) bool { return now.Sub(asked) > constants.VouchLate }
+func Stale(asked, now time.Time) bool { return now.Sub(asked) > constants.VouchLate }
 
 // Word is what one node answers; not OK if it can't say, or does not answer.
-type Word struct {
+type Attestation struct {
 	Cancelled []string
 	OK        bool
 }
@@ -82,7 +84,7 @@
 // Unanimous puts together what the nodes vouch for, if it is all of them: one that
 // is silent, or has begun anew meanwhile, may have told users of what nobody else
 // knows.
-func Unanimous(words []Word, nodes int) (cancelled []string, ok bool) {
+func Unanimous(words []Attestation, nodes int) (cancelled []string, ok bool) {
 	if len(words) < nodes {
 		return nil, false
 	}
--- a/internal/confirmations/confirmations_test.go
+++ b/internal/confirmations/confirmations_test.go
@@ -11,7 +11,7 @@
 
 // process is a node's process in the model. Its clock runs apart from true time.
 type process struct {
-	memory *Memory
+	memory *CancellationLog
 	rate   float64
 	born   time.Time // by the true clock
 	base   time.Time // its own clock then
@@ -32,7 +32,7 @@
 		now := time.Unix(5000, 0)
 		begin := func() *process {
 			p := &process{rate: 1 + rapid.Float64Range(-0.0005, 0.0005).Draw(t, "drift"), born: now, base: now.Add(time.Hour)}
-			p.memory = NewMemory(4, p.base)
+			p.memory = NewCancellationLog(4, p.base)
 			return p
 		}
 		var at [nodes]*process
@@ -53,7 +53,7 @@
 			p := at[rapid.IntRange(0, nodes-1).Draw(t, "by")]
 			id := fmt.Sprint("j-", next)
 			next++
-			p.memory.Note(id, p.clock(now))
+			p.memory.Add(id, p.clock(now))
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "answering")) * time.Millisecond)
 			users = append(users, told{id, now})
 		}
@@ -82,22 +82,22 @@
 				}
 			default:
 				asked := now
-				span := Span(leader.clock(asked), leader.clock(watched))
-				var words []Word
+				span := Window(leader.clock(asked), leader.clock(watched))
+				var words []Attestation
 				for i := range rapid.IntRange(nodes-1, nodes).Draw(t, "asked of") {
 					// Cancellations go on while the question is under way.
 					now = now.Add(time.Duration(rapid.SampledFrom([]int{0, 1, 40, 400, 1400, 6000}).Draw(t, "way")) * time.Millisecond)
 					if rapid.IntRange(0, 3).Draw(t, "meanwhile") == 0 {
 						cancel()
 					}
-					w := Word{}
-					w.Cancelled, w.OK = at[i].memory.Within(span, at[i].clock(now))
+					w := Attestation{}
+					w.Cancelled, w.OK = at[i].memory.Since(span, at[i].clock(now))
 					if rapid.IntRange(0, 9).Draw(t, "answer") == 0 {
-						w = Word{} // lost
+						w = Attestation{} // lost
 					}
 					words = append(words, w)
 				}
-				if ids, ok := Unanimous(words, nodes); ok && !Late(leader.clock(asked), leader.clock(now)) {
+				if ids, ok := Unanimous(words, nodes); ok && !Stale(leader.clock(asked), leader.clock(now)) {
 					for _, id := range ids {
 						known[id] = true
 					}
@@ -119,18 +119,18 @@
 // remember.
 func TestMemorySaysWhatItForgets(t *testing.T) {
 	t0 := time.Unix(1000, 0)
-	m := NewMemory(4, t0)
-	if _, ok := m.Within(time.Second, t0); ok {
+	m := NewCancellationLog(4, t0)
+	if _, ok := m.Since(time.Second, t0); ok {
 		t.Error("a new process vouches for the time before it began")
 	}
 	for i := range 5 {
-		m.Note(fmt.Sprint(i), t0.Add(time.Duration(1+i)*time.Second))
+		m.Add(fmt.Sprint(i), t0.Add(time.Duration(1+i)*time.Second))
 	}
 	now := t0.Add(10 * time.Second)
-	if _, ok := m.Within(9500*time.Millisecond, now); ok {
+	if _, ok := m.Since(9500*time.Millisecond, now); ok {
 		t.Error("it vouches for a time that it has forgotten")
 	}
-	if ids, ok := m.Within(8500*time.Millisecond, now); !ok || !slices.Equal(ids, []string{"4", "3", "2", "1"}) {
+	if ids, ok := m.Since(8500*time.Millisecond, now); !ok || !slices.Equal(ids, []string{"4", "3", "2", "1"}) {
 		t.Errorf("%v %v", ids, ok)
 	}
 }
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -35,13 +35,13 @@
 	now := time.Now()
 	l := testLeader(b)
 	l.teams = []config.Team{{Name: "a", GPUs: 1000, GPUsMax: 10 * float64(machines)}}
-	l.d.Settings.Params.Teams = l.teams
+	l.deps.Settings.Params.Teams = l.teams
 	offline(b, l)
-	l.sure = now
+	l.certainUntil = now
 	var list []*machine
 	for i := range machines {
 		r := addRig(l, fmt.Sprintf("m-%06d", i), []string{"east", "west"}[i%2], now)
-		r.m.Spot = i%3 == 0
+		r.agent.Spot = i%3 == 0
 		list = append(list, r)
 	}
 	for i := range machines / 3 {
@@ -54,12 +54,12 @@
 		addJob(b, l, j, now)
 	}
 	for range 5 {
-		l.dirty = true
-		l.pass(now)
+		l.passDueNow = true
+		l.runSchedulingPass(now)
 		settle(l, 100)
 	}
 	for _, r := range list {
-		r.m.Commands(true, now) // the starts have left: no answer waits for them
+		r.agent.Commands(true, now) // the starts have left: no answer waits for them
 	}
 	return l, list
 }
@@ -75,7 +75,7 @@
 			for k := range 20 {
 				l.markStale(list[(i*20+k)%len(list)])
 			}
-			l.pass(now)
+			l.runSchedulingPass(now)
 		}
 	})
 }
@@ -89,13 +89,13 @@
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
 		l.teams = append(l.teams, config.Team{Name: name, GPUs: 0.5 * float64(machines), GPUsMax: 2 * float64(machines)})
 	}
-	l.d.Settings.Params.Teams = l.teams
+	l.deps.Settings.Params.Teams = l.teams
 	offline(b, l)
-	l.sure = now
+	l.certainUntil = now
 	var list []*machine
 	for i := range machines {
 		r := addRig(l, fmt.Sprintf("m-%06d", i), []string{"east", "west"}[i%2], now)
-		r.m.Spot = i%5 < 2
+		r.agent.Spot = i%5 < 2
 		list = append(list, r)
 	}
 	for i := range machines / 4 {
@@ -113,12 +113,12 @@
 		addJob(b, l, j, now.Add(time.Duration(i)*time.Millisecond))
 	}
 	for range 5 {
-		l.dirty = true
-		l.pass(now)
+		l.passDueNow = true
+		l.runSchedulingPass(now)
 		settle(l, 100)
 	}
 	for _, r := range list {
-		r.m.Commands(true, now)
+		r.agent.Commands(true, now)
 	}
 	return l, list
 }
@@ -130,7 +130,7 @@
 		now := time.Now()
 		waiting := 0
 		for _, j := range l.jobs {
-			if len(j.seats) < j.spec.Tasks {
+			if len(j.attempts) < j.spec.Tasks {
 				waiting++
 			}
 		}
@@ -141,9 +141,9 @@
 				l.markStale(list[(i*20+k)%len(list)])
 			}
 			for _, r := range list {
-				r.m.LastHeartbeat = now
+				r.agent.LastHeartbeat = now
 			}
-			l.pass(now)
+			l.runSchedulingPass(now)
 		}
 		b.ReportMetric(float64(waiting), "jobs-waiting")
 	})
@@ -162,22 +162,22 @@
 				r := list[(i*20+k*101)%len(list)]
 				rep := report(l, r, workers.StatusRunning, "")
 				for n := range rep.Tasks {
-					if a := r.m.Attempts[attemptID(b, rep.Tasks[n])]; n%3 == 0 && a.ID.Task.Index%50 != 0 && l.jobs[a.ID.Task.Job] != nil && l.jobs[a.ID.Task.Job].spec.Kind != userapi.KindGang {
+					if a := r.agent.Attempts[attemptID(b, rep.Tasks[n])]; n%3 == 0 && a.ID.Task.Index%50 != 0 && l.jobs[a.ID.Task.Job] != nil && l.jobs[a.ID.Task.Job].spec.Kind != userapi.KindGang {
 						rep.Tasks[n].Status, rep.Tasks[n].Cause = workers.StatusExited, workers.CauseError
 					}
 				}
-				l.observe(r, rep, false, now)
+				l.applyHeartbeat(r, rep, false, now)
 			}
 			for _, j := range l.jobs {
 				j.notBefore = time.Time{}
 				clear(j.avoid)
 			}
 			epoch = settle(l, epoch)
-			l.pass(now)
+			l.runSchedulingPass(now)
 			epoch = settle(l, epoch)
 			for k := range 20 {
 				r := list[(i*20+k*101)%len(list)]
-				r.m.Commands(true, now)
+				r.agent.Commands(true, now)
 			}
 		}
 	})
@@ -202,11 +202,11 @@
 		for i := range b.N {
 			r := list[i%len(list)]
 			rep := report(l, r, workers.StatusRunning, "")
-			l.hello(rep, now, ch)
+			l.heartbeat(rep, now, ch)
 			l.commit(now)
-			r.waiter.until = now
-			l.answerSoon(r)
-			l.flush(now)
+			r.pending.until = now
+			l.wakeReply(r)
+			l.flushReplies(now)
 			<-ch
 		}
 	})
@@ -217,14 +217,14 @@
 func BenchmarkTick(b *testing.B) {
 	perFleetSize(b, func(b *testing.B, machines int) {
 		l, _ := grown(b, machines)
-		l.d.Cloud = &cloudCalls{}
+		l.deps.Cloud = &cloudCalls{}
 		now := time.Now()
-		l.market.listed, l.market.busy = now, true
+		l.scaling.listedAt, l.scaling.callInFlight = now, true
 		b.ResetTimer()
 		for range b.N {
 			now = now.Add(constants.TickEvery)
 			for _, r := range l.sortedMachines() {
-				r.m.LastHeartbeat, r.m.LastAcknowledged = now, now
+				r.agent.LastHeartbeat, r.agent.LastAcknowledged = now, now
 			}
 			l.tick(now)
 		}
@@ -237,15 +237,15 @@
 	perFleetSize(b, func(b *testing.B, machines int) {
 		l, list := grown(b, machines)
 		epoch := settle(l, 1000)
-		before := l.committer.log.Stats().EntryBytes
+		before := l.commits.log.Stats().EntryBytes
 		b.ResetTimer()
 		for i := range b.N {
 			for k := range 20 {
-				l.noteMeta(list[(i*20+k)%len(list)], nil)
+				l.logMetadata(list[(i*20+k)%len(list)], nil)
 			}
 			epoch = settle(l, epoch)
 		}
-		b.ReportMetric(float64(l.committer.log.Stats().EntryBytes-before)/float64(b.N), "bytes")
+		b.ReportMetric(float64(l.commits.log.Stats().EntryBytes-before)/float64(b.N), "bytes")
 	})
 }
 
@@ -253,14 +253,14 @@
 // the number of transactions and of changes in them.
 func written(l *Leader, rows map[string]wal.Row) (txns, changes int) {
 	l.checkpoint()
-	for l.committer.log.Checkpointing() {
-		t := l.next()
+	for l.commits.log.Checkpointing() {
+		t := l.nextTxn()
 		for _, w := range t.Writes {
 			rows[w.Put] = wal.Row{Key: w.Put, Value: w.Value}
 		}
 		txns++
 		changes += len(t.Writes)
-		l.committed(outcome{epoch: uint64(1000 + txns)})
+		l.committed(commitResult{epoch: uint64(1000 + txns)})
 	}
 	return txns, changes
 }
@@ -287,13 +287,13 @@
 		written(l, rows)
 		for i := range constants.CheckpointAfter {
 			for k := range 20 {
-				l.noteMeta(list[(i*20+k)%len(list)], nil)
+				l.logMetadata(list[(i*20+k)%len(list)], nil)
 			}
-			t := l.next()
+			t := l.nextTxn()
 			for _, w := range t.Writes {
 				rows[w.Put] = wal.Row{Key: w.Put, Value: w.Value}
 			}
-			l.committed(outcome{epoch: uint64(5000 + i)})
+			l.committed(commitResult{epoch: uint64(5000 + i)})
 		}
 		all := make([]wal.Row, 0, len(rows))
 		size := 0
@@ -316,8 +316,8 @@
 // does, so that parts that talk to others can be driven without Run.
 func offline(tb testing.TB, l *Leader) {
 	group, ctx := errgroup.WithContext(tb.Context())
-	l.tasks, l.ctx = group, ctx
-	l.d.Store = noStore{}
+	l.background, l.ctx = group, ctx
+	l.deps.Store = noStore{}
 	tb.Cleanup(func() { _ = group.Wait() })
 }
 
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -15,11 +15,11 @@
 // take the sockets and the places that the others' stops need.
 func (l *Leader) sendStops(r *machine, now time.Time) {
 	again := constants.StopResend
-	if l.silent(r, now) > l.quiet() {
+	if l.silentFor(r, now) > l.silenceTolerance() {
 		again = constants.StopResendSilent
 	}
 	due := false
-	for _, a := range r.m.Attempts {
+	for _, a := range r.agent.Attempts {
 		if a.StopRequested && a.Status != workers.StatusExited && (a.Sent || a.FromEarlierTerm) && now.Sub(a.StopSentAt) >= again {
 			due = true
 		}
@@ -28,15 +28,15 @@
 		return
 	}
 	var orders []workers.Command
-	for _, o := range r.m.Commands(false, now) {
+	for _, o := range r.agent.Commands(false, now) {
 		if o.Verb == workers.VerbStop {
 			orders = append(orders, o)
 		}
 	}
-	if !l.command(r, orders, now) {
+	if !l.sendCommand(r, orders, now) {
 		return // the next tick tries again
 	}
-	for _, a := range r.m.Attempts {
+	for _, a := range r.agent.Attempts {
 		if a.StopRequested {
 			a.StopSentAt = now
 		}
@@ -44,8 +44,8 @@
 }
 
 // quiet is how long a worker may well be silent: a few of its reports.
-func (l *Leader) quiet() time.Duration {
-	return time.Duration(constants.QuietReports * float64(config.Seconds(l.d.Settings.Params.Workers.ReportS)))
+func (l *Leader) silenceTolerance() time.Duration {
+	return time.Duration(constants.QuietReports * float64(config.Seconds(l.deps.Settings.Params.Workers.ReportS)))
 }
 
 // command sends orders to a worker's own address. They may arrive minutes
@@ -55,49 +55,49 @@
 // So many are under way at once at most, half of these for stops alone and half for
 // workers that have been heard of late: a node has few sockets beside those of its
 // workers. It reports false when the order has to wait for others.
-func (l *Leader) command(r *machine, orders []workers.Command, now time.Time) bool {
-	if r.m.Endpoint == "" || r.m.Epoch == 0 || r.calling && len(orders) == 0 {
+func (l *Leader) sendCommand(r *machine, orders []workers.Command, now time.Time) bool {
+	if r.agent.Endpoint == "" || r.agent.Epoch == 0 || r.commandInFlight && len(orders) == 0 {
 		return true
 	}
-	silent := l.silent(r, now) > l.quiet()
+	silent := l.silentFor(r, now) > l.silenceTolerance()
 	most := constants.CommandsAtOnce
 	if len(orders) == 0 {
 		most /= 2
 	}
-	if l.commanding >= most || silent && l.commandingSilent >= constants.CommandsSilent {
+	if l.commandsInFlight >= most || silent && l.silentCommandsInFlight >= constants.CommandsSilent {
 		l.counts.Postponed++
 		return false
 	}
-	l.commanding++
+	l.commandsInFlight++
 	if silent {
-		l.commandingSilent++
+		l.silentCommandsInFlight++
 	}
 	answered := func() {
-		r.calling = false
-		l.commanding--
+		r.commandInFlight = false
+		l.commandsInFlight--
 		if silent {
-			l.commandingSilent--
+			l.silentCommandsInFlight--
 		}
 	}
-	r.called = now
-	r.calling = true
+	r.lastCommandAt = now
+	r.commandInFlight = true
 	l.counts.Commands++
 	if orders == nil {
 		orders = []workers.Command{}
 	}
-	a := workers.CommandBatch{Token: l.grant.Term, Epoch: r.m.Epoch, Commands: orders}
-	endpoint := r.m.Endpoint
-	l.tasks.Go(func() error {
-		rep, err := l.d.Workers.Command(l.ctx, endpoint, a)
+	a := workers.CommandBatch{Token: l.grant.Term, Epoch: r.agent.Epoch, Commands: orders}
+	endpoint := r.agent.Endpoint
+	l.background.Go(func() error {
+		rep, err := l.deps.Workers.Command(l.ctx, endpoint, a)
 		if err != nil || rep == nil {
-			l.d.Log.Debug("direct order failed", "rig", r.m.Name, "err", err)
-			l.do(l.ctx, answered)
+			l.deps.Log.Debug("direct order failed", "rig", r.agent.Name, "err", err)
+			l.post(l.ctx, answered)
 			return nil
 		}
-		l.do(l.ctx, func() {
+		l.post(l.ctx, func() {
 			answered()
-			if l.machines[r.m.Name] == r && rep.Machine == r.m.Name {
-				l.observe(r, rep, true, time.Now())
+			if l.machines[r.agent.Name] == r && rep.Machine == r.agent.Name {
+				l.applyHeartbeat(r, rep, true, time.Now())
 			}
 		})
 		return nil
@@ -108,31 +108,31 @@
 // drain stops what runs on a machine that the cloud takes away, while there
 // is time to save. A notice may be half as long as it says.
 func (l *Leader) drain(r *machine, now time.Time) {
-	for _, a := range r.m.SortedAttempts() {
+	for _, a := range r.agent.SortedAttempts() {
 		if a.StopRequested || !a.Live() {
 			continue
 		}
 		j := l.jobs[a.ID.Task.Job]
 		if j == nil {
-			l.halt(r, a, 0, now)
+			l.stopAttempt(r, a, 0, now)
 			continue
 		}
 		grace := j.spec.SaveS + constants.StopGrace.Seconds()
 		if j.spec.Kind == userapi.KindGang {
-			l.haltGang(j, grace, now)
+			l.stopGang(j, grace, now)
 		} else {
-			l.halt(r, a, grace, now)
+			l.stopAttempt(r, a, grace, now)
 		}
 	}
-	if len(l.book.On(r.m.Name)) > 0 {
-		l.book.Drop(r.m.Name)
-		l.hintsChanged(r, now)
+	if len(l.reservations.On(r.agent.Name)) > 0 {
+		l.reservations.Drop(r.agent.Name)
+		l.metadataChanged(r, now)
 	}
 }
 
 // probe tries to reach a worker directly: an answer shows that it hears.
-func (l *Leader) probe(r *machine, now time.Time) {
-	if now.Sub(r.called) >= constants.ProbeEvery {
-		l.command(r, nil, now)
+func (l *Leader) probeAgent(r *machine, now time.Time) {
+	if now.Sub(r.lastCommandAt) >= constants.ProbeEvery {
+		l.sendCommand(r, nil, now)
 	}
 }
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -21,60 +21,60 @@
 // time. Each is conditioned on the term record and on the log's head, so that
 // neither a deposed leader nor a late copy of an earlier transaction can
 // change anything.
-type committer struct {
-	log  *wal.Writer
-	busy bool
+type groupCommit struct {
+	log      *wal.Writer
+	inFlight bool
 	// final are the jobs whose tasks are all done, to be moved; off are those that
 	// are cancelled with one before them.
-	final   []*job
-	off     []*job
-	remains map[string]uint64 // leftover keys of the earlier format, with their revision
-	retryAt time.Time
-	backoff time.Duration
-	last    time.Time
+	finalizing   []*jobState
+	cancelled    []*jobState
+	legacyKeys   map[string]uint64 // leftover keys of the earlier format, with their revision
+	retryAt      time.Time
+	backoff      time.Duration
+	lastCommitAt time.Time
 	// ringsAsked is when the nodes were last asked which rings they read.
 	ringsAsked time.Time
 	// more is set if the last transaction had no room for all that waited, moreSince is
 	// since when that has been so.
-	more      bool
-	moreSince time.Time
+	hasMore      bool
+	hasMoreSince time.Time
 	// since is when the present transaction was first sent.
-	since time.Time
+	sentAt time.Time
 }
 
-func (c *committer) init() {
-	c.remains = make(map[string]uint64)
+func (c *groupCommit) init() {
+	c.legacyKeys = make(map[string]uint64)
 }
 
 // setMore notes whether anything had no room in the transaction that goes out now.
-func (c *committer) setMore(more bool, now time.Time) {
-	if more && !c.more {
-		c.moreSince = now
+func (c *groupCommit) setMore(more bool, now time.Time) {
+	if more && !c.hasMore {
+		c.hasMoreSince = now
 	}
-	c.more = more
+	c.hasMore = more
 }
 
 // behind tells whether records have not kept up for a while.
-func (c *committer) behind(now time.Time) bool {
-	return c.more && now.Sub(c.moreSince) > constants.RecordsBehind
+func (c *groupCommit) behind(now time.Time) bool {
+	return c.hasMore && now.Sub(c.hasMoreSince) > constants.RecordsBehind
 }
 
 // commitDue is when the next transaction should go out; zero if there is none.
 func (l *Leader) commitDue() time.Time {
-	c := &l.committer
-	if c.busy || l.ended != nil || c.log == nil {
+	c := &l.commits
+	if c.inFlight || l.termErr != nil || c.log == nil {
 		return time.Time{}
 	}
 	var at time.Time
 	switch {
-	case c.more:
+	case c.hasMore:
 		// Waiting gathers nothing: the next one is full already. The tokens
 		// bound how many go out a second.
-		at = c.last
-	case c.log.Pending() || len(c.final) > 0 || len(c.off) > 0:
-		at = c.last.Add(constants.CommitEvery)
-	case c.log.Checkpointing() || len(c.remains) > 0:
-		at = c.last.Add(constants.CheckpointEvery)
+		at = c.lastCommitAt
+	case c.log.Pending() || len(c.finalizing) > 0 || len(c.cancelled) > 0:
+		at = c.lastCommitAt.Add(constants.CommitEvery)
+	case c.log.Checkpointing() || len(c.legacyKeys) > 0:
+		at = c.lastCommitAt.Add(constants.CheckpointEvery)
 	default:
 		return time.Time{}
 	}
@@ -86,10 +86,10 @@
 
 // commit starts the next transaction if one is due.
 func (l *Leader) commit(now time.Time) {
-	c := &l.committer
+	c := &l.commits
 	due := l.commitDue()
 	if due.IsZero() {
-		if !c.busy {
+		if !c.inFlight {
 			// What could not be written has become needless meanwhile; without
 			// this, placement would wait for ever for a write to succeed.
 			c.backoff = 0
@@ -100,39 +100,39 @@
 		return
 	}
 	if !c.log.InFlight() {
-		c.since = now
+		c.sentAt = now
 	}
-	t := l.next()
+	t := l.nextTxn()
 	if t == nil {
 		c.backoff = 0
 		c.setMore(false, now)
 		return
 	}
-	c.busy, c.last = true, now
-	c.setMore(l.remains(), now)
+	c.inFlight, c.lastCommitAt = true, now
+	c.setMore(l.hasRemaining(), now)
 	when := append([]statestore.Condition{{Key: election.TermKey, Revision: l.grant.Revision}}, t.When...)
 	writes := t.Writes
-	l.tasks.Go(func() error {
-		epoch, err := l.d.Store.Txn(l.ctx, statestore.ClassRecord, when, writes)
-		res := outcome{epoch: epoch, err: err}
+	l.background.Go(func() error {
+		epoch, err := l.deps.Store.Txn(l.ctx, statestore.ClassRecord, when, writes)
+		res := commitResult{epoch: epoch, err: err}
 		var conflict *statestore.ConflictError
 		if errors.As(err, &conflict) && !conflict.HasKey(election.TermKey) {
-			res = l.explain(l.ctx, conflict)
+			res = l.resolveConflict(l.ctx, conflict)
 		}
-		l.do(l.ctx, func() { l.committed(res) })
+		l.post(l.ctx, func() { l.committed(res) })
 		return nil
 	})
 }
 
 // remains tells whether changes wait that have no place in the transaction under way.
-func (l *Leader) remains() bool {
-	c := &l.committer
-	return c.log.Remaining() || len(c.final) > 0 || len(c.off) > 0
+func (l *Leader) hasRemaining() bool {
+	c := &l.commits
+	return c.log.Remaining() || len(c.finalizing) > 0 || len(c.cancelled) > 0
 }
 
 // next gathers the next transaction.
-func (l *Leader) next() *wal.Txn {
-	c := &l.committer
+func (l *Leader) nextTxn() *wal.Txn {
+	c := &l.commits
 	if c.log.CheckpointDue() {
 		l.checkpoint()
 	}
@@ -141,38 +141,38 @@
 	}
 	var extras []wal.Extra
 	// The head and at least one log value go along.
-	room := max(l.d.Settings.Params.State.TxnOps-3, 2)
-	kept := c.final[:0:0]
-	for _, j := range c.final {
+	room := max(l.deps.Settings.Params.State.TxnOps-3, 2)
+	kept := c.finalizing[:0:0]
+	for _, j := range c.finalizing {
 		switch {
-		case j.gone || j.moving:
+		case j.removed || j.finalizing:
 		case len(extras) < constants.FinalsAtOnce && room >= 2:
-			j.moving = true
+			j.finalizing = true
 			room -= 2
 			extras = append(extras, l.finalExtra(j))
 		default:
 			kept = append(kept, j)
 		}
 	}
-	c.final = kept
-	for len(c.off) > 0 && len(extras) < constants.FinalsAtOnce && room >= 2 {
+	c.finalizing = kept
+	for len(c.cancelled) > 0 && len(extras) < constants.FinalsAtOnce && room >= 2 {
 		room -= 2
-		extras = append(extras, l.offExtra(c.off[0]))
-		c.off = c.off[1:]
+		extras = append(extras, l.cancelledExtra(c.cancelled[0]))
+		c.cancelled = c.cancelled[1:]
 	}
-	for key, stamp := range c.remains {
-		if room < 1 || len(extras) > 0 && len(c.final) > 0 {
+	for key, stamp := range c.legacyKeys {
+		if room < 1 || len(extras) > 0 && len(c.finalizing) > 0 {
 			break
 		}
 		room--
-		extras = append(extras, l.remainExtra(key, stamp))
+		extras = append(extras, l.legacyExtra(key, stamp))
 	}
 	return c.log.Next(extras)
 }
 
 // outcome is what became of a transaction. head is set if a clash made it
 // necessary to read it; failed are the clashing keys.
-type outcome struct {
+type commitResult struct {
 	epoch  uint64
 	err    error
 	head   *wal.Head
@@ -182,46 +182,46 @@
 
 // explain reads the head after a clash: an earlier try without an answer may
 // have been carried out after all.
-func (l *Leader) explain(ctx context.Context, c *statestore.ConflictError) outcome {
-	row, found, err := l.d.Store.Get(ctx, statestore.ClassRecord, wal.HeadKey)
+func (l *Leader) resolveConflict(ctx context.Context, c *statestore.ConflictError) commitResult {
+	row, found, err := l.deps.Store.Get(ctx, statestore.ClassRecord, wal.HeadKey)
 	if err != nil {
-		return outcome{err: err}
+		return commitResult{err: err}
 	}
-	o := outcome{err: c, failed: c, head: &wal.Head{}}
+	o := commitResult{err: c, failed: c, head: &wal.Head{}}
 	if found {
 		o.stamp = row.Revision
 		if err := json.Unmarshal(row.Value, o.head); err != nil {
-			return outcome{err: err}
+			return commitResult{err: err}
 		}
 	}
 	return o
 }
 
-func (l *Leader) committed(o outcome) {
+func (l *Leader) committed(o commitResult) {
 	now := time.Now()
-	c := &l.committer
-	c.busy = false
+	c := &l.commits
+	c.inFlight = false
 	l.counts.Commits++
-	l.counts.CommitS += now.Sub(c.last).Seconds()
+	l.counts.CommitS += now.Sub(c.lastCommitAt).Seconds()
 	var conflict *statestore.ConflictError
 	deposed := errors.As(o.err, &conflict) && conflict.HasKey(election.TermKey)
 	switch {
 	case deposed:
-		l.end(errDeposed)
+		l.endTerm(errDeposed)
 		return
 	case o.failed != nil && c.log.Ours(*o.head):
 		c.log.Stood(o.stamp)
 	case o.failed != nil && o.failed.HasKey(wal.HeadKey):
-		l.end(errDeposed) // somebody else writes the log
+		l.endTerm(errDeposed) // somebody else writes the log
 		return
 	case o.failed != nil:
 		// The extras that did not clash are asked for again.
 		c.log.Clashed(o.failed.HasKey)
-		l.dirty = true
+		l.passDueNow = true
 		return
 	case errors.Is(o.err, statestore.ErrRejected):
-		l.d.Log.Error("records are refused", "err", o.err)
-		l.end(ErrTooLarge)
+		l.deps.Log.Error("records are refused", "err", o.err)
+		l.endTerm(ErrTxnTooLarge)
 		return
 	case o.err == nil:
 		c.log.Stood(o.epoch)
@@ -229,46 +229,46 @@
 		// Executed or not, the same transaction is tried again.
 		c.log.Unknown()
 		if c.backoff == 0 {
-			l.d.Log.Info("records can't be written", "err", o.err)
+			l.deps.Log.Info("records can't be written", "err", o.err)
 		}
 		c.backoff = min(max(2*c.backoff, constants.BackoffMin), constants.BackoffMax)
 		c.retryAt = now.Add(jitter(c.backoff))
 		return
 	}
 	if c.backoff > 0 {
-		l.d.Log.Info("records are written again")
-		l.dirty = true
+		l.deps.Log.Info("records are written again")
+		l.passDueNow = true
 	}
 	c.backoff = 0
 }
 
 // finalExtra moves a job from the open to the final ones. It fails if the
 // user's cancellation came first: exactly one of both wins.
-func (l *Leader) finalExtra(j *job) wal.Extra {
+func (l *Leader) finalExtra(j *jobState) wal.Extra {
 	name := j.spec.ID
 	at := time.Now()
 	v, _ := json.Marshal(userapi.FinalRecord{Status: userapi.StatusDone, Tasks: j.spec.Tasks, AtMS: at.UnixMilli()}) // plain fields always encode
 	return wal.Extra{
-		When:   []statestore.Condition{{Key: userapi.OpenPrefix + name, Revision: j.stamp}},
+		When:   []statestore.Condition{{Key: userapi.OpenPrefix + name, Revision: j.revision}},
 		Writes: []statestore.Write{{Delete: userapi.OpenPrefix + name}, {Put: userapi.FinalPrefix + name, Value: v}},
 		Stood: func(uint64) {
-			l.d.Log.Debug("job done", "id", name)
+			l.deps.Log.Debug("job done", "id", name)
 			l.removeJob(j, time.Now())
-			l.finalKnown(name, userapi.FinalRecord{Status: userapi.StatusDone, AtMS: at.UnixMilli()}, time.Now())
+			l.upstreamEnded(name, userapi.FinalRecord{Status: userapi.StatusDone, AtMS: at.UnixMilli()}, time.Now())
 		},
 		// Ended already by its user.
 		Clash: func() { l.removeJob(j, time.Now()) },
 		Again: func() {
-			j.moving = false
-			l.committer.final = append(l.committer.final, j)
+			j.finalizing = false
+			l.commits.finalizing = append(l.commits.finalizing, j)
 		},
 	}
 }
 
 // remainExtra removes a key of the earlier format.
-func (l *Leader) remainExtra(key string, stamp uint64) wal.Extra {
-	c := &l.committer
-	gone := func() { delete(c.remains, key) }
+func (l *Leader) legacyExtra(key string, stamp uint64) wal.Extra {
+	c := &l.commits
+	gone := func() { delete(c.legacyKeys, key) }
 	return wal.Extra{
 		When:   []statestore.Condition{{Key: key, Revision: stamp}},
 		Writes: []statestore.Write{{Delete: key}},
@@ -286,17 +286,17 @@
 	slices.Sort(machines)
 	var jobs []string
 	for name, j := range l.jobs {
-		if j.doneN > 0 {
+		if j.doneCount > 0 {
 			jobs = append(jobs, name)
 		}
 	}
 	slices.Sort(jobs)
-	l.committer.log.Checkpoint(machines, jobs, l, func() {
-		l.d.Log.Debug("checkpoint stands", "rigs", len(machines), "jobs", len(jobs))
-		for key, stamp := range l.legacy {
-			l.committer.remains[key] = stamp
+	l.commits.log.Checkpoint(machines, jobs, l, func() {
+		l.deps.Log.Debug("checkpoint stands", "rigs", len(machines), "jobs", len(jobs))
+		for key, stamp := range l.legacyKeys {
+			l.commits.legacyKeys[key] = stamp
 		}
-		l.legacy = nil
+		l.legacyKeys = nil
 	})
 }
 
@@ -306,7 +306,7 @@
 	if r == nil {
 		return wal.Machine{}, false
 	}
-	return l.record(r), true
+	return l.machineRecord(r), true
 }
 
 // Done gives a checkpoint a job's completed tasks.
@@ -316,103 +316,103 @@
 		return nil
 	}
 	per := constants.DoneChunk / 8
-	for at := 0; at < len(j.did); at += per {
-		out = append(out, wal.Done{First: at * 8, Bits: slices.Clone(j.did[at:min(len(j.did), at+per)])})
+	for at := 0; at < len(j.doneTasks); at += per {
+		out = append(out, wal.Done{First: at * 8, Bits: slices.Clone(j.doneTasks[at:min(len(j.doneTasks), at+per)])})
 	}
 	return out
 }
 
 // bury takes a job that is over out of memory. What of it may still be on
 // machines is stopped, and remembered by size until it is proven gone.
-func (l *Leader) removeJob(j *job, now time.Time) {
-	if j.gone {
+func (l *Leader) removeJob(j *jobState, now time.Time) {
+	if j.removed {
 		return
 	}
 	name := j.spec.ID
-	j.gone = true
-	l.finished[name] = true
-	seats := sortedSeats(j)
+	j.removed = true
+	l.removedJobs[name] = true
+	seats := sortedAttempts(j)
 	if len(seats) > 0 {
-		l.endedJobs[name] = &endedJob{owner: j.spec.Team, need: placement.Need(j.spec), seats: len(seats)}
+		l.endedJobs[name] = &endedJob{team: j.spec.Team, need: placement.Need(j.spec), attempts: len(seats)}
 	}
 	delete(l.jobs, name)
-	l.wantFinal(name)
-	if len(j.before) > 0 {
-		l.inherit(slices.Collect(maps.Keys(j.before))) // they are needed less
+	l.requestFinalRecord(name)
+	if len(j.pendingUpstreams) > 0 {
+		l.propagateDemand(slices.Collect(maps.Keys(j.pendingUpstreams))) // they are needed less
 	}
-	for a, r := range j.exits {
+	for a, r := range j.unrecordedExits {
 		l.allowForget(r, a)
 	}
-	j.exits = nil
+	j.unrecordedExits = nil
 	for _, s := range seats {
 		l.markStale(s.machine)
-		l.halt(s.machine, s.a, 0, now)
+		l.stopAttempt(s.machine, s.attempt, 0, now)
 	}
 	for _, s := range seats {
 		l.sendStops(s.machine, now)
 	}
-	l.dirty = true
+	l.passDueNow = true
 }
 
 // allowForget lets a worker forget an exit that is recorded, or of no interest.
 func (l *Leader) allowForget(r *machine, a *workers.Attempt) {
 	if !a.ExitRecorded {
 		a.ExitRecorded = true
-		l.answerSoon(r)
+		l.wakeReply(r)
 	}
 }
 
 // settleDone lets workers forget the exits of a job's tasks that are recorded.
-func (l *Leader) settleDone(j *job) {
-	for a, r := range j.exits {
-		if j.safe.has(a.ID.Task.Index) {
+func (l *Leader) releaseRecordedExits(j *jobState) {
+	for a, r := range j.unrecordedExits {
+		if j.recordedDone.has(a.ID.Task.Index) {
 			l.allowForget(r, a)
-			delete(j.exits, a)
+			delete(j.unrecordedExits, a)
 		}
 	}
 }
 
 // noteAdd has an attempt recorded; its `run` leaves only once that stands.
-func (l *Leader) noteAdd(r *machine, a *workers.Attempt) {
-	if !r.metaNoted {
-		l.noteMeta(r, nil)
+func (l *Leader) logAttempt(r *machine, a *workers.Attempt) {
+	if !r.metadataLogged {
+		l.logMetadata(r, nil)
 	}
-	l.committer.log.Add(r.m.Name, recordAttempt(a), a.ID.Task.Job, wal.Job{Owner: l.ownerOf(a), Room: recordRoom(l.needOf(a))}, func() {
+	l.commits.log.Add(r.agent.Name, recordAttempt(a), a.ID.Task.Job, wal.Job{Owner: l.teamOf(a), Room: recordRoom(l.resourcesOf(a))}, func() {
 		if !a.Committed {
 			a.Committed = true
-			l.clear(r, a)
+			l.allowStart(r, a)
 		}
 	})
 }
 
 // noteMeta has all but a machine's attempts recorded.
-func (l *Leader) noteMeta(r *machine, stood func()) {
-	r.metaNoted, r.noted = true, l.meta(r)
-	l.committer.log.Meta(r.m.Name, r.noted, stood)
+func (l *Leader) logMetadata(r *machine, stood func()) {
+	r.metadataLogged, r.loggedMetadata = true, l.machineMetadata(r)
+	l.commits.log.Meta(r.agent.Name, r.loggedMetadata, stood)
 }
 
 // clear lets a committed attempt start. A gang waits until the records of all
 // its tasks stand.
-func (l *Leader) clear(r *machine, a *workers.Attempt) {
+func (l *Leader) allowStart(r *machine, a *workers.Attempt) {
 	j := l.jobs[a.ID.Task.Job]
 	if j == nil {
 		return
 	}
 	if j.spec.Kind != userapi.KindGang {
 		a.StartAllowed = true
-		l.answerSoon(r)
+		l.wakeReply(r)
 		return
 	}
-	seats := sortedSeats(j)
+	seats := sortedAttempts(j)
 	for _, s := range seats {
-		if s.a.ID.Number == a.ID.Number && !s.a.Committed {
+		if s.attempt.ID.Number == a.ID.Number && !s.attempt.Committed {
 			return
 		}
 	}
 	for _, s := range seats {
-		if s.a.ID.Number == a.ID.Number {
-			s.a.StartAllowed = true
-			l.answerSoon(s.machine)
+		if s.attempt.ID.Number == a.ID.Number {
+			s.attempt.StartAllowed = true
+			l.wakeReply(s.machine)
 		}
 	}
 }
--- a/internal/leader/commit_test.go
+++ b/internal/leader/commit_test.go
@@ -18,13 +18,13 @@
 	now := time.Now()
 	l := testLeader(t)
 	offline(t, l)
-	l.d.Settings.Params.State.TxnOps, l.d.Settings.Params.State.ValueKB = constants.TxnOpsLeast, 1
-	l.openLog(l.committer.log.Head(), 0)
+	l.deps.Settings.Params.State.TxnOps, l.deps.Settings.Params.State.ValueKB = constants.TxnOpsLeast, 1
+	l.openLog(l.commits.log.Head(), 0)
 	plan := func(i int) *workers.Attempt {
 		r := addRig(l, fmt.Sprintf("m-%04d", i), "east", now)
 		a := &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: "j-1", Index: i}, Number: uint64(i)}, Epoch: 1, PlacedAt: now}
-		r.m.Attempts[a.ID] = a
-		l.noteAdd(r, a)
+		r.agent.Attempts[a.ID] = a
+		l.logAttempt(r, a)
 		return a
 	}
 	for i := range 100 {
@@ -32,14 +32,14 @@
 	}
 	// send has the next transaction sent and carried out, as Run's routines would.
 	send := func() {
-		l.committer.last = now
-		if t := l.next(); t != nil {
-			l.committer.setMore(l.remains(), now)
-			l.committed(outcome{epoch: 1})
+		l.commits.lastCommitAt = now
+		if t := l.nextTxn(); t != nil {
+			l.commits.setMore(l.hasRemaining(), now)
+			l.committed(commitResult{epoch: 1})
 		}
 	}
 	sent := 0
-	for send(); l.committer.more; send() {
+	for send(); l.commits.hasMore; send() {
 		sent++
 		if due := l.commitDue(); due.After(now) {
 			t.Fatalf("transaction %d: the next waits for %v", sent, due.Sub(now))
@@ -56,8 +56,8 @@
 		t.Errorf("little waits for %v", due.Sub(now))
 	}
 	send()
-	l.committer.more = true // what had remained has become needless
-	if l.commit(now); l.committer.more || !l.commitDue().IsZero() {
+	l.commits.hasMore = true // what had remained has become needless
+	if l.commit(now); l.commits.hasMore || !l.commitDue().IsZero() {
 		t.Error("the routine would spin")
 	}
 }
--- a/internal/leader/confirmations.go
+++ b/internal/leader/confirmations.go
@@ -10,10 +10,10 @@
 
 // Vouch asks all nodes which cancellations they have told users of within a time;
 // false unless each of them can say.
-type Vouch func(ctx context.Context, span time.Duration) (cancelled []string, ok bool)
+type AttestFunc func(ctx context.Context, span time.Duration) (cancelled []string, ok bool)
 
 // askAll asks the nodes for as long as the watch is not answered.
-func (l *Leader) askAll(ctx context.Context) error {
+func (l *Leader) collectAttestations(ctx context.Context) error {
 	tick := time.NewTicker(constants.VouchEvery)
 	defer tick.Stop()
 	for {
@@ -23,7 +23,7 @@
 		case <-tick.C:
 		}
 		watched := make(chan time.Time, 1)
-		if !l.do(ctx, func() { watched <- l.watched }) {
+		if !l.post(ctx, func() { watched <- l.watchedUntil }) {
 			continue
 		}
 		var since time.Time
@@ -38,29 +38,29 @@
 		if asked.Sub(since) < constants.VouchAfter {
 			continue
 		}
-		ids, ok := l.d.Vouch(ctx, confirmations.Span(asked, since))
+		ids, ok := l.deps.Attest(ctx, confirmations.Window(asked, since))
 		if ok {
-			l.do(ctx, func() { l.vouched(ids, asked, time.Now()) })
+			l.post(ctx, func() { l.applyAttestation(ids, asked, time.Now()) })
 		}
 	}
 }
 
 // vouched takes in what all nodes have vouched for: whatever users were told
 // before they were asked is known.
-func (l *Leader) vouched(ids []string, asked, now time.Time) {
-	if confirmations.Late(asked, now) {
+func (l *Leader) applyAttestation(ids []string, asked, now time.Time) {
+	if confirmations.Stale(asked, now) {
 		return
 	}
 	for _, id := range ids {
 		if j := l.jobs[id]; j != nil {
-			l.d.Log.Debug("job cancelled, as nodes vouch", "id", id)
+			l.deps.Log.Debug("job cancelled, as nodes vouch", "id", id)
 			l.removeJob(j, now)
 		}
 	}
-	if asked.After(l.sure) {
-		if now.Sub(l.sure) > l.certainty {
-			l.d.Log.Info("all nodes vouch for their cancellations", "since_s", asked.Sub(l.watched).Seconds())
+	if asked.After(l.certainUntil) {
+		if now.Sub(l.certainUntil) > l.certaintyWindow {
+			l.deps.Log.Info("all nodes vouch for their cancellations", "since_s", asked.Sub(l.watchedUntil).Seconds())
 		}
-		l.sure = asked
+		l.certainUntil = asked
 	}
 }
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -17,79 +17,79 @@
 // it can't be read the job waits on.
 
 // waits is what they wait for.
-type waits struct {
+type dependencyTracker struct {
 	// after are the jobs that wait for one, by its name.
-	after map[string][]*job
+	after map[string][]*jobState
 	// wanted are the names whose final record is to be read, asking those whose
 	// reading is under way.
 	wanted map[string]bool
 	asking map[string]bool
 	// unnamed are the jobs whose list of names is to be read.
-	unnamed map[*job]userapi.Dependencies
+	unnamed map[*jobState]userapi.Dependencies
 	retryAt time.Time
 	// fed are the jobs that were shown as feeding ones with room held for them.
-	fed []*job
+	fed []*jobState
 }
 
-func (w *waits) init() {
-	w.after = make(map[string][]*job)
+func (w *dependencyTracker) init() {
+	w.after = make(map[string][]*jobState)
 	w.wanted = make(map[string]bool)
 	w.asking = make(map[string]bool)
-	w.unnamed = make(map[*job]userapi.Dependencies)
+	w.unnamed = make(map[*jobState]userapi.Dependencies)
 }
 
 // waiting tells whether a job before this one is not known to be done.
-func (j *job) waiting() bool { return j.asks || len(j.before) > 0 }
+func (j *jobState) blockedByUpstream() bool { return j.upstreamsUnknown || len(j.pendingUpstreams) > 0 }
 
 // mustWait takes in what a job waits for.
-func (l *Leader) mustWait(j *job, needs userapi.Dependencies) {
-	j.asks, j.edged = true, true
+func (l *Leader) addDependencies(j *jobState, needs userapi.Dependencies) {
+	j.upstreamsUnknown, j.hasDependencies = true, true
 	if needs.Split != nil || !l.loaded {
 		// Not all names are known, or not all open jobs.
-		l.waits.unnamed[j] = needs
+		l.dependencies.unnamed[j] = needs
 		return
 	}
-	l.link(j, needs.DependsOn)
+	l.linkUpstreams(j, needs.DependsOn)
 }
 
 // linkAll links the jobs that were read at the takeover, once all are known.
-func (l *Leader) linkAll(now time.Time) {
-	for j, needs := range l.waits.unnamed {
+func (l *Leader) linkLoadedJobs(now time.Time) {
+	for j, needs := range l.dependencies.unnamed {
 		if needs.Split == nil {
-			delete(l.waits.unnamed, j)
-			l.link(j, needs.DependsOn)
+			delete(l.dependencies.unnamed, j)
+			l.linkUpstreams(j, needs.DependsOn)
 		}
 	}
-	l.readFinals(now)
+	l.readFinalRecords(now)
 }
 
 // link has a job wait for the jobs that are named.
-func (l *Leader) link(j *job, names []string) {
-	j.asks = false
-	j.before = make(map[string]bool, len(names))
+func (l *Leader) linkUpstreams(j *jobState, names []string) {
+	j.upstreamsUnknown = false
+	j.pendingUpstreams = make(map[string]bool, len(names))
 	for _, name := range names {
-		if j.before[name] {
+		if j.pendingUpstreams[name] {
 			continue
 		}
-		j.before[name] = true
-		l.waits.after[name] = append(l.waits.after[name], j)
+		j.pendingUpstreams[name] = true
+		l.dependencies.after[name] = append(l.dependencies.after[name], j)
 		if l.jobs[name] == nil {
-			l.waits.wanted[name] = true // not open: it must be final
+			l.dependencies.wanted[name] = true // not open: it must be final
 		}
 	}
-	l.inherit(names)
+	l.propagateDemand(names)
 }
 
 // wantFinal has a job's final record read if others wait for it.
-func (l *Leader) wantFinal(name string) {
-	if len(l.waits.after[name]) > 0 {
-		l.waits.wanted[name] = true
+func (l *Leader) requestFinalRecord(name string) {
+	if len(l.dependencies.after[name]) > 0 {
+		l.dependencies.wanted[name] = true
 	}
 }
 
 // readFinals reads what decides over the jobs that wait, some at a time.
-func (l *Leader) readFinals(now time.Time) {
-	w := &l.waits
+func (l *Leader) readFinalRecords(now time.Time) {
+	w := &l.dependencies
 	if len(w.wanted) == 0 && len(w.unnamed) == 0 || now.Before(w.retryAt) {
 		return
 	}
@@ -105,9 +105,9 @@
 			continue
 		}
 		w.asking[name] = true
-		l.tasks.Go(func() error {
-			row, found, err := l.d.Store.Get(l.ctx, statestore.ClassRecord, userapi.FinalPrefix+name)
-			l.do(l.ctx, func() {
+		l.background.Go(func() error {
+			row, found, err := l.deps.Store.Get(l.ctx, statestore.ClassRecord, userapi.FinalPrefix+name)
+			l.post(l.ctx, func() {
 				delete(w.asking, name)
 				var f userapi.FinalRecord
 				if err == nil && found {
@@ -118,15 +118,15 @@
 					w.retryAt = time.Now().Add(constants.FinalReadRetry)
 					return
 				}
-				l.finalKnown(name, f, time.Now())
-				l.readFinals(time.Now())
+				l.upstreamEnded(name, f, time.Now())
+				l.readFinalRecords(time.Now())
 			})
 			return nil
 		})
 	}
 	for j, needs := range w.unnamed {
 		name := j.spec.ID
-		if j.gone {
+		if j.removed {
 			delete(w.unnamed, j)
 			continue
 		}
@@ -134,19 +134,19 @@
 			continue
 		}
 		w.asking["list of "+name] = true
-		l.tasks.Go(func() error {
-			names, err := needs.Load(l.ctx, l.d.Store, statestore.ClassRecord, name)
-			l.do(l.ctx, func() {
+		l.background.Go(func() error {
+			names, err := needs.Load(l.ctx, l.deps.Store, statestore.ClassRecord, name)
+			l.post(l.ctx, func() {
 				delete(w.asking, "list of "+name)
 				if err != nil {
-					l.d.Log.Info("a list of jobs can't be read", "id", name, "err", err)
+					l.deps.Log.Info("a list of jobs can't be read", "id", name, "err", err)
 					w.retryAt = time.Now().Add(constants.FinalReadRetry)
 					return
 				}
 				if _, still := w.unnamed[j]; still {
 					delete(w.unnamed, j)
-					l.link(j, names)
-					l.readFinals(time.Now())
+					l.linkUpstreams(j, names)
+					l.readFinalRecords(time.Now())
 				}
 			})
 			return nil
@@ -157,8 +157,8 @@
 // fate takes in how a job ended, by its final record: those that wait for it have one
 // less to wait for, or are cancelled with it, and so are those that wait for them.
 // No call goes deeper than this, however long the chain.
-func (l *Leader) finalKnown(name string, f userapi.FinalRecord, now time.Time) {
-	w := &l.waits
+func (l *Leader) upstreamEnded(name string, f userapi.FinalRecord, now time.Time) {
+	w := &l.dependencies
 	type end struct {
 		name string
 		f    userapi.FinalRecord
@@ -169,17 +169,17 @@
 		delete(w.after, e.name)
 		delete(w.wanted, e.name)
 		for _, j := range after {
-			if j.gone {
+			if j.removed {
 				continue
 			}
 			if e.f.Status != userapi.StatusDone {
-				l.d.Log.Debug("job cancelled with one before it", "id", j.spec.ID, "before", e.name)
+				l.deps.Log.Debug("job cancelled with one before it", "id", j.spec.ID, "before", e.name)
 				l.removeJob(j, now)
-				l.committer.off = append(l.committer.off, j)
+				l.commits.cancelled = append(l.commits.cancelled, j)
 				queue = append(queue, end{j.spec.ID, userapi.FinalRecord{Status: userapi.StatusCancelled}})
 				continue
 			}
-			delete(j.before, e.name)
+			delete(j.pendingUpstreams, e.name)
 			// By an earlier leader's clock, which may be ahead of ours: it has
 			// happened all the same, and long after the submission for all we know.
 			if at := time.UnixMilli(e.f.AtMS); e.f.AtMS > 0 && at.After(j.view.Submitted) {
@@ -188,8 +188,8 @@
 					j.view.Submitted = now
 				}
 			}
-			if !j.waiting() {
-				l.mayStart(j, now)
+			if !j.blockedByUpstream() {
+				l.becomeStartable(j, now)
 			}
 		}
 	}
@@ -197,20 +197,20 @@
 
 // mayStart is called when all jobs before this one are done. Its times count from
 // when the last was, by its record; its due time from its submission.
-func (l *Leader) mayStart(j *job, now time.Time) {
-	l.aim(j)
+func (l *Leader) becomeStartable(j *jobState, now time.Time) {
+	l.updateTargets(j)
 	j.servedAt = now
-	l.comes(j, now)
-	l.d.Log.Debug("nothing is left to wait for", "id", j.spec.ID, "waited_s", now.Sub(j.accepted).Seconds())
+	l.noteArrival(j, now)
+	l.deps.Log.Debug("nothing is left to wait for", "id", j.spec.ID, "waited_s", now.Sub(j.acceptedAt).Seconds())
 }
 
 // offExtra writes the final record of a job that is cancelled with one before it.
-func (l *Leader) offExtra(j *job) wal.Extra {
+func (l *Leader) cancelledExtra(j *jobState) wal.Extra {
 	name := j.spec.ID
 	v, _ := json.Marshal(userapi.FinalRecord{Status: userapi.StatusCancelled}) // plain fields always encode
 	return wal.Extra{
-		When:   []statestore.Condition{{Key: userapi.OpenPrefix + name, Revision: j.stamp}},
+		When:   []statestore.Condition{{Key: userapi.OpenPrefix + name, Revision: j.revision}},
 		Writes: []statestore.Write{{Delete: userapi.OpenPrefix + name}, {Put: userapi.FinalPrefix + name, Value: v}},
-		Again:  func() { l.committer.off = append(l.committer.off, j) },
+		Again:  func() { l.commits.cancelled = append(l.commits.cancelled, j) },
 	}
 }
--- a/internal/leader/edges.go
+++ b/internal/leader/edges.go
@@ -17,21 +17,21 @@
 
 // downstreamEdges are the jobs that name a job and still wait, by priority, then by
 // how soon they must start, then in the order that they came.
-func (l *Leader) downstreamEdges(up *job) (out []reservations.Downstream) {
-	var jobs []*job
-	for _, j := range l.waits.after[up.spec.ID] {
+func (l *Leader) downstreamEdges(up *jobState) (out []reservations.Downstream) {
+	var jobs []*jobState
+	for _, j := range l.dependencies.after[up.spec.ID] {
 		if len(jobs) == constants.DownstreamsSeen {
 			break
 		}
-		if !j.gone && !j.placed {
+		if !j.removed && !j.placed {
 			jobs = append(jobs, j)
 		}
 	}
-	slices.SortStableFunc(jobs, func(a, b *job) int {
+	slices.SortStableFunc(jobs, func(a, b *jobState) int {
 		if c := cmp.Compare(b.view.Priority, a.view.Priority); c != 0 {
 			return c
 		}
-		x, y := l.latest(a), l.latest(b)
+		x, y := l.latestStart(a), l.latestStart(b)
 		if x.IsZero() != y.IsZero() {
 			if y.IsZero() {
 				return -1
@@ -41,7 +41,7 @@
 		if c := x.Compare(y); c != 0 {
 			return c
 		}
-		return cmp.Compare(a.stamp, b.stamp)
+		return cmp.Compare(a.revision, b.revision)
 	})
 	for _, j := range jobs {
 		out = append(out, heldFor(j, j.view.Edges()))
@@ -51,11 +51,11 @@
 
 // showEdges shows placement which held rooms are for jobs that may not start yet, and
 // which jobs such a job waits for.
-func (l *Leader) showEdges(w *placement.World) {
-	for _, j := range l.waits.fed {
+func (l *Leader) addReservationEdges(w *placement.World) {
+	for _, j := range l.dependencies.fed {
 		j.view.Feeds = nil
 	}
-	l.waits.fed = l.waits.fed[:0]
+	l.dependencies.fed = l.dependencies.fed[:0]
 	walked := make(map[string]bool)
 	for _, r := range w.Machines {
 		for i, h := range r.Held {
@@ -64,7 +64,7 @@
 				continue
 			}
 			down := l.jobs[name]
-			r.Held[i].Barred = down != nil && down.waiting()
+			r.Held[i].Barred = down != nil && down.blockedByUpstream()
 			if down != nil && !walked[name] {
 				walked[name] = true
 				l.feeds(down)
@@ -74,17 +74,17 @@
 }
 
 // feeds marks all open jobs before one that has room held for it.
-func (l *Leader) feeds(down *job) {
+func (l *Leader) feeds(down *jobState) {
 	name := down.spec.ID
-	for queue := []*job{down}; len(queue) > 0; queue = queue[1:] {
-		for before := range queue[0].before {
+	for queue := []*jobState{down}; len(queue) > 0; queue = queue[1:] {
+		for before := range queue[0].pendingUpstreams {
 			j := l.jobs[before]
 			if j == nil || j.view.Feeds[name] {
 				continue
 			}
 			if j.view.Feeds == nil {
 				j.view.Feeds = make(map[string]bool)
-				l.waits.fed = append(l.waits.fed, j)
+				l.dependencies.fed = append(l.dependencies.fed, j)
 			}
 			j.view.Feeds[name] = true
 			queue = append(queue, j)
--- a/internal/leader/edges_test.go
+++ b/internal/leader/edges_test.go
@@ -17,19 +17,19 @@
 // edgeScene is a machine for four tasks with n of a job, which another one of another
 // team waits for, while a third, of the first one's owner and workload and as urgent,
 // waits for room.
-func edgeScene(t *testing.T, n int, now time.Time) (l *Leader, r *machine, down, other *job) {
+func edgeScene(t *testing.T, n int, now time.Time) (l *Leader, r *machine, down, other *jobState) {
 	t.Helper()
 	l = testLeader(t)
-	l.sure = now
+	l.certainUntil = now
 	l.teams = append(l.teams, config.Team{Name: "b", GPUs: 0, GPUsMax: 12})
 	l.teams[0].GPUs = 0 // nobody has a guarantee: it would go before any hold
 	r = addRig(l, "m-1", "east", now)
-	r.m.Endpoint = ""
+	r.agent.Endpoint = ""
 	addJob(t, l, sweep("j-1", n), now)
-	l.pass(now)
+	l.runSchedulingPass(now)
 	settle(l, 100)
-	r.m.Commands(true, now)
-	l.observe(r, report(l, r, workers.StatusRunning, ""), false, now)
+	r.agent.Commands(true, now)
+	l.applyHeartbeat(r, report(l, r, workers.StatusRunning, ""), false, now)
 	spec := sweep("j-2", n)
 	spec.Team, spec.DependsOn = "b", []string{"j-1"}
 	down = addJob(t, l, spec, now)
@@ -39,7 +39,7 @@
 
 // endAll has all tasks on the machine reported done.
 func endAll(l *Leader, r *machine, now time.Time) {
-	l.observe(r, report(l, r, workers.StatusExited, workers.CauseDone), false, now)
+	l.applyHeartbeat(r, report(l, r, workers.StatusExited, workers.CauseDone), false, now)
 }
 
 // TestEdgesAreThePipeline: where users name edges, what a finisher leaves is held for
@@ -50,7 +50,7 @@
 	l, r, down, other := edgeScene(t, 4, now)
 	now = now.Add(10 * time.Second)
 	endAll(l, r, now)
-	holds := l.book.On("m-1")
+	holds := l.reservations.On("m-1")
 	if len(holds) != 4 {
 		t.Fatalf("%d holds, want 4", len(holds))
 	}
@@ -59,14 +59,14 @@
 			t.Errorf("held: %+v", h)
 		}
 	}
-	l.pass(now)
-	if len(other.seats) != 0 || len(down.seats) != 0 {
-		t.Fatalf("before the end is recorded %d tasks of the other and %d of the one that waits are placed", len(other.seats), len(down.seats))
+	l.runSchedulingPass(now)
+	if len(other.attempts) != 0 || len(down.attempts) != 0 {
+		t.Fatalf("before the end is recorded %d tasks of the other and %d of the one that waits are placed", len(other.attempts), len(down.attempts))
 	}
 	settle(l, 200)
-	l.pass(now)
-	if len(down.seats) != 4 || len(other.seats) != 0 || len(l.book.All()) != 0 {
-		t.Errorf("%d tasks of the one that waited, %d of the other, %d holds left", len(down.seats), len(other.seats), len(l.book.All()))
+	l.runSchedulingPass(now)
+	if len(down.attempts) != 4 || len(other.attempts) != 0 || len(l.reservations.All()) != 0 {
+		t.Errorf("%d tasks of the one that waited, %d of the other, %d holds left", len(down.attempts), len(other.attempts), len(l.reservations.All()))
 	}
 }
 
@@ -77,7 +77,7 @@
 	l, r, down, _ := edgeScene(t, 1, now)
 	endAll(l, r, now.Add(10*time.Second))
 	shown := func() (out []bool) {
-		w, _ := l.world(now)
+		w, _ := l.snapshotForPlacement(now)
 		for _, h := range w.Machines[0].Held {
 			out = append(out, h.Barred)
 		}
@@ -90,9 +90,9 @@
 	if got := shown(); len(got) != 1 || got[0] {
 		t.Errorf("shown once it may start: barred %v", got)
 	}
-	l.pass(now)
-	if len(down.seats) != 1 || len(l.book.All()) != 0 {
-		t.Errorf("%d tasks placed, %d holds left", len(down.seats), len(l.book.All()))
+	l.runSchedulingPass(now)
+	if len(down.attempts) != 1 || len(l.reservations.All()) != 0 {
+		t.Errorf("%d tasks placed, %d holds left", len(down.attempts), len(l.reservations.All()))
 	}
 }
 
@@ -108,8 +108,8 @@
 	waited := addJob(t, l, spec, now)
 	next := addJob(t, l, sweep("j-4", 1), now)
 	l.removeJob(l.jobs["j-2"], now)
-	l.finalKnown("j-2", userapi.FinalRecord{Status: userapi.StatusDone}, now)
-	if waited.waiting() {
+	l.upstreamEnded("j-2", userapi.FinalRecord{Status: userapi.StatusDone}, now)
+	if waited.blockedByUpstream() {
 		t.Fatal("it may not start")
 	}
 	if got := l.downstreams(up); len(got) != 1 || got[0].Job != next.spec.ID {
@@ -126,24 +126,24 @@
 		now := start.Add(10 * time.Second)
 		endAll(l, r, now)
 		if cancelled {
-			l.jobGone("j-2", now)
+			l.jobRecordDeleted("j-2", now)
 		} else {
-			o := l.d.Operator.Holds
+			o := l.deps.Operator.Holds
 			lapse := start.Add(reservations.Options{Alpha: o.Alpha, P: o.P}.Lapse(10*time.Second, 4))
-			l.book.Lapse(lapse.Add(-time.Second), l.stillWaits)
-			if len(l.book.All()) != 4 {
+			l.reservations.Lapse(lapse.Add(-time.Second), l.stillWaits)
+			if len(l.reservations.All()) != 4 {
 				t.Errorf("lapsed early")
 			}
 			now = lapse.Add(time.Second)
 		}
-		for _, name := range l.book.Lapse(now, l.stillWaits) {
-			l.hintsChanged(l.machines[name], now)
+		for _, name := range l.reservations.Lapse(now, l.stillWaits) {
+			l.metadataChanged(l.machines[name], now)
 		}
-		r.m.LastHeartbeat, r.m.LastAcknowledged = now, now
-		l.sure = now
-		l.pass(now)
-		if len(l.book.All()) != 0 || len(other.seats) != 4 {
-			t.Errorf("cancelled %v: %d holds stand, %d tasks of the other are placed", cancelled, len(l.book.All()), len(other.seats))
+		r.agent.LastHeartbeat, r.agent.LastAcknowledged = now, now
+		l.certainUntil = now
+		l.runSchedulingPass(now)
+		if len(l.reservations.All()) != 0 || len(other.attempts) != 4 {
+			t.Errorf("cancelled %v: %d holds stand, %d tasks of the other are placed", cancelled, len(l.reservations.All()), len(other.attempts))
 		}
 	}
 }
@@ -154,7 +154,7 @@
 	now := time.Now()
 	l, r, _, _ := edgeScene(t, 4, now)
 	endAll(l, r, now.Add(10*time.Second))
-	raw, err := json.Marshal(l.record(r))
+	raw, err := json.Marshal(l.machineRecord(r))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -163,14 +163,14 @@
 		t.Fatal(err)
 	}
 	next := testLeader(t)
-	if err := next.restore("m-1", &rec, now); err != nil {
+	if err := next.restoreMachine("m-1", &rec, now); err != nil {
 		t.Fatal(err)
 	}
-	if got, want := fmt.Sprint(next.book.On("m-1")), 4; len(next.book.On("m-1")) != want {
+	if got, want := fmt.Sprint(next.reservations.On("m-1")), 4; len(next.reservations.On("m-1")) != want {
 		t.Fatalf("%s", got)
 	}
-	for i, h := range next.book.On("m-1") {
-		was := l.book.On("m-1")[i]
+	for i, h := range next.reservations.On("m-1") {
+		was := l.reservations.On("m-1")[i]
 		if h.Pipeline != was.Pipeline || h.Downstream != was.Downstream || h.Priority != was.Priority || h.Room != was.Room {
 			t.Errorf("read as %+v, was %+v", h, was)
 		}
@@ -184,7 +184,7 @@
 	now := time.Now()
 	l, _, first, _ := edgeScene(t, 4, now)
 	up := l.jobs["j-1"]
-	named := func(id, urgency string, due float64, waits ...string) *job {
+	named := func(id, urgency string, due float64, waits ...string) *jobState {
 		spec := sweep(id, 2)
 		spec.PriorityClass, spec.DependsOn = urgency, waits
 		if due > 0 {
@@ -206,7 +206,7 @@
 		t.Errorf("held for %v, want %v", got, want)
 	}
 	endAll(l, l.machines["m-1"], now.Add(5*time.Second)) // two for j-7, two for j-6
-	if _, _ = l.world(now); !side.view.Owns(l.jobs["j-6"].view.Edges()) || side.view.Owns(l.jobs["j-4"].view.Edges()) || last.view.Owns(l.jobs["j-7"].view.Edges()) {
+	if _, _ = l.snapshotForPlacement(now); !side.view.Owns(l.jobs["j-6"].view.Edges()) || side.view.Owns(l.jobs["j-4"].view.Edges()) || last.view.Owns(l.jobs["j-7"].view.Edges()) {
 		t.Errorf("who may use the holds: one before %v, another %v, one after %v", side.view.Feeds, first.view.Feeds, last.view.Feeds)
 	}
 	// A job that waited and has nothing after it ends its pipeline: nothing is held for
@@ -222,24 +222,24 @@
 	for _, inOrder := range []bool{true, false} {
 		now := time.Now()
 		l := testLeader(t)
-		l.d.Operator.Holds.SubmissionOrder = inOrder
+		l.deps.Operator.Holds.SubmissionOrder = inOrder
 		l.teams[0].GPUsMax = 4 // the next one has to wait
 		r := addRig(l, "m-1", "east", now)
 		addJob(t, l, sweep("j-1", 4), now)
-		l.pass(now)
+		l.runSchedulingPass(now)
 		settle(l, 100)
-		r.m.Commands(true, now)
-		l.observe(r, report(l, r, workers.StatusRunning, ""), false, now)
+		r.agent.Commands(true, now)
+		l.applyHeartbeat(r, report(l, r, workers.StatusRunning, ""), false, now)
 		addJob(t, l, sweep("j-2", 4), now)
 		endAll(l, r, now.Add(10*time.Second))
-		if got, want := len(l.book.All()), map[bool]int{true: 4}[inOrder]; got != want {
+		if got, want := len(l.reservations.All()), map[bool]int{true: 4}[inOrder]; got != want {
 			t.Errorf("in submission order %v: %d holds, want %d", inOrder, got, want)
 		}
 		now = time.Now()
 		edged, r, _, _ := edgeScene(t, 4, now)
-		edged.d.Operator.Holds.SubmissionOrder = inOrder
+		edged.deps.Operator.Holds.SubmissionOrder = inOrder
 		endAll(edged, r, now.Add(10*time.Second))
-		if got := len(edged.book.All()); got != 4 {
+		if got := len(edged.reservations.All()); got != 4 {
 			t.Errorf("in submission order %v: %d holds along edges", inOrder, got)
 		}
 	}
--- a/internal/leader/faults.go
+++ b/internal/leader/faults.go
@@ -25,107 +25,107 @@
 }
 
 // blame is what the failures of one job tell.
-type blame struct {
+type failureHistory struct {
 	// failed are the machines on which it failed of which it is not known yet
 	// whether that was their fault.
-	failed map[string]failure
+	byMachine map[string]failure
 	// sound is set once a task of it has finished: it has no mistake.
-	sound bool
+	succeeded bool
 	// rounds counts the tries in a row that failed after it had failed on
 	// several machines; zero for a job that is not taken for mistaken.
-	rounds int
+	failedRounds int
 	// tasks counts on how many machines each task failed.
-	tasks map[int]int
+	machinesByTask map[int]int
 }
 
 // mistaken tells whether the job is taken for one that fails everywhere.
-func (b *blame) mistaken() bool { return b.rounds > 0 }
+func (b *failureHistory) faultyJob() bool { return b.failedRounds > 0 }
 
 // note takes in that a task failed on a machine after it had run for so long. It
 // tells how long the job has to wait before it is tried again, or the task alone
 // if alone is set.
-func (b *blame) note(machine string, task int, ran time.Duration, waits bool, now time.Time) (pause time.Duration, alone bool) {
-	if b.failed == nil {
-		b.failed, b.tasks = make(map[string]failure), make(map[int]int)
+func (b *failureHistory) note(machine string, task int, ran time.Duration, waits bool, now time.Time) (pause time.Duration, alone bool) {
+	if b.byMachine == nil {
+		b.byMachine, b.machinesByTask = make(map[string]failure), make(map[int]int)
 	}
-	if b.tasks[task]++; b.tasks[task] > constants.BadTaskMachines && b.sound {
+	if b.machinesByTask[task]++; b.machinesByTask[task] > constants.BadTaskMachines && b.succeeded {
 		// The others of the job do well, this one fails wherever it starts:
 		// that is no machine's fault.
 		return constants.RetryMax, true
 	}
-	f := b.failed[machine]
-	b.failed[machine] = failure{now, max(f.ran, ran)}
-	if b.sound {
+	f := b.byMachine[machine]
+	b.byMachine[machine] = failure{now, max(f.ran, ran)}
+	if b.succeeded {
 		return 0, false
 	}
 	recent := 0
-	for _, f := range b.failed {
+	for _, f := range b.byMachine {
 		if now.Sub(f.at) < constants.BlameMemory {
 			recent++
 		}
 	}
-	if recent < constants.BadJobMachines && b.rounds == 0 {
+	if recent < constants.BadJobMachines && b.failedRounds == 0 {
 		return constants.RetryBase, false
 	}
 	if !waits {
 		// Tasks that fail together count once.
-		b.rounds++
+		b.failedRounds++
 	}
-	return min(constants.RetryMax, constants.RetryBase<<min(b.rounds, 10)), false
+	return min(constants.RetryMax, constants.RetryBase<<min(b.failedRounds, 10)), false
 }
 
 // clear is called once the job has shown that it has no mistake.
-func (b *blame) clear() { b.rounds = 0 }
+func (b *failureHistory) reset() { b.failedRounds = 0 }
 
 // guilty names the machines whose fault the job's failures were, given for how
 // long its tasks have run on which machines: the job did better elsewhere. A
 // machine is named once.
-func (b *blame) guilty(runs map[string]time.Duration, now time.Time) (machines []string) {
-	for name, f := range b.failed {
+func (b *failureHistory) faultyMachines(runs map[string]time.Duration, now time.Time) (machines []string) {
+	for name, f := range b.byMachine {
 		if now.Sub(f.at) >= constants.BlameMemory {
-			delete(b.failed, name)
+			delete(b.byMachine, name)
 			continue
 		}
-		better := b.sound
+		better := b.succeeded
 		for other, ran := range runs {
 			better = better || other != name && ran > f.ran+constants.BlameMargin
 		}
 		if better {
 			machines = append(machines, name)
-			delete(b.failed, name)
+			delete(b.byMachine, name)
 		}
 	}
 	return machines
 }
 
 // failedHere takes in a task's failure.
-func (l *Leader) failedHere(r *machine, j *job, a *workers.Attempt, now time.Time) {
+func (l *Leader) taskFailed(r *machine, j *jobState, a *workers.Attempt, now time.Time) {
 	ran := time.Duration(0)
 	if !a.RunningSince.IsZero() {
 		ran = now.Sub(a.RunningSince)
 	}
-	j.avoid[r.m.Name] = now.Add(constants.AvoidFor)
+	j.avoid[r.agent.Name] = now.Add(constants.AvoidFor)
 	j.stale = true
-	pause, alone := j.blame.note(r.m.Name, a.ID.Task.Index, ran, now.Before(j.notBefore), now)
+	pause, alone := j.failures.note(r.agent.Name, a.ID.Task.Index, ran, now.Before(j.notBefore), now)
 	if alone {
-		j.retry = append(j.retry, retry{a.ID.Task.Index, now.Add(pause)})
+		j.delayedTasks = append(j.delayedTasks, delayedTask{a.ID.Task.Index, now.Add(pause)})
 		return
 	}
 	j.notBefore = later(j.notBefore, now.Add(pause))
-	if j.blame.mistaken() {
-		l.absolve(j)
+	if j.failures.faultyJob() {
+		l.clearMachineSuspicion(j)
 		return
 	}
 	// Until it is known whose fault it was nothing else should meet it there.
 	r.pausedUntil = now.Add(constants.BlamePause)
-	if r.accusers == nil {
-		r.accusers = make(map[string]bool)
+	if r.failedJobs == nil {
+		r.failedJobs = make(map[string]bool)
 	}
-	r.accusers[j.spec.ID] = true
-	if len(r.accusers) >= constants.BadMachineJobs {
-		l.condemn(r, "several jobs failed on it", now)
+	r.failedJobs[j.spec.ID] = true
+	if len(r.failedJobs) >= constants.BadMachineJobs {
+		l.quarantine(r, "several jobs failed on it", now)
 	}
-	l.judge(j, now)
+	l.attributeFailures(j, now)
 }
 
 func later(a, b time.Time) time.Time {
@@ -136,88 +136,88 @@
 }
 
 // judge finds out whose fault a job's failures were.
-func (l *Leader) judge(j *job, now time.Time) {
-	if len(j.blame.failed) == 0 {
+func (l *Leader) attributeFailures(j *jobState, now time.Time) {
+	if len(j.failures.byMachine) == 0 {
 		return
 	}
 	runs := make(map[string]time.Duration)
-	for _, seats := range j.seats {
+	for _, seats := range j.attempts {
 		for _, s := range seats {
-			if s.a.Status == workers.StatusRunning && !s.a.RunningSince.IsZero() {
-				runs[s.machine.m.Name] = max(runs[s.machine.m.Name], s.machine.m.LastHeartbeat.Sub(s.a.RunningSince))
+			if s.attempt.Status == workers.StatusRunning && !s.attempt.RunningSince.IsZero() {
+				runs[s.machine.agent.Name] = max(runs[s.machine.agent.Name], s.machine.agent.LastHeartbeat.Sub(s.attempt.RunningSince))
 			}
 		}
 	}
-	for _, name := range j.blame.guilty(runs, now) {
-		j.blame.clear()
+	for _, name := range j.failures.faultyMachines(runs, now) {
+		j.failures.reset()
 		if r := l.machines[name]; r != nil {
-			l.condemn(r, "a job that does well elsewhere failed on it", now)
+			l.quarantine(r, "a job that does well elsewhere failed on it", now)
 		}
 	}
 }
 
 // judgeAll does that for all jobs that have failed somewhere.
-func (l *Leader) judgeAll(now time.Time) {
+func (l *Leader) attributeAllFailures(now time.Time) {
 	for _, j := range l.jobs {
-		l.judge(j, now)
+		l.attributeFailures(j, now)
 	}
 }
 
 // absolve takes back what a job with a mistake has said against machines.
-func (l *Leader) absolve(j *job) {
-	for name := range j.blame.failed {
+func (l *Leader) clearMachineSuspicion(j *jobState) {
+	for name := range j.failures.byMachine {
 		r := l.machines[name]
-		if r == nil || !r.accusers[j.spec.ID] {
+		if r == nil || !r.failedJobs[j.spec.ID] {
 			continue
 		}
-		delete(r.accusers, j.spec.ID)
-		if len(r.accusers) == 0 {
+		delete(r.failedJobs, j.spec.ID)
+		if len(r.failedJobs) == 0 {
 			r.pausedUntil = time.Time{}
 		}
 	}
-	l.dirty = true
+	l.passDueNow = true
 }
 
 // condemn takes a machine for faulty: it gets no more tasks, and goes back once
 // it has none. What has not begun to run there would only fail too.
-func (l *Leader) condemn(r *machine, why string, now time.Time) {
-	if r.bad {
+func (l *Leader) quarantine(r *machine, why string, now time.Time) {
+	if r.faulty {
 		return
 	}
-	r.bad = true
-	l.d.Log.Info("machine taken for faulty", "rig", r.m.Name, "zone", r.m.Zone, "why", why)
-	for _, a := range r.m.SortedAttempts() {
+	r.faulty = true
+	l.deps.Log.Info("machine taken for faulty", "rig", r.agent.Name, "zone", r.agent.Zone, "why", why)
+	for _, a := range r.agent.SortedAttempts() {
 		j := l.jobs[a.ID.Task.Job]
 		if j == nil || a.StopRequested || !a.Live() || a.Status == workers.StatusRunning || a.Status == workers.StatusSaving {
 			continue
 		}
 		if j.spec.Kind != userapi.KindGang {
-			l.halt(r, a, 0, now)
+			l.stopAttempt(r, a, 0, now)
 		} else {
-			l.haltGang(j, 0, now)
+			l.stopGang(j, 0, now)
 		}
 	}
 	l.markStale(r)
 	l.sendStops(r, now)
-	l.dirty = true
+	l.passDueNow = true
 }
 
 // retry is a task that must wait.
-type retry struct {
+type delayedTask struct {
 	task int
 	at   time.Time
 }
 
 // heldBack tells whether a task of a sweep has to wait before it is tried again.
-func (j *job) heldBack(task int, now time.Time) bool {
-	kept := j.retry[:0]
+func (j *jobState) heldBack(task int, now time.Time) bool {
+	kept := j.delayedTasks[:0]
 	found := false
-	for _, r := range j.retry {
+	for _, r := range j.delayedTasks {
 		if now.Before(r.at) {
 			kept = append(kept, r)
 			found = found || r.task == task
 		}
 	}
-	j.retry = kept
+	j.delayedTasks = kept
 	return found
 }
--- a/internal/leader/faults_test.go
+++ b/internal/leader/faults_test.go
@@ -31,11 +31,11 @@
 
 // step lets the leader decide, and the machines obey and report.
 func (w *truth) step(now time.Time) {
-	w.l.pass(now)
+	w.l.runSchedulingPass(now)
 	w.epoch = settle(w.l, w.epoch)
 	for _, r := range w.l.sortedMachines() {
-		here := w.tasks[r.m.Name]
-		for _, o := range r.m.Commands(true, now) {
+		here := w.tasks[r.agent.Name]
+		for _, o := range r.agent.Commands(true, now) {
 			task, _ := workers.ParseTaskID(o.Task)
 			id := workers.AttemptID{Task: task, Number: o.Attempt}
 			switch o.Verb {
@@ -43,8 +43,8 @@
 				if here[id] == nil {
 					here[id] = &really{workers.StatusRunning, "", now}
 					w.starts[task.Job]++
-					if w.faulty[r.m.Name] {
-						w.bad[r.m.Name]++
+					if w.faulty[r.agent.Name] {
+						w.bad[r.agent.Name]++
 					}
 				}
 			case workers.VerbStop:
@@ -55,24 +55,24 @@
 				delete(here, id)
 			}
 		}
-		rep := &workers.Heartbeat{Machine: r.m.Name, MachineType: r.m.Type, Zone: r.m.Zone, Epoch: 1, Sequence: r.m.Sequence + 1, Token: w.l.grant.Term}
+		rep := &workers.Heartbeat{Machine: r.agent.Name, MachineType: r.agent.Type, Zone: r.agent.Zone, Epoch: 1, Sequence: r.agent.Sequence + 1, Token: w.l.grant.Term}
 		for id, k := range here {
 			switch ran := now.Sub(k.since); {
 			case k.status != workers.StatusRunning:
-			case (w.faulty[r.m.Name] || w.mistaken[id.Task.Job]) && ran >= 500*time.Millisecond:
+			case (w.faulty[r.agent.Name] || w.mistaken[id.Task.Job]) && ran >= 500*time.Millisecond:
 				k.status, k.cause = workers.StatusExited, workers.CauseError
 				if !w.mistaken[id.Task.Job] {
-					w.caught[r.m.Name] = true
+					w.caught[r.agent.Name] = true
 				}
 			case ran >= 10*time.Second:
 				k.status, k.cause = workers.StatusExited, workers.CauseDone
 			}
 			rep.Tasks = append(rep.Tasks, workers.TaskReport{Task: id.Task.String(), Attempt: id.Number, Status: k.status, Cause: k.cause})
 		}
-		w.l.observe(r, rep, false, now)
+		w.l.applyHeartbeat(r, rep, false, now)
 	}
 	w.epoch = settle(w.l, w.epoch)
-	w.l.judgeAll(now)
+	w.l.attributeAllFailures(now)
 }
 
 // TestFaultyMachinesAndMistakenJobs guards against Peakdale's rough day: eight
@@ -112,10 +112,10 @@
 			w.step(now)
 		}
 		for name, r := range w.l.machines {
-			if r.bad && !w.faulty[name] {
+			if r.faulty && !w.faulty[name] {
 				rt.Fatalf("%s is taken for faulty and is not", name)
 			}
-			if w.caught[name] && !r.bad {
+			if w.caught[name] && !r.faulty {
 				rt.Fatalf("%s failed a sound job's tasks and is not taken for faulty", name)
 			}
 			if w.bad[name] > 16 {
@@ -124,7 +124,7 @@
 		}
 		for name, j := range w.l.jobs {
 			if !w.mistaken[name] {
-				rt.Fatalf("%s has %d of %d tasks done after 45 s", name, j.doneN, j.spec.Tasks)
+				rt.Fatalf("%s has %d of %d tasks done after 45 s", name, j.doneCount, j.spec.Tasks)
 			}
 			// A first try of all, some machines to find out by, then the pauses
 			// double: one task a try, or all of a gang.
@@ -138,14 +138,14 @@
 // TestOneTaskThatFailsEverywhere: a task with a mistake in a job that does well
 // otherwise must not have machine after machine given back.
 func TestOneTaskThatFailsEverywhere(t *testing.T) {
-	b := blame{sound: true}
+	b := failureHistory{succeeded: true}
 	now := time.Unix(1000, 0)
 	guilty := 0
 	for i := range 20 {
 		if pause, alone := b.note(fmt.Sprint("m-", i), 7, time.Second, false, now); alone != (i >= constants.BadTaskMachines) || alone && pause != constants.RetryMax {
 			t.Fatalf("failure %d: pause %v, alone %v", i, pause, alone)
 		}
-		guilty += len(b.guilty(nil, now))
+		guilty += len(b.faultyMachines(nil, now))
 		now = now.Add(time.Second)
 	}
 	if guilty != constants.BadTaskMachines {
--- a/internal/leader/gap_test.go
+++ b/internal/leader/gap_test.go
@@ -28,16 +28,16 @@
 		synctest.Test(t, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 5))
 			l := testLeader(t)
-			w := l.d.Settings.Params.Workers
+			w := l.deps.Settings.Params.Workers
 			lease, cancel := config.Seconds(w.LeaseS), config.Seconds(w.CancelS)
 			start := time.Now()
-			l.watched, l.sure = start, start
+			l.watchedUntil, l.certainUntil = start, start
 			told := start.Add(time.Duration(rng.IntN(2)) * time.Duration(rng.Int64N(int64(2*time.Second))))
 			renewed, answers := start, 0
 			for tick := uint64(1); time.Since(start) < cancel; tick++ {
 				pause := time.Duration(rng.Int64N(int64(config.Seconds(w.ReportS) * 5 / 4)))
 				// Just before the bound reports come thick and fast.
-				if left := l.certainty - time.Since(start); left > 0 && left < 3*time.Second {
+				if left := l.certaintyWindow - time.Since(start); left > 0 && left < 3*time.Second {
 					pause = min(pause, max(left/2, time.Millisecond))
 				}
 				time.Sleep(pause)
@@ -46,12 +46,12 @@
 					time.Sleep(time.Duration(rng.Int64N(int64(3 * time.Second))))
 				}
 				ch := make(chan Reply, 1)
-				l.hello(&workers.Heartbeat{Machine: "m-1", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: tick, Token: l.grant.Term}, time.Now(), ch)
+				l.heartbeat(&workers.Heartbeat{Machine: "m-1", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: tick, Token: l.grant.Term}, time.Now(), ch)
 				if rng.IntN(3) == 0 { // the answer is held back, too
 					time.Sleep(time.Duration(rng.Int64N(int64(2 * time.Second))))
 				}
 				l.nextFlush = time.Time{}
-				l.flush(time.Now().Add(constants.IdleHold))
+				l.flushReplies(time.Now().Add(constants.IdleHold))
 				if a := <-ch; a.Status == 200 {
 					renewed = sent
 					answers++
@@ -89,14 +89,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := testLeader(t)
 		asked := make(chan time.Time, 10)
-		l.d.Store = slowWatch{takes: 3 * time.Second, asked: asked}
+		l.deps.Store = slowWatch{takes: 3 * time.Second, asked: asked}
 		ctx, stop := context.WithCancel(t.Context())
-		go func() { _ = l.follow(ctx, 1) }()
+		go func() { _ = l.watchJobs(ctx, 1) }()
 		for range 3 {
 			first := <-asked
-			(<-l.calls)()
-			if !l.watched.Equal(first) || !l.sure.Equal(first) {
-				t.Errorf("asked at %v, sure up to %v", first, l.sure)
+			(<-l.events)()
+			if !l.watchedUntil.Equal(first) || !l.certainUntil.Equal(first) {
+				t.Errorf("asked at %v, sure up to %v", first, l.certainUntil)
 			}
 		}
 		stop()
@@ -109,20 +109,20 @@
 func TestVouchedCancellations(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	l.watched, l.sure = now.Add(-time.Minute), now.Add(-time.Minute)
+	l.watchedUntil, l.certainUntil = now.Add(-time.Minute), now.Add(-time.Minute)
 	j := addJob(t, l, sweep("j-1", 1), now)
-	l.vouched([]string{"j-1"}, now.Add(-constants.VouchLate-time.Second), now)
-	if j.gone || l.sure.After(now.Add(-time.Minute)) {
-		t.Errorf("late words are taken: gone %v, sure %v", j.gone, now.Sub(l.sure))
+	l.applyAttestation([]string{"j-1"}, now.Add(-constants.VouchLate-time.Second), now)
+	if j.removed || l.certainUntil.After(now.Add(-time.Minute)) {
+		t.Errorf("late words are taken: gone %v, sure %v", j.removed, now.Sub(l.certainUntil))
 	}
 	asked := now.Add(-constants.VouchLate / 2)
-	l.vouched([]string{"j-1", "j-2"}, asked, now)
-	if !j.gone || !l.sure.Equal(asked) {
-		t.Errorf("gone %v, sure %v", j.gone, now.Sub(l.sure))
+	l.applyAttestation([]string{"j-1", "j-2"}, asked, now)
+	if !j.removed || !l.certainUntil.Equal(asked) {
+		t.Errorf("gone %v, sure %v", j.removed, now.Sub(l.certainUntil))
 	}
-	l.jobGone("j-1", now) // the watch tells it too, later
-	if len(l.finished) != 0 {
-		t.Errorf("remembered for ever: %v", l.finished)
+	l.jobRecordDeleted("j-1", now) // the watch tells it too, later
+	if len(l.removedJobs) != 0 {
+		t.Errorf("remembered for ever: %v", l.removedJobs)
 	}
 }
 
@@ -151,16 +151,16 @@
 		now := time.Now()
 		l := testLeader(t)
 		store := &raised{}
-		l.d.Store = store
+		l.deps.Store = store
 		group, ctx := errgroup.WithContext(t.Context())
-		l.ctx, l.tasks = ctx, group
+		l.ctx, l.background = ctx, group
 		addRig(l, "m-1", "east", now)
 		addJob(t, l, sweep("j-1", 1), now)
-		l.pass(now)
+		l.runSchedulingPass(now)
 		l.commit(now.Add(time.Second))
-		(<-l.calls)()
-		if store.wrote != 0 || !errors.Is(l.ended, errDeposed) {
-			t.Errorf("%d writes, ended %v", store.wrote, l.ended)
+		(<-l.events)()
+		if store.wrote != 0 || !errors.Is(l.termErr, errDeposed) {
+			t.Errorf("%d writes, ended %v", store.wrote, l.termErr)
 		}
 		_ = group.Wait()
 	})
@@ -181,24 +181,24 @@
 		now := time.Now()
 		l := testLeader(t)
 		d := direct{make(chan []workers.Command, 1)}
-		l.d.Workers = d
+		l.deps.Workers = d
 		group, ctx := errgroup.WithContext(t.Context())
-		l.ctx, l.tasks = ctx, group
+		l.ctx, l.background = ctx, group
 		r := addRig(l, "m-1", "east", now)
-		r.m.Endpoint = "m-1:1"
+		r.agent.Endpoint = "m-1:1"
 		j := addJob(t, l, sweep("j-1", 3), now)
-		l.pass(now)
-		for _, s := range sortedSeats(j) {
-			s.a.Committed, s.a.StartAllowed = true, true
+		l.runSchedulingPass(now)
+		for _, s := range sortedAttempts(j) {
+			s.attempt.Committed, s.attempt.StartAllowed = true, true
 		}
-		if n := len(r.m.Commands(true, now)); n != 3 {
+		if n := len(r.agent.Commands(true, now)); n != 3 {
 			t.Fatalf("%d starts", n)
 		}
-		seats := sortedSeats(j)
-		seats[0].a.StopRequested, seats[0].a.StopRequestedAt = true, now // to be stopped
-		seats[1].a.Status, seats[1].a.ExitRecorded = workers.StatusExited, true
+		seats := sortedAttempts(j)
+		seats[0].attempt.StopRequested, seats[0].attempt.StopRequestedAt = true, now // to be stopped
+		seats[1].attempt.Status, seats[1].attempt.ExitRecorded = workers.StatusExited, true
 		l.sendStops(r, now)
-		(<-l.calls)()
+		(<-l.events)()
 		if got := <-d.orders; len(got) != 1 || got[0].Verb != workers.VerbStop {
 			t.Errorf("straight to the worker went %+v", got)
 		}
@@ -214,12 +214,12 @@
 	l := testLeader(t)
 	addRig(l, "m-1", "east", now)
 	addJob(t, l, sweep("j-1", 1), now)
-	l.pass(now)
-	if l.next() == nil {
+	l.runSchedulingPass(now)
+	if l.nextTxn() == nil {
 		t.Fatal("nothing to write")
 	}
-	l.committed(outcome{err: fmt.Errorf("multi: %w", statestore.ErrRejected)})
-	if !errors.Is(l.ended, ErrTooLarge) {
-		t.Errorf("ended: %v", l.ended)
+	l.committed(commitResult{err: fmt.Errorf("multi: %w", statestore.ErrRejected)})
+	if !errors.Is(l.termErr, ErrTxnTooLarge) {
+		t.Errorf("ended: %v", l.termErr)
 	}
 }
--- a/internal/leader/growth_test.go
+++ b/internal/leader/growth_test.go
@@ -27,28 +27,28 @@
 		w.report = testing.AllocsPerRun(200, func() {
 			r := list[next%len(list)]
 			next += 7
-			l.hello(report(l, r, workers.StatusRunning, ""), now, ch)
-			r.waiter.until = now
-			l.answerSoon(r)
-			l.flush(now)
+			l.heartbeat(report(l, r, workers.StatusRunning, ""), now, ch)
+			r.pending.until = now
+			l.wakeReply(r)
+			l.flushReplies(now)
 			<-ch
 		})
 		settle(l, 1000)
 		now = time.Now()
-		l.pass(now)
+		l.runSchedulingPass(now)
 		settle(l, 2000)
 		for _, r := range list[:changes] {
-			l.noteMeta(r, nil)
+			l.logMetadata(r, nil)
 			l.markStale(r)
 		}
-		before, entries := l.counts.Views, l.committer.log.Stats().EntryBytes
-		l.pass(now)
-		for l.committer.log.Pending() {
-			l.next()
-			l.committed(outcome{epoch: uint64(3000 + w.transactions)})
+		before, entries := l.counts.Views, l.commits.log.Stats().EntryBytes
+		l.runSchedulingPass(now)
+		for l.commits.log.Pending() {
+			l.nextTxn()
+			l.committed(commitResult{epoch: uint64(3000 + w.transactions)})
 			w.transactions++
 		}
-		w.views, w.entryBytes = l.counts.Views-before, l.committer.log.Stats().EntryBytes-entries
+		w.views, w.entryBytes = l.counts.Views-before, l.commits.log.Stats().EntryBytes-entries
 		return w
 	}
 	small, large := measure(500), measure(4000)
--- a/internal/leader/hints.go
+++ b/internal/leader/hints.go
@@ -14,7 +14,7 @@
 // hints are the machines whose holds and images have changed since they were
 // recorded. A later leader serves better for knowing them, but nothing rests on
 // them, so their records are bounded in bytes a second: starts and ends come first.
-type hints struct {
+type metadataQueue struct {
 	// due is from when on each may be recorded.
 	due    map[*machine]time.Time
 	budget *rate.Limiter // bytes
@@ -22,46 +22,46 @@
 
 // newHints makes the hints of a term within the state service's limits, also those
 // to come.
-func newHints(state config.State, share config.BudgetSettings) hints {
+func newMetadataQueue(state config.State, share config.BudgetSettings) metadataQueue {
 	_, changes := state.Rates(true)
 	value := state.ValueKB * 1024
 	perSecond := max(value, constants.HintShare*share.LeaderWriteShare*share.Use*changes*value)
-	return hints{
+	return metadataQueue{
 		due:    make(map[*machine]time.Time),
 		budget: rate.NewLimiter(rate.Limit(perSecond), int(max(value, perSecond*constants.HintBurst.Seconds()))),
 	}
 }
 
 // hintsChanged has the machine's holds and images recorded again within a while.
-func (l *Leader) hintsChanged(r *machine, now time.Time) {
+func (l *Leader) metadataChanged(r *machine, now time.Time) {
 	l.markStale(r)
-	if _, waits := l.hints.due[r]; !waits {
-		l.hints.due[r] = now.Add(constants.HintQuiet)
+	if _, waits := l.metadata.due[r]; !waits {
+		l.metadata.due[r] = now.Add(constants.HintQuiet)
 	}
 }
 
 // recordHints records what has been due for a while, as far as the budget allows, and
 // nothing while the records of starts and ends are behind.
-func (l *Leader) recordHints(now time.Time) {
-	if l.committer.behind(now) {
+func (l *Leader) logDueMetadata(now time.Time) {
+	if l.commits.behind(now) {
 		return
 	}
-	for r, due := range l.hints.due {
+	for r, due := range l.metadata.due {
 		if now.Before(due) {
 			continue
 		}
-		meta := l.meta(r)
+		meta := l.machineMetadata(r)
 		// Most holds are taken up before this comes round: nothing to record.
-		if reflect.DeepEqual(meta, r.noted) {
-			delete(l.hints.due, r)
+		if reflect.DeepEqual(meta, r.loggedMetadata) {
+			delete(l.metadata.due, r)
 			continue
 		}
 		raw, _ := json.Marshal(meta) // plain fields always encode
-		if !l.hints.budget.AllowN(now, min(len(raw), l.hints.budget.Burst())) {
+		if !l.metadata.budget.AllowN(now, min(len(raw), l.metadata.budget.Burst())) {
 			return // the rest has to wait
 		}
-		delete(l.hints.due, r)
+		delete(l.metadata.due, r)
 		l.counts.HintBytes += uint64(len(raw))
-		l.noteMeta(r, nil)
+		l.logMetadata(r, nil)
 	}
 }
--- a/internal/leader/hints_test.go
+++ b/internal/leader/hints_test.go
@@ -22,40 +22,40 @@
 		now := time.Now()
 		l := testLeader(t)
 		state := config.State{WriteRPS: 100, ValueKB: 2, TxnOps: 10, Next: &config.StateNext{WriteRPS: &c.changes}}
-		l.d.Settings.Params.State = state
-		l.hints = newHints(state, config.DefaultOperator().Budgets)
-		l.openLog(l.committer.log.Head(), 0)
+		l.deps.Settings.Params.State = state
+		l.metadata = newMetadataQueue(state, config.DefaultOperator().Budgets)
+		l.openLog(l.commits.log.Head(), 0)
 		for i := range machines {
 			r := addRig(l, fmt.Sprintf("m-%06d", i), "east", now)
 			for k := range 6 {
 				r.useImage(fmt.Sprintf("img-%02d-%06d", k, i), 5, true, 0)
 			}
-			l.hintsChanged(r, now)
+			l.metadataChanged(r, now)
 		}
-		l.recordHints(now.Add(constants.HintQuiet / 2))
+		l.logDueMetadata(now.Add(constants.HintQuiet / 2))
 		if l.counts.HintBytes != 0 {
 			t.Errorf("recorded before it is quiet")
 		}
-		l.committer.setMore(true, now.Add(-constants.RecordsBehind))
-		l.recordHints(now.Add(constants.HintQuiet))
+		l.commits.setMore(true, now.Add(-constants.RecordsBehind))
+		l.logDueMetadata(now.Add(constants.HintQuiet))
 		if l.counts.HintBytes != 0 {
 			t.Errorf("recorded while starts and ends wait")
 		}
-		l.committer.setMore(false, now)
+		l.commits.setMore(false, now)
 		for tick := range int(seconds * time.Second / constants.TickEvery) {
-			l.recordHints(now.Add(constants.HintQuiet + time.Duration(tick)*constants.TickEvery))
+			l.logDueMetadata(now.Add(constants.HintQuiet + time.Duration(tick)*constants.TickEvery))
 		}
 		perSecond := max(c.want, 1) * state.ValueKB * 1024
 		if got, most := float64(l.counts.HintBytes), perSecond*(seconds+constants.HintBurst.Seconds()); got > most || got < most/2 {
 			t.Errorf("%v changes a second: %.0f bytes in %d s, at most %.0f", c.changes, got, seconds, most)
 		}
-		for hour := 0; len(l.hints.due) > 0 && hour < 100; hour++ {
+		for hour := 0; len(l.metadata.due) > 0 && hour < 100; hour++ {
 			for range 3600 {
 				now = now.Add(time.Second)
-				l.recordHints(now.Add(time.Hour))
+				l.logDueMetadata(now.Add(time.Hour))
 			}
 		}
-		if n := len(l.hints.due); n > 0 {
+		if n := len(l.metadata.due); n > 0 {
 			t.Errorf("%d machines are never recorded", n)
 		}
 	}
--- a/internal/leader/images.go
+++ b/internal/leader/images.go
@@ -14,7 +14,7 @@
 }
 
 // noteImage follows which images are on the machine.
-func (l *Leader) noteImage(r *machine, j *job, a *workers.Attempt, now time.Time) {
+func (l *Leader) noteImage(r *machine, j *jobState, a *workers.Attempt, now time.Time) {
 	if j == nil {
 		return
 	}
@@ -30,12 +30,12 @@
 	r.useImage(j.spec.Image, j.spec.ImageGB, true, l.cacheOf(r))
 	if !known {
 		// The next leader must know too, or it fetches where it need not.
-		l.hintsChanged(r, now)
+		l.metadataChanged(r, now)
 	}
 }
 
 func (l *Leader) cacheOf(r *machine) float64 {
-	t, ok := l.d.Catalog().Type(r.m.Type)
+	t, ok := l.deps.Catalog().Type(r.agent.Type)
 	if !ok {
 		return 0
 	}
--- a/internal/leader/inherit.go
+++ b/internal/leader/inherit.go
@@ -22,34 +22,34 @@
 
 // expects is how long a job's tasks are expected to run: as its owner says, by how
 // the class has kept to that lately.
-func (l *Leader) expects(j *job) time.Duration {
+func (l *Leader) expectedRuntime(j *jobState) time.Duration {
 	ratio := 1.0
-	if r, ok := l.kept[j.spec.Class]; ok {
+	if r, ok := l.runtimeRatios[j.spec.Class]; ok {
 		ratio = min(max(r, 1/constants.ExpectMost), constants.ExpectMost)
 	}
 	return config.Seconds(j.spec.ExpectedS * ratio)
 }
 
 // keeps notes how long a task ran against what its owner expected.
-func (l *Leader) keeps(j *job, ran time.Duration) {
+func (l *Leader) noteRuntime(j *jobState, ran time.Duration) {
 	if j.spec.ExpectedS <= 0 {
 		return
 	}
 	ratio := ran.Seconds() / j.spec.ExpectedS
-	was, ok := l.kept[j.spec.Class]
+	was, ok := l.runtimeRatios[j.spec.Class]
 	if !ok {
 		was = ratio
 	}
-	l.kept[j.spec.Class] = was + (ratio-was)*constants.ExpectWeight
+	l.runtimeRatios[j.spec.Class] = was + (ratio-was)*constants.ExpectWeight
 }
 
 // latest is when a job must start at the latest for itself and those that need it to
 // be in time; zero if nothing is due.
-func (l *Leader) latest(j *job) (at time.Time) {
+func (l *Leader) latestStart(j *jobState) (at time.Time) {
 	if j.spec.DueS != nil {
-		at = j.accepted.Add(config.Seconds(*j.spec.DueS) - l.expects(j))
+		at = j.acceptedAt.Add(config.Seconds(*j.spec.DueS) - l.expectedRuntime(j))
 	}
-	if s := j.needed.start; !s.IsZero() && (at.IsZero() || s.Before(at)) {
+	if s := j.downstreamDemand.start; !s.IsZero() && (at.IsZero() || s.Before(at)) {
 		at = s
 	}
 	return at
@@ -57,31 +57,31 @@
 
 // inherit reckons anew what the jobs of these names are needed for, and those before
 // them as far as that changes anything.
-func (l *Leader) inherit(names []string) {
+func (l *Leader) propagateDemand(names []string) {
 	for queue := names; len(queue) > 0; queue = queue[1:] {
 		p := l.jobs[queue[0]]
 		if p == nil {
 			continue
 		}
 		var d demand
-		for _, c := range l.waits.after[p.spec.ID] {
-			if c.gone {
+		for _, c := range l.dependencies.after[p.spec.ID] {
+			if c.removed {
 				continue
 			}
 			d.priority = max(d.priority, c.view.Priority)
-			if at := l.latest(c); !at.IsZero() {
-				if at = at.Add(-l.expects(p) - constants.ChainStep); d.start.IsZero() || at.Before(d.start) {
+			if at := l.latestStart(c); !at.IsZero() {
+				if at = at.Add(-l.expectedRuntime(p) - constants.ChainStep); d.start.IsZero() || at.Before(d.start) {
 					d.start = at
 				}
 			}
 		}
-		if d.priority == p.needed.priority && d.start.Equal(p.needed.start) {
+		if d.priority == p.downstreamDemand.priority && d.start.Equal(p.downstreamDemand.start) {
 			continue
 		}
-		p.needed = d
+		p.downstreamDemand = d
 		p.view.Priority = max(userapi.Priority(p.spec.PriorityClass), d.priority)
-		l.aim(p)
-		for name := range p.before {
+		l.updateTargets(p)
+		for name := range p.pendingUpstreams {
 			queue = append(queue, name)
 		}
 	}
@@ -89,12 +89,12 @@
 
 // aim sets the latest starts that a job has to meet: its users', and that of those
 // that need it.
-func (l *Leader) aim(j *job) {
-	j.view.Targets = l.targets(j.spec, j.view.Submitted.Sub(j.accepted))
-	if s := j.needed.start; !s.IsZero() {
+func (l *Leader) updateTargets(j *jobState) {
+	j.view.Targets = l.targets(j.spec, j.view.Submitted.Sub(j.acceptedAt))
+	if s := j.downstreamDemand.start; !s.IsZero() {
 		j.view.Targets = append(j.view.Targets, s.Sub(j.view.Submitted))
 		slices.Sort(j.view.Targets)
 	}
 	j.stale = true
-	l.dirty = true
+	l.passDueNow = true
 }
--- a/internal/leader/inherit_test.go
+++ b/internal/leader/inherit_test.go
@@ -21,9 +21,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
 		l := testLeader(outer)
-		l.sure, l.watched = now, now
+		l.certainUntil, l.watchedUntil = now, now
 		type node struct {
-			j    *job
+			j    *jobState
 			need []int
 		}
 		var all []*node
@@ -36,7 +36,7 @@
 			}
 			nd := &node{}
 			for k := range n {
-				if all[k].j.gone || rapid.IntRange(0, 3).Draw(t, "needs") > 0 {
+				if all[k].j.removed || rapid.IntRange(0, 3).Draw(t, "needs") > 0 {
 					continue
 				}
 				nd.need = append(nd.need, k)
@@ -50,7 +50,7 @@
 			nd.j = l.jobs[spec.ID]
 			all = append(all, nd)
 			if rapid.IntRange(0, 5).Draw(t, "cancel") == 0 {
-				if last := all[rapid.IntRange(0, n).Draw(t, "which")]; !last.j.gone {
+				if last := all[rapid.IntRange(0, n).Draw(t, "which")]; !last.j.removed {
 					l.removeJob(last.j, now)
 				}
 			}
@@ -58,12 +58,12 @@
 		// The full reckoning, from the last to the first: needs go backwards only.
 		for i := len(all) - 1; i >= 0; i-- {
 			a := all[i]
-			if a.j.gone {
+			if a.j.removed {
 				continue
 			}
 			prio, start := userapi.Priority(a.j.spec.PriorityClass), time.Time{}
 			for _, b := range all[i+1:] {
-				if b.j.gone {
+				if b.j.removed {
 					continue
 				}
 				for _, k := range b.need {
@@ -71,15 +71,15 @@
 						continue
 					}
 					prio = max(prio, b.j.view.Priority)
-					if at := l.latest(b.j); !at.IsZero() {
+					if at := l.latestStart(b.j); !at.IsZero() {
 						if at = at.Add(-time.Duration(a.j.spec.ExpectedS)*time.Second - constants.ChainStep); start.IsZero() || at.Before(start) {
 							start = at
 						}
 					}
 				}
 			}
-			if a.j.view.Priority != prio || !a.j.needed.start.Equal(start) {
-				t.Fatalf("job %d: priority %d and start %v, want %d and %v", i, a.j.view.Priority, a.j.needed.start, prio, start)
+			if a.j.view.Priority != prio || !a.j.downstreamDemand.start.Equal(start) {
+				t.Fatalf("job %d: priority %d and start %v, want %d and %v", i, a.j.view.Priority, a.j.downstreamDemand.start, prio, start)
 			}
 		}
 	})
@@ -92,20 +92,20 @@
 	l := testLeader(t)
 	j := addJob(t, l, sweep("j-1", 1), now)
 	j.spec.ExpectedS = 10
-	if l.expects(j) != 10*time.Second {
-		t.Errorf("at first %v", l.expects(j))
+	if l.expectedRuntime(j) != 10*time.Second {
+		t.Errorf("at first %v", l.expectedRuntime(j))
 	}
 	for range 100 {
-		l.keeps(j, 15*time.Second)
+		l.noteRuntime(j, 15*time.Second)
 	}
-	if d := l.expects(j) - 15*time.Second; d < -100*time.Millisecond || d > 100*time.Millisecond {
-		t.Errorf("corrected to %v", l.expects(j))
+	if d := l.expectedRuntime(j) - 15*time.Second; d < -100*time.Millisecond || d > 100*time.Millisecond {
+		t.Errorf("corrected to %v", l.expectedRuntime(j))
 	}
 	for range 100 {
-		l.keeps(j, 900*time.Second)
+		l.noteRuntime(j, 900*time.Second)
 	}
-	if l.expects(j) > 31*time.Second {
-		t.Errorf("without bounds: %v", l.expects(j))
+	if l.expectedRuntime(j) > 31*time.Second {
+		t.Errorf("without bounds: %v", l.expectedRuntime(j))
 	}
 }
 
@@ -120,7 +120,7 @@
 		spec := sweep("j-9", 1)
 		spec.DueS, spec.DependsOn = &due, []string{"j-1", "j-2"}
 		j := addJob(t, l, spec, now)
-		accepted, last := j.accepted, j.accepted
+		accepted, last := j.acceptedAt, j.acceptedAt
 		now = now.Add(100 * time.Second)
 		for _, name := range spec.DependsOn {
 			// Up to a minute off, or not recorded.
@@ -131,12 +131,12 @@
 			} else if at.After(last) {
 				last = at
 			}
-			l.finalKnown(name, f, now)
+			l.upstreamEnded(name, f, now)
 		}
 		if last.After(now) {
 			last = now
 		}
-		if !j.view.Submitted.Equal(last) || !j.accepted.Equal(accepted) {
+		if !j.view.Submitted.Equal(last) || !j.acceptedAt.Equal(accepted) {
 			rt.Fatalf("counts from %v, want %v", j.view.Submitted, last)
 		}
 		if want := accepted.Add(300*time.Second - 30*time.Second - 5*time.Second); !last.Add(j.view.Targets[0]).Equal(want) {
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -16,67 +16,67 @@
 )
 
 // seat is an attempt with the machine that it is on.
-type seat struct {
+type placedAttempt struct {
 	machine *machine
-	a       *workers.Attempt
+	attempt *workers.Attempt
 }
 
 // job is one accepted job that has not ended.
-type job struct {
-	spec  *userapi.Spec
-	view  placement.Job
-	stamp uint64 // revision of its record, which never changes
+type jobState struct {
+	spec     *userapi.Spec
+	view     placement.Job
+	revision uint64 // revision of its record, which never changes
 	// servedAt is when a task of it was last given a place, or it came.
 	servedAt time.Time
 
-	did   bitset // finished tasks
-	safe  bitset // those whose completion is recorded
-	doneN int
-	low   int // no task below it waits
+	doneTasks    bitset // finished tasks
+	recordedDone bitset // those whose completion is recorded
+	doneCount    int
+	firstWaiting int // no task below it waits
 	// exits are attempts reported done whose completion is not yet recorded.
-	exits map[*workers.Attempt]*machine
+	unrecordedExits map[*workers.Attempt]*machine
 	// stale is set when the view for placement must be made anew.
 	stale bool
 
 	// seats are the attempts not proven gone or exited, by task.
-	seats   map[int][]seat
-	started time.Time // first time that a task ran
+	attempts map[int][]placedAttempt
+	started  time.Time // first time that a task ran
 	// placed is set once any task was given a place: the job no longer waits
 	// to start.
 	placed bool
 
-	pace pace
+	runtimes runtimeStats
 	// again are the tasks that have run in part already, whose last run tells
 	// nothing of the whole.
-	again map[int]bool
+	restartedTasks map[int]bool
 	// inherited jobs were open when this term began: how long their tasks had
 	// run by then is not known, so they tell nothing of machines.
-	inherited bool
+	fromEarlierTerm bool
 
 	// gangTry is the number of a gang's present attempt. short is set while a
 	// task that it lost before it ran may be replaced under that number.
-	gangTry uint64
-	short   bool
+	gangAttempt   uint64
+	replacingTask bool
 
 	// blame is what its failures tell; retry are tasks that must wait after
 	// failing again and again while the others do well.
-	blame     blame
-	retry     []retry
-	notBefore time.Time
-	avoid     map[string]time.Time
-	noted     bool // how it fared among the largest of its class is known
+	failures     failureHistory
+	delayedTasks []delayedTask
+	notBefore    time.Time
+	avoid        map[string]time.Time
+	waitCounted  bool // how it fared among the largest of its class is known
 	// before are the jobs that must be done first and are not known to be, asks is
 	// set while not even their names are.
-	before map[string]bool
-	asks   bool
-	edged  bool // it named jobs to wait for, whether or not they are done
+	pendingUpstreams map[string]bool
+	upstreamsUnknown bool
+	hasDependencies  bool // it named jobs to wait for, whether or not they are done
 	// needed is what the jobs that need this one ask for.
-	needed demand
+	downstreamDemand demand
 	// accepted is when it was submitted; its view counts from when it could start.
-	accepted time.Time
-	closing  bool // all tasks are done, the final record is being written
-	moving   bool // a transaction with the final record is under way
-	gone     bool // cancelled or ended
+	acceptedAt time.Time
+	complete   bool // all tasks are done, the final record is being written
+	finalizing bool // a transaction with the final record is under way
+	removed    bool // cancelled or ended
 }
 
 // bitset is a set of tasks.
@@ -85,17 +85,17 @@
 func (b bitset) has(i int) bool { return b[i/8]&(1<<(i%8)) != 0 }
 func (b bitset) set(i int)      { b[i/8] |= 1 << (i % 8) }
 
-func (j *job) recount() {
-	j.doneN = 0
-	for _, b := range j.did {
-		j.doneN += bits.OnesCount8(b)
+func (j *jobState) recount() {
+	j.doneCount = 0
+	for _, b := range j.doneTasks {
+		j.doneCount += bits.OnesCount8(b)
 	}
 }
 
-func (j *job) running() (n int) {
-	for _, seats := range j.seats {
+func (j *jobState) running() (n int) {
+	for _, seats := range j.attempts {
 		for _, s := range seats {
-			if s.a.Status == workers.StatusRunning || s.a.Status == workers.StatusSaving {
+			if s.attempt.Status == workers.StatusRunning || s.attempt.Status == workers.StatusSaving {
 				n++
 				break
 			}
@@ -107,45 +107,45 @@
 // addJob takes in a job's record.
 func (l *Leader) addJob(key string, v json.RawMessage, stamp uint64, now time.Time) {
 	name := key[len(userapi.OpenPrefix):]
-	if l.jobs[name] != nil || l.finished[name] {
+	if l.jobs[name] != nil || l.removedJobs[name] {
 		return
 	}
 	var rec userapi.JobRecord
 	err := json.Unmarshal(v, &rec)
 	spec := rec.Spec
 	if err != nil || spec.ID != name || spec.Tasks < 1 || spec.Tasks > constants.MaxPieces {
-		l.d.Log.Error("unreadable job", "key", key, "err", err)
+		l.deps.Log.Error("unreadable job", "key", key, "err", err)
 		return
 	}
-	j := &job{
-		spec: &spec, stamp: stamp, servedAt: now,
-		did: make(bitset, (spec.Tasks+7)/8), safe: make(bitset, (spec.Tasks+7)/8),
-		exits: make(map[*workers.Attempt]*machine), stale: true, seats: make(map[int][]seat), avoid: make(map[string]time.Time),
-		again: make(map[int]bool),
+	j := &jobState{
+		spec: &spec, revision: stamp, servedAt: now,
+		doneTasks: make(bitset, (spec.Tasks+7)/8), recordedDone: make(bitset, (spec.Tasks+7)/8),
+		unrecordedExits: make(map[*workers.Attempt]*machine), stale: true, attempts: make(map[int][]placedAttempt), avoid: make(map[string]time.Time),
+		restartedTasks: make(map[int]bool),
 	}
 	j.view = placement.Job{Spec: &spec, Priority: userapi.Priority(spec.PriorityClass), Order: stamp, Submitted: now, Targets: l.targets(&spec, 0)}
 	if at := time.UnixMilli(rec.AtMS); rec.AtMS > 0 && at.Before(now) {
 		j.view.Submitted = at
 	}
-	j.accepted = j.view.Submitted
+	j.acceptedAt = j.view.Submitted
 	l.jobs[name] = j
 	p := j.view.Pipeline()
 	l.pipelines[p] = append(l.pipelines[p], j)
 	l.arrivals[spec.Class]++
-	l.sized(&spec)
+	l.updateLargestGang(&spec)
 	if needs := (userapi.Dependencies{DependsOn: spec.DependsOn, Split: rec.Split}); !needs.Empty() {
-		l.mustWait(j, needs)
+		l.addDependencies(j, needs)
 	} else {
-		l.comes(j, now)
+		l.noteArrival(j, now)
 	}
-	l.dirty = true
-	l.d.Log.Debug("job", "id", name, "owner", spec.Team, "workload", spec.Class, "pieces", spec.Tasks)
+	l.passDueNow = true
+	l.deps.Log.Debug("job", "id", name, "owner", spec.Team, "workload", spec.Class, "pieces", spec.Tasks)
 }
 
 // comes counts a job that may start among those that came lately.
-func (l *Leader) comes(j *job, now time.Time) {
+func (l *Leader) noteArrival(j *jobState, now time.Time) {
 	if at := j.view.Submitted; now.Sub(at) <= constants.RecentWindow {
-		l.market.recent = append(l.market.recent, arrival{at, demandOf(j, j.spec.Tasks), l.wantsWhole(j.spec)})
+		l.scaling.recentArrivals = append(l.scaling.recentArrivals, arrival{at, demandOf(j, j.spec.Tasks), l.wantsWhole(j.spec)})
 	}
 }
 
@@ -156,14 +156,14 @@
 // submission, and it has waited for so long.
 func (l *Leader) targets(spec *userapi.Spec, waited time.Duration) (out []time.Duration) {
 	fetch := 0.0
-	if cat := l.d.Catalog(); cat != nil {
+	if cat := l.deps.Catalog(); cat != nil {
 		for _, t := range cat.MachineTypes {
 			if t.PullGBPerS > 0 {
 				fetch = max(fetch, spec.ImageGB/t.PullGBPerS)
 			}
 		}
 	}
-	for _, o := range l.d.Settings.Params.Objectives {
+	for _, o := range l.deps.Settings.Params.Objectives {
 		if o.Class != spec.Class {
 			continue
 		}
@@ -186,7 +186,7 @@
 }
 
 // share is how many jobs of a class come, against the most frequent class.
-func (l *Leader) share(class string) float64 {
+func (l *Leader) classShare(class string) float64 {
 	most := 0.0
 	for _, n := range l.arrivals {
 		most = max(most, n)
@@ -199,54 +199,54 @@
 
 // jobGone is called when a job's record has left the open ones: this leader
 // has finished it, or its user has cancelled it.
-func (l *Leader) jobGone(name string, now time.Time) {
+func (l *Leader) jobRecordDeleted(name string, now time.Time) {
 	if j := l.jobs[name]; j != nil {
 		l.removeJob(j, now)
-		l.d.Log.Debug("job gone", "id", name)
+		l.deps.Log.Debug("job gone", "id", name)
 	}
 	// The watch tells changes in order: nothing older of it can follow.
-	delete(l.finished, name)
+	delete(l.removedJobs, name)
 }
 
 // halt stops one attempt.
-func (l *Leader) halt(r *machine, a *workers.Attempt, grace float64, now time.Time) {
-	if r.m.RequestStop(a, grace, now) {
-		l.vacate(r, a)
+func (l *Leader) stopAttempt(r *machine, a *workers.Attempt, grace float64, now time.Time) {
+	if r.agent.RequestStop(a, grace, now) {
+		l.removeAttempt(r, a)
 	}
 	l.markStale(r)
-	l.answerSoon(r)
-	l.dirty = true
+	l.wakeReply(r)
+	l.passDueNow = true
 }
 
 // haltGang stops all attempts of a gang together.
-func (l *Leader) haltGang(j *job, grace float64, now time.Time) {
-	j.short, j.stale = false, true
-	seats := sortedSeats(j)
+func (l *Leader) stopGang(j *jobState, grace float64, now time.Time) {
+	j.replacingTask, j.stale = false, true
+	seats := sortedAttempts(j)
 	for _, s := range seats {
-		l.halt(s.machine, s.a, grace, now)
+		l.stopAttempt(s.machine, s.attempt, grace, now)
 	}
 	for _, s := range seats {
 		l.sendStops(s.machine, now)
 	}
 }
 
-func sortedSeats(j *job) []seat {
-	var out []seat
-	for _, ss := range j.seats {
+func sortedAttempts(j *jobState) []placedAttempt {
+	var out []placedAttempt
+	for _, ss := range j.attempts {
 		out = append(out, ss...)
 	}
 	sort.Slice(out, func(a, b int) bool {
 		x, y := out[a], out[b]
-		if x.a.ID.Task.Index != y.a.ID.Task.Index {
-			return x.a.ID.Task.Index < y.a.ID.Task.Index
+		if x.attempt.ID.Task.Index != y.attempt.ID.Task.Index {
+			return x.attempt.ID.Task.Index < y.attempt.ID.Task.Index
 		}
-		return x.machine.m.Name < y.machine.m.Name
+		return x.machine.agent.Name < y.machine.agent.Name
 	})
 	return out
 }
 
 // occupy notes an attempt with its job.
-func (l *Leader) occupy(r *machine, a *workers.Attempt) {
+func (l *Leader) addAttempt(r *machine, a *workers.Attempt) {
 	l.markStale(r)
 	j := l.jobs[a.ID.Task.Job]
 	if j == nil || a.ID.Task.Index >= j.spec.Tasks {
@@ -254,18 +254,18 @@
 	}
 	j.stale = true
 	i := a.ID.Task.Index
-	j.seats[i] = append(j.seats[i], seat{r, a})
+	j.attempts[i] = append(j.attempts[i], placedAttempt{r, a})
 	j.placed = true
 }
 
 // vacate takes an attempt off its job once it is gone or has exited.
-func (l *Leader) vacate(r *machine, a *workers.Attempt) {
+func (l *Leader) removeAttempt(r *machine, a *workers.Attempt) {
 	l.markStale(r)
-	l.committer.log.Del(r.m.Name, recordAttempt(a))
+	l.commits.log.Del(r.agent.Name, recordAttempt(a))
 	j := l.jobs[a.ID.Task.Job]
 	if j == nil {
 		if g := l.endedJobs[a.ID.Task.Job]; g != nil {
-			if g.seats--; g.seats <= 0 {
+			if g.attempts--; g.attempts <= 0 {
 				delete(l.endedJobs, a.ID.Task.Job)
 			}
 		}
@@ -273,24 +273,24 @@
 	}
 	j.stale = true
 	i := a.ID.Task.Index
-	kept := j.seats[i][:0:0]
-	for _, s := range j.seats[i] {
-		if s.a != a {
+	kept := j.attempts[i][:0:0]
+	for _, s := range j.attempts[i] {
+		if s.attempt != a {
 			kept = append(kept, s)
 		}
 	}
 	if len(kept) == 0 {
-		delete(j.seats, i)
+		delete(j.attempts, i)
 	} else {
-		j.seats[i] = kept
+		j.attempts[i] = kept
 	}
-	if i < j.low {
-		j.low = i
+	if i < j.firstWaiting {
+		j.firstWaiting = i
 	}
 }
 
 // events takes in what a report or the clock says of a machine's attempts.
-func (l *Leader) events(r *machine, list []workers.Event, now time.Time) {
+func (l *Leader) applyEvents(r *machine, list []workers.Event, now time.Time) {
 	if len(list) > 0 {
 		l.markStale(r)
 	}
@@ -303,62 +303,62 @@
 			if a.Status == workers.StatusExited {
 				break // an Ended event follows
 			}
-			l.d.Log.Info("task in no record", "piece", a.ID.Task, "try", a.ID.Number, "rig", r.m.Name)
-			l.occupy(r, a)
+			l.deps.Log.Info("task in no record", "piece", a.ID.Task, "try", a.ID.Number, "rig", r.agent.Name)
+			l.addAttempt(r, a)
 			if j == nil {
 				if g := l.endedJobs[a.ID.Task.Job]; g != nil {
-					g.seats++
+					g.attempts++
 				}
 			}
 			if j == nil || a.ID.Task.Index >= j.spec.Tasks {
-				l.halt(r, a, 0, now)
+				l.stopAttempt(r, a, 0, now)
 			} else {
-				l.halt(r, a, j.spec.SaveS+constants.StopGrace.Seconds(), now)
+				l.stopAttempt(r, a, j.spec.SaveS+constants.StopGrace.Seconds(), now)
 			}
-			l.noteAdd(r, a)
+			l.logAttempt(r, a)
 		case workers.EventStatusChanged:
-			l.d.Log.Debug("task seen", "piece", a.ID.Task, "try", a.ID.Number, "rig", r.m.Name, "status", a.Status)
+			l.deps.Log.Debug("task seen", "piece", a.ID.Task, "try", a.ID.Number, "rig", r.agent.Name, "status", a.Status)
 			if j != nil && a.Status == workers.StatusRunning && j.started.IsZero() {
 				j.started = now
-				l.fared(j, now)
+				l.countGangWait(j, now)
 			}
 		case workers.EventGone:
 			if j != nil {
-				j.again[a.ID.Task.Index] = true
+				j.restartedTasks[a.ID.Task.Index] = true
 			}
-			l.vacate(r, a)
-			l.lost(r, j, a, true, now)
+			l.removeAttempt(r, a)
+			l.gangTaskLost(r, j, a, true, now)
 		case workers.EventExited:
-			l.vacate(r, a)
-			l.exited(r, j, a, now)
+			l.removeAttempt(r, a)
+			l.taskExited(r, j, a, now)
 		}
 	}
 	if len(list) > 0 {
-		l.dirty = true
+		l.passDueNow = true
 	}
 }
 
 // lost is called when a task of a gang is gone or has ended undone. While the
 // gang still waits for its start, a replacement with the same attempt number
 // completes it; else the others go too, and it starts anew.
-func (l *Leader) lost(r *machine, j *job, a *workers.Attempt, replace bool, now time.Time) {
-	if j == nil || j.spec.Kind != userapi.KindGang || j.closing {
+func (l *Leader) gangTaskLost(r *machine, j *jobState, a *workers.Attempt, replace bool, now time.Time) {
+	if j == nil || j.spec.Kind != userapi.KindGang || j.complete {
 		return
 	}
 	if replace && l.mayReplace(j, a) {
-		j.short, j.stale = true, true
-		j.avoid[r.m.Name] = now.Add(constants.AvoidFor)
-		l.d.Log.Debug("task of a waiting gang to be replaced", "piece", a.ID.Task, "try", a.ID.Number, "rig", r.m.Name)
+		j.replacingTask, j.stale = true, true
+		j.avoid[r.agent.Name] = now.Add(constants.AvoidFor)
+		l.deps.Log.Debug("task of a waiting gang to be replaced", "piece", a.ID.Task, "try", a.ID.Number, "rig", r.agent.Name)
 		return
 	}
-	l.haltGang(j, 0, now)
+	l.stopGang(j, 0, now)
 }
 
 // dissolve stops what an earlier term had placed of a gang that lacks tasks: it
 // can't be completed any more, and would wait in vain.
-func (l *Leader) dissolve(j *job, now time.Time) {
-	if n := len(j.seats); j.spec.Kind == userapi.KindGang && n > 0 && n < j.spec.Tasks && !j.closing {
-		l.haltGang(j, j.spec.SaveS+constants.StopGrace.Seconds(), now)
+func (l *Leader) stopIncompleteGang(j *jobState, now time.Time) {
+	if n := len(j.attempts); j.spec.Kind == userapi.KindGang && n > 0 && n < j.spec.Tasks && !j.complete {
+		l.stopGang(j, j.spec.SaveS+constants.StopGrace.Seconds(), now)
 	}
 }
 
@@ -366,15 +366,15 @@
 // known. Should it have started after all, the rest exits for want of the lost
 // task, and that stops the replacement too. Attempts of earlier terms are not
 // completed: what their leader sent last is not known.
-func (l *Leader) mayReplace(j *job, a *workers.Attempt) bool {
-	if a.StopRequested || a.FromEarlierTerm || a.ID.Number != j.gangTry || !l.attempts.owns(a.ID.Number) || len(j.seats) == 0 {
+func (l *Leader) mayReplace(j *jobState, a *workers.Attempt) bool {
+	if a.StopRequested || a.FromEarlierTerm || a.ID.Number != j.gangAttempt || !l.attemptNumbers.owns(a.ID.Number) || len(j.attempts) == 0 {
 		return false
 	}
-	for _, s := range sortedSeats(j) {
+	for _, s := range sortedAttempts(j) {
 		switch {
-		case s.a.StopRequested, s.a.FromEarlierTerm, s.a.ID.Number != a.ID.Number:
+		case s.attempt.StopRequested, s.attempt.FromEarlierTerm, s.attempt.ID.Number != a.ID.Number:
 			return false
-		case s.a.Status != "" && s.a.Status != workers.StatusFetching && s.a.Status != workers.StatusWaiting:
+		case s.attempt.Status != "" && s.attempt.Status != workers.StatusFetching && s.attempt.Status != workers.StatusWaiting:
 			return false
 		}
 	}
@@ -382,8 +382,8 @@
 }
 
 // exited takes in a task's exit.
-func (l *Leader) exited(r *machine, j *job, a *workers.Attempt, now time.Time) {
-	l.d.Log.Debug("task ended", "piece", a.ID.Task, "try", a.ID.Number, "rig", r.m.Name, "cause", a.Cause, "saved", a.Saved)
+func (l *Leader) taskExited(r *machine, j *jobState, a *workers.Attempt, now time.Time) {
+	l.deps.Log.Debug("task ended", "piece", a.ID.Task, "try", a.ID.Number, "rig", r.agent.Name, "cause", a.Cause, "saved", a.Saved)
 	if j == nil || a.ID.Task.Index >= j.spec.Tasks {
 		l.allowForget(r, a)
 		return
@@ -391,78 +391,78 @@
 	replace := false
 	switch a.Cause {
 	case workers.CauseDone:
-		l.finish(r, j, a, now)
+		l.taskCompleted(r, j, a, now)
 		return
 	case workers.CauseError:
-		l.failedHere(r, j, a, now)
+		l.taskFailed(r, j, a, now)
 	case "alone", "mates_gone", "halted":
-		j.again[a.ID.Task.Index] = true
+		j.restartedTasks[a.ID.Task.Index] = true
 	default:
 		// Refused: the worker knows better than our books; look again soon.
 		j.notBefore = now.Add(constants.RetryBase)
 		replace = true
 	}
 	l.allowForget(r, a)
-	l.lost(r, j, a, replace, now)
+	l.gangTaskLost(r, j, a, replace, now)
 }
 
 // finish records a task's completion. The worker may forget it only once the
 // record stands.
-func (l *Leader) finish(r *machine, j *job, a *workers.Attempt, now time.Time) {
-	first := !j.did.has(a.ID.Task.Index)
-	j.exits[a], j.stale = r, true
-	l.notePace(r, j, a, now)
+func (l *Leader) taskCompleted(r *machine, j *jobState, a *workers.Attempt, now time.Time) {
+	first := !j.doneTasks.has(a.ID.Task.Index)
+	j.unrecordedExits[a], j.stale = r, true
+	l.noteStragglerSignal(r, j, a, now)
 	if j.spec.Kind == userapi.KindGang {
 		// A gang's tasks complete together: one done, all done.
 		if first {
 			for i := range j.spec.Tasks {
-				j.did.set(i)
+				j.doneTasks.set(i)
 			}
-			j.doneN = j.spec.Tasks
-			l.noteDone(j, wal.AllTasks)
+			j.doneCount = j.spec.Tasks
+			l.logDone(j, wal.AllTasks)
 		}
 	} else if first {
-		j.did.set(a.ID.Task.Index)
-		j.doneN++
-		l.noteDone(j, a.ID.Task.Index)
-	}
-	j.blame.sound = true
-	j.blame.clear()
-	l.judge(j, now)  // now: the job may be over in a moment
-	r.accusers = nil // it has carried a task to its end
-	l.settleDone(j)
+		j.doneTasks.set(a.ID.Task.Index)
+		j.doneCount++
+		l.logDone(j, a.ID.Task.Index)
+	}
+	j.failures.succeeded = true
+	j.failures.reset()
+	l.attributeFailures(j, now) // now: the job may be over in a moment
+	r.failedJobs = nil          // it has carried a task to its end
+	l.releaseRecordedExits(j)
 	if first || j.spec.Kind == userapi.KindGang {
 		l.reserve(r, j, a, now)
 	}
 	// Another attempt of a task that is done has no purpose.
 	if j.spec.Kind != userapi.KindGang {
-		for _, s := range j.seats[a.ID.Task.Index] {
-			l.halt(s.machine, s.a, 0, now)
+		for _, s := range j.attempts[a.ID.Task.Index] {
+			l.stopAttempt(s.machine, s.attempt, 0, now)
 		}
 	}
 	l.checkComplete(j)
 }
 
 // noteDone has a task's completion recorded, before its worker may forget it.
-func (l *Leader) noteDone(j *job, task int) {
-	l.committer.log.Done(j.spec.ID, []int{task}, func() {
-		if j.gone {
+func (l *Leader) logDone(j *jobState, task int) {
+	l.commits.log.Done(j.spec.ID, []int{task}, func() {
+		if j.removed {
 			return
 		}
 		if task == wal.AllTasks {
-			copy(j.safe, j.did)
+			copy(j.recordedDone, j.doneTasks)
 		} else {
-			j.safe.set(task)
+			j.recordedDone.set(task)
 		}
-		l.settleDone(j)
+		l.releaseRecordedExits(j)
 	})
 }
 
 // reserve applies the hold rule to the room that a finished task leaves.
-func (l *Leader) reserve(r *machine, j *job, a *workers.Attempt, now time.Time) {
+func (l *Leader) reserve(r *machine, j *jobState, a *workers.Attempt, now time.Time) {
 	f := reservations.Finish{
-		Job: j.spec.ID, Pieces: j.spec.Tasks, Started: j.started, Machine: r.m.Name, Next: l.downstreams(j), Now: now,
-		Fits: func(d reservations.Downstream) bool { return r.open(now) && l.mayHold(r, d) },
+		Job: j.spec.ID, Pieces: j.spec.Tasks, Started: j.started, Machine: r.agent.Name, Next: l.downstreams(j), Now: now,
+		Fits: func(d reservations.Downstream) bool { return r.schedulable(now) && l.canHold(r, d) },
 	}
 	if f.Started.IsZero() {
 		f.Started = a.PlacedAt
@@ -470,37 +470,37 @@
 	if !a.RunningSince.IsZero() {
 		f.Ran = now.Sub(a.RunningSince)
 	}
-	if l.book.Finished(f) {
-		l.hintsChanged(r, now)
+	if l.reservations.Finished(f) {
+		l.metadataChanged(r, now)
 		return
 	}
-	l.offer(r, now)
+	l.offerFreedResources(r, now)
 }
 
 // offer gives freed room to stages that hold room from elsewhere.
-func (l *Leader) offer(r *machine, now time.Time) {
-	if !r.open(now) {
+func (l *Leader) offerFreedResources(r *machine, now time.Time) {
+	if !r.schedulable(now) {
 		return
 	}
-	if l.book.Freed(r.m.Name, func(d reservations.Downstream) bool { return l.mayHold(r, d) }, now) {
-		l.hintsChanged(r, now)
+	if l.reservations.Freed(r.agent.Name, func(d reservations.Downstream) bool { return l.canHold(r, d) }, now) {
+		l.metadataChanged(r, now)
 	}
 }
 
 // mayHold tells whether a machine can and may take a task of a job.
-func (l *Leader) mayHold(r *machine, d reservations.Downstream) bool {
+func (l *Leader) canHold(r *machine, d reservations.Downstream) bool {
 	j := l.jobs[d.Job]
-	return j != nil && placement.Allowed(&j.view, l.shape(r)) && l.room(r).Fits(d.Need)
+	return j != nil && placement.Allowed(&j.view, l.placementMachine(r)) && l.freeResources(r).Fits(d.Need)
 }
 
 // downstreams are the jobs that come after one in its pipeline and wait to start:
 // those that name it, or else the next one of its owner and workload, if the operators
 // want holds for these.
-func (l *Leader) downstreams(up *job) []reservations.Downstream {
-	if up.edged || len(l.waits.after[up.spec.ID]) > 0 {
+func (l *Leader) downstreams(up *jobState) []reservations.Downstream {
+	if up.hasDependencies || len(l.dependencies.after[up.spec.ID]) > 0 {
 		return l.downstreamEdges(up)
 	}
-	if !l.d.Operator.Holds.SubmissionOrder {
+	if !l.deps.Operator.Holds.SubmissionOrder {
 		return nil
 	}
 	next := l.downstream(up)
@@ -510,24 +510,24 @@
 	return []reservations.Downstream{heldFor(next, next.view.Pipeline())}
 }
 
-func heldFor(j *job, p placement.Pipeline) reservations.Downstream {
+func heldFor(j *jobState, p placement.Pipeline) reservations.Downstream {
 	return reservations.Downstream{Pipeline: p, Job: j.spec.ID, Pieces: j.spec.Tasks, Priority: j.view.Priority, Need: placement.Need(j.spec)}
 }
 
 // downstream is the pipeline's earliest job still waiting to start. A job that waits
 // for others has a pipeline of its own.
-func (l *Leader) downstream(up *job) *job {
+func (l *Leader) downstream(up *jobState) *jobState {
 	p := up.view.Pipeline()
 	// Jobs come in the order of their records, but for those that were read
 	// at the takeover.
-	var best *job
+	var best *jobState
 	kept := l.pipelines[p][:0]
 	for _, j := range l.pipelines[p] {
-		if j.gone {
+		if j.removed {
 			continue
 		}
 		kept = append(kept, j)
-		if j != up && !j.placed && !j.edged && (best == nil || j.stamp < best.stamp) {
+		if j != up && !j.placed && !j.hasDependencies && (best == nil || j.revision < best.revision) {
 			best = j
 		}
 	}
@@ -537,13 +537,13 @@
 
 func (l *Leader) stillWaits(name string) bool {
 	j := l.jobs[name]
-	return j != nil && len(j.seats) < j.spec.Tasks-j.doneN
+	return j != nil && len(j.attempts) < j.spec.Tasks-j.doneCount
 }
 
 // checkComplete starts the last record of a job whose tasks are all done.
-func (l *Leader) checkComplete(j *job) {
-	if j.doneN == j.spec.Tasks && !j.closing && !j.gone {
-		j.closing = true
-		l.committer.final = append(l.committer.final, j)
+func (l *Leader) checkComplete(j *jobState) {
+	if j.doneCount == j.spec.Tasks && !j.complete && !j.removed {
+		j.complete = true
+		l.commits.finalizing = append(l.commits.finalizing, j)
 	}
 }
--- a/internal/leader/largest.go
+++ b/internal/leader/largest.go
@@ -15,14 +15,14 @@
 // them begin late, those that wait are lifted over others.
 
 // largest follows the largest gangs of one class.
-type largest struct {
+type gangWaitStats struct {
 	size int
 	// good and late count how they fared, older ones for less.
 	good, late float64
 }
 
 // note takes in how one of them fared.
-func (g *largest) note(late bool) {
+func (g *gangWaitStats) note(late bool) {
 	g.good *= constants.LargestMemory
 	g.late *= constants.LargestMemory
 	if late {
@@ -34,7 +34,7 @@
 
 // lift tells how far they must be lifted: over others of their priority when
 // too many begin late, over all others when the users' bound is near.
-func (g *largest) lift() placement.Lift {
+func (g *gangWaitStats) lift() placement.Lift {
 	part := 0.0
 	if g.late > 0 {
 		part = g.late / (g.good + g.late)
@@ -49,41 +49,41 @@
 }
 
 // sized keeps the largest size of each class up to date.
-func (l *Leader) sized(spec *userapi.Spec) {
+func (l *Leader) updateLargestGang(spec *userapi.Spec) {
 	if spec.Kind != userapi.KindGang {
 		return
 	}
-	g := l.largest[spec.Class]
+	g := l.gangWaits[spec.Class]
 	if g == nil {
-		g = &largest{}
-		l.largest[spec.Class] = g
+		g = &gangWaitStats{}
+		l.gangWaits[spec.Class] = g
 	}
 	if spec.Tasks > g.size {
 		// A few are taken to have begun in time, so that one late one does not
 		// decide.
-		*g = largest{size: spec.Tasks, good: constants.LargestPrior}
+		*g = gangWaitStats{size: spec.Tasks, good: constants.LargestPrior}
 	}
 }
 
 // fared notes once how a job fared, if it is one of the largest: when it begins,
 // or when it has waited too long.
-func (l *Leader) fared(j *job, now time.Time) {
-	g := l.largest[j.spec.Class]
-	if j.noted || j.waiting() || j.inherited && !j.started.IsZero() || g == nil || j.spec.Kind != userapi.KindGang || j.spec.Tasks < g.size {
+func (l *Leader) countGangWait(j *jobState, now time.Time) {
+	g := l.gangWaits[j.spec.Class]
+	if j.waitCounted || j.blockedByUpstream() || j.fromEarlierTerm && !j.started.IsZero() || g == nil || j.spec.Kind != userapi.KindGang || j.spec.Tasks < g.size {
 		return
 	}
 	late := now.Sub(j.view.Submitted) > constants.LargestWithin
 	if !late && j.started.IsZero() {
 		return
 	}
-	j.noted = true
+	j.waitCounted = true
 	g.note(late)
 }
 
 // lifted names the classes whose largest jobs are to be lifted.
-func (l *Leader) lifted() map[string]placement.Largest {
+func (l *Leader) boostedClasses() map[string]placement.Largest {
 	out := make(map[string]placement.Largest)
-	for class, g := range l.largest {
+	for class, g := range l.gangWaits {
 		if lift := g.lift(); lift != placement.NoLift {
 			out[class] = placement.Largest{Size: g.size, Lift: lift}
 		}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -57,11 +57,11 @@
 	Catalog func() *provisioning.Catalog
 	// Vouch asks all nodes for the cancellations that they know of; nil: the
 	// watch alone counts.
-	Vouch Vouch
+	Attest AttestFunc
 	// ReadsLargeRing asks whether all nodes read the log's large ring; nil: they don't.
 	ReadsLargeRing func(ctx context.Context) bool
 	// Drawn tells what this node's calls of a class have drawn; may be nil.
-	Drawn func(statestore.Class) statestore.Usage
+	Usage func(statestore.Class) statestore.Usage
 	Log   *slog.Logger
 }
 
@@ -71,107 +71,107 @@
 // ErrTooLarge ends a term whose transactions are larger than the state service
 // takes. The next one writes smaller ones; whatever of this one is still under way
 // can't be carried out any more.
-var ErrTooLarge = errors.New("the state service refuses transactions of this size")
+var ErrTxnTooLarge = errors.New("the state service refuses transactions of this size")
 
 // errAttemptsUsed ends a term whose attempt numbers are used up; the next one has
 // new ones.
-var errAttemptsUsed = errors.New("attempt numbers of this term are used up")
+var errAttemptNumbersExhausted = errors.New("attempt numbers of this term are used up")
 
 // Leader is one term's scheduling state. All fields below calls belong to the
 // routine that runs it.
 type Leader struct {
-	d     Deps
-	grant election.Grant
-	lease time.Duration
-	calls chan func()
-	done  chan struct{}
-	ctx   context.Context
-	tasks *errgroup.Group
+	deps       Deps
+	grant      election.Grant
+	lease      time.Duration
+	events     chan func()
+	done       chan struct{}
+	ctx        context.Context
+	background *errgroup.Group
 
 	// takeover is how far the takeover has come, for operators; empty once it
 	// is over. It is read by others.
-	takeover atomic.Pointer[string]
+	failoverProgress atomic.Pointer[string]
 	// fleet is how many machines are known; it is read by others.
-	fleet  atomic.Int64
-	ended  error
-	loaded bool
+	fleet   atomic.Int64
+	termErr error
+	loaded  bool
 	// watched is the latest moment up to which the state service has told of all
 	// cancellations; sure is the same, or later by what all nodes vouch for.
-	watched, sure time.Time
-	jobs          map[string]*job
-	pipelines     map[placement.Pipeline][]*job
-	machines      map[string]*machine
-	ordered       []*machine                // all of machines by name; nil when it must be made anew
-	use           map[string]placement.Room // what the teams' attempts and holds take, as the views show it
-	waiters       map[*machine]bool         // machines whose report waits for its answer
-	woken         []*machine                // of these, those that orders have come up for
-	hints         hints
-	nextFlush     time.Time
-	passTook      time.Duration
-	legacy        map[string]uint64 // keys of the earlier format, with their revision
-	counts        counts
-	counted       counts // as they were logged last
-	lastLoad      time.Time
-	drawn         map[statestore.Class]statestore.Usage // as it was logged last
-	teams         []config.Team
-	book          *reservations.Book
-	attempts      attemptNumbers
-	commanding    int // direct orders under way
+	watchedUntil, certainUntil time.Time
+	jobs                       map[string]*jobState
+	pipelines                  map[placement.Pipeline][]*jobState
+	machines                   map[string]*machine
+	sortedCache                []*machine                // all of machines by name; nil when it must be made anew
+	teamUsage                  map[string]placement.Room // what the teams' attempts and holds take, as the views show it
+	pendingReplies             map[*machine]bool         // machines whose report waits for its answer
+	repliesDue                 []*machine                // of these, those that orders have come up for
+	metadata                   metadataQueue
+	nextFlush                  time.Time
+	lastPassDuration           time.Duration
+	legacyKeys                 map[string]uint64 // keys of the earlier format, with their revision
+	counts                     counts
+	loggedCounts               counts // as they were logged last
+	lastLoadLog                time.Time
+	loggedUsage                map[statestore.Class]statestore.Usage // as it was logged last
+	teams                      []config.Team
+	reservations               *reservations.Book
+	attemptNumbers             attemptNumbers
+	commandsInFlight           int // direct orders under way
 	// commandingSilent are those of them to workers that have not been heard lately.
-	commandingSilent int
-	dirty            bool // a placement pass is due
-	lastPass         time.Time
-	lastSummary      time.Time
-	committer        committer
-	market           provisioningState
-	certainty        time.Duration
+	silentCommandsInFlight int
+	passDueNow             bool // a placement pass is due
+	lastPass               time.Time
+	lastSummary            time.Time
+	commits                groupCommit
+	scaling                scalingState
+	certaintyWindow        time.Duration
 	// beat is when the routine last went round. wokeAt is when it last went on
 	// after it had stood still, and termUnverified is set from then on until the
 	// state service has said that the term still lasts.
-	lastRound, wokeAt             time.Time
-	began                         time.Time // the term, here
+	lastRound, resumedAt          time.Time
+	termStartedAt                 time.Time // the term, here
 	termUnverified, verifyingTerm bool
 	// finished are jobs that ended here before the watch has told so.
-	finished map[string]bool
+	removedJobs map[string]bool
 	// endedJobs are jobs that are over while attempts of them may still run.
 	endedJobs map[string]*endedJob
-	largest   map[string]*largest // by class
+	gangWaits map[string]*gangWaitStats // by class
 	// waits is what the jobs that wait for others wait for.
-	waits waits
+	dependencies dependencyTracker
 	// kept is, by class, how long tasks ran lately against what was expected.
-	kept map[string]float64
+	runtimeRatios map[string]float64
 	// arrivals counts the jobs of each class, older ones for less.
 	arrivals map[string]float64
 	// rates are the tasks of each class placed a second, of late.
-	rates rates
+	placementRates placementRates
 }
 
 // New makes a leader for the granted term. Run must be called next.
 func New(d Deps, g election.Grant) *Leader {
 	w := d.Settings.Params.Workers
 	l := &Leader{
-		d: d, grant: g, lease: config.Seconds(w.LeaseS),
-		calls: make(chan func(), 256), done: make(chan struct{}),
-		jobs: make(map[string]*job), machines: make(map[string]*machine), teams: d.Settings.Params.Teams,
-		book: reservations.New(reservations.Options{Enabled: d.Operator.Holds.Enabled, Alpha: d.Operator.Holds.Alpha,
+		deps: d, grant: g, lease: config.Seconds(w.LeaseS),
+		events: make(chan func(), 256), done: make(chan struct{}),
+		jobs: make(map[string]*jobState), machines: make(map[string]*machine), teams: d.Settings.Params.Teams,
+		reservations: reservations.New(reservations.Options{Enabled: d.Operator.Holds.Enabled, Alpha: d.Operator.Holds.Alpha,
 			P: d.Operator.Holds.P, Threshold: d.Operator.Holds.Threshold}),
-		certainty: certaintyOf(w),
-		attempts:  attemptNumbers{term: g.Term},
-		finished:  make(map[string]bool),
-		endedJobs: make(map[string]*endedJob),
-		arrivals:  make(map[string]float64),
-		kept:      make(map[string]float64),
-		rates:     make(rates),
-		largest:   make(map[string]*largest),
-		pipelines: make(map[placement.Pipeline][]*job),
-		use:       make(map[string]placement.Room),
-		waiters:   make(map[*machine]bool),
-		hints:     newHints(d.Settings.Params.State, d.Operator.Budgets),
+		certaintyWindow: certaintyWindow(w),
+		attemptNumbers:  attemptNumbers{term: g.Term},
+		removedJobs:     make(map[string]bool),
+		endedJobs:       make(map[string]*endedJob),
+		arrivals:        make(map[string]float64),
+		runtimeRatios:   make(map[string]float64),
+		placementRates:  make(placementRates),
+		gangWaits:       make(map[string]*gangWaitStats),
+		pipelines:       make(map[placement.Pipeline][]*jobState),
+		teamUsage:       make(map[string]placement.Room),
+		pendingReplies:  make(map[*machine]bool),
+		metadata:        newMetadataQueue(d.Settings.Params.State, d.Operator.Budgets),
 	}
-	l.committer.init()
-	l.waits.init()
+	l.commits.init()
+	l.dependencies.init()
 	l.openLog(wal.Head{}, 0)
-	l.market.init()
+	l.scaling.init()
 	return l
 }
 
@@ -182,16 +182,16 @@
 // tasks are gone by W + certainty + lease·(1+drift) + lag, however long the report
 // or the answer were on their way, and that must be no later than
 // W + cancel·(1−drift) (TestGapBound).
-func certaintyOf(w config.Workers) time.Duration {
+func certaintyWindow(w config.Workers) time.Duration {
 	cancel, lease := config.Seconds(w.CancelS), config.Seconds(w.LeaseS)
 	drift := time.Duration(float64(cancel+lease) * constants.ClockDrift)
 	return max(cancel-lease-drift-constants.WorkerLag, time.Second)
 }
 
 // do runs f on the leader's routine. It reports false once the term is over.
-func (l *Leader) do(ctx context.Context, f func()) bool {
+func (l *Leader) post(ctx context.Context, f func()) bool {
 	select {
-	case l.calls <- f:
+	case l.events <- f:
 		return true
 	case <-l.done:
 	case <-ctx.Done():
@@ -203,17 +203,17 @@
 func (l *Leader) Run(ctx context.Context) error {
 	defer close(l.done)
 	group, ctx := errgroup.WithContext(ctx)
-	l.ctx, l.tasks = ctx, group
-	epoch, err := l.load(ctx)
+	l.ctx, l.background = ctx, group
+	epoch, err := l.loadRecords(ctx)
 	if err != nil {
 		return fmt.Errorf("load: %w", err)
 	}
 	// A process that was frozen while it read may have been deposed meanwhile.
-	l.wokeAt, l.termUnverified = time.Now(), true
+	l.resumedAt, l.termUnverified = time.Now(), true
 	l.verifyTerm()
-	group.Go(func() error { return l.follow(ctx, epoch) })
-	if l.d.Vouch != nil {
-		group.Go(func() error { return l.askAll(ctx) })
+	group.Go(func() error { return l.watchJobs(ctx, epoch) })
+	if l.deps.Attest != nil {
+		group.Go(func() error { return l.collectAttestations(ctx) })
 	}
 	group.Go(func() error { return l.loop(ctx) })
 	return group.Wait()
@@ -224,18 +224,18 @@
 	defer tick.Stop()
 	alarm := time.NewTimer(0)
 	defer alarm.Stop()
-	for l.ended == nil {
+	for l.termErr == nil {
 		var began time.Time
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case f := <-l.calls:
+		case f := <-l.events:
 			began = l.noteRound()
-			l.counts.Calls += uint64(1 + len(l.calls))
+			l.counts.Calls += uint64(1 + len(l.events))
 			f()
 			// Take what else has come in before the costly part.
-			for n := len(l.calls); n > 0 && l.ended == nil; n-- {
-				(<-l.calls)()
+			for n := len(l.events); n > 0 && l.termErr == nil; n-- {
+				(<-l.events)()
 			}
 		case <-tick.C:
 			began = l.noteRound()
@@ -245,18 +245,18 @@
 			began = l.noteRound()
 		}
 		now := time.Now()
-		if l.dirty && !now.Before(l.passDue()) {
-			l.pass(now)
+		if l.passDueNow && !now.Before(l.nextPassAt()) {
+			l.runSchedulingPass(now)
 			now = time.Now()
 		}
 		l.commit(now)
-		l.flush(now)
+		l.flushReplies(now)
 		l.counts.BusyS += time.Since(began).Seconds()
 		if next := l.nextAlarm(); !next.IsZero() {
 			alarm.Reset(max(next.Sub(now), 0))
 		}
 	}
-	return l.ended
+	return l.termErr
 }
 
 // noteRound notes that the routine is at work, and whether it has stood still
@@ -267,8 +267,8 @@
 func (l *Leader) noteRound() time.Time {
 	now := time.Now()
 	if gap := now.Sub(l.lastRound); !l.lastRound.IsZero() && gap > constants.StallAfter {
-		l.d.Log.Info("stood still", "for_s", gap.Seconds(), "term", l.grant.Term)
-		l.wokeAt, l.termUnverified = now, true
+		l.deps.Log.Info("stood still", "for_s", gap.Seconds(), "term", l.grant.Term)
+		l.resumedAt, l.termUnverified = now, true
 	}
 	l.lastRound = now
 	return now
@@ -280,19 +280,19 @@
 		return
 	}
 	l.verifyingTerm = true
-	woke := l.wokeAt
-	l.tasks.Go(func() error {
-		row, found, err := l.d.Store.Get(l.ctx, statestore.ClassLease, election.TermKey)
-		l.do(l.ctx, func() {
+	woke := l.resumedAt
+	l.background.Go(func() error {
+		row, found, err := l.deps.Store.Get(l.ctx, statestore.ClassLease, election.TermKey)
+		l.post(l.ctx, func() {
 			l.verifyingTerm = false
 			switch {
 			case err != nil:
 				// The next tick asks again.
 			case !found || row.Revision != l.grant.Revision:
-				l.end(errDeposed)
-			case woke.Equal(l.wokeAt):
+				l.endTerm(errDeposed)
+			case woke.Equal(l.resumedAt):
 				l.termUnverified = false
-				l.dirty = true
+				l.passDueNow = true
 			}
 		})
 		return nil
@@ -301,8 +301,8 @@
 
 // passDue is when the next placement pass may run. A pass that takes long is
 // followed by a longer pause: reports and records must not wait for passes.
-func (l *Leader) passDue() time.Time {
-	return l.lastPass.Add(min(max(constants.PassEvery, constants.PassRest*l.passTook), constants.PassEveryMost))
+func (l *Leader) nextPassAt() time.Time {
+	return l.lastPass.Add(min(max(constants.PassEvery, constants.PassRest*l.lastPassDuration), constants.PassEveryMost))
 }
 
 // nextAlarm is when the routine must look again if nothing comes in.
@@ -312,32 +312,32 @@
 			at = t
 		}
 	}
-	if l.dirty {
-		sooner(l.passDue())
+	if l.passDueNow {
+		sooner(l.nextPassAt())
 	}
 	sooner(l.commitDue())
-	if len(l.waiters) > 0 {
+	if len(l.pendingReplies) > 0 {
 		sooner(l.nextFlush)
 	}
 	return at
 }
 
 // Fleet is how many machines are known.
-func (l *Leader) Fleet() int { return int(l.fleet.Load()) }
+func (l *Leader) Machines() int { return int(l.fleet.Load()) }
 
 // end stops the term.
-func (l *Leader) end(err error) {
-	if l.ended == nil {
-		l.ended = err
+func (l *Leader) endTerm(err error) {
+	if l.termErr == nil {
+		l.termErr = err
 	}
 }
 
 // follow learns of submissions and cancellations.
-func (l *Leader) follow(ctx context.Context, epoch uint64) error {
+func (l *Leader) watchJobs(ctx context.Context, epoch uint64) error {
 	block := constants.WatchBlock
 	for ctx.Err() == nil {
 		asked := time.Now()
-		next, log, err := l.d.Store.Watch(ctx, userapi.OpenPrefix, epoch, block)
+		next, log, err := l.deps.Store.Watch(ctx, userapi.OpenPrefix, epoch, block)
 		// After an outage certainty must come back at once, before workers have
 		// to be sent away: the first watch does not wait for a change.
 		block = constants.WatchBlock
@@ -348,21 +348,21 @@
 		case errors.Is(err, statestore.ErrCompacted):
 			return fmt.Errorf("jobs must be read again: %w", err)
 		case err != nil:
-			l.d.Log.Debug("watch failed", "err", err)
+			l.deps.Log.Debug("watch failed", "err", err)
 			pause(ctx, constants.BackoffMin)
 			continue
 		}
 		epoch = next
-		l.do(ctx, func() {
+		l.post(ctx, func() {
 			now := time.Now()
 			// The answer holds all changes up to a moment after the question.
-			l.watched = asked
-			if asked.After(l.sure) {
-				l.sure = asked
+			l.watchedUntil = asked
+			if asked.After(l.certainUntil) {
+				l.certainUntil = asked
 			}
 			for _, c := range log {
 				if c.Delete != "" {
-					l.jobGone(c.Delete[len(userapi.OpenPrefix):], now)
+					l.jobRecordDeleted(c.Delete[len(userapi.OpenPrefix):], now)
 					continue
 				}
 				l.addJob(c.Put, c.Value, c.Revision, now)
@@ -390,64 +390,64 @@
 	for class := range l.arrivals {
 		l.arrivals[class] *= 1 - constants.TickEvery.Seconds()/constants.ArrivalMemory.Seconds()
 	}
-	l.rates.fade(constants.TickEvery)
-	l.followTakeover(now)
+	l.placementRates.fade(constants.TickEvery)
+	l.trackFailover(now)
 	l.fleet.Store(int64(len(l.machines)))
 	shown := 0
 	for _, r := range l.sortedMachines() {
 		// That nobody was answered for a lease is our own doing after we stood
 		// still: who leads now knows better, and if we do it is soon known.
 		if !l.termUnverified {
-			if ev := r.m.ExpireLease(l.grant.Term, l.lease, now); len(ev) > 0 {
-				l.d.Log.Info("machine lost", "rig", r.m.Name, "tasks", len(ev))
-				l.events(r, ev, now)
+			if ev := r.agent.ExpireLease(l.grant.Term, l.lease, now); len(ev) > 0 {
+				l.deps.Log.Info("machine lost", "rig", r.agent.Name, "tasks", len(ev))
+				l.applyEvents(r, ev, now)
 			}
 		}
 		l.sendStops(r, now)
-		r.suspect = r.m.StartOverdue(now)
+		r.startOverdue = r.agent.StartOverdue(now)
 		switch {
-		case r.m.RepliesLost || r.m.EpochUnconfirmed:
-			l.probe(r, now)
-		case r.m.Token < l.grant.Term && shown < constants.ShowsAtOnce && !r.calling && now.Sub(r.called) >= l.lease/2:
+		case r.agent.RepliesLost || r.agent.EpochUnconfirmed:
+			l.probeAgent(r, now)
+		case r.agent.Token < l.grant.Term && shown < constants.ShowsAtOnce && !r.commandInFlight && now.Sub(r.lastCommandAt) >= l.lease/2:
 			// Show the worker the new token, so that it turns to this node
 			// soon and an older leader's answers are dropped. A few at a time:
 			// all at once would take more sockets and time than there are.
 			shown++
-			l.command(r, nil, now)
+			l.sendCommand(r, nil, now)
 		}
 	}
-	for _, name := range l.book.Lapse(now, l.stillWaits) {
+	for _, name := range l.reservations.Lapse(now, l.stillWaits) {
 		if r := l.machines[name]; r != nil {
-			l.hintsChanged(r, now)
+			l.metadataChanged(r, now)
 		}
-		l.dirty = true
+		l.passDueNow = true
 	}
-	l.recordHints(now)
+	l.logDueMetadata(now)
 	for _, j := range l.jobs {
-		l.fared(j, now)
+		l.countGangWait(j, now)
 		if !j.notBefore.IsZero() && now.After(j.notBefore) {
 			j.notBefore = time.Time{}
-			l.dirty = true
+			l.passDueNow = true
 		}
 	}
-	l.readFinals(now)
-	l.askRings(now)
-	l.provision(now)
+	l.readFinalRecords(now)
+	l.checkLargeRingSupport(now)
+	l.scale(now)
 	if now.Sub(l.lastPass) > time.Second {
-		l.dirty = true // estimates and spare room change with time alone
+		l.passDueNow = true // estimates and spare room change with time alone
 	}
 }
 
 // sortedMachines lists the machines by name. The list must not be changed.
 func (l *Leader) sortedMachines() []*machine {
-	if l.ordered == nil {
-		l.ordered = make([]*machine, 0, len(l.machines))
+	if l.sortedCache == nil {
+		l.sortedCache = make([]*machine, 0, len(l.machines))
 		for _, r := range l.machines {
-			l.ordered = append(l.ordered, r)
+			l.sortedCache = append(l.sortedCache, r)
 		}
-		sort.Slice(l.ordered, func(i, j int) bool { return l.ordered[i].m.Name < l.ordered[j].m.Name })
+		sort.Slice(l.sortedCache, func(i, j int) bool { return l.sortedCache[i].agent.Name < l.sortedCache[j].agent.Name })
 	}
-	return l.ordered
+	return l.sortedCache
 }
 
 // Progress is how far a job is.
@@ -457,11 +457,11 @@
 // here are left out.
 func (l *Leader) Progress(ctx context.Context, ids []string) map[string]Progress {
 	ch := make(chan map[string]Progress, 1)
-	if !l.do(ctx, func() {
+	if !l.post(ctx, func() {
 		out := make(map[string]Progress, len(ids))
 		for _, id := range ids {
 			if j := l.jobs[id]; j != nil {
-				out[id] = Progress{j.doneN, j.running()}
+				out[id] = Progress{j.doneCount, j.running()}
 			}
 		}
 		ch <- out
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -40,8 +40,8 @@
 // addRig gives the leader a machine that has just reported.
 func addRig(l *Leader, name, zone string, now time.Time) *machine {
 	r := l.machine(name, now)
-	r.m.Observe(&workers.Heartbeat{Machine: name, MachineType: "g4", Zone: zone, Epoch: 1, Sequence: 1, Token: l.grant.Term}, l.grant.Term, false, now)
-	r.m.LastAcknowledged = now
+	r.agent.Observe(&workers.Heartbeat{Machine: name, MachineType: "g4", Zone: zone, Epoch: 1, Sequence: 1, Token: l.grant.Term}, l.grant.Term, false, now)
+	r.agent.LastAcknowledged = now
 	return r
 }
 
@@ -56,16 +56,16 @@
 	}
 	now := t0.Add(l.lease + constants.SilentReturn + time.Second)
 	for i := range 4 {
-		l.machines[fmt.Sprint("m-w", i)].m.LastHeartbeat = now
+		l.machines[fmt.Sprint("m-w", i)].agent.LastHeartbeat = now
 	}
-	l.machines["m-w0"].m.LastHeartbeat = t0 // one machine of the other zone died
+	l.machines["m-w0"].agent.LastHeartbeat = t0 // one machine of the other zone died
 	l.retireMachines(now)
 	for name, r := range l.machines {
 		if want := name == "m-w0"; r.leaving != want {
 			t.Errorf("%s: leaving %v, want %v", name, r.leaving, want)
 		}
 	}
-	v := l.provisioningView(now)
+	v := l.scalingView(now)
 	if !v.Refused[provisioning.Pool{Type: "g4", Zone: "east"}] || v.Refused[provisioning.Pool{Type: "g4", Zone: "west"}] {
 		t.Errorf("renting in a zone that can't be reached: %v", v.Refused)
 	}
@@ -75,7 +75,7 @@
 	// The cut heals: three of the four are back a few seconds before the last.
 	back := now.Add(20 * time.Second)
 	for i := range 3 {
-		l.machines[fmt.Sprint("m-e", i)].m.LastHeartbeat = back
+		l.machines[fmt.Sprint("m-e", i)].agent.LastHeartbeat = back
 	}
 	l.retireMachines(back.Add(time.Second))
 	if l.machines["m-e3"].leaving {
@@ -87,7 +87,7 @@
 	}
 	for i := range 4 {
 		r := l.machines[fmt.Sprint("m-e", i)]
-		r.m.LastHeartbeat, r.leaving = t0, false
+		r.agent.LastHeartbeat, r.leaving = t0, false
 	}
 	l.retireMachines(t0.Add(l.lease + constants.UnreachableReturn + time.Second))
 	if !l.machines["m-e0"].leaving {
@@ -96,7 +96,7 @@
 }
 
 // addJob gives the leader an accepted job.
-func addJob(t testing.TB, l *Leader, j userapi.Spec, now time.Time) *job {
+func addJob(t testing.TB, l *Leader, j userapi.Spec, now time.Time) *jobState {
 	t.Helper()
 	raw, err := json.Marshal(userapi.JobRecord{Spec: j, AtMS: now.UnixMilli()})
 	if err != nil {
@@ -113,8 +113,8 @@
 
 // report makes a worker's next report with these tasks in this state.
 func report(l *Leader, r *machine, status, cause string) *workers.Heartbeat {
-	rep := &workers.Heartbeat{Machine: r.m.Name, MachineType: r.m.Type, Zone: r.m.Zone, Epoch: r.m.Epoch, Sequence: r.m.Sequence + 1, Token: l.grant.Term}
-	for _, a := range r.m.SortedAttempts() {
+	rep := &workers.Heartbeat{Machine: r.agent.Name, MachineType: r.agent.Type, Zone: r.agent.Zone, Epoch: r.agent.Epoch, Sequence: r.agent.Sequence + 1, Token: l.grant.Term}
+	for _, a := range r.agent.SortedAttempts() {
 		rep.Tasks = append(rep.Tasks, workers.TaskReport{Task: a.ID.Task.String(), Attempt: a.ID.Number, Status: status, Cause: cause})
 	}
 	return rep
@@ -123,12 +123,12 @@
 // settle carries out what the leader wants to record, as the state service
 // would, and returns the epoch.
 func settle(l *Leader, epoch uint64) uint64 {
-	for l.committer.log.Pending() || len(l.committer.final) > 0 {
-		if l.next() == nil {
+	for l.commits.log.Pending() || len(l.commits.finalizing) > 0 {
+		if l.nextTxn() == nil {
 			break
 		}
 		epoch++
-		l.committed(outcome{epoch: epoch})
+		l.committed(commitResult{epoch: epoch})
 	}
 	return epoch
 }
@@ -140,24 +140,24 @@
 	l := testLeader(t)
 	r := addRig(l, "m-1", "east", now)
 	j := addJob(t, l, sweep("j-1", 2), now)
-	l.pass(now)
-	if len(j.seats) != 2 || len(r.m.Commands(true, now)) != 0 {
-		t.Fatalf("%d placed, %d orders before the record", len(j.seats), len(r.m.Commands(true, now)))
+	l.runSchedulingPass(now)
+	if len(j.attempts) != 2 || len(r.agent.Commands(true, now)) != 0 {
+		t.Fatalf("%d placed, %d orders before the record", len(j.attempts), len(r.agent.Commands(true, now)))
 	}
 	epoch := settle(l, 100)
-	if got := r.m.Commands(true, now); len(got) != 2 || got[0].Verb != workers.VerbRun {
+	if got := r.agent.Commands(true, now); len(got) != 2 || got[0].Verb != workers.VerbRun {
 		t.Fatalf("after the record: %v", got)
 	}
-	l.observe(r, report(l, r, workers.StatusRunning, ""), false, now)
-	if len(r.images) != 1 || !r.images[0].have || l.hints.due[r].IsZero() {
+	l.applyHeartbeat(r, report(l, r, workers.StatusRunning, ""), false, now)
+	if len(r.images) != 1 || !r.images[0].have || l.metadata.due[r].IsZero() {
 		t.Errorf("the image is not noted for the next leader")
 	}
-	l.observe(r, report(l, r, workers.StatusExited, workers.CauseDone), false, now)
-	if !j.closing || len(r.m.Commands(true, now)) != 0 {
-		t.Fatalf("closing %v, orders %v before completion is recorded", j.closing, r.m.Commands(true, now))
+	l.applyHeartbeat(r, report(l, r, workers.StatusExited, workers.CauseDone), false, now)
+	if !j.complete || len(r.agent.Commands(true, now)) != 0 {
+		t.Fatalf("closing %v, orders %v before completion is recorded", j.complete, r.agent.Commands(true, now))
 	}
 	settle(l, epoch)
-	if got := r.m.Commands(true, now); len(got) != 2 || got[0].Verb != workers.VerbForget {
+	if got := r.agent.Commands(true, now); len(got) != 2 || got[0].Verb != workers.VerbForget {
 		t.Fatalf("after completion: %v", got)
 	}
 	if l.jobs["j-1"] != nil {
@@ -172,22 +172,22 @@
 	l := testLeader(t)
 	r := addRig(l, "m-1", "east", now)
 	addJob(t, l, sweep("j-1", 3), now)
-	l.pass(now)
+	l.runSchedulingPass(now)
 	settle(l, 100)
-	r.m.Commands(true, now)
-	l.observe(r, report(l, r, workers.StatusRunning, ""), false, now)
-	r.m.Endpoint = "" // nothing to be told directly here
-	l.jobGone("j-1", now)
-	w, _ := l.world(now)
+	r.agent.Commands(true, now)
+	l.applyHeartbeat(r, report(l, r, workers.StatusRunning, ""), false, now)
+	r.agent.Endpoint = "" // nothing to be told directly here
+	l.jobRecordDeleted("j-1", now)
+	w, _ := l.snapshotForPlacement(now)
 	if got := w.Teams["a"].Used.GPUs; got != 3 {
 		t.Errorf("%v GPUs in use after the cancellation, want 3", got)
 	}
-	rec := l.record(r)
+	rec := l.machineRecord(r)
 	if len(rec.Attempts) != 3 || rec.Jobs["j-1"].Owner != "a" || roomOf(rec.Jobs["j-1"].Room).GPUs != 1 {
 		t.Errorf("the record does not carry them: %+v", rec)
 	}
-	l.observe(r, report(l, r, workers.StatusExited, "halted"), false, now)
-	if w, _ = l.world(now); w.Teams["a"].Used.GPUs != 0 {
+	l.applyHeartbeat(r, report(l, r, workers.StatusExited, "halted"), false, now)
+	if w, _ = l.snapshotForPlacement(now); w.Teams["a"].Used.GPUs != 0 {
 		t.Errorf("they count for ever")
 	}
 }
@@ -199,13 +199,13 @@
 	l := testLeader(t)
 	r := addRig(l, "m-1", "east", now)
 	addJob(t, l, sweep("j-1", 1), now)
-	l.pass(now)
-	first := l.next()
-	l.committed(outcome{err: fmt.Errorf("no answer")})
-	if l.committer.backoff == 0 || len(r.m.Commands(true, now)) != 0 {
+	l.runSchedulingPass(now)
+	first := l.nextTxn()
+	l.committed(commitResult{err: fmt.Errorf("no answer")})
+	if l.commits.backoff == 0 || len(r.agent.Commands(true, now)) != 0 {
 		t.Fatalf("an unknown outcome counts as success")
 	}
-	again := l.next()
+	again := l.nextTxn()
 	if again != first {
 		t.Fatalf("another transaction is sent in place of the first")
 	}
@@ -214,18 +214,18 @@
 		t.Fatalf("%+v: %v", first.Writes, err)
 	}
 	clash := &statestore.ConflictError{Failed: []string{wal.HeadKey}}
-	l.committed(outcome{err: clash, failed: clash, head: &head, stamp: 55})
-	if l.ended != nil || len(r.m.Commands(true, now)) != 1 {
-		t.Fatalf("the first try stands, but the start does not leave (%v)", l.ended)
+	l.committed(commitResult{err: clash, failed: clash, head: &head, stamp: 55})
+	if l.termErr != nil || len(r.agent.Commands(true, now)) != 1 {
+		t.Fatalf("the first try stands, but the start does not leave (%v)", l.termErr)
 	}
 	addJob(t, l, sweep("j-2", 1), now)
-	l.pass(now)
-	if next := l.next(); next.When[0].Revision != 55 {
+	l.runSchedulingPass(now)
+	if next := l.nextTxn(); next.When[0].Revision != 55 {
 		t.Errorf("the next one builds on %+v", next.When)
 	}
 	// A head that is not ours means that another node writes the log.
-	l.committed(outcome{err: clash, failed: clash, head: &wal.Head{Term: 9}, stamp: 60})
-	if l.ended == nil {
+	l.committed(commitResult{err: clash, failed: clash, head: &wal.Head{Term: 9}, stamp: 60})
+	if l.termErr == nil {
 		t.Errorf("the leader goes on although another writes")
 	}
 }
@@ -236,13 +236,13 @@
 func TestIdleMachinesOutliveATakeover(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	l.listed([]provisioning.Host{{NameID: "m-1", MachineType: "g4", Hall: "east", Status: "running", HeldS: 400},
+	l.machinesListed([]provisioning.Host{{NameID: "m-1", MachineType: "g4", Hall: "east", Status: "running", HeldS: 400},
 		{NameID: "m-2", MachineType: "g4", Hall: "east", Status: "starting", HeldS: 400}}, now)
-	if names := l.returns(now.Add(2 * time.Second)); len(names) != 0 {
+	if names := l.machinesToReturn(now.Add(2 * time.Second)); len(names) != 0 {
 		t.Errorf("returned before they could report: %v", names)
 	}
 	addRig(l, "m-1", "east", now.Add(3*time.Second))
-	if names := l.returns(now.Add(l.lease + 5*time.Second)); len(names) != 1 || names[0] != "m-2" {
+	if names := l.machinesToReturn(now.Add(l.lease + 5*time.Second)); len(names) != 1 || names[0] != "m-2" {
 		t.Errorf("returned: %v, want the one that never came up", names)
 	}
 }
@@ -254,7 +254,7 @@
 	l := testLeader(t)
 	calls := 0
 	for at := now; at.Before(now.Add(time.Minute)); at = at.Add(constants.TickEvery) {
-		if at.Before(l.market.retryAt) {
+		if at.Before(l.scaling.retryAt) {
 			continue
 		}
 		calls++
@@ -263,7 +263,7 @@
 	if calls > 20 {
 		t.Errorf("%d calls in a minute of outage", calls)
 	}
-	if l.cloudFailed("rent", nil, now) || l.market.backoff != 0 {
+	if l.cloudFailed("rent", nil, now) || l.scaling.backoff != 0 {
 		t.Errorf("an answer does not end the pause")
 	}
 }
@@ -278,29 +278,29 @@
 	for i := range 2 {
 		a := &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: "j-1", Index: i}, Number: uint64(i + 1)}, Epoch: 1,
 			Committed: true, StartAllowed: true, Sent: true, Status: workers.StatusRunning, RunningSince: t0}
-		bad.m.Attempts[a.ID] = a
-		l.occupy(bad, a)
+		bad.agent.Attempts[a.ID] = a
+		l.addAttempt(bad, a)
 	}
 	for _, s := range []int{24, 30, 35} {
-		j.pace.add(time.Duration(s) * time.Second)
+		j.runtimes.add(time.Duration(s) * time.Second)
 	}
-	bad.m.LastHeartbeat = t0.Add(45 * time.Second)
-	l.checkPace(t0.Add(45 * time.Second))
+	bad.agent.LastHeartbeat = t0.Add(45 * time.Second)
+	l.detectStragglers(t0.Add(45 * time.Second))
 	if bad.slow(t0.Add(45 * time.Second)) {
 		t.Fatalf("half as long again is taken for slow")
 	}
 	now := t0.Add(55 * time.Second)
-	bad.m.LastHeartbeat = now
-	l.checkPace(now)
-	if !bad.slow(now) || bad.open(now) {
+	bad.agent.LastHeartbeat = now
+	l.detectStragglers(now)
+	if !bad.slow(now) || bad.schedulable(now) {
 		t.Fatalf("a slow machine is not found")
 	}
-	for _, a := range bad.m.SortedAttempts() {
+	for _, a := range bad.agent.SortedAttempts() {
 		if !a.StopRequested || a.GraceS < j.spec.SaveS {
 			t.Errorf("%v is not saved and stopped", a.ID)
 		}
 	}
-	if !bad.open(now.Add(constants.SlowPause + time.Second)) {
+	if !bad.schedulable(now.Add(constants.SlowPause + time.Second)) {
 		t.Errorf("it gets no second chance")
 	}
 }
@@ -313,12 +313,12 @@
 	l := testLeader(t)
 	r := addRig(l, "m-1", "east", t0)
 	j := addJob(t, l, sweep("j-1", 4), t0)
-	j.inherited = true
+	j.fromEarlierTerm = true
 	old := addJob(t, l, sweep("j-2", 4), t0)
-	old.again[0] = true
-	for _, x := range []*job{j, old} {
-		l.notePace(r, x, &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: x.spec.ID}}, RunningSince: t0}, t0.Add(time.Second))
-		if len(x.pace.runs) != 0 {
+	old.restartedTasks[0] = true
+	for _, x := range []*jobState{j, old} {
+		l.noteStragglerSignal(r, x, &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: x.spec.ID}}, RunningSince: t0}, t0.Add(time.Second))
+		if len(x.runtimes.runs) != 0 {
 			t.Errorf("%s: a part of a run is taken for a whole one", x.spec.ID)
 		}
 	}
@@ -329,7 +329,7 @@
 func TestLargeJobFitsItsLimits(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	l.d.Settings.Params.State.ValueKB, l.d.Settings.Params.State.TxnOps = 8, 4
+	l.deps.Settings.Params.State.ValueKB, l.deps.Settings.Params.State.TxnOps = 8, 4
 	l.openLog(wal.Head{}, 0)
 	for i := range 3 {
 		addRig(l, fmt.Sprint("m-", i), "east", now)
@@ -338,13 +338,13 @@
 	spec.CPUs, spec.GPUs, spec.MemoryGB = 0.01, 0, 0.01
 	j := addJob(t, l, spec, now)
 	for i := range spec.Tasks - 300 {
-		j.did.set(i)
+		j.doneTasks.set(i)
 	}
 	j.recount()
 	j.stale = true
-	l.pass(now)
+	l.runSchedulingPass(now)
 	check := func() (n int) {
-		for txn := l.next(); txn != nil; txn = l.next() {
+		for txn := l.nextTxn(); txn != nil; txn = l.nextTxn() {
 			if len(txn.Writes) > 4 {
 				t.Fatalf("%d changes in one transaction", len(txn.Writes))
 			}
@@ -354,17 +354,17 @@
 					t.Fatalf("%s has %d bytes", w.Put, len(w.Value))
 				}
 			}
-			l.committed(outcome{epoch: uint64(1000 + n)})
+			l.committed(commitResult{epoch: uint64(1000 + n)})
 		}
 		return n
 	}
 	check()
 	l.checkpoint()
-	if n := check(); n < 3 || l.committer.log.Checkpointing() {
+	if n := check(); n < 3 || l.commits.log.Checkpointing() {
 		t.Errorf("not all that is done was written: %d parts", n)
 	}
 	for i := range spec.Tasks {
-		j.did.set(i)
+		j.doneTasks.set(i)
 	}
 	j.recount()
 	l.checkComplete(j)
@@ -387,35 +387,35 @@
 		j := addJob(t, l, spec, now)
 		if began > 0 {
 			j.started = now.Add(began)
-			l.fared(j, now.Add(began))
+			l.countGangWait(j, now.Add(began))
 		} else {
-			l.fared(j, now.Add(constants.LargestWithin+time.Second)) // it still waits
+			l.countGangWait(j, now.Add(constants.LargestWithin+time.Second)) // it still waits
 		}
 	}
 	add(8, 20*time.Second)
 	add(2, 0) // a small one that is late does not count
-	if len(l.lifted()) != 0 {
-		t.Fatalf("lifted although all is well: %v", l.lifted())
+	if len(l.boostedClasses()) != 0 {
+		t.Fatalf("lifted although all is well: %v", l.boostedClasses())
 	}
 	add(8, 0)
-	if len(l.lifted()) != 0 {
-		t.Fatalf("one that is late is enough to lift them: %+v", l.largest["x"])
+	if len(l.boostedClasses()) != 0 {
+		t.Fatalf("one that is late is enough to lift them: %+v", l.gangWaits["x"])
 	}
 	want := []placement.Lift{placement.LiftEqual, placement.LiftAll}
 	for i := 0; i < 10 && len(want) > 0; i++ {
 		add(8, 0)
-		if got := l.lifted()["x"]; got.Lift == want[0] && got.Size == 8 {
+		if got := l.boostedClasses()["x"]; got.Lift == want[0] && got.Size == 8 {
 			want = want[1:]
 		}
 	}
 	if len(want) != 0 {
-		t.Fatalf("late ones are not lifted: %+v", l.largest["x"])
+		t.Fatalf("late ones are not lifted: %+v", l.gangWaits["x"])
 	}
 	for range 12 {
 		add(8, 30*time.Second)
 	}
-	if len(l.lifted()) != 0 {
-		t.Errorf("lifted for ever: %+v", l.largest["x"])
+	if len(l.boostedClasses()) != 0 {
+		t.Errorf("lifted for ever: %+v", l.gangWaits["x"])
 	}
 }
 
@@ -429,9 +429,9 @@
 	j := addJob(t, l, spec, now)
 	r := addRig(l, "m-1", "east", now)
 	a := &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: "j-1"}, Number: 9}, Epoch: 1, FromEarlierTerm: true, Sent: true, Committed: true}
-	r.m.Attempts[a.ID] = a
-	l.occupy(r, a)
-	l.dissolve(j, now)
+	r.agent.Attempts[a.ID] = a
+	l.addAttempt(r, a)
+	l.stopIncompleteGang(j, now)
 	if !a.StopRequested {
 		t.Errorf("it waits on")
 	}
@@ -451,38 +451,38 @@
 		spec := sweep("j-1", 2)
 		spec.Kind, spec.SameZone, spec.GPUs = userapi.KindGang, true, 4
 		j := addJob(t, l, spec, now)
-		l.pass(now)
+		l.runSchedulingPass(now)
 		epoch := settle(l, 100)
-		seats := sortedSeats(j)
+		seats := sortedAttempts(j)
 		if len(seats) != 2 {
 			t.Fatalf("%d of 2 placed", len(seats))
 		}
-		try := j.gangTry
+		try := j.gangAttempt
 		for _, s := range seats {
-			s.machine.m.Commands(true, now)
-			l.observe(s.machine, report(l, s.machine, status, ""), false, now)
+			s.machine.agent.Commands(true, now)
+			l.applyHeartbeat(s.machine, report(l, s.machine, status, ""), false, now)
 		}
 		lost := seats[1].machine
-		l.events(lost, lost.m.Terminated(), now)
+		l.applyEvents(lost, lost.agent.Terminated(), now)
 		lost.leaving = true
-		l.pass(now)
+		l.runSchedulingPass(now)
 		settle(l, epoch)
 		if status == workers.StatusRunning {
-			if !seats[0].a.StopRequested || len(j.seats) != 1 {
-				t.Errorf("the rest of a running gang goes on: %v", j.seats)
+			if !seats[0].attempt.StopRequested || len(j.attempts) != 1 {
+				t.Errorf("the rest of a running gang goes on: %v", j.attempts)
 			}
 			continue
 		}
-		again := sortedSeats(j)
-		if len(again) != 2 || seats[0].a.StopRequested || j.short {
+		again := sortedAttempts(j)
+		if len(again) != 2 || seats[0].attempt.StopRequested || j.replacingTask {
 			t.Fatalf("not completed: %+v", again)
 		}
 		fresh := again[1]
-		if fresh.a.ID.Number != try || fresh.machine == lost || fresh.machine.m.Zone != seats[0].machine.m.Zone || !fresh.a.StartAllowed {
-			t.Errorf("replaced by %+v on %s", fresh.a, fresh.machine.m.Name)
+		if fresh.attempt.ID.Number != try || fresh.machine == lost || fresh.machine.agent.Zone != seats[0].machine.agent.Zone || !fresh.attempt.StartAllowed {
+			t.Errorf("replaced by %+v on %s", fresh.attempt, fresh.machine.agent.Name)
 		}
-		l.observe(seats[0].machine, report(l, seats[0].machine, workers.StatusExited, "mates_gone"), false, now)
-		if len(j.seats) != 0 && !sortedSeats(j)[0].a.StopRequested {
+		l.applyHeartbeat(seats[0].machine, report(l, seats[0].machine, workers.StatusExited, "mates_gone"), false, now)
+		if len(j.attempts) != 0 && !sortedAttempts(j)[0].attempt.StopRequested {
 			t.Errorf("the replacement outlives its gang")
 		}
 	}
@@ -494,39 +494,39 @@
 func TestLateCopyIsNoContact(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	l.sure = now
+	l.certainUntil = now
 	r := addRig(l, "m-1", "east", now)
-	answered := r.m.LastAcknowledged
+	answered := r.agent.LastAcknowledged
 	copyOf := report(l, r, "", "")
 	copyOf.Sequence = 1
 	ch := make(chan Reply, 1)
-	l.hello(copyOf, now.Add(time.Second), ch)
+	l.heartbeat(copyOf, now.Add(time.Second), ch)
 	select {
 	case a := <-ch:
-		if a.Status != 503 || !r.m.LastAcknowledged.Equal(answered) || r.waiter != nil {
-			t.Errorf("a copy got %d, answered %v", a.Status, r.m.LastAcknowledged)
+		if a.Status != 503 || !r.agent.LastAcknowledged.Equal(answered) || r.pending != nil {
+			t.Errorf("a copy got %d, answered %v", a.Status, r.agent.LastAcknowledged)
 		}
 	default:
 		t.Errorf("a copy is kept waiting")
 	}
-	l.market.returned["m-9"] = now
-	l.hello(&workers.Heartbeat{Machine: "m-9", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: 1, Token: 3}, now, ch)
+	l.scaling.terminated["m-9"] = now
+	l.heartbeat(&workers.Heartbeat{Machine: "m-9", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: 1, Token: 3}, now, ch)
 	if a := <-ch; a.Status != 503 || l.machines["m-9"] != nil {
 		t.Errorf("a returned machine is back: %d", a.Status)
 	}
 	delete(l.machines, "m-1")
-	l.ordered = nil
+	l.sortedCache = nil
 	j := addJob(t, l, sweep("j-1", 1), now)
 	stale := &workers.Heartbeat{Machine: "m-2", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: 400, Token: l.grant.Term - 1}
-	l.hello(stale, now, ch)
-	l.pass(now)
-	if len(j.seats) != 0 {
+	l.heartbeat(stale, now, ch)
+	l.runSchedulingPass(now)
+	if len(j.attempts) != 0 {
 		t.Fatalf("work was put on a machine that may be no more")
 	}
 	stale.Sequence, stale.Token = 401, l.grant.Term
-	l.hello(stale, now, ch)
-	l.pass(now)
-	if len(j.seats) != 1 {
+	l.heartbeat(stale, now, ch)
+	l.runSchedulingPass(now)
+	if len(j.attempts) != 1 {
 		t.Errorf("a machine under our token gets no work")
 	}
 }
@@ -536,23 +536,23 @@
 func TestDeafMachineGetsNothing(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	l.sure = now
+	l.certainUntil = now
 	r := addRig(l, "m-1", "east", now)
-	last := r.m.LastAcknowledged
-	r.m.RepliesLost = true
+	last := r.agent.LastAcknowledged
+	r.agent.RepliesLost = true
 	l.markStale(r)
 	ch := make(chan Reply, 1)
-	l.hello(report(l, r, "", ""), now.Add(time.Second), ch)
-	l.flush(now.Add(3 * time.Second))
-	if a := <-ch; a.Status != 503 || !r.m.LastAcknowledged.Equal(last) {
-		t.Errorf("it got %d, its lease counts from %v", a.Status, r.m.LastAcknowledged.Sub(last))
+	l.heartbeat(report(l, r, "", ""), now.Add(time.Second), ch)
+	l.flushReplies(now.Add(3 * time.Second))
+	if a := <-ch; a.Status != 503 || !r.agent.LastAcknowledged.Equal(last) {
+		t.Errorf("it got %d, its lease counts from %v", a.Status, r.agent.LastAcknowledged.Sub(last))
 	}
 	j := addJob(t, l, sweep("j-1", 1), now)
-	l.pass(now)
-	if len(j.seats) != 0 {
+	l.runSchedulingPass(now)
+	if len(j.attempts) != 0 {
 		t.Errorf("it got work")
 	}
-	if ev := r.m.ExpireLease(l.grant.Term, l.lease, last.Add(l.lease+2*time.Second)); r.m.ExpiredEpoch != 1 {
+	if ev := r.agent.ExpireLease(l.grant.Term, l.lease, last.Add(l.lease+2*time.Second)); r.agent.ExpiredEpoch != 1 {
 		t.Errorf("its session never ends: %v", ev)
 	}
 }
@@ -563,7 +563,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.Now()
 		l := testLeader(t)
-		l.sure = now
+		l.certainUntil = now
 		l.teams = append(l.teams, config.Team{Name: "b", GPUs: 4, GPUsMax: 12})
 		epoch, jobs, machines := uint64(100), 0, 0
 		pick := func() *machine {
@@ -592,7 +592,7 @@
 				}
 				addJob(t, l, spec, now)
 			},
-			"pass":   func(*rapid.T) { l.pass(now) },
+			"pass":   func(*rapid.T) { l.runSchedulingPass(now) },
 			"commit": func(*rapid.T) { epoch = settle(l, epoch) },
 			"report": func(*rapid.T) {
 				r := pick()
@@ -605,37 +605,37 @@
 				if rapid.IntRange(0, 4).Draw(rt, "some") == 0 {
 					rep.Tasks = rep.Tasks[:len(rep.Tasks)/2]
 				}
-				r.m.Commands(true, now)
-				l.observe(r, rep, false, now)
+				r.agent.Commands(true, now)
+				l.applyHeartbeat(r, rep, false, now)
 			},
 			"cancel": func(*rapid.T) {
 				if jobs > 0 {
-					l.jobGone(fmt.Sprint("j-", rapid.IntRange(1, jobs).Draw(rt, "job")), now)
+					l.jobRecordDeleted(fmt.Sprint("j-", rapid.IntRange(1, jobs).Draw(rt, "job")), now)
 				}
 			},
 			"session": func(*rapid.T) {
 				r := pick()
 				rep := report(l, r, workers.StatusRunning, "")
 				rep.Epoch, rep.Tasks = rep.Epoch+1, nil
-				l.observe(r, rep, false, now)
+				l.applyHeartbeat(r, rep, false, now)
 			},
 			"returned": func(*rapid.T) {
 				r := pick()
-				l.events(r, r.m.Terminated(), now)
-				l.forget(r)
-				l.committer.log.Gone(r.m.Name)
+				l.applyEvents(r, r.agent.Terminated(), now)
+				l.removeMachine(r)
+				l.commits.log.Gone(r.agent.Name)
 			},
 			"time": func(*rapid.T) { now = now.Add(time.Duration(rapid.IntRange(1, 20).Draw(rt, "s")) * time.Second) },
 			"": func(*rapid.T) {
-				w, _ := l.world(now)
+				w, _ := l.snapshotForPlacement(now)
 				want := map[string]float64{}
 				for _, r := range l.machines {
-					for _, a := range r.m.Attempts {
+					for _, a := range r.agent.Attempts {
 						if a.Live() {
-							want[l.ownerOf(a)] += l.needOf(a).GPUs
+							want[l.teamOf(a)] += l.resourcesOf(a).GPUs
 						}
 					}
-					for _, h := range l.book.On(r.m.Name) {
+					for _, h := range l.reservations.On(r.agent.Name) {
 						want[h.Pipeline.Owner] += h.Room.GPUs
 					}
 				}
@@ -658,28 +658,28 @@
 	machines := []statestore.KeyValue{{Key: "rig/m-1", Revision: 5, Value: json.RawMessage(
 		`{"t":"g4","z":"east","e":"h:1","h":2,"a":[{"p":"j-1/3","t":9,"h":2},{"p":"j-0/0","t":8,"h":2}],"j":{"j-0":{"w":"a","r":[1,2,3]},"j-1":{"w":"a","r":[1,1,1]}},"i":[{"n":"img","g":5}]}`)}}
 	dids := []statestore.KeyValue{{Key: "did/j-1/0", Revision: 6, Value: json.RawMessage(`"BQAA"`)}, {Key: "did/j-1/x", Revision: 7, Value: json.RawMessage(`7`)}}
-	if err := l.restoreOld(machines, dids, now); err != nil {
+	if err := l.restoreLegacy(machines, dids, now); err != nil {
 		t.Fatal(err)
 	}
 	r := l.machines["m-1"]
-	if len(j.seats[3]) != 1 || j.doneN != 2 || !j.safe.has(2) || r.m.Zone != "east" || len(r.images) != 1 || l.endedJobs["j-0"].need.GPUs != 2 {
-		t.Errorf("not all was read: seats %v, %d done, %+v", j.seats, j.doneN, r.m)
+	if len(j.attempts[3]) != 1 || j.doneCount != 2 || !j.recordedDone.has(2) || r.agent.Zone != "east" || len(r.images) != 1 || l.endedJobs["j-0"].need.GPUs != 2 {
+		t.Errorf("not all was read: seats %v, %d done, %+v", j.attempts, j.doneCount, r.agent)
 	}
-	r.m.Endpoint = ""
+	r.agent.Endpoint = ""
 	l.checkpoint()
 	settleAll(l, 100)
-	if len(l.committer.remains) != 0 || l.legacy != nil {
-		t.Errorf("they are not removed: %v", l.committer.remains)
+	if len(l.commits.legacyKeys) != 0 || l.legacyKeys != nil {
+		t.Errorf("they are not removed: %v", l.commits.legacyKeys)
 	}
-	if err := l.restoreOld([]statestore.KeyValue{{Key: "rig/m-2", Value: json.RawMessage(`"x"`)}}, nil, now); err == nil {
+	if err := l.restoreLegacy([]statestore.KeyValue{{Key: "rig/m-2", Value: json.RawMessage(`"x"`)}}, nil, now); err == nil {
 		t.Errorf("a machine's record that can't be read may hide a task, and is passed over")
 	}
 }
 
 // settleAll also writes what can wait: checkpoints and removals.
 func settleAll(l *Leader, epoch uint64) {
-	for l.next() != nil {
+	for l.nextTxn() != nil {
 		epoch++
-		l.committed(outcome{epoch: epoch})
+		l.committed(commitResult{epoch: epoch})
 	}
 }
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -11,66 +11,66 @@
 
 // machine is one machine: the worker's session and what the leader keeps of it.
 type machine struct {
-	m     *workers.Agent
-	since time.Time
+	agent   *workers.Agent
+	addedAt time.Time
 
 	// metaNoted is set once its type, place and so on are in the log.
-	metaNoted bool
-	noted     wal.Machine // as it was noted last
+	metadataLogged bool
+	loggedMetadata wal.Machine // as it was noted last
 
 	// view is the machine as placement sees it, made at viewAt; stale is set
 	// when it must be made anew. counted is what it adds to the teams' use.
-	view    *placement.Machine
-	viewAt  time.Time
-	stale   bool
-	counted []ownerUse
+	view         *placement.Machine
+	viewAt       time.Time
+	stale        bool
+	countedUsage []teamUse
 
 	images []image // least recently used first
 	// bad is set once it is taken for faulty. accusers are the jobs that failed
 	// on it of which it is not known yet whether they fail elsewhere too;
 	// pausedUntil is until when it gets no tasks for that.
-	bad         bool
-	accusers    map[string]bool
+	faulty      bool
+	failedJobs  map[string]bool
 	pausedUntil time.Time
-	waiter      *waiter
+	pending     *pendingReply
 	leaving     bool // being returned; it gets no more tasks
 	// leavingSafe is set once the record says so, or none exists.
-	leavingSafe bool
-	idleSince   time.Time
+	leavingRecorded bool
+	idleSince       time.Time
 	// calling is set while a direct order is under way; called is when the
 	// last one was sent.
-	calling bool
-	called  time.Time
+	commandInFlight bool
+	lastCommandAt   time.Time
 	// slowUntil is until when it gets no tasks for slowness; slowMarks are the
 	// recent signs of it, slowTimes how often it was found slow.
-	slowUntil time.Time
-	slowMarks []time.Time
-	slowTimes int
+	slowUntil   time.Time
+	slowSignals []time.Time
+	slowCount   int
 	// suspect is set while a start it was sent is missing from its reports.
-	suspect bool
+	startOverdue bool
 	// blind is set while a report is taken in that came after a long silence.
-	blind bool
+	heartbeatGap bool
 }
 
 // machine finds a machine, or makes a new one.
 func (l *Leader) machine(name string, now time.Time) *machine {
 	r := l.machines[name]
 	if r == nil {
-		r = &machine{m: workers.NewAgent(name), since: now, idleSince: now}
+		r = &machine{agent: workers.NewAgent(name), addedAt: now, idleSince: now}
 		l.machines[name] = r
-		l.ordered = nil
+		l.sortedCache = nil
 		l.markStale(r)
 	}
 	return r
 }
 
 // forget drops a machine that is no more.
-func (l *Leader) forget(r *machine) {
-	delete(l.machines, r.m.Name)
-	delete(l.hints.due, r)
-	delete(l.waiters, r)
-	l.ordered = nil
-	l.count(r, nil)
+func (l *Leader) removeMachine(r *machine) {
+	delete(l.machines, r.agent.Name)
+	delete(l.metadata.due, r)
+	delete(l.pendingReplies, r)
+	l.sortedCache = nil
+	l.setTeamUsage(r, nil)
 }
 
 // markStale has the machine's view made anew for the next pass. Whatever changes
@@ -79,33 +79,33 @@
 
 // pool is where the machine was rented from.
 func (r *machine) pool() provisioning.Pool {
-	return provisioning.Pool{Type: r.m.Type, Zone: r.m.Zone, Spot: r.m.Spot}
+	return provisioning.Pool{Type: r.agent.Type, Zone: r.agent.Zone, Spot: r.agent.Spot}
 }
 
 // open tells whether new tasks may be put on the machine.
-func (r *machine) open(now time.Time) bool {
-	return r.m.Registered && !r.leaving && !r.bad && !now.Before(r.pausedUntil) && r.m.ReclaimAt.IsZero() && r.m.Epoch > r.m.ExpiredEpoch && !r.slow(now) &&
-		!r.m.RepliesLost && !r.m.EpochUnconfirmed && !r.suspect
+func (r *machine) schedulable(now time.Time) bool {
+	return r.agent.Registered && !r.leaving && !r.faulty && !now.Before(r.pausedUntil) && r.agent.ReclaimAt.IsZero() && r.agent.Epoch > r.agent.ExpiredEpoch && !r.slow(now) &&
+		!r.agent.RepliesLost && !r.agent.EpochUnconfirmed && !r.startOverdue
 }
 
 // room is what is free on the machine beside its tasks and holds.
-func (l *Leader) room(r *machine) placement.Room {
-	t, ok := l.d.Catalog().Type(r.m.Type)
+func (l *Leader) freeResources(r *machine) placement.Room {
+	t, ok := l.deps.Catalog().Type(r.agent.Type)
 	if !ok {
 		return placement.Room{}
 	}
-	f := placement.Room{VCPUs: t.VCPUs, GPUs: t.Accelerators, RAM: t.RAMGB}.Sub(l.used(r))
-	for _, h := range l.book.On(r.m.Name) {
+	f := placement.Room{VCPUs: t.VCPUs, GPUs: t.Accelerators, RAM: t.RAMGB}.Sub(l.usedResources(r))
+	for _, h := range l.reservations.On(r.agent.Name) {
 		f = f.Sub(h.Room)
 	}
 	return f
 }
 
 // used is what the machine's attempts take.
-func (l *Leader) used(r *machine) (sum placement.Room) {
-	for _, a := range r.m.Attempts {
+func (l *Leader) usedResources(r *machine) (sum placement.Room) {
+	for _, a := range r.agent.Attempts {
 		if a.Live() {
-			sum = sum.Add(l.needOf(a))
+			sum = sum.Add(l.resourcesOf(a))
 		}
 	}
 	return sum
@@ -113,7 +113,7 @@
 
 // needOf is what an attempt takes. One whose job is gone is remembered by
 // size, as it still occupies its machine.
-func (l *Leader) needOf(a *workers.Attempt) placement.Room {
+func (l *Leader) resourcesOf(a *workers.Attempt) placement.Room {
 	if j := l.jobs[a.ID.Task.Job]; j != nil {
 		return placement.Need(j.spec)
 	}
@@ -124,12 +124,12 @@
 }
 
 // ownerOf is the team that an attempt counts for.
-func (l *Leader) ownerOf(a *workers.Attempt) string {
+func (l *Leader) teamOf(a *workers.Attempt) string {
 	if j := l.jobs[a.ID.Task.Job]; j != nil {
 		return j.spec.Team
 	}
 	if g := l.endedJobs[a.ID.Task.Job]; g != nil {
-		return g.owner
+		return g.team
 	}
 	return ""
 }
@@ -137,12 +137,12 @@
 // endedJob is what is remembered of a job that is over while attempts of it may
 // still be on machines.
 type endedJob struct {
-	owner string
-	need  placement.Room
-	seats int // attempts not proven gone
+	team     string
+	need     placement.Room
+	attempts int // attempts not proven gone
 }
 
 // shape is the machine as the job rules see it.
-func (l *Leader) shape(r *machine) *placement.Machine {
-	return &placement.Machine{Name: r.m.Name, Type: r.m.Type, Zone: r.m.Zone, Spot: r.m.Spot}
+func (l *Leader) placementMachine(r *machine) *placement.Machine {
+	return &placement.Machine{Name: r.agent.Name, Type: r.agent.Type, Zone: r.agent.Zone, Spot: r.agent.Spot}
 }
--- a/internal/leader/pace.go
+++ b/internal/leader/pace.go
@@ -17,7 +17,7 @@
 // elsewhere, and the machine gets no new ones for a while.
 
 // pace is what a job's finished tasks tell of its run time.
-type pace struct {
+type runtimeStats struct {
 	runs []time.Duration
 	// middle is the middle of runs, as it was reckoned last; zero when that
 	// must be done anew.
@@ -25,7 +25,7 @@
 }
 
 // add takes in a finished task's run time.
-func (p *pace) add(ran time.Duration) {
+func (p *runtimeStats) add(ran time.Duration) {
 	if len(p.runs) >= constants.PaceRuns {
 		p.runs = p.runs[1:]
 	}
@@ -35,7 +35,7 @@
 
 // typical is the middle run time, once enough of the job's tasks are done: the
 // first finishers are its shortest tasks.
-func (p *pace) typical(pieces int) (time.Duration, bool) {
+func (p *runtimeStats) typical(pieces int) (time.Duration, bool) {
 	if len(p.runs) < constants.PaceLeast || 2*len(p.runs) < min(pieces, constants.PaceRuns) {
 		return 0, false
 	}
@@ -49,7 +49,7 @@
 
 // suspicion is how strongly a task's run time so far speaks against its
 // machine: 0 for nothing out of the ordinary, 2 for a clear case.
-func (p *pace) suspicion(ran time.Duration, pieces int) int {
+func (p *runtimeStats) slowness(ran time.Duration, pieces int) int {
 	typical, ok := p.typical(pieces)
 	if !ok || typical <= 0 {
 		return 0
@@ -67,37 +67,37 @@
 func (r *machine) slow(now time.Time) bool { return now.Before(r.slowUntil) }
 
 // checkPace looks for slow machines and takes their tasks elsewhere.
-func (l *Leader) checkPace(now time.Time) {
+func (l *Leader) detectStragglers(now time.Time) {
 	for _, r := range l.sortedMachines() {
 		// Of a machine that can't be heard nothing is known: its tasks may be
 		// over, and a cut must not make all machines behind it slow.
-		if r.slow(now) || r.leaving || l.silent(r, now) > l.quiet() {
+		if r.slow(now) || r.leaving || l.silentFor(r, now) > l.silenceTolerance() {
 			continue
 		}
-		marks := r.slowMarks[:0]
-		for _, at := range r.slowMarks {
+		marks := r.slowSignals[:0]
+		for _, at := range r.slowSignals {
 			if now.Sub(at) < constants.SlowMemory {
 				marks = append(marks, at)
 			}
 		}
-		r.slowMarks = marks
+		r.slowSignals = marks
 		sum := len(marks)
-		for _, a := range r.m.Attempts {
+		for _, a := range r.agent.Attempts {
 			j := l.jobs[a.ID.Task.Job]
 			if j == nil || j.spec.Kind == userapi.KindGang || a.Status != workers.StatusRunning || a.RunningSince.IsZero() {
 				continue
 			}
-			sum += j.pace.suspicion(r.m.LastHeartbeat.Sub(a.RunningSince), j.spec.Tasks)
+			sum += j.runtimes.slowness(r.agent.LastHeartbeat.Sub(a.RunningSince), j.spec.Tasks)
 		}
 		if sum < constants.SlowProof {
 			continue
 		}
-		r.slowTimes++
-		pause := min(constants.SlowPause<<min(r.slowTimes-1, 4), constants.SlowPauseMax)
+		r.slowCount++
+		pause := min(constants.SlowPause<<min(r.slowCount-1, 4), constants.SlowPauseMax)
 		r.slowUntil = now.Add(pause)
-		r.slowMarks = nil
-		l.d.Log.Info("machine is slow", "rig", r.m.Name, "zone", r.m.Zone, "spared_s", pause.Seconds())
-		for _, a := range r.m.SortedAttempts() {
+		r.slowSignals = nil
+		l.deps.Log.Info("machine is slow", "rig", r.agent.Name, "zone", r.agent.Zone, "spared_s", pause.Seconds())
+		for _, a := range r.agent.SortedAttempts() {
 			j := l.jobs[a.ID.Task.Job]
 			if j == nil || j.spec.Kind == userapi.KindGang || a.StopRequested || !a.Live() {
 				continue
@@ -106,23 +106,23 @@
 			if a.Status == workers.StatusRunning && j.spec.CheckpointIntervalS <= 0 {
 				continue
 			}
-			l.halt(r, a, j.spec.SaveS+constants.StopGrace.Seconds(), now)
+			l.stopAttempt(r, a, j.spec.SaveS+constants.StopGrace.Seconds(), now)
 		}
 		l.sendStops(r, now)
-		l.dirty = true
+		l.passDueNow = true
 	}
 }
 
 // notePace takes in a finished task.
-func (l *Leader) notePace(r *machine, j *job, a *workers.Attempt, now time.Time) {
+func (l *Leader) noteStragglerSignal(r *machine, j *jobState, a *workers.Attempt, now time.Time) {
 	// When a task ended on a machine that was not heard meanwhile is not known.
-	if r.blind || a.RunningSince.IsZero() || j.spec.Kind == userapi.KindGang || j.inherited || j.again[a.ID.Task.Index] {
+	if r.heartbeatGap || a.RunningSince.IsZero() || j.spec.Kind == userapi.KindGang || j.fromEarlierTerm || j.restartedTasks[a.ID.Task.Index] {
 		return
 	}
 	ran := now.Sub(a.RunningSince)
-	for range j.pace.suspicion(ran, j.spec.Tasks) {
-		r.slowMarks = append(r.slowMarks, now)
+	for range j.runtimes.slowness(ran, j.spec.Tasks) {
+		r.slowSignals = append(r.slowSignals, now)
 	}
-	j.pace.add(ran)
-	l.keeps(j, ran)
+	j.runtimes.add(ran)
+	l.noteRuntime(j, ran)
 }
--- a/internal/leader/provisioning.go
+++ b/internal/leader/provisioning.go
@@ -14,30 +14,30 @@
 )
 
 // provisioningState is what the leader knows of renting.
-type provisioningState struct {
-	busy  bool
-	hires uint64
+type scalingState struct {
+	callInFlight bool
+	requestCount uint64
 	// listed is when the last page of the cloud's list came in; listFrom is where
 	// the next page begins while a list is being read, and pagedLast is set if the
 	// last call was for a page.
-	listed    time.Time
-	listFrom  string
-	pagedLast bool
+	listedAt   time.Time
+	listFrom   string
+	listedLast bool
 	// booting are machines rented that have not reported yet.
 	booting map[string]booting
 	refused map[provisioning.Pool]time.Time
 	// unreachableUntil is until when a zone counts as cut off.
 	unreachableUntil map[string]time.Time
-	waiting          []*placement.Job
+	unplacedJobs     []*placement.Job
 	// returned are machines given back, which lists may still show.
-	returned map[string]time.Time
-	memory   *provisioning.Memory
-	recent   []arrival
+	terminated     map[string]time.Time
+	memory         *provisioning.Memory
+	recentArrivals []arrival
 	// backoff is the pause after a call that the cloud did not carry out, zero
 	// while it answers; retryAt is when the next call may go out.
-	backoff time.Duration
-	retryAt time.Time
-	weighed time.Time
+	backoff          time.Duration
+	retryAt          time.Time
+	surplusCheckedAt time.Time
 }
 
 // arrival is a job that came a short while ago.
@@ -53,61 +53,61 @@
 	noted time.Time // when this term learnt of it
 }
 
-func (m *provisioningState) init() {
+func (m *scalingState) init() {
 	m.booting = make(map[string]booting)
 	m.refused = make(map[provisioning.Pool]time.Time)
 	m.unreachableUntil = make(map[string]time.Time)
-	m.returned = make(map[string]time.Time)
+	m.terminated = make(map[string]time.Time)
 	m.memory = provisioning.NewMemory(constants.KeepWindow)
 }
 
-func (m *provisioningState) unmet(jobs []*placement.Job, _ time.Time) { m.waiting = jobs }
+func (m *scalingState) unmet(jobs []*placement.Job, _ time.Time) { m.unplacedJobs = jobs }
 
 // arrived is called when a machine reports for the first time in this term.
-func (l *Leader) arrived(r *machine, now time.Time) {
-	if b, ok := l.market.booting[r.m.Name]; ok {
-		l.d.Log.Info("machine up", "rig", r.m.Name, "zone", r.m.Zone, "spot", r.m.Spot, "after_s", math.Round(now.Sub(b.since).Seconds()))
-		delete(l.market.booting, r.m.Name)
+func (l *Leader) machineRegistered(r *machine, now time.Time) {
+	if b, ok := l.scaling.booting[r.agent.Name]; ok {
+		l.deps.Log.Info("machine up", "rig", r.agent.Name, "zone", r.agent.Zone, "spot", r.agent.Spot, "after_s", math.Round(now.Sub(b.since).Seconds()))
+		delete(l.scaling.booting, r.agent.Name)
 	}
 	r.idleSince = now
 }
 
 // provision runs the dealings with the cloud: one call at a time.
-func (l *Leader) provision(now time.Time) {
-	m := &l.market
+func (l *Leader) scale(now time.Time) {
+	m := &l.scaling
 	for _, r := range l.machines {
-		if len(r.m.Attempts) > 0 {
+		if len(r.agent.Attempts) > 0 {
 			r.idleSince = now
 		}
 	}
-	for name, at := range m.returned {
+	for name, at := range m.terminated {
 		if now.Sub(at) > 10*time.Minute {
-			delete(m.returned, name)
+			delete(m.terminated, name)
 		}
 	}
-	for len(m.recent) > 0 && now.Sub(m.recent[0].at) > constants.RecentWindow {
-		m.recent = m.recent[1:]
+	for len(m.recentArrivals) > 0 && now.Sub(m.recentArrivals[0].at) > constants.RecentWindow {
+		m.recentArrivals = m.recentArrivals[1:]
 	}
 	l.retireMachines(now)
-	l.giveUpSurplus(now)
+	l.releaseSurplus(now)
 	if l.termUnverified {
 		l.verifyTerm()
 		return
 	}
-	if m.busy || now.Before(m.retryAt) {
+	if m.callInFlight || now.Before(m.retryAt) {
 		return
 	}
-	if names := l.returns(now); len(names) > 0 {
+	if names := l.machinesToReturn(now); len(names) > 0 {
 		l.returnMachines(names, now)
 		return
 	}
 	// The list of a large fleet has many pages: renting goes on between two.
-	due := m.listFrom != "" || now.Sub(m.listed) > l.listEvery()
-	if due && !m.pagedLast {
+	due := m.listFrom != "" || now.Sub(m.listedAt) > l.listEvery()
+	if due && !m.listedLast {
 		l.listPage()
 		return
 	}
-	if req, pool, ok := l.wanted(now); ok {
+	if req, pool, ok := l.nextRental(now); ok {
 		l.rent(req, pool, now)
 		return
 	}
@@ -117,18 +117,18 @@
 }
 
 func (l *Leader) listEvery() time.Duration {
-	return max(time.Duration(l.d.Settings.Params.Cloud.ListLagS*float64(time.Second)), constants.ListEveryLeast)
+	return max(time.Duration(l.deps.Settings.Params.Cloud.ListLagS*float64(time.Second)), constants.ListEveryLeast)
 }
 
 // silent is how long nothing has been heard of the machine in this term, while
 // the leader itself could hear.
-func (l *Leader) silent(r *machine, now time.Time) time.Duration {
-	last := r.since
-	if r.m.Registered {
-		last = r.m.LastHeartbeat
+func (l *Leader) silentFor(r *machine, now time.Time) time.Duration {
+	last := r.addedAt
+	if r.agent.Registered {
+		last = r.agent.LastHeartbeat
 	}
-	if l.wokeAt.After(last) {
-		last = l.wokeAt
+	if l.resumedAt.After(last) {
+		last = l.resumedAt
 	}
 	return now.Sub(last)
 }
@@ -144,20 +144,20 @@
 		if r.leaving {
 			continue
 		}
-		all[r.m.Zone]++
-		if l.silent(r, now) > l.lease {
-			silent[r.m.Zone]++
+		all[r.agent.Zone]++
+		if l.silentFor(r, now) > l.lease {
+			silent[r.agent.Zone]++
 		}
 	}
 	dark := make(map[string]bool)
 	for z, n := range silent {
 		if n >= constants.UnreachableLeast && 2*n > all[z] {
-			l.market.unreachableUntil[z] = now.Add(constants.UnreachableAfter)
+			l.scaling.unreachableUntil[z] = now.Add(constants.UnreachableAfter)
 		}
 	}
 	// When the cut heals, machines come back one after the other. Those that
 	// come last must not be given up because most are there already.
-	for z, until := range l.market.unreachableUntil {
+	for z, until := range l.scaling.unreachableUntil {
 		dark[z] = now.Before(until)
 	}
 	return dark
@@ -172,53 +172,53 @@
 		}
 		why := ""
 		patience := constants.SilentReturn
-		if dark[r.m.Zone] {
+		if dark[r.agent.Zone] {
 			patience = constants.UnreachableReturn
 		}
 		switch {
-		case l.silent(r, now) > l.lease+patience:
+		case l.silentFor(r, now) > l.lease+patience:
 			why = "silent"
-		case r.bad && len(r.m.Attempts) == 0:
+		case r.faulty && len(r.agent.Attempts) == 0:
 			why = "faulty"
 		}
 		if why != "" {
-			l.leave(r, why, now)
+			l.beginLeaving(r, why, now)
 		}
 	}
 }
 
 // leave starts the return of a machine: first its record says so, then the
 // cloud is told.
-func (l *Leader) leave(r *machine, why string, now time.Time) {
-	l.d.Log.Info("machine to be returned", "rig", r.m.Name, "why", why)
+func (l *Leader) beginLeaving(r *machine, why string, now time.Time) {
+	l.deps.Log.Info("machine to be returned", "rig", r.agent.Name, "why", why)
 	r.leaving = true
-	r.leavingSafe = false
-	l.book.Drop(r.m.Name)
-	l.noteMeta(r, func() { r.leavingSafe = r.leaving })
+	r.leavingRecorded = false
+	l.reservations.Drop(r.agent.Name)
+	l.logMetadata(r, func() { r.leavingRecorded = r.leaving })
 	l.markStale(r)
 	l.drain(r, now)
-	l.dirty = true
+	l.passDueNow = true
 }
 
 // returns names the machines to give back now.
-func (l *Leader) returns(now time.Time) (names []string) {
+func (l *Leader) machinesToReturn(now time.Time) (names []string) {
 	for _, r := range l.machines {
-		if !r.leaving || !r.leavingSafe {
+		if !r.leaving || !r.leavingRecorded {
 			continue
 		}
 		// Tasks that can still save get the time to.
-		silent := l.silent(r, now) > l.lease
-		if r.m.Registered && !silent && l.busy(r) {
+		silent := l.silentFor(r, now) > l.lease
+		if r.agent.Registered && !silent && l.inUse(r) {
 			continue
 		}
-		names = append(names, r.m.Name)
+		names = append(names, r.agent.Name)
 	}
-	for name, b := range l.market.booting {
-		typ, _ := l.d.Catalog().Type(b.pool.Type)
+	for name, b := range l.scaling.booting {
+		typ, _ := l.deps.Catalog().Type(b.pool.Type)
 		// A machine of an earlier term that has no record was idle: its worker
 		// needs a moment to turn to this node.
-		if limit := time.Duration(typ.ReadyS * constants.BootPatience * float64(time.Second)); now.Sub(b.since) > limit && now.Sub(b.noted) > l.lease && now.Sub(l.wokeAt) > l.lease && l.machines[name] == nil {
-			l.d.Log.Info("machine never came up", "rig", name)
+		if limit := time.Duration(typ.ReadyS * constants.BootPatience * float64(time.Second)); now.Sub(b.since) > limit && now.Sub(b.noted) > l.lease && now.Sub(l.resumedAt) > l.lease && l.machines[name] == nil {
+			l.deps.Log.Info("machine never came up", "rig", name)
 			names = append(names, name)
 		}
 	}
@@ -226,8 +226,8 @@
 	return names[:min(len(names), constants.ReturnBatch)]
 }
 
-func (l *Leader) busy(r *machine) bool {
-	for _, a := range r.m.Attempts {
+func (l *Leader) inUse(r *machine) bool {
+	for _, a := range r.agent.Attempts {
 		if a.Live() {
 			return true
 		}
@@ -236,32 +236,32 @@
 }
 
 func (l *Leader) returnMachines(names []string, now time.Time) {
-	m := &l.market
-	m.busy = true
-	l.tasks.Go(func() error {
-		err := l.d.Cloud.Return(l.ctx, names)
-		l.do(l.ctx, func() {
+	m := &l.scaling
+	m.callInFlight = true
+	l.background.Go(func() error {
+		err := l.deps.Cloud.Return(l.ctx, names)
+		l.post(l.ctx, func() {
 			now := time.Now()
-			m.busy = false
+			m.callInFlight = false
 			if l.cloudFailed("return", err, now) {
 				return
 			}
 			for _, name := range names {
 				delete(m.booting, name)
-				m.returned[name] = now
+				m.terminated[name] = now
 				r := l.machines[name]
 				if r == nil {
 					continue
 				}
 				// The cloud's word is the strongest proof: all is gone.
-				l.events(r, r.m.Terminated(), now)
-				if r.waiter != nil {
-					r.waiter.reply <- Reply{Status: 503}
+				l.applyEvents(r, r.agent.Terminated(), now)
+				if r.pending != nil {
+					r.pending.reply <- Reply{Status: 503}
 				}
-				l.forget(r)
-				l.committer.log.Gone(name)
+				l.removeMachine(r)
+				l.commits.log.Gone(name)
 			}
-			l.dirty = true
+			l.passDueNow = true
 		})
 		return nil
 	})
@@ -269,21 +269,21 @@
 
 // listPage reads the next page of the cloud's list.
 func (l *Leader) listPage() {
-	m := &l.market
-	m.busy, m.pagedLast = true, true
+	m := &l.scaling
+	m.callInFlight, m.listedLast = true, true
 	from := m.listFrom
-	l.tasks.Go(func() error {
-		hosts, next, err := l.d.Cloud.List(l.ctx, from)
-		l.do(l.ctx, func() {
+	l.background.Go(func() error {
+		hosts, next, err := l.deps.Cloud.List(l.ctx, from)
+		l.post(l.ctx, func() {
 			now := time.Now()
-			m.busy = false
+			m.callInFlight = false
 			if l.cloudFailed("list", err, now) {
 				return
 			}
 			if m.listFrom = next; next == "" {
-				m.listed = now
+				m.listedAt = now
 			}
-			l.listed(hosts, now)
+			l.machinesListed(hosts, now)
 		})
 		return nil
 	})
@@ -293,16 +293,16 @@
 // answer, calls go out ever more seldom, and the log tells only when that
 // begins and ends.
 func (l *Leader) cloudFailed(call string, err error, now time.Time) bool {
-	m := &l.market
+	m := &l.scaling
 	if err == nil {
 		if m.backoff > 0 {
-			l.d.Log.Info("the cloud answers again")
+			l.deps.Log.Info("the cloud answers again")
 		}
 		m.backoff = 0
 		return false
 	}
 	if m.backoff == 0 {
-		l.d.Log.Info("the cloud does not answer", "call", call, "err", err)
+		l.deps.Log.Info("the cloud does not answer", "call", call, "err", err)
 	}
 	m.backoff = min(max(2*m.backoff, constants.CloudBackoffMin), constants.CloudBackoffMax)
 	m.retryAt = now.Add(jitter(m.backoff))
@@ -311,10 +311,10 @@
 
 // listed takes in the cloud's list. It lags and may go backwards: what is
 // absent from it proves nothing.
-func (l *Leader) listed(hosts []provisioning.Host, now time.Time) {
-	m := &l.market
+func (l *Leader) machinesListed(hosts []provisioning.Host, now time.Time) {
+	m := &l.scaling
 	for _, h := range hosts {
-		if _, gone := m.returned[h.NameID]; gone {
+		if _, gone := m.terminated[h.NameID]; gone {
 			continue
 		}
 		r := l.machines[h.NameID]
@@ -322,15 +322,15 @@
 		case h.Status == "failed":
 			if r == nil {
 				r = l.machine(h.NameID, now)
-				r.m.Type, r.m.Zone, r.m.Spot = h.MachineType, h.Hall, h.Loaners
+				r.agent.Type, r.agent.Zone, r.agent.Spot = h.MachineType, h.Hall, h.Loaners
 			}
 			delete(m.booting, h.NameID)
 			if !r.leaving {
-				l.leave(r, "failed", now)
+				l.beginLeaving(r, "failed", now)
 			}
 		case r != nil:
-			if r.m.Endpoint == "" {
-				r.m.Endpoint = h.Endpoint
+			if r.agent.Endpoint == "" {
+				r.agent.Endpoint = h.Endpoint
 			}
 		default:
 			if _, known := m.booting[h.NameID]; !known {
@@ -342,22 +342,22 @@
 }
 
 func (l *Leader) rent(req provisioning.Request, pool provisioning.Pool, now time.Time) {
-	m := &l.market
-	m.busy, m.pagedLast = true, false
-	m.hires++
-	req.Hire = fmt.Sprintf("r-%d-%d", l.grant.Term, m.hires)
-	l.tasks.Go(func() error {
-		names, err := l.d.Cloud.Rent(l.ctx, req)
-		l.do(l.ctx, func() {
+	m := &l.scaling
+	m.callInFlight, m.listedLast = true, false
+	m.requestCount++
+	req.Hire = fmt.Sprintf("r-%d-%d", l.grant.Term, m.requestCount)
+	l.background.Go(func() error {
+		names, err := l.deps.Cloud.Rent(l.ctx, req)
+		l.post(l.ctx, func() {
 			now := time.Now()
-			m.busy = false
+			m.callInFlight = false
 			switch {
 			case errors.Is(err, provisioning.ErrNoCapacity):
 				l.cloudFailed("rent", nil, now)
 				m.refused[pool] = now.Add(constants.RefusedPause)
 			case l.cloudFailed("rent", err, now):
 			default:
-				l.d.Log.Info("rented", "type", pool.Type, "zone", pool.Zone, "spot", pool.Spot, "asked", req.Count, "got", len(names))
+				l.deps.Log.Info("rented", "type", pool.Type, "zone", pool.Zone, "spot", pool.Spot, "asked", req.Count, "got", len(names))
 				for _, name := range names {
 					if l.machines[name] == nil {
 						m.booting[name] = booting{pool, now, now}
@@ -373,21 +373,21 @@
 }
 
 // wanted names the next machines to rent, if any.
-func (l *Leader) wanted(now time.Time) (provisioning.Request, provisioning.Pool, bool) {
-	if l.d.Catalog() == nil || !l.loaded {
+func (l *Leader) nextRental(now time.Time) (provisioning.Request, provisioning.Pool, bool) {
+	if l.deps.Catalog() == nil || !l.loaded {
 		return provisioning.Request{}, provisioning.Pool{}, false
 	}
-	req, ok := provisioning.Next(l.provisioningView(now), l.d.Operator.Renting.Spare)
+	req, ok := provisioning.Next(l.scalingView(now), l.deps.Operator.Renting.Spare)
 	return req, provisioning.Pool{Type: req.MachineType, Zone: req.Hall, Spot: req.Loaners}, ok
 }
 
 // provisioningView shows the present state to renting.
-func (l *Leader) provisioningView(now time.Time) provisioning.View {
-	v := provisioning.View{Catalog: l.d.Catalog(), Have: make(map[provisioning.Pool]int), Refused: make(map[provisioning.Pool]bool)}
+func (l *Leader) scalingView(now time.Time) provisioning.View {
+	v := provisioning.View{Catalog: l.deps.Catalog(), Have: make(map[provisioning.Pool]int), Refused: make(map[provisioning.Pool]bool)}
 	for _, r := range l.machines {
 		// A silent machine is not counted on: it is replaced before it is
 		// given up.
-		if !r.leaving && !r.bad && r.m.ReclaimAt.IsZero() && l.silent(r, now) <= l.lease {
+		if !r.leaving && !r.faulty && r.agent.ReclaimAt.IsZero() && l.silentFor(r, now) <= l.lease {
 			v.Have[r.pool()]++
 		}
 	}
@@ -399,23 +399,23 @@
 			}
 		}
 	}
-	for _, b := range l.market.booting {
+	for _, b := range l.scaling.booting {
 		v.Have[b.pool]++
 	}
-	for p, until := range l.market.refused {
+	for p, until := range l.scaling.refused {
 		if now.Before(until) {
 			v.Refused[p] = true
 		}
 	}
 	for _, j := range l.jobs {
-		left := j.spec.Tasks - j.doneN
-		if left <= 0 || j.waiting() {
+		left := j.spec.Tasks - j.doneCount
+		if left <= 0 || j.blockedByUpstream() {
 			continue
 		}
 		v.Demand = append(v.Demand, demandOf(j, left))
 	}
 	v.Window = constants.RecentWindow
-	for _, n := range l.market.recent {
+	for _, n := range l.scaling.recentArrivals {
 		v.Recent = append(v.Recent, n.demand)
 	}
 	for _, t := range l.teams {
@@ -425,7 +425,7 @@
 }
 
 // demandOf is what so many tasks of a job ask of the market.
-func demandOf(j *job, pieces int) provisioning.Demand {
+func demandOf(j *jobState, pieces int) provisioning.Demand {
 	return provisioning.Demand{Owner: j.spec.Team, Pieces: pieces, Need: placement.Need(j.spec),
 		Spot: j.spec.AllowSpot, Types: j.spec.MachineTypes, Zone: j.spec.Zone,
 		Together: j.spec.Kind == userapi.KindGang && j.spec.SameZone}
@@ -433,27 +433,27 @@
 
 // giveUpSurplus returns machines that have been idle for a while and that the
 // demand of the last while would not have needed.
-func (l *Leader) giveUpSurplus(now time.Time) {
-	m := &l.market
-	if l.d.Catalog() == nil || !l.loaded || now.Sub(m.weighed) < time.Second {
+func (l *Leader) releaseSurplus(now time.Time) {
+	m := &l.scaling
+	if l.deps.Catalog() == nil || !l.loaded || now.Sub(m.surplusCheckedAt) < time.Second {
 		return
 	}
-	m.weighed = now
-	l.checkPace(now)
-	l.judgeAll(now)
-	v := l.provisioningView(now)
+	m.surplusCheckedAt = now
+	l.detectStragglers(now)
+	l.attributeAllFailures(now)
+	v := l.scalingView(now)
 	want := make(map[string]provisioning.Want)
 	for _, t := range v.Catalog.MachineTypes {
-		want[t.SKU] = provisioning.Wants(v, t, l.d.Operator.Renting.Keep)
+		want[t.SKU] = provisioning.Wants(v, t, l.deps.Operator.Renting.Keep)
 	}
 	keep := m.memory.Note(now, want)
 	var idle []provisioning.Idle
 	for _, r := range l.machines {
-		if r.open(now) && len(r.m.Attempts) == 0 && len(l.book.On(r.m.Name)) == 0 && now.Sub(r.idleSince) > constants.IdleReturn {
-			idle = append(idle, provisioning.Idle{Name: r.m.Name, Pool: r.pool(), Images: len(r.images)})
+		if r.schedulable(now) && len(r.agent.Attempts) == 0 && len(l.reservations.On(r.agent.Name)) == 0 && now.Sub(r.idleSince) > constants.IdleReturn {
+			idle = append(idle, provisioning.Idle{Name: r.agent.Name, Pool: r.pool(), Images: len(r.images)})
 		}
 	}
 	for _, name := range provisioning.Surplus(v, keep, idle) {
-		l.leave(l.machines[name], "idle", now)
+		l.beginLeaving(l.machines[name], "idle", now)
 	}
 }
--- a/internal/leader/provisioning_test.go
+++ b/internal/leader/provisioning_test.go
@@ -55,18 +55,18 @@
 		l := testLeader(t)
 		offline(t, l)
 		cloud := &pagedCloud{machines: 4000}
-		l.d.Cloud = cloud
+		l.deps.Cloud = cloud
 		l.teams[0].GPUsMax = 100000
 		for i := range 400 {
 			addJob(t, l, sweep(fmt.Sprintf("j-%06d", i), 100), time.Now())
 		}
 		for step := range 40 {
 			cloud.failing = step == 5
-			l.provision(time.Now())
+			l.scale(time.Now())
 			run(l)
 			time.Sleep(time.Second)
-			clear(l.market.refused)
-			if !l.market.listed.IsZero() {
+			clear(l.scaling.refused)
+			if !l.scaling.listedAt.IsZero() {
 				break
 			}
 		}
@@ -83,10 +83,10 @@
 		if want := cloud.machines / constants.HostPage; pages != want {
 			t.Errorf("%d pages read, want %d: %v", pages, want, cloud.calls)
 		}
-		if !slices.Contains(cloud.calls, "rent") || l.market.listed.IsZero() {
-			t.Errorf("list over at %v, calls %v", l.market.listed, cloud.calls)
+		if !slices.Contains(cloud.calls, "rent") || l.scaling.listedAt.IsZero() {
+			t.Errorf("list over at %v, calls %v", l.scaling.listedAt, cloud.calls)
 		}
-		if n := len(l.market.booting); n != cloud.machines {
+		if n := len(l.scaling.booting); n != cloud.machines {
 			t.Errorf("%d machines known of %d", n, cloud.machines)
 		}
 	})
