--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -62,9 +62,9 @@
 }
 
 // meta is what is recorded of a machine beside its attempts.
-func (l *Leader) meta(r *machine) wal.Machine {
-	rec := wal.Machine{Type: r.m.Type, Zone: r.m.Zone, Spot: r.m.Spot, Endpoint: r.m.Endpoint, Shift: r.m.Epoch, Leaving: r.leaving}
-	for _, h := range l.book.On(r.m.Name) {
+func (l *Leader) machineMetadata(r *machine) wal.Machine {
+	rec := wal.Machine{Type: r.agent.Type, Zone: r.agent.Zone, Spot: r.agent.Spot, Endpoint: r.agent.Endpoint, Shift: r.agent.Epoch, Leaving: r.leaving}
+	for _, h := range l.reservations.On(r.agent.Name) {
 		rec.Holds = append(rec.Holds, recordHold(h))
 	}
 	for _, im := range r.images {
@@ -78,9 +78,9 @@
 }
 
 // record is all that is recorded of a machine.
-func (l *Leader) record(r *machine) wal.Machine {
-	rec := l.meta(r)
-	for _, a := range r.m.SortedAttempts() {
+func (l *Leader) machineRecord(r *machine) wal.Machine {
+	rec := l.machineMetadata(r)
+	for _, a := range r.agent.SortedAttempts() {
 		if !a.Live() {
 			continue
 		}
@@ -88,42 +88,42 @@
 		if rec.Jobs == nil {
 			rec.Jobs = make(map[string]wal.Job)
 		}
-		rec.Jobs[a.ID.Task.Job] = wal.Job{Owner: l.ownerOf(a), Room: recordRoom(l.needOf(a))}
+		rec.Jobs[a.ID.Task.Job] = wal.Job{Owner: l.teamOf(a), Room: recordRoom(l.resourcesOf(a))}
 	}
 	return rec
 }
 
 // restore takes in what was recorded of a machine.
-func (l *Leader) restore(name string, rec *wal.Machine, now time.Time) error {
+func (l *Leader) restoreMachine(name string, rec *wal.Machine, now time.Time) error {
 	r := l.machine(name, now)
-	r.metaNoted = true
+	r.metadataLogged = true
 	r.leaving = rec.Leaving
-	r.leavingSafe = rec.Leaving
-	r.m.Type, r.m.Zone, r.m.Spot, r.m.Endpoint, r.m.Epoch = rec.Type, rec.Zone, rec.Spot, rec.Endpoint, rec.Shift
+	r.leavingRecorded = rec.Leaving
+	r.agent.Type, r.agent.Zone, r.agent.Spot, r.agent.Endpoint, r.agent.Epoch = rec.Type, rec.Zone, rec.Spot, rec.Endpoint, rec.Shift
 	for _, ar := range rec.Attempts {
 		a, err := attemptOf(ar, now)
 		if err != nil {
 			return fmt.Errorf("record of %s: %w", name, err)
 		}
-		r.m.Attempts[a.ID] = a
+		r.agent.Attempts[a.ID] = a
 		id := a.ID.Task.Job
 		if l.jobs[id] == nil {
 			g := l.endedJobs[id]
 			if g == nil {
 				was := rec.Jobs[id]
-				g = &endedJob{owner: was.Owner, need: roomOf(was.Room)}
+				g = &endedJob{team: was.Owner, need: roomOf(was.Room)}
 				l.endedJobs[id] = g
 			}
-			g.seats++
-			r.m.RequestStop(a, 0, now)
+			g.attempts++
+			r.agent.RequestStop(a, 0, now)
 		}
-		l.occupy(r, a)
+		l.addAttempt(r, a)
 	}
 	for _, im := range rec.Images {
 		r.images = append(r.images, image{name: im.Name, gb: im.GB, have: true})
 	}
 	for _, h := range rec.Holds {
-		l.book.Restore(holdOf(h, name))
+		l.reservations.Restore(holdOf(h, name))
 	}
 	return nil
 }
@@ -138,12 +138,12 @@
 		switch {
 		case i == wal.AllTasks:
 			for k := range j.spec.Tasks {
-				j.did.set(k)
-				j.safe.set(k)
+				j.doneTasks.set(k)
+				j.recordedDone.set(k)
 			}
 		case i >= 0 && i < j.spec.Tasks:
-			j.did.set(i)
-			j.safe.set(i)
+			j.doneTasks.set(i)
+			j.recordedDone.set(i)
 		}
 	}
 	j.recount()
@@ -153,23 +153,23 @@
 // restoreOld reads the records of the earlier format. A machine's record that
 // can't be read may hide a task that still runs, so it ends the takeover; one
 // of completed tasks can't do harm: its tasks run again.
-func (l *Leader) restoreOld(machines, dids []statestore.KeyValue, now time.Time) error {
-	l.legacy = make(map[string]uint64)
+func (l *Leader) restoreLegacy(machines, dids []statestore.KeyValue, now time.Time) error {
+	l.legacyKeys = make(map[string]uint64)
 	for _, row := range machines {
 		var rec wal.Machine
 		if err := json.Unmarshal(row.Value, &rec); err != nil {
 			return fmt.Errorf("record %s: %w", row.Key, err)
 		}
-		if err := l.restore(strings.TrimPrefix(row.Key, oldMachinePrefix), &rec, now); err != nil {
+		if err := l.restoreMachine(strings.TrimPrefix(row.Key, oldMachinePrefix), &rec, now); err != nil {
 			return err
 		}
-		l.legacy[row.Key] = row.Revision
+		l.legacyKeys[row.Key] = row.Revision
 	}
 	for _, row := range dids {
-		l.legacy[row.Key] = row.Revision
-		job, list, err := oldDone(row)
+		l.legacyKeys[row.Key] = row.Revision
+		job, list, err := decodeLegacyDone(row)
 		if err != nil {
-			l.d.Log.Error("unreadable record", "key", row.Key, "err", err)
+			l.deps.Log.Error("unreadable record", "key", row.Key, "err", err)
 			continue
 		}
 		l.restoreDone(job, list)
@@ -177,7 +177,7 @@
 	return nil
 }
 
-func oldDone(row statestore.KeyValue) (job string, list []int, err error) {
+func decodeLegacyDone(row statestore.KeyValue) (job string, list []int, err error) {
 	job, number, ok := strings.Cut(strings.TrimPrefix(row.Key, oldDidPrefix), "/")
 	chunk, err := strconv.Atoi(number)
 	if !ok || err != nil || chunk < 0 {
--- a/internal/leader/scheduling.go
+++ b/internal/leader/scheduling.go
@@ -14,15 +14,15 @@
 )
 
 // pass runs placement over the present state and books what it decides.
-func (l *Leader) pass(now time.Time) {
-	l.dirty = false
+func (l *Leader) runSchedulingPass(now time.Time) {
+	l.passDueNow = false
 	l.lastPass = now
-	if !l.loaded || l.d.Catalog() == nil || l.committer.backoff > 0 || l.termUnverified {
+	if !l.loaded || l.deps.Catalog() == nil || l.commits.backoff > 0 || l.termUnverified {
 		// Without records no decision that needs one is made, and none on a
 		// world that may be half a minute old.
 		return
 	}
-	w, jobs := l.world(now)
+	w, jobs := l.snapshotForPlacement(now)
 	plan := placement.Decide(w)
 	for _, s := range plan.Starts {
 		l.machines[s.Machine.Name].stale = true
@@ -32,18 +32,18 @@
 		l.machines[e.Machine.Name].stale = true
 	}
 	for _, h := range plan.Released {
-		if r := l.machines[h.Machine.Name]; r != nil && l.book.Use(h.Machine.Name, func(p placement.Pipeline) bool { return p == h.Held.Pipeline }) {
-			l.d.Log.Debug("hold given up", "rig", h.Machine.Name, "class", h.Held.Pipeline.Workload)
-			l.hintsChanged(r, now)
+		if r := l.machines[h.Machine.Name]; r != nil && l.reservations.Use(h.Machine.Name, func(p placement.Pipeline) bool { return p == h.Held.Pipeline }) {
+			l.deps.Log.Debug("hold given up", "rig", h.Machine.Name, "class", h.Held.Pipeline.Workload)
+			l.metadataChanged(r, now)
 		}
 	}
 	for _, e := range plan.Evicts {
-		l.evict(e, now)
+		l.preempt(e, now)
 	}
-	l.place(plan, jobs, now)
+	l.startPlanned(plan, jobs, now)
 	for _, s := range plan.Starts {
-		if j := jobs[s.Job.Spec.ID]; j != nil && len(j.seats) == j.spec.Tasks {
-			j.short = false
+		if j := jobs[s.Job.Spec.ID]; j != nil && len(j.attempts) == j.spec.Tasks {
+			j.replacingTask = false
 		}
 	}
 	for _, v := range w.Jobs {
@@ -58,16 +58,16 @@
 		}
 		c.Job.Claims[c.Machine.Name] = true
 	}
-	l.market.unmet(plan.Unmet, now)
+	l.scaling.unmet(plan.Unmet, now)
 	l.summary(w, now)
-	l.passTook = time.Since(now)
+	l.lastPassDuration = time.Since(now)
 	l.counts.Passes++
-	l.counts.PassS += l.passTook.Seconds()
+	l.counts.PassS += l.lastPassDuration.Seconds()
 }
 
 // summary logs once in a while what the machines do and what waits.
 func (l *Leader) summary(w *placement.World, now time.Time) {
-	if now.Sub(l.lastSummary) < constants.SummaryEvery || !l.d.Log.Enabled(l.ctx, slog.LevelDebug) {
+	if now.Sub(l.lastSummary) < constants.SummaryEvery || !l.deps.Log.Enabled(l.ctx, slog.LevelDebug) {
 		return
 	}
 	l.lastSummary = now
@@ -106,8 +106,8 @@
 	for name, t := range w.Teams {
 		limits[name] = hundredth(t.Used.Share(t.Max))
 	}
-	l.d.Log.Debug("summary", "machines", total, "used", hundredth(used), "ending", hundredth(ending), "held", hundredth(held), "empty", empty,
-		"waiting", fmt.Sprint(waits), "lifted", lifted, "limits", fmt.Sprint(limits), "booting", len(l.market.booting), "rigs", len(l.machines))
+	l.deps.Log.Debug("summary", "machines", total, "used", hundredth(used), "ending", hundredth(ending), "held", hundredth(held), "empty", empty,
+		"waiting", fmt.Sprint(waits), "lifted", lifted, "limits", fmt.Sprint(limits), "booting", len(l.scaling.booting), "rigs", len(l.machines))
 }
 
 // hundredth rounds for the log.
@@ -116,10 +116,10 @@
 // spare is how many whole ordinary machines ought to be free for the gangs
 // that are to be expected: as many as came lately. Only gangs that can use no
 // others, may stop nobody, and are meant to start soon need any.
-func (l *Leader) spare(now time.Time) int {
-	cat := l.d.Catalog()
+func (l *Leader) reservedMachines(now time.Time) int {
+	cat := l.deps.Catalog()
 	sum := 0.0
-	for _, n := range l.market.recent {
+	for _, n := range l.scaling.recentArrivals {
 		if !n.whole || now.Sub(n.at) > constants.RecentWindow {
 			continue
 		}
@@ -139,7 +139,7 @@
 	if spec.Kind != userapi.KindGang || spec.AllowSpot || userapi.Priority(spec.PriorityClass) > userapi.Priority("standard") {
 		return false
 	}
-	for _, o := range l.d.Settings.Params.Objectives {
+	for _, o := range l.deps.Settings.Params.Objectives {
 		if o.Kind == config.AimWait && o.Class == spec.Class && config.Seconds(o.WithinS) <= constants.SpareAim {
 			return true
 		}
@@ -148,32 +148,32 @@
 }
 
 // ownerUse is what one attempt or hold adds to its team's use.
-type ownerUse struct {
-	owner string
-	room  placement.Room
+type teamUse struct {
+	team      string
+	resources placement.Room
 }
 
 // count replaces what a machine adds to the teams' use.
-func (l *Leader) count(r *machine, uses []ownerUse) {
-	for _, u := range r.counted {
-		l.use[u.owner] = l.use[u.owner].Sub(u.room)
+func (l *Leader) setTeamUsage(r *machine, uses []teamUse) {
+	for _, u := range r.countedUsage {
+		l.teamUsage[u.team] = l.teamUsage[u.team].Sub(u.resources)
 	}
 	for _, u := range uses {
-		l.use[u.owner] = l.use[u.owner].Add(u.room)
+		l.teamUsage[u.team] = l.teamUsage[u.team].Add(u.resources)
 	}
-	r.counted = uses
+	r.countedUsage = uses
 }
 
 // world shows the present state to placement. Machines and jobs that have not
 // changed are shown as before.
-func (l *Leader) world(now time.Time) (*placement.World, map[string]*job) {
-	w := &placement.World{Now: now, Teams: make(map[string]*placement.Team), Rate: l.rates}
+func (l *Leader) snapshotForPlacement(now time.Time) (*placement.World, map[string]*jobState) {
+	w := &placement.World{Now: now, Teams: make(map[string]*placement.Team), Rate: l.placementRates}
 	all := make([]*placement.Job, 0, len(l.jobs))
 	for _, j := range l.jobs {
-		if j.closing || j.waiting() {
+		if j.complete || j.blockedByUpstream() {
 			continue
 		}
-		l.show(j, now)
+		l.refreshJobView(j, now)
 		all = append(all, &j.view)
 	}
 	machines := l.sortedMachines()
@@ -182,27 +182,27 @@
 	oldest := now.Add(-viewAge(len(machines)))
 	for _, r := range machines {
 		if r.view == nil || r.stale || r.viewAt.Before(oldest) {
-			l.showMachine(r, now)
+			l.refreshMachineView(r, now)
 		}
 		// Placement may put work only on machines that have shown our token:
 		// a report may be a late copy of one from a machine that is no more.
 		// One that has not been heard for a few reports may well be dead or cut
 		// off: what is put there would wait until its lease is over.
-		r.view.Open = r.view.Total != (placement.Room{}) && r.open(now) && r.m.Token == l.grant.Term &&
-			l.silent(r, now) <= l.quiet()+constants.IdleHold
+		r.view.Open = r.view.Total != (placement.Room{}) && r.schedulable(now) && r.agent.Token == l.grant.Term &&
+			l.silentFor(r, now) <= l.silenceTolerance()+constants.IdleHold
 		if r.view.Open && !r.view.Spot {
 			ordinary++
 		}
 		w.Machines = append(w.Machines, r.view)
 	}
-	l.showEdges(w)
-	w.Spare = min(l.spare(now), int(float64(ordinary)*constants.SpareMost))
+	l.addReservationEdges(w)
+	w.Spare = min(l.reservedMachines(now), int(float64(ordinary)*constants.SpareMost))
 	for _, t := range l.teams {
-		w.Teams[t.Name] = &placement.Team{Name: t.Name, Used: l.use[t.Name],
+		w.Teams[t.Name] = &placement.Team{Name: t.Name, Used: l.teamUsage[t.Name],
 			Guarantee: placement.Room{VCPUs: t.CPUs, GPUs: t.GPUs}, Max: placement.Room{VCPUs: t.CPUsMax, GPUs: t.GPUsMax}}
 	}
 	placement.MarkGuaranteed(all, w.Teams)
-	placement.MarkOverdue(all, l.lifted(), now)
+	placement.MarkOverdue(all, l.boostedClasses(), now)
 	for _, v := range all {
 		if len(v.Waiting) > 0 {
 			w.Jobs = append(w.Jobs, v)
@@ -218,13 +218,13 @@
 }
 
 // showMachine makes a machine's view anew.
-func (l *Leader) showMachine(r *machine, now time.Time) {
+func (l *Leader) refreshMachineView(r *machine, now time.Time) {
 	r.stale, r.viewAt = false, now
 	l.counts.Views++
-	var uses []ownerUse
-	typ, _ := l.d.Catalog().Type(r.m.Type)
-	pr := l.shape(r)
-	pr.Seats = int(l.d.Settings.Params.State.ValueKB*1024)/constants.AttemptBytes - len(r.m.Attempts)
+	var uses []teamUse
+	typ, _ := l.deps.Catalog().Type(r.agent.Type)
+	pr := l.placementMachine(r)
+	pr.Seats = int(l.deps.Settings.Params.State.ValueKB*1024)/constants.AttemptBytes - len(r.agent.Attempts)
 	pr.Total = placement.Room{VCPUs: typ.VCPUs, GPUs: typ.Accelerators, RAM: typ.RAMGB}
 	pr.Pull = typ.PullGBPerS
 	pr.Cached = make(map[string]time.Duration, len(r.images))
@@ -233,16 +233,16 @@
 			pr.Cached[im.name] = 0
 		}
 	}
-	for _, a := range r.m.Attempts {
+	for _, a := range r.agent.Attempts {
 		if !a.Live() {
 			continue
 		}
-		room := l.needOf(a)
-		uses = append(uses, ownerUse{l.ownerOf(a), room})
+		room := l.resourcesOf(a)
+		uses = append(uses, teamUse{l.teamOf(a), room})
 		s := placement.Slot{Index: a.ID.Task.Index, Try: a.ID.Number, Room: room, Ending: a.StopRequested}
 		if j := l.jobs[a.ID.Task.Job]; j != nil {
 			s.Job = &j.view
-			s.Left, s.Loss = l.outlook(j, a, now)
+			s.Left, s.Loss = l.estimateStopCost(j, a, now)
 			if _, have := pr.Cached[j.spec.Image]; !have && (a.Status == "" || a.Status == workers.StatusFetching) && typ.PullGBPerS > 0 {
 				pr.Fetching++
 				full := j.spec.ImageGB / typ.PullGBPerS * float64(pr.Fetching)
@@ -251,29 +251,29 @@
 		}
 		pr.Slots = append(pr.Slots, s)
 	}
-	for _, h := range l.book.On(r.m.Name) {
+	for _, h := range l.reservations.On(r.agent.Name) {
 		pr.Held = append(pr.Held, placement.Held{Pipeline: h.Pipeline, Priority: h.Priority, Room: h.Room})
-		uses = append(uses, ownerUse{h.Pipeline.Owner, h.Room})
+		uses = append(uses, teamUse{h.Pipeline.Owner, h.Room})
 	}
-	l.count(r, uses)
+	l.setTeamUsage(r, uses)
 	r.view = pr
 }
 
 // show brings a job's view for placement up to date.
-func (l *Leader) show(j *job, now time.Time) {
+func (l *Leader) refreshJobView(j *jobState, now time.Time) {
 	v := &j.view
-	v.Weigh(now, l.share(j.spec.Class))
+	v.Weigh(now, l.classShare(j.spec.Class))
 	v.Blocked = now.Before(j.notBefore)
 	v.Passed = now.Sub(j.servedAt)
-	if !j.stale && len(j.avoid) == 0 && len(j.retry) == 0 {
+	if !j.stale && len(j.avoid) == 0 && len(j.delayedTasks) == 0 {
 		return
 	}
 	j.stale = false
 	v.Waiting = v.Waiting[:0]
 	v.Zones = make(map[string]int)
-	for _, seats := range j.seats {
+	for _, seats := range j.attempts {
 		for _, s := range seats {
-			v.Zones[s.machine.m.Zone]++
+			v.Zones[s.machine.agent.Zone]++
 		}
 	}
 	v.Avoid = nil
@@ -290,12 +290,12 @@
 	if j.spec.Kind == userapi.KindGang {
 		// A gang starts as a whole, and not before the last task of an
 		// earlier attempt is proven gone.
-		if len(j.seats) == 0 {
-			j.short = false
+		if len(j.attempts) == 0 {
+			j.replacingTask = false
 		}
-		if len(j.seats) == 0 && j.doneN < j.spec.Tasks || j.short {
+		if len(j.attempts) == 0 && j.doneCount < j.spec.Tasks || j.replacingTask {
 			for i := 0; i < j.spec.Tasks; i++ {
-				if len(j.seats[i]) == 0 {
+				if len(j.attempts[i]) == 0 {
 					v.Waiting = append(v.Waiting, i)
 				}
 			}
@@ -303,17 +303,17 @@
 		return
 	}
 	shown := constants.WaitingShown
-	if j.blame.mistaken() {
+	if j.failures.faultyJob() {
 		// One task tells whether it still fails, and takes no room of others.
-		shown = max(0, 1-len(j.seats))
+		shown = max(0, 1-len(j.attempts))
 	}
 	first := true
-	for i := j.low; i < j.spec.Tasks; i++ {
-		if j.did.has(i) || len(j.seats[i]) > 0 {
+	for i := j.firstWaiting; i < j.spec.Tasks; i++ {
+		if j.doneTasks.has(i) || len(j.attempts[i]) > 0 {
 			continue
 		}
 		if first {
-			j.low, first = i, false
+			j.firstWaiting, first = i, false
 		}
 		if len(v.Waiting) >= shown {
 			break
@@ -323,13 +323,13 @@
 		}
 	}
 	if first {
-		j.low = j.spec.Tasks
+		j.firstWaiting = j.spec.Tasks
 	}
 }
 
 // outlook estimates how long an attempt goes on, and what stopping it throws
 // away, in seconds of the room that it takes.
-func (l *Leader) outlook(j *job, a *workers.Attempt, now time.Time) (left, loss time.Duration) {
+func (l *Leader) estimateStopCost(j *jobState, a *workers.Attempt, now time.Time) (left, loss time.Duration) {
 	expect := time.Duration(j.spec.ExpectedS * float64(time.Second))
 	again := constants.RestartCost
 	if j.spec.Kind == userapi.KindGang {
@@ -353,7 +353,7 @@
 }
 
 // evict stops a task to make room; a gang goes as a whole.
-func (l *Leader) evict(e placement.Evict, now time.Time) {
+func (l *Leader) preempt(e placement.Evict, now time.Time) {
 	r := l.machines[e.Machine.Name]
 	if r == nil || e.Slot.Job == nil {
 		return
@@ -362,15 +362,15 @@
 	if j == nil {
 		return
 	}
-	l.d.Log.Debug("makes room", "piece", workers.TaskID{Job: j.spec.ID, Index: e.Slot.Index}, "rig", r.m.Name, "for", e.For.Spec.ID)
+	l.deps.Log.Debug("makes room", "piece", workers.TaskID{Job: j.spec.ID, Index: e.Slot.Index}, "rig", r.agent.Name, "for", e.For.Spec.ID)
 	grace := j.spec.SaveS + constants.StopGrace.Seconds()
 	if j.spec.Kind == userapi.KindGang {
-		l.haltGang(j, grace, now)
+		l.stopGang(j, grace, now)
 		return
 	}
-	for _, s := range j.seats[e.Slot.Index] {
-		if s.machine == r && s.a.ID.Number == e.Slot.Try {
-			l.halt(r, s.a, grace, now)
+	for _, s := range j.attempts[e.Slot.Index] {
+		if s.machine == r && s.attempt.ID.Number == e.Slot.Try {
+			l.stopAttempt(r, s.attempt, grace, now)
 		}
 	}
 	l.sendStops(r, now)
@@ -378,7 +378,7 @@
 
 // place turns the starts of a plan into attempts. Their `run` leaves only once
 // the machines' records with them stand.
-func (l *Leader) place(plan *placement.Plan, jobs map[string]*job, now time.Time) {
+func (l *Leader) startPlanned(plan *placement.Plan, jobs map[string]*jobState, now time.Time) {
 	gangTry := make(map[string]uint64)
 	for _, s := range plan.Starts {
 		j := jobs[s.Job.Spec.ID]
@@ -387,43 +387,43 @@
 			continue
 		}
 		try, ok := gangTry[j.spec.ID]
-		if !ok && j.short {
-			try, ok = j.gangTry, true
+		if !ok && j.replacingTask {
+			try, ok = j.gangAttempt, true
 		}
 		if !ok {
-			if try, ok = l.attempts.next(); !ok {
-				l.end(errAttemptsUsed)
+			if try, ok = l.attemptNumbers.next(); !ok {
+				l.endTerm(errAttemptNumbersExhausted)
 				return
 			}
 			if j.spec.Kind == userapi.KindGang {
 				gangTry[j.spec.ID] = try
-				j.gangTry = try
+				j.gangAttempt = try
 			}
 		}
 		a := &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: j.spec.ID, Index: s.Index}, Number: try},
-			Epoch: r.m.Epoch, PlacedAt: now}
-		r.m.Attempts[a.ID] = a
+			Epoch: r.agent.Epoch, PlacedAt: now}
+		r.agent.Attempts[a.ID] = a
 		j.servedAt = now
-		l.rates.add(j.spec.Class)
-		l.occupy(r, a)
-		l.noteAdd(r, a)
-		if l.book.Use(r.m.Name, j.view.Owns) {
-			l.d.Log.Debug("hold used", "rig", r.m.Name, "job", j.spec.ID)
-			l.hintsChanged(r, now)
-		}
-		l.book.Override(r.m.Name, s.Machine.Total.Sub(l.used(r)))
+		l.placementRates.add(j.spec.Class)
+		l.addAttempt(r, a)
+		l.logAttempt(r, a)
+		if l.reservations.Use(r.agent.Name, j.view.Owns) {
+			l.deps.Log.Debug("hold used", "rig", r.agent.Name, "job", j.spec.ID)
+			l.metadataChanged(r, now)
+		}
+		l.reservations.Override(r.agent.Name, s.Machine.Total.Sub(l.usedResources(r)))
 		r.useImage(j.spec.Image, j.spec.ImageGB, false, l.cacheOf(r))
-		l.d.Log.Debug("placed", "piece", a.ID.Task, "try", try, "rig", r.m.Name)
+		l.deps.Log.Debug("placed", "piece", a.ID.Task, "try", try, "rig", r.agent.Name)
 	}
 }
 
 // rates are the tasks of each class that are placed a second, older ones counted
 // for less.
-type rates map[string]float64
+type placementRates map[string]float64
 
-func (r rates) add(class string) { r[class] += 1 / constants.RateMemory.Seconds() }
+func (r placementRates) add(class string) { r[class] += 1 / constants.RateMemory.Seconds() }
 
-func (r rates) fade(d time.Duration) {
+func (r placementRates) fade(d time.Duration) {
 	for class := range r {
 		r[class] *= 1 - d.Seconds()/constants.RateMemory.Seconds()
 	}
--- a/internal/leader/stall_test.go
+++ b/internal/leader/stall_test.go
@@ -45,7 +45,7 @@
 func run(l *Leader) {
 	for {
 		select {
-		case f := <-l.calls:
+		case f := <-l.events:
 			f()
 		case <-time.After(20 * time.Millisecond):
 			return
@@ -69,32 +69,32 @@
 	l := testLeader(t)
 	offline(t, l)
 	store, cloud := &termStore{err: statestore.ErrUnavailable}, &cloudCalls{}
-	l.d.Store, l.d.Cloud = store, cloud
+	l.deps.Store, l.deps.Cloud = store, cloud
 	for i := range 6 {
 		addRig(l, fmt.Sprint("m-", i), []string{"east", "west"}[i%2], t0)
 	}
-	l.market.booting["m-9"] = booting{provisioning.Pool{Type: "g4", Zone: "east"}, t0, t0}
+	l.scaling.booting["m-9"] = booting{provisioning.Pool{Type: "g4", Zone: "east"}, t0, t0}
 	addJob(t, l, sweep("j-1", 40), t0)
 	// It stood still from a while ago until now.
 	still := l.lease + constants.SilentReturn + time.Minute
 	l.noteRound()
 	l.lastRound = time.Now().Add(-still)
 	for _, r := range l.machines {
-		r.m.LastHeartbeat = r.m.LastHeartbeat.Add(-still)
+		r.agent.LastHeartbeat = r.agent.LastHeartbeat.Add(-still)
 	}
-	b := l.market.booting["m-9"]
+	b := l.scaling.booting["m-9"]
 	b.since, b.noted = b.since.Add(-still), b.noted.Add(-still)
-	l.market.booting["m-9"] = b
+	l.scaling.booting["m-9"] = b
 	now := l.noteRound()
 	if !l.termUnverified {
 		t.Fatal("that it stood still was not seen")
 	}
 	l.tick(now)
-	l.dirty = true
-	l.pass(now)
+	l.passDueNow = true
+	l.runSchedulingPass(now)
 	run(l)
-	if j := l.jobs["j-1"]; len(j.seats) > 0 {
-		t.Errorf("%d tasks placed on an old world", len(j.seats))
+	if j := l.jobs["j-1"]; len(j.attempts) > 0 {
+		t.Errorf("%d tasks placed on an old world", len(j.attempts))
 	}
 	if *cloud != (cloudCalls{}) {
 		t.Errorf("the cloud was called before the term was looked at: %+v", *cloud)
@@ -104,28 +104,28 @@
 			t.Errorf("%s is given up for silence that was ours", name)
 		}
 	}
-	if v := l.provisioningView(now); v.Have[provisioning.Pool{Type: "g4", Zone: "east"}] != 4 {
+	if v := l.scalingView(now); v.Have[provisioning.Pool{Type: "g4", Zone: "east"}] != 4 {
 		t.Errorf("machines are to be replaced for silence that was ours: %v", v.Have)
 	}
 	store.err, store.stamp = nil, l.grant.Revision
 	if deposed {
 		store.stamp++
 	}
-	l.provision(now)
+	l.scale(now)
 	run(l)
-	if (l.ended != nil) != deposed {
-		t.Fatalf("ended: %v", l.ended)
+	if (l.termErr != nil) != deposed {
+		t.Fatalf("ended: %v", l.termErr)
 	}
 	if l.termUnverified != deposed {
 		t.Fatalf("unproven: %v", l.termUnverified)
 	}
-	if names := l.returns(now); len(names) > 0 {
+	if names := l.machinesToReturn(now); len(names) > 0 {
 		t.Errorf("%v returned as if they had had their time to come up", names)
 	}
 	if deposed {
 		return
 	}
-	l.provision(now)
+	l.scale(now)
 	run(l)
 	if cloud.lists+cloud.rents == 0 {
 		t.Errorf("it never deals with the cloud again")
@@ -142,30 +142,30 @@
 	l := testLeader(t)
 	offline(t, l)
 	hang := make(chan struct{})
-	l.d.Workers = hanging(hang)
+	l.deps.Workers = hanging(hang)
 	for i := range 400 {
 		r := addRig(l, fmt.Sprintf("m-%04d", i), "east", now)
-		r.m.Endpoint = "x"
-		l.command(r, nil, now)
+		r.agent.Endpoint = "x"
+		l.sendCommand(r, nil, now)
 	}
-	if l.commanding != constants.CommandsAtOnce/2 {
-		t.Errorf("%d orders under way that stop nothing", l.commanding)
+	if l.commandsInFlight != constants.CommandsAtOnce/2 {
+		t.Errorf("%d orders under way that stop nothing", l.commandsInFlight)
 	}
 	addJob(t, l, sweep("j-1", 16), now)
-	l.pass(now)
+	l.runSchedulingPass(now)
 	settle(l, 100)
 	for _, r := range l.machines {
-		r.m.Commands(true, now)
+		r.agent.Commands(true, now)
 	}
-	l.jobGone("j-1", now)
-	stops := l.commanding - constants.CommandsAtOnce/2
+	l.jobRecordDeleted("j-1", now)
+	stops := l.commandsInFlight - constants.CommandsAtOnce/2
 	if stops < 4 {
 		t.Errorf("%d stops found a place", stops)
 	}
 	close(hang)
 	run(l)
-	if l.commanding != 0 {
-		t.Errorf("%d places never came free", l.commanding)
+	if l.commandsInFlight != 0 {
+		t.Errorf("%d places never came free", l.commandsInFlight)
 	}
 }
 
@@ -179,46 +179,46 @@
 		offline(t, l)
 		l.teams = []config.Team{{Name: "a", GPUs: 10000, GPUsMax: 10000}}
 		hang := make(chan struct{})
-		l.d.Workers = hanging(hang)
+		l.deps.Workers = hanging(hang)
 		const machines, gang = 500, 20
 		for i := range machines {
-			addRig(l, fmt.Sprintf("m-%04d", i), "west", now).m.Endpoint = "x"
+			addRig(l, fmt.Sprintf("m-%04d", i), "west", now).agent.Endpoint = "x"
 		}
 		addJob(t, l, sweep("j-1", 4*machines), now)
 		for range 6 {
-			l.pass(now)
+			l.runSchedulingPass(now)
 			settle(l, 100)
 		}
 		for _, r := range l.machines {
-			r.m.Commands(true, now)
+			r.agent.Commands(true, now)
 		}
-		now = now.Add(l.quiet() + time.Second)
+		now = now.Add(l.silenceTolerance() + time.Second)
 		for i := range gang {
-			addRig(l, fmt.Sprintf("m-9%03d", i), "east", now).m.Endpoint = "x"
+			addRig(l, fmt.Sprintf("m-9%03d", i), "east", now).agent.Endpoint = "x"
 		}
 		spec := sweep("j-2", gang)
 		spec.Kind, spec.GPUs = userapi.KindGang, 4
 		j := addJob(t, l, spec, now)
-		l.pass(now)
+		l.runSchedulingPass(now)
 		settle(l, 1000)
-		for _, s := range sortedSeats(j) {
-			s.machine.m.Commands(true, now)
+		for _, s := range sortedAttempts(j) {
+			s.machine.agent.Commands(true, now)
 		}
-		if len(j.seats) != gang {
-			t.Fatalf("%d tasks of the gang placed", len(j.seats))
+		if len(j.attempts) != gang {
+			t.Fatalf("%d tasks of the gang placed", len(j.attempts))
 		}
-		l.jobGone("j-1", now)
-		if l.commanding != constants.CommandsSilent {
-			t.Errorf("%d orders under way to machines that are cut off", l.commanding)
+		l.jobRecordDeleted("j-1", now)
+		if l.commandsInFlight != constants.CommandsSilent {
+			t.Errorf("%d orders under way to machines that are cut off", l.commandsInFlight)
 		}
-		l.haltGang(j, 10, now)
-		if told := l.commanding - constants.CommandsSilent; told != gang {
+		l.stopGang(j, 10, now)
+		if told := l.commandsInFlight - constants.CommandsSilent; told != gang {
 			t.Errorf("%d of %d tasks of the gang are told at once", told, gang)
 		}
 		close(hang)
 		run(l)
-		if l.commanding != 0 || l.commandingSilent != 0 {
-			t.Errorf("%d and %d places never came free", l.commanding, l.commandingSilent)
+		if l.commandsInFlight != 0 || l.silentCommandsInFlight != 0 {
+			t.Errorf("%d and %d places never came free", l.commandsInFlight, l.silentCommandsInFlight)
 		}
 	})
 }
@@ -242,31 +242,31 @@
 			offline(t, l)
 			a, b := addRig(l, "m-a", "east", now), addRig(l, "m-b", "west", now)
 			j := addJob(t, l, sweep("j-1", 8), now)
-			l.pass(now)
+			l.runSchedulingPass(now)
 			settle(l, 100)
 			for _, r := range []*machine{a, b} {
-				r.m.Commands(true, now)
-				l.observe(r, report(l, r, workers.StatusRunning, ""), false, now)
+				r.agent.Commands(true, now)
+				l.applyHeartbeat(r, report(l, r, workers.StatusRunning, ""), false, now)
 			}
 			// One machine's tasks end after 10 s, the other's go on for 60.
 			for range 5 {
 				now = now.Add(2 * time.Second)
-				l.observe(a, report(l, a, workers.StatusRunning, ""), false, now)
-				l.observe(b, report(l, b, workers.StatusRunning, ""), false, now)
+				l.applyHeartbeat(a, report(l, a, workers.StatusRunning, ""), false, now)
+				l.applyHeartbeat(b, report(l, b, workers.StatusRunning, ""), false, now)
 			}
-			l.observe(a, report(l, a, workers.StatusExited, workers.CauseDone), false, now)
-			if _, ok := j.pace.typical(8); !ok {
+			l.applyHeartbeat(a, report(l, a, workers.StatusExited, workers.CauseDone), false, now)
+			if _, ok := j.runtimes.typical(8); !ok {
 				t.Fatal("no run times to compare with")
 			}
 			for range 50 {
 				now = now.Add(time.Second)
 				if !cut {
-					l.observe(b, report(l, b, workers.StatusRunning, ""), false, now)
+					l.applyHeartbeat(b, report(l, b, workers.StatusRunning, ""), false, now)
 				}
-				l.checkPace(now)
+				l.detectStragglers(now)
 			}
-			l.observe(b, report(l, b, workers.StatusExited, workers.CauseDone), false, now)
-			l.checkPace(now)
+			l.applyHeartbeat(b, report(l, b, workers.StatusExited, workers.CauseDone), false, now)
+			l.detectStragglers(now)
 			if slow := b.slow(now); slow == cut {
 				t.Errorf("slow: %v", slow)
 			}
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -17,10 +17,10 @@
 // Status is the state of a term as operators see it.
 type Status struct {
 	Term     uint64          `json:"term"`
-	Machines []MachineCount  `json:"machines"`
-	Queue    []QueueCount    `json:"queue"`
-	Teams    []TeamUse       `json:"teams"`
-	Holds    []HoldView      `json:"holds"`
+	Machines []PoolStatus    `json:"machines"`
+	Queue    []QueueStatus   `json:"queue"`
+	Teams    []TeamStatus    `json:"teams"`
+	Holds    []HoldStatus    `json:"holds"`
 	Booting  int             `json:"booting"`
 	Leaving  int             `json:"leaving"`
 	State    RecordingStatus `json:"recording"`
@@ -40,7 +40,7 @@
 }
 
 // MachineCount counts the machines of one pool.
-type MachineCount struct {
+type PoolStatus struct {
 	Type string  `json:"type"`
 	Zone string  `json:"zone"`
 	Spot bool    `json:"spot"`
@@ -55,7 +55,7 @@
 }
 
 // QueueCount counts one team's jobs of one class.
-type QueueCount struct {
+type QueueStatus struct {
 	Class string `json:"class"`
 	Team  string `json:"team"`
 	Jobs  int    `json:"jobs"`
@@ -67,7 +67,7 @@
 }
 
 // TeamUse is what a team uses of its levels, held room included.
-type TeamUse struct {
+type TeamStatus struct {
 	Team      string  `json:"team"`
 	CPUs      float64 `json:"cpus"`
 	GPUs      float64 `json:"gpus"`
@@ -80,7 +80,7 @@
 }
 
 // HoldView is one hold with the time until it lapses.
-type HoldView struct {
+type HoldStatus struct {
 	Machine  string  `json:"rig"`
 	Team     string  `json:"team"`
 	Class    string  `json:"class"`
@@ -93,7 +93,7 @@
 // Status takes a snapshot; ok is false once the term is over.
 func (l *Leader) Status(ctx context.Context) (st Status, ok bool) {
 	ch := make(chan Status, 1)
-	if !l.do(ctx, func() { ch <- l.snapshot(time.Now()) }) {
+	if !l.post(ctx, func() { ch <- l.status(time.Now()) }) {
 		return Status{}, false
 	}
 	select {
@@ -105,41 +105,41 @@
 	return Status{}, false
 }
 
-func (l *Leader) snapshot(now time.Time) Status {
-	st := Status{Term: l.grant.Term, Booting: len(l.market.booting),
-		State: RecordingStatus{Healthy: l.committer.backoff == 0, SureS: now.Sub(l.sure).Seconds(), Backlog: l.committer.log.Backlog()}, Work: l.counts, Waiting: len(l.calls)}
-	if l.committer.log.InFlight() {
-		st.State.UnwrittenS = now.Sub(l.committer.since).Seconds()
+func (l *Leader) status(now time.Time) Status {
+	st := Status{Term: l.grant.Term, Booting: len(l.scaling.booting),
+		State: RecordingStatus{Healthy: l.commits.backoff == 0, SureS: now.Sub(l.certainUntil).Seconds(), Backlog: l.commits.log.Backlog()}, Work: l.counts, Waiting: len(l.events)}
+	if l.commits.log.InFlight() {
+		st.State.UnwrittenS = now.Sub(l.commits.sentAt).Seconds()
 	}
 	type pool struct {
 		t, z string
 		spot bool
 	}
-	pools := make(map[pool]*MachineCount)
+	pools := make(map[pool]*PoolStatus)
 	use, held := make(map[string]placement.Room), make(map[string]placement.Room)
 	for _, r := range l.machines {
-		k := pool{r.m.Type, r.m.Zone, r.m.Spot}
+		k := pool{r.agent.Type, r.agent.Zone, r.agent.Spot}
 		c := pools[k]
 		if c == nil {
-			c = &MachineCount{Type: k.t, Zone: k.z, Spot: k.spot}
+			c = &PoolStatus{Type: k.t, Zone: k.z, Spot: k.spot}
 			pools[k] = c
 		}
 		if r.leaving {
 			st.Leaving++
-		} else if r.m.Registered {
+		} else if r.agent.Registered {
 			c.Up++
 		}
-		if l.busy(r) {
+		if l.inUse(r) {
 			c.Busy++
 		}
-		if r.bad {
+		if r.faulty {
 			c.Faulty++
 		}
-		typ, _ := l.d.Catalog().Type(r.m.Type)
-		c.Used += l.used(r).Share(placement.Room{VCPUs: typ.VCPUs, GPUs: typ.Accelerators, RAM: typ.RAMGB})
-		for _, a := range r.m.Attempts {
+		typ, _ := l.deps.Catalog().Type(r.agent.Type)
+		c.Used += l.usedResources(r).Share(placement.Room{VCPUs: typ.VCPUs, GPUs: typ.Accelerators, RAM: typ.RAMGB})
+		for _, a := range r.agent.Attempts {
 			if a.Live() {
-				need, owner := l.needOf(a), l.ownerOf(a)
+				need, owner := l.resourcesOf(a), l.teamOf(a)
 				c.GPUs += need.GPUs
 				use[owner] = use[owner].Add(need)
 			}
@@ -158,34 +158,34 @@
 		}
 		return !a.Spot && b.Spot
 	})
-	for _, h := range l.book.All() {
+	for _, h := range l.reservations.All() {
 		held[h.Pipeline.Owner] = held[h.Pipeline.Owner].Add(h.Room)
-		st.Holds = append(st.Holds, HoldView{h.Machine, h.Pipeline.Owner, h.Pipeline.Workload, h.Downstream, h.Room.VCPUs, h.Room.GPUs, h.Expires.Sub(now).Seconds()})
+		st.Holds = append(st.Holds, HoldStatus{h.Machine, h.Pipeline.Owner, h.Pipeline.Workload, h.Downstream, h.Room.VCPUs, h.Room.GPUs, h.Expires.Sub(now).Seconds()})
 	}
-	queue := make(map[placement.Pipeline]*QueueCount)
+	queue := make(map[placement.Pipeline]*QueueStatus)
 	for _, j := range l.jobs {
 		k := j.view.Pipeline()
 		q := queue[k]
 		if q == nil {
-			q = &QueueCount{Class: k.Workload, Team: k.Owner}
+			q = &QueueStatus{Class: k.Workload, Team: k.Owner}
 			queue[k] = q
 		}
 		run := 0
-		for _, seats := range j.seats {
+		for _, seats := range j.attempts {
 			for _, s := range seats {
-				if s.a.Status != "" && s.a.Status != workers.StatusFetching {
+				if s.attempt.Status != "" && s.attempt.Status != workers.StatusFetching {
 					run++
 				}
 			}
 		}
 		q.Jobs++
-		if j.waiting() {
+		if j.blockedByUpstream() {
 			q.Held++
 			continue // its tasks wait for no machine
 		}
-		q.Done += j.doneN
+		q.Done += j.doneCount
 		q.Running += run
-		q.Waiting += max(0, j.spec.Tasks-j.doneN-run)
+		q.Waiting += max(0, j.spec.Tasks-j.doneCount-run)
 	}
 	for _, q := range queue {
 		st.Queue = append(st.Queue, *q)
@@ -199,7 +199,7 @@
 	})
 	for _, t := range l.teams {
 		u, h := use[t.Name], held[t.Name]
-		st.Teams = append(st.Teams, TeamUse{Team: t.Name, CPUs: u.VCPUs + h.VCPUs, GPUs: u.GPUs + h.GPUs, HeldCPUs: h.VCPUs, HeldGPUs: h.GPUs,
+		st.Teams = append(st.Teams, TeamStatus{Team: t.Name, CPUs: u.VCPUs + h.VCPUs, GPUs: u.GPUs + h.GPUs, HeldCPUs: h.VCPUs, HeldGPUs: h.GPUs,
 			CPUsOwn: t.CPUs, GPUsOwn: t.GPUs, CPUsLimit: t.CPUsMax, GPUsLimit: t.GPUsMax})
 	}
 	return st
@@ -227,37 +227,37 @@
 
 // logLoad logs once in a while how much the routine had to do since last.
 func (l *Leader) logLoad(now time.Time) {
-	if now.Sub(l.lastLoad) < constants.LoadEvery {
+	if now.Sub(l.lastLoadLog) < constants.LoadEvery {
 		return
 	}
-	s := now.Sub(l.lastLoad).Seconds()
-	l.counts.Log = l.committer.log.Stats()
-	c, was := l.counts, l.counted
+	s := now.Sub(l.lastLoadLog).Seconds()
+	l.counts.Log = l.commits.log.Stats()
+	c, was := l.counts, l.loggedCounts
 	kilobytes := func(a, b uint64) float64 { return math.Round(float64(a-b)/s/102.4) / 10 }
 	per := func(a, b uint64) float64 { return math.Round(float64(a-b)/s*10) / 10 }
 	part := func(a, b float64) float64 { return math.Round((a-b)/s*1000) / 1000 }
-	if !l.lastLoad.IsZero() {
-		l.d.Log.Info("load", "jobs", len(l.jobs), "machines", len(l.machines), "reports_s", per(c.Reports, was.Reports),
+	if !l.lastLoadLog.IsZero() {
+		l.deps.Log.Info("load", "jobs", len(l.jobs), "machines", len(l.machines), "reports_s", per(c.Reports, was.Reports),
 			"orders_s", per(c.Orders, was.Orders), "commands_s", per(c.Commands, was.Commands), "passes_s", per(c.Passes, was.Passes),
 			"pass_part", part(c.PassS, was.PassS), "commits_s", per(c.Commits, was.Commits), "commit_part", part(c.CommitS, was.CommitS),
 			"busy_part", part(c.BusyS, was.BusyS),
 			"entries_kb_s", kilobytes(c.Log.EntryBytes, was.Log.EntryBytes), "hints_kb_s", kilobytes(c.HintBytes, was.HintBytes),
-			"checkpoint_kb_s", kilobytes(c.Log.PartBytes, was.Log.PartBytes), "queue", len(l.calls), "log", l.committer.log.Backlog())
+			"checkpoint_kb_s", kilobytes(c.Log.PartBytes, was.Log.PartBytes), "queue", len(l.events), "log", l.commits.log.Backlog())
 	}
-	if l.d.Drawn != nil {
+	if l.deps.Usage != nil {
 		drawn := make(map[statestore.Class]statestore.Usage)
 		var attrs []any
 		for _, class := range statestore.Classes {
-			d := l.d.Drawn(class)
+			d := l.deps.Usage(class)
 			drawn[class] = d
-			was := l.drawn[class]
+			was := l.loggedUsage[class]
 			attrs = append(attrs, class.String(), fmt.Sprintf("%.1f requests, %.1f changes, %.2f waiting",
 				per(d.Requests, was.Requests), per(d.Writes, was.Writes), part(d.WaitS, was.WaitS)))
 		}
-		if !l.lastLoad.IsZero() {
-			l.d.Log.Debug("state service, each second", attrs...)
+		if !l.lastLoadLog.IsZero() {
+			l.deps.Log.Debug("state service, each second", attrs...)
 		}
-		l.drawn = drawn
+		l.loggedUsage = drawn
 	}
-	l.lastLoad, l.counted = now, c
+	l.lastLoadLog, l.loggedCounts = now, c
 }
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -14,8 +14,8 @@
 )
 
 // Takeover tells how far the takeover has come; empty once it is over.
-func (l *Leader) Takeover() string {
-	if s := l.takeover.Load(); s != nil {
+func (l *Leader) FailoverProgress() string {
+	if s := l.failoverProgress.Load(); s != nil {
 		return *s
 	}
 	return ""
@@ -23,26 +23,26 @@
 
 func (l *Leader) setProgress(format string, args ...any) {
 	s := fmt.Sprintf(format, args...)
-	l.takeover.Store(&s)
+	l.failoverProgress.Store(&s)
 }
 
 // followTakeover follows which of the machines that the records name have reported. The
 // takeover is over once all have, or those that have not must have lost their
 // leases.
-func (l *Leader) followTakeover(now time.Time) {
-	if l.Takeover() == "" {
+func (l *Leader) trackFailover(now time.Time) {
+	if l.FailoverProgress() == "" {
 		return
 	}
 	all, heard := 0, 0
 	for _, r := range l.machines {
 		all++
-		if r.m.Registered {
+		if r.agent.Registered {
 			heard++
 		}
 	}
-	if took := now.Sub(l.began); heard == all || took > l.lease {
+	if took := now.Sub(l.termStartedAt); heard == all || took > l.lease {
 		l.setProgress("")
-		l.d.Log.Info("takeover complete", "term", l.grant.Term, "machines", all, "heard", heard, "took_s", math.Round(took.Seconds()*10)/10)
+		l.deps.Log.Info("takeover complete", "term", l.grant.Term, "machines", all, "heard", heard, "took_s", math.Round(took.Seconds()*10)/10)
 		return
 	}
 	l.setProgress("%d of %d machines heard", heard, all)
@@ -50,11 +50,11 @@
 
 // load reads all records of the earlier terms. Reading starts after the term
 // was raised, so no older leader can change them any more.
-func (l *Leader) load(ctx context.Context) (epoch uint64, err error) {
+func (l *Leader) loadRecords(ctx context.Context) (epoch uint64, err error) {
 	start := time.Now()
-	l.began = start
+	l.termStartedAt = start
 	l.setProgress("reading the jobs")
-	open, epoch, err := l.read(ctx, userapi.OpenPrefix)
+	open, epoch, err := l.listRecords(ctx, userapi.OpenPrefix)
 	if err != nil {
 		return 0, err
 	}
@@ -66,10 +66,10 @@
 	var oldMachines, oldDids []statestore.KeyValue
 	if st.Head.Area == "" {
 		// No checkpoint yet: what there is may be of the earlier format.
-		if oldMachines, _, err = l.read(ctx, oldMachinePrefix); err != nil {
+		if oldMachines, _, err = l.listRecords(ctx, oldMachinePrefix); err != nil {
 			return 0, err
 		}
-		if oldDids, _, err = l.read(ctx, oldDidPrefix); err != nil {
+		if oldDids, _, err = l.listRecords(ctx, oldDidPrefix); err != nil {
 			return 0, err
 		}
 	}
@@ -78,13 +78,13 @@
 		l.addJob(row.Key, row.Value, row.Revision, now)
 	}
 	for _, j := range l.jobs {
-		j.inherited = true
+		j.fromEarlierTerm = true
 	}
-	if err := l.restoreOld(oldMachines, oldDids, now); err != nil {
+	if err := l.restoreLegacy(oldMachines, oldDids, now); err != nil {
 		return 0, err
 	}
 	for name, rec := range st.Machines {
-		if err := l.restore(name, rec, now); err != nil {
+		if err := l.restoreMachine(name, rec, now); err != nil {
 			return 0, err
 		}
 	}
@@ -92,17 +92,17 @@
 		l.restoreDone(job, list)
 	}
 	l.openLog(st.Head, stamp)
-	if len(l.legacy) > 0 {
+	if len(l.legacyKeys) > 0 {
 		l.checkpoint()
 	}
 	for _, j := range l.jobs {
 		l.checkComplete(j)
-		l.dissolve(j, now)
+		l.stopIncompleteGang(j, now)
 	}
-	l.dirty = true
+	l.passDueNow = true
 	l.loaded = true
-	l.linkAll(now)
-	l.d.Log.Info("records loaded", "term", l.grant.Term, "jobs", len(l.jobs), "machines", len(l.machines),
+	l.linkLoadedJobs(now)
+	l.deps.Log.Info("records loaded", "term", l.grant.Term, "jobs", len(l.jobs), "machines", len(l.machines),
 		"log", st.Head.Next-st.Head.From, "took_ms", time.Since(start).Milliseconds())
 	return epoch, nil
 }
@@ -110,7 +110,7 @@
 // readLog reads the log's head, what it counts on, and the head's revision. Nobody
 // writes the log any more, so it need not be read at one moment.
 func (l *Leader) readLog(ctx context.Context) (st wal.State, stamp uint64, err error) {
-	headRow, found, err := l.readKey(ctx, wal.HeadKey)
+	headRow, found, err := l.getRecord(ctx, wal.HeadKey)
 	if err != nil {
 		return wal.State{}, 0, err
 	}
@@ -122,7 +122,7 @@
 		}
 		rows = append(rows, wal.Row{Key: headRow.Key, Value: headRow.Value})
 		for _, prefix := range head.Prefixes() {
-			listed, _, err := l.read(ctx, prefix)
+			listed, _, err := l.listRecords(ctx, prefix)
 			if err != nil {
 				return wal.State{}, 0, err
 			}
@@ -133,32 +133,32 @@
 	}
 	st, odd, err := wal.Read(rows)
 	for _, key := range odd {
-		l.d.Log.Error("record is not ours", "key", key)
+		l.deps.Log.Error("record is not ours", "key", key)
 	}
 	return st, headRow.Revision, err
 }
 
 // openLog begins to write behind the head that was read.
 func (l *Leader) openLog(head wal.Head, stamp uint64) {
-	p := l.d.Settings.Params.State
-	l.committer.log = wal.NewWriter(l.grant.Term, wal.Limits{ValueBytes: int(p.ValueKB * 1024), Ops: p.TxnOps}, head, stamp)
+	p := l.deps.Settings.Params.State
+	l.commits.log = wal.NewWriter(l.grant.Term, wal.Limits{ValueBytes: int(p.ValueKB * 1024), Ops: p.TxnOps}, head, stamp)
 	// In use it was found to be read by all nodes, and they do not go back unless the
 	// operators' setting has said so first.
-	l.committer.log.SetLarge(head.Ring > 0 && l.d.Operator.Log.LargeRing)
+	l.commits.log.SetLarge(head.Ring > 0 && l.deps.Operator.Log.LargeRing)
 }
 
 // askRings asks, now and then, whether all nodes read the log's large ring, if the
 // fleet has grown so large that it is wanted.
-func (l *Leader) askRings(now time.Time) {
-	c := &l.committer
-	if l.d.ReadsLargeRing == nil || !l.d.Operator.Log.LargeRing || !c.log.WantsLarge() || now.Sub(c.ringsAsked) < constants.LargeRingAsk {
+func (l *Leader) checkLargeRingSupport(now time.Time) {
+	c := &l.commits
+	if l.deps.ReadsLargeRing == nil || !l.deps.Operator.Log.LargeRing || !c.log.WantsLarge() || now.Sub(c.ringsAsked) < constants.LargeRingAsk {
 		return
 	}
 	c.ringsAsked = now
-	l.tasks.Go(func() error {
-		if l.d.ReadsLargeRing(l.ctx) {
-			l.do(l.ctx, func() {
-				l.d.Log.Info("the log moves to the large ring: all nodes read it", "parts", c.log.Head().Parts)
+	l.background.Go(func() error {
+		if l.deps.ReadsLargeRing(l.ctx) {
+			l.post(l.ctx, func() {
+				l.deps.Log.Info("the log moves to the large ring: all nodes read it", "parts", c.log.Head().Parts)
 				c.log.SetLarge(true)
 			})
 		}
@@ -167,30 +167,30 @@
 }
 
 // readKey reads one record, trying again for as long as the term lasts.
-func (l *Leader) readKey(ctx context.Context, key string) (statestore.KeyValue, bool, error) {
+func (l *Leader) getRecord(ctx context.Context, key string) (statestore.KeyValue, bool, error) {
 	for {
-		row, found, err := l.d.Store.Get(ctx, statestore.ClassLease, key)
+		row, found, err := l.deps.Store.Get(ctx, statestore.ClassLease, key)
 		if err == nil || ctx.Err() != nil {
 			return row, found, err
 		}
-		l.d.Log.Info("record can't be read", "key", key, "err", err)
+		l.deps.Log.Info("record can't be read", "key", key, "err", err)
 		pause(ctx, constants.BackoffMin)
 	}
 }
 
 // read lists one kind of record, trying again for as long as the term lasts:
 // giving the lead up over one failed answer would only start it all anew.
-func (l *Leader) read(ctx context.Context, prefix string) ([]statestore.KeyValue, uint64, error) {
+func (l *Leader) listRecords(ctx context.Context, prefix string) ([]statestore.KeyValue, uint64, error) {
 	for {
 		asked := time.Now()
-		rows, epoch, err := l.d.Store.List(ctx, statestore.ClassLease, prefix)
+		rows, epoch, err := l.deps.Store.List(ctx, statestore.ClassLease, prefix)
 		if prefix == userapi.OpenPrefix {
-			l.watched, l.sure = asked, asked
+			l.watchedUntil, l.certainUntil = asked, asked
 		}
 		if err == nil || ctx.Err() != nil {
 			return rows, epoch, err
 		}
-		l.d.Log.Info("records can't be read", "prefix", prefix, "err", err)
+		l.deps.Log.Info("records can't be read", "prefix", prefix, "err", err)
 		pause(ctx, constants.BackoffMin)
 	}
 }
--- a/internal/leader/targets_test.go
+++ b/internal/leader/targets_test.go
@@ -15,15 +15,15 @@
 	now := time.Unix(1000, 0)
 	l := testLeader(t)
 	silent, heard := addRig(l, "m-1", "east", now), addRig(l, "m-2", "east", now)
-	now = now.Add(l.quiet() + constants.IdleHold + time.Second)
-	if now.Sub(silent.m.LastHeartbeat) >= l.lease {
+	now = now.Add(l.silenceTolerance() + constants.IdleHold + time.Second)
+	if now.Sub(silent.agent.LastHeartbeat) >= l.lease {
 		t.Fatal("the lease is over: nothing is tested")
 	}
-	heard.m.LastHeartbeat = now
+	heard.agent.LastHeartbeat = now
 	addJob(t, l, sweep("j-1", 3), now)
-	l.pass(now)
-	if len(silent.m.Attempts) != 0 || len(heard.m.Attempts) != 3 {
-		t.Errorf("%d placed on the silent machine, %d on the other", len(silent.m.Attempts), len(heard.m.Attempts))
+	l.runSchedulingPass(now)
+	if len(silent.agent.Attempts) != 0 || len(heard.agent.Attempts) != 3 {
+		t.Errorf("%d placed on the silent machine, %d on the other", len(silent.agent.Attempts), len(heard.agent.Attempts))
 	}
 }
 
@@ -31,7 +31,7 @@
 func TestTargets(t *testing.T) {
 	share, half, due := 0.9, 1.5, 100.0
 	l := testLeader(t)
-	l.d.Settings.Params.Objectives = []config.Objective{
+	l.deps.Settings.Params.Objectives = []config.Objective{
 		{Kind: config.AimDeadline, Class: "d", Share: &share, Times: &half}, {Kind: config.AimDeadline, Class: "d", Share: &share},
 		{Kind: config.AimWait, Class: "w", WithinS: 30, Share: &share}, {Kind: config.AimFinished, Class: "w", WithinS: 250, Share: &share},
 		{Kind: "novel", Class: "n", WithinS: 1},
--- a/internal/node/confirmations.go
+++ b/internal/node/confirmations.go
@@ -19,7 +19,7 @@
 
 // allVouch asks this node and all others.
 func (n *Node) allVouch(ctx context.Context, span time.Duration) (cancelled []string, ok bool) {
-	words := make([]confirmations.Word, 1+len(n.set.Known))
+	words := make([]confirmations.Attestation, 1+len(n.set.Known))
 	var wait sync.WaitGroup
 	for i, k := range n.set.Known {
 		wait.Go(func() { words[1+i].Cancelled, words[1+i].OK = n.peers.Vouch(ctx, k.Label, span) })
--- a/internal/node/needs.go
+++ b/internal/node/needs.go
@@ -36,7 +36,7 @@
 func (n *Node) expected() int {
 	expected := max(constants.WorkersLeast, n.guaranteedMachines())
 	if l := n.leading.Load(); l != nil {
-		expected = max(expected, l.Fleet())
+		expected = max(expected, l.Machines())
 	}
 	return expected
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -202,7 +202,7 @@
 	set.Params.State = n.limits.within(set.Params.State)
 	l := leader.New(leader.Deps{
 		Settings: &set, Operator: n.op, Store: n.store, Cloud: n.cloud, Workers: workers.NewCommandClient(n.net.DialContext),
-		Catalog: n.catalog.Load, Drawn: n.store.Budget.Usage, Vouch: n.allVouch, ReadsLargeRing: n.readsLargeRing, Log: n.log,
+		Catalog: n.catalog.Load, Usage: n.store.Budget.Usage, Attest: n.allVouch, ReadsLargeRing: n.readsLargeRing, Log: n.log,
 	}, g)
 	n.store.Budget.SetShare(n.share(true))
 	n.leading.Store(l)
@@ -211,7 +211,7 @@
 		n.store.Budget.SetShare(n.share(false))
 	}()
 	err := l.Run(ctx)
-	if errors.Is(err, leader.ErrTooLarge) {
+	if errors.Is(err, leader.ErrTxnTooLarge) {
 		n.limits.shrink()
 	}
 	return err
@@ -268,7 +268,7 @@
 	if l := n.leading.Load(); l != nil {
 		ctx, cancel := context.WithTimeout(r.Context(), constants.HelloPatience)
 		defer cancel()
-		a, ok := l.Hello(ctx, rep)
+		a, ok := l.Heartbeat(ctx, rep)
 		if n.sockets.worker(r.Context()) {
 			w.Header().Set("Connection", "close")
 		}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -73,7 +73,7 @@
 	s.Scarce = n.scarce(s.MemoryMB)
 	s.TooSmall = n.problems()
 	if l := n.leading.Load(); l != nil {
-		s.Taking = l.Takeover()
+		s.Taking = l.FailoverProgress()
 	}
 	return s
 }
--- a/internal/userapi/server.go
+++ b/internal/userapi/server.go
@@ -44,7 +44,7 @@
 	log      *slog.Logger
 	finals   *lru.Cache[string, FinalRecord]
 	// cancelled is what this process can vouch for.
-	cancelled *confirmations.Memory
+	cancelled *confirmations.CancellationLog
 	mirror    *mirror
 	asks      chan ask
 	conds     int // conditions that one transaction takes
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Server{store: store, teams: teams, catalog: catalog, progress: progress, ready: ready, log: log, finals: finals, cancelled: confirmations.NewMemory(vouchesKept(state.WriteRPS), time.Now()),
+	return &Server{store: store, teams: teams, catalog: catalog, progress: progress, ready: ready, log: log, finals: finals, cancelled: confirmations.NewCancellationLog(vouchesKept(state.WriteRPS), time.Now()),
 		mirror: newMirror(), asks: make(chan ask, constants.AskQueue), conds: constants.CondsPerOp * max(state.TxnOps, 1),
 		ops: max(state.TxnOps, 1), valueBytes: int(state.ValueKB * 1024),
 		submits: make(chan struct{}, max(submits, 1))}, nil
@@ -305,7 +305,7 @@
 // this process vouches for what it has told.
 func (s *Server) settle(id string, f FinalRecord) {
 	if f.Status == StatusCancelled {
-		s.cancelled.Note(id, time.Now())
+		s.cancelled.Add(id, time.Now())
 	}
 	s.finals.Add(id, f)
 }
@@ -313,7 +313,7 @@
 // Vouch names the jobs that this process has told users, within so long a time,
 // are cancelled, and maybe some more that are. It reports false when it can't say.
 func (s *Server) AttestCancellations(span time.Duration) (ids []string, ok bool) {
-	return s.cancelled.Within(span, time.Now())
+	return s.cancelled.Since(span, time.Now())
 }
 
 func finalState(id string, f FinalRecord) JobStatus {
