--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -251,12 +251,12 @@
 
 // written carries out what a checkpoint of the whole site writes, and returns
 // the number of transactions and of changes in them.
-func written(l *Leader, rows map[string]wal.Row) (txns, changes int) {
+func written(l *Leader, rows map[string]wal.KeyValue) (txns, changes int) {
 	l.checkpoint()
 	for l.commits.log.Checkpointing() {
 		t := l.nextTxn()
 		for _, w := range t.Writes {
-			rows[w.Put] = wal.Row{Key: w.Put, Value: w.Value}
+			rows[w.Put] = wal.KeyValue{Key: w.Put, Value: w.Value}
 		}
 		txns++
 		changes += len(t.Writes)
@@ -269,7 +269,7 @@
 func BenchmarkCheckpoint(b *testing.B) {
 	perFleetSize(b, func(b *testing.B, machines int) {
 		l, _ := grown(b, machines)
-		rows := make(map[string]wal.Row)
+		rows := make(map[string]wal.KeyValue)
 		b.ResetTimer()
 		for range b.N {
 			txns, changes := written(l, rows)
@@ -283,7 +283,7 @@
 func BenchmarkReplay(b *testing.B) {
 	perFleetSize(b, func(b *testing.B, machines int) {
 		l, list := grown(b, machines)
-		rows := make(map[string]wal.Row)
+		rows := make(map[string]wal.KeyValue)
 		written(l, rows)
 		for i := range constants.CheckpointAfter {
 			for k := range 20 {
@@ -291,11 +291,11 @@
 			}
 			t := l.nextTxn()
 			for _, w := range t.Writes {
-				rows[w.Put] = wal.Row{Key: w.Put, Value: w.Value}
+				rows[w.Put] = wal.KeyValue{Key: w.Put, Value: w.Value}
 			}
 			l.committed(commitResult{epoch: uint64(5000 + i)})
 		}
-		all := make([]wal.Row, 0, len(rows))
+		all := make([]wal.KeyValue, 0, len(rows))
 		size := 0
 		for _, r := range rows {
 			all = append(all, r)
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -139,7 +139,7 @@
 	if c.log.InFlight() {
 		return c.log.Next(nil)
 	}
-	var extras []wal.Extra
+	var extras []wal.JobWrite
 	// The head and at least one log value go along.
 	room := max(l.deps.Settings.Params.State.TxnOps-3, 2)
 	kept := c.finalizing[:0:0]
@@ -209,14 +209,14 @@
 	case deposed:
 		l.endTerm(errDeposed)
 		return
-	case o.failed != nil && c.log.Ours(*o.head):
-		c.log.Stood(o.stamp)
+	case o.failed != nil && c.log.WroteHead(*o.head):
+		c.log.Committed(o.stamp)
 	case o.failed != nil && o.failed.HasKey(wal.HeadKey):
 		l.endTerm(errDeposed) // somebody else writes the log
 		return
 	case o.failed != nil:
 		// The extras that did not clash are asked for again.
-		c.log.Clashed(o.failed.HasKey)
+		c.log.Conflicted(o.failed.HasKey)
 		l.passDueNow = true
 		return
 	case errors.Is(o.err, statestore.ErrRejected):
@@ -224,10 +224,10 @@
 		l.endTerm(ErrTxnTooLarge)
 		return
 	case o.err == nil:
-		c.log.Stood(o.epoch)
+		c.log.Committed(o.epoch)
 	default:
 		// Executed or not, the same transaction is tried again.
-		c.log.Unknown()
+		c.log.OutcomeUnknown()
 		if c.backoff == 0 {
 			l.deps.Log.Info("records can't be written", "err", o.err)
 		}
@@ -244,21 +244,21 @@
 
 // finalExtra moves a job from the open to the final ones. It fails if the
 // user's cancellation came first: exactly one of both wins.
-func (l *Leader) finalExtra(j *jobState) wal.Extra {
+func (l *Leader) finalExtra(j *jobState) wal.JobWrite {
 	name := j.spec.ID
 	at := time.Now()
 	v, _ := json.Marshal(userapi.FinalRecord{Status: userapi.StatusDone, Tasks: j.spec.Tasks, AtMS: at.UnixMilli()}) // plain fields always encode
-	return wal.Extra{
+	return wal.JobWrite{
 		When:   []statestore.Condition{{Key: userapi.OpenPrefix + name, Revision: j.revision}},
 		Writes: []statestore.Write{{Delete: userapi.OpenPrefix + name}, {Put: userapi.FinalPrefix + name, Value: v}},
-		Stood: func(uint64) {
+		Committed: func(uint64) {
 			l.deps.Log.Debug("job done", "id", name)
 			l.removeJob(j, time.Now())
 			l.upstreamEnded(name, userapi.FinalRecord{Status: userapi.StatusDone, AtMS: at.UnixMilli()}, time.Now())
 		},
 		// Ended already by its user.
-		Clash: func() { l.removeJob(j, time.Now()) },
-		Again: func() {
+		Conflicted: func() { l.removeJob(j, time.Now()) },
+		Retry: func() {
 			j.finalizing = false
 			l.commits.finalizing = append(l.commits.finalizing, j)
 		},
@@ -266,14 +266,14 @@
 }
 
 // remainExtra removes a key of the earlier format.
-func (l *Leader) legacyExtra(key string, stamp uint64) wal.Extra {
+func (l *Leader) legacyExtra(key string, stamp uint64) wal.JobWrite {
 	c := &l.commits
 	gone := func() { delete(c.legacyKeys, key) }
-	return wal.Extra{
-		When:   []statestore.Condition{{Key: key, Revision: stamp}},
-		Writes: []statestore.Write{{Delete: key}},
-		Stood:  func(uint64) { gone() },
-		Clash:  gone,
+	return wal.JobWrite{
+		When:       []statestore.Condition{{Key: key, Revision: stamp}},
+		Writes:     []statestore.Write{{Delete: key}},
+		Committed:  func(uint64) { gone() },
+		Conflicted: gone,
 	}
 }
 
@@ -310,14 +310,14 @@
 }
 
 // Done gives a checkpoint a job's completed tasks.
-func (l *Leader) Done(name string) (out []wal.Done) {
+func (l *Leader) DoneTasks(name string) (out []wal.DoneTasks) {
 	j := l.jobs[name]
 	if j == nil {
 		return nil
 	}
 	per := constants.DoneChunk / 8
 	for at := 0; at < len(j.doneTasks); at += per {
-		out = append(out, wal.Done{First: at * 8, Bits: slices.Clone(j.doneTasks[at:min(len(j.doneTasks), at+per)])})
+		out = append(out, wal.DoneTasks{First: at * 8, Bits: slices.Clone(j.doneTasks[at:min(len(j.doneTasks), at+per)])})
 	}
 	return out
 }
@@ -377,7 +377,7 @@
 	if !r.metadataLogged {
 		l.logMetadata(r, nil)
 	}
-	l.commits.log.Add(r.agent.Name, recordAttempt(a), a.ID.Task.Job, wal.Job{Owner: l.teamOf(a), Room: recordRoom(l.resourcesOf(a))}, func() {
+	l.commits.log.AttemptPlaced(r.agent.Name, recordAttempt(a), a.ID.Task.Job, wal.JobUse{Team: l.teamOf(a), Resources: recordRoom(l.resourcesOf(a))}, func() {
 		if !a.Committed {
 			a.Committed = true
 			l.allowStart(r, a)
@@ -388,7 +388,7 @@
 // noteMeta has all but a machine's attempts recorded.
 func (l *Leader) logMetadata(r *machine, stood func()) {
 	r.metadataLogged, r.loggedMetadata = true, l.machineMetadata(r)
-	l.commits.log.Meta(r.agent.Name, r.loggedMetadata, stood)
+	l.commits.log.MachineChanged(r.agent.Name, r.loggedMetadata, stood)
 }
 
 // clear lets a committed attempt start. A gang waits until the records of all
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -205,12 +205,12 @@
 }
 
 // offExtra writes the final record of a job that is cancelled with one before it.
-func (l *Leader) cancelledExtra(j *jobState) wal.Extra {
+func (l *Leader) cancelledExtra(j *jobState) wal.JobWrite {
 	name := j.spec.ID
 	v, _ := json.Marshal(userapi.FinalRecord{Status: userapi.StatusCancelled}) // plain fields always encode
-	return wal.Extra{
+	return wal.JobWrite{
 		When:   []statestore.Condition{{Key: userapi.OpenPrefix + name, Revision: j.revision}},
 		Writes: []statestore.Write{{Delete: userapi.OpenPrefix + name}, {Put: userapi.FinalPrefix + name, Value: v}},
-		Again:  func() { l.commits.cancelled = append(l.commits.cancelled, j) },
+		Retry:  func() { l.commits.cancelled = append(l.commits.cancelled, j) },
 	}
 }
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -261,7 +261,7 @@
 // vacate takes an attempt off its job once it is gone or has exited.
 func (l *Leader) removeAttempt(r *machine, a *workers.Attempt) {
 	l.markStale(r)
-	l.commits.log.Del(r.agent.Name, recordAttempt(a))
+	l.commits.log.AttemptGone(r.agent.Name, recordAttempt(a))
 	j := l.jobs[a.ID.Task.Job]
 	if j == nil {
 		if g := l.endedJobs[a.ID.Task.Job]; g != nil {
@@ -445,7 +445,7 @@
 
 // noteDone has a task's completion recorded, before its worker may forget it.
 func (l *Leader) logDone(j *jobState, task int) {
-	l.commits.log.Done(j.spec.ID, []int{task}, func() {
+	l.commits.log.TasksDone(j.spec.ID, []int{task}, func() {
 		if j.removed {
 			return
 		}
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -183,7 +183,7 @@
 		t.Errorf("%v GPUs in use after the cancellation, want 3", got)
 	}
 	rec := l.machineRecord(r)
-	if len(rec.Attempts) != 3 || rec.Jobs["j-1"].Owner != "a" || roomOf(rec.Jobs["j-1"].Room).GPUs != 1 {
+	if len(rec.Attempts) != 3 || rec.Jobs["j-1"].Team != "a" || roomOf(rec.Jobs["j-1"].Resources).GPUs != 1 {
 		t.Errorf("the record does not carry them: %+v", rec)
 	}
 	l.applyHeartbeat(r, report(l, r, workers.StatusExited, "halted"), false, now)
@@ -623,7 +623,7 @@
 				r := pick()
 				l.applyEvents(r, r.agent.Terminated(), now)
 				l.removeMachine(r)
-				l.commits.log.Gone(r.agent.Name)
+				l.commits.log.MachineRemoved(r.agent.Name)
 			},
 			"time": func(*rapid.T) { now = now.Add(time.Duration(rapid.IntRange(1, 20).Draw(rt, "s")) * time.Second) },
 			"": func(*rapid.T) {
--- a/internal/leader/provisioning.go
+++ b/internal/leader/provisioning.go
@@ -259,7 +259,7 @@
 					r.pending.reply <- Reply{Status: 503}
 				}
 				l.removeMachine(r)
-				l.commits.log.Gone(name)
+				l.commits.log.MachineRemoved(name)
 			}
 			l.passDueNow = true
 		})
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -25,45 +25,45 @@
 	oldDidPrefix     = "did/"
 )
 
-func roomOf(r wal.Room) placement.Room {
+func roomOf(r wal.Resources) placement.Room {
 	return placement.Room{VCPUs: r[0], GPUs: r[1], RAM: r[2]}
 }
 
-func recordRoom(r placement.Room) wal.Room { return wal.Room{r.VCPUs, r.GPUs, r.RAM} }
+func recordRoom(r placement.Room) wal.Resources { return wal.Resources{r.VCPUs, r.GPUs, r.RAM} }
 
 func holdOf(h wal.Hold, machine string) reservations.Hold {
-	p := placement.Pipeline{Owner: h.Owner, Workload: h.Workload}
+	p := placement.Pipeline{Owner: h.Team, Workload: h.Class}
 	if h.Edge {
-		p.Downstream = h.Down
+		p.Downstream = h.Downstream
 	}
 	return reservations.Hold{
 		Machine: machine, Pipeline: p,
-		Upstream: h.Up, Downstream: h.Down, Priority: h.Priority,
-		Room: roomOf(h.Room), Expires: time.UnixMilli(h.Expires),
+		Upstream: h.Upstream, Downstream: h.Downstream, Priority: h.Priority,
+		Room: roomOf(h.Resources), Expires: time.UnixMilli(h.Expires),
 	}
 }
 
 func recordHold(h reservations.Hold) wal.Hold {
-	return wal.Hold{Owner: h.Pipeline.Owner, Workload: h.Pipeline.Workload, Up: h.Upstream, Down: h.Downstream, Edge: h.Pipeline.Downstream != "",
-		Priority: h.Priority, Room: recordRoom(h.Room), Expires: h.Expires.UnixMilli()}
+	return wal.Hold{Team: h.Pipeline.Owner, Class: h.Pipeline.Workload, Upstream: h.Upstream, Downstream: h.Downstream, Edge: h.Pipeline.Downstream != "",
+		Priority: h.Priority, Resources: recordRoom(h.Room), Expires: h.Expires.UnixMilli()}
 }
 
 func recordAttempt(a *workers.Attempt) wal.Attempt {
-	return wal.Attempt{Piece: a.ID.Task.String(), Try: a.ID.Number, Shift: a.Epoch}
+	return wal.Attempt{Task: a.ID.Task.String(), Number: a.ID.Number, Epoch: a.Epoch}
 }
 
 func attemptOf(r wal.Attempt, now time.Time) (*workers.Attempt, error) {
-	task, err := workers.ParseTaskID(r.Piece)
+	task, err := workers.ParseTaskID(r.Task)
 	if err != nil {
 		return nil, err
 	}
-	return &workers.Attempt{ID: workers.AttemptID{Task: task, Number: r.Try}, Epoch: r.Shift,
+	return &workers.Attempt{ID: workers.AttemptID{Task: task, Number: r.Number}, Epoch: r.Epoch,
 		Committed: true, StartAllowed: true, FromEarlierTerm: true, Sent: true, PlacedAt: now}, nil
 }
 
 // meta is what is recorded of a machine beside its attempts.
 func (l *Leader) machineMetadata(r *machine) wal.Machine {
-	rec := wal.Machine{Type: r.agent.Type, Zone: r.agent.Zone, Spot: r.agent.Spot, Endpoint: r.agent.Endpoint, Shift: r.agent.Epoch, Leaving: r.leaving}
+	rec := wal.Machine{Type: r.agent.Type, Zone: r.agent.Zone, Spot: r.agent.Spot, Endpoint: r.agent.Endpoint, Epoch: r.agent.Epoch, Leaving: r.leaving}
 	for _, h := range l.reservations.On(r.agent.Name) {
 		rec.Holds = append(rec.Holds, recordHold(h))
 	}
@@ -86,9 +86,9 @@
 		}
 		rec.Attempts = append(rec.Attempts, recordAttempt(a))
 		if rec.Jobs == nil {
-			rec.Jobs = make(map[string]wal.Job)
+			rec.Jobs = make(map[string]wal.JobUse)
 		}
-		rec.Jobs[a.ID.Task.Job] = wal.Job{Owner: l.teamOf(a), Room: recordRoom(l.resourcesOf(a))}
+		rec.Jobs[a.ID.Task.Job] = wal.JobUse{Team: l.teamOf(a), Resources: recordRoom(l.resourcesOf(a))}
 	}
 	return rec
 }
@@ -99,7 +99,7 @@
 	r.metadataLogged = true
 	r.leaving = rec.Leaving
 	r.leavingRecorded = rec.Leaving
-	r.agent.Type, r.agent.Zone, r.agent.Spot, r.agent.Endpoint, r.agent.Epoch = rec.Type, rec.Zone, rec.Spot, rec.Endpoint, rec.Shift
+	r.agent.Type, r.agent.Zone, r.agent.Spot, r.agent.Endpoint, r.agent.Epoch = rec.Type, rec.Zone, rec.Spot, rec.Endpoint, rec.Epoch
 	for _, ar := range rec.Attempts {
 		a, err := attemptOf(ar, now)
 		if err != nil {
@@ -111,7 +111,7 @@
 			g := l.endedJobs[id]
 			if g == nil {
 				was := rec.Jobs[id]
-				g = &endedJob{team: was.Owner, need: roomOf(was.Room)}
+				g = &endedJob{team: was.Team, need: roomOf(was.Resources)}
 				l.endedJobs[id] = g
 			}
 			g.attempts++
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -114,20 +114,20 @@
 	if err != nil {
 		return wal.State{}, 0, err
 	}
-	var rows []wal.Row
+	var rows []wal.KeyValue
 	if found {
 		var head wal.Head
 		if err := json.Unmarshal(headRow.Value, &head); err != nil {
 			return wal.State{}, 0, fmt.Errorf("record %s: %w", wal.HeadKey, err)
 		}
-		rows = append(rows, wal.Row{Key: headRow.Key, Value: headRow.Value})
+		rows = append(rows, wal.KeyValue{Key: headRow.Key, Value: headRow.Value})
 		for _, prefix := range head.Prefixes() {
 			listed, _, err := l.listRecords(ctx, prefix)
 			if err != nil {
 				return wal.State{}, 0, err
 			}
 			for _, r := range listed {
-				rows = append(rows, wal.Row{Key: r.Key, Value: r.Value})
+				rows = append(rows, wal.KeyValue{Key: r.Key, Value: r.Value})
 			}
 		}
 	}
@@ -144,14 +144,14 @@
 	l.commits.log = wal.NewWriter(l.grant.Term, wal.Limits{ValueBytes: int(p.ValueKB * 1024), Ops: p.TxnOps}, head, stamp)
 	// In use it was found to be read by all nodes, and they do not go back unless the
 	// operators' setting has said so first.
-	l.commits.log.SetLarge(head.Ring > 0 && l.deps.Operator.Log.LargeRing)
+	l.commits.log.AllowLargeRing(head.Ring > 0 && l.deps.Operator.Log.LargeRing)
 }
 
 // askRings asks, now and then, whether all nodes read the log's large ring, if the
 // fleet has grown so large that it is wanted.
 func (l *Leader) checkLargeRingSupport(now time.Time) {
 	c := &l.commits
-	if l.deps.ReadsLargeRing == nil || !l.deps.Operator.Log.LargeRing || !c.log.WantsLarge() || now.Sub(c.ringsAsked) < constants.LargeRingAsk {
+	if l.deps.ReadsLargeRing == nil || !l.deps.Operator.Log.LargeRing || !c.log.WantsLargeRing() || now.Sub(c.ringsAsked) < constants.LargeRingAsk {
 		return
 	}
 	c.ringsAsked = now
@@ -159,7 +159,7 @@
 		if l.deps.ReadsLargeRing(l.ctx) {
 			l.post(l.ctx, func() {
 				l.deps.Log.Info("the log moves to the large ring: all nodes read it", "parts", c.log.Head().Parts)
-				c.log.SetLarge(true)
+				c.log.AllowLargeRing(true)
 			})
 		}
 		return nil
--- a/internal/leader/wal/checkpoint.go
+++ b/internal/leader/wal/checkpoint.go
@@ -8,11 +8,11 @@
 
 // Source gives the checkpoint its contents, each as it is when its part is
 // written. It must include whatever may be on machines.
-type Source interface {
+type StateSource interface {
 	// Machine is a machine's record; ok is false for one that is gone.
 	Machine(name string) (r Machine, ok bool)
 	// Done are a job's completed tasks.
-	Done(job string) []Done
+	DoneTasks(job string) []DoneTasks
 }
 
 type checkpoint struct {
@@ -22,7 +22,7 @@
 	machines []string
 	total    int // machines as it began
 	jobs     []string
-	src      Source
+	src      StateSource
 	// first is the next run of jobs[0] to write.
 	first int
 	ready bool
@@ -36,7 +36,7 @@
 
 // Checkpoint begins to write the whole state anew; over is called once it
 // counts.
-func (w *Writer) Checkpoint(machines, jobs []string, src Source, over func()) {
+func (w *Writer) Checkpoint(machines, jobs []string, src StateSource, over func()) {
 	if w.check != nil {
 		return
 	}
@@ -113,9 +113,9 @@
 	room := limit - 64
 	type body struct {
 		Machines map[string]json.RawMessage `json:"r,omitempty"`
-		Done     map[string][]Done          `json:"d,omitempty"`
+		Done     map[string][]DoneTasks     `json:"d,omitempty"`
 	}
-	p := body{Machines: make(map[string]json.RawMessage), Done: make(map[string][]Done)}
+	p := body{Machines: make(map[string]json.RawMessage), Done: make(map[string][]DoneTasks)}
 	for len(c.machines) > 0 {
 		r, ok := c.src.Machine(c.machines[0])
 		if ok {
@@ -134,7 +134,7 @@
 		c.machines = c.machines[1:]
 	}
 	for len(c.jobs) > 0 {
-		runs := c.src.Done(c.jobs[0])
+		runs := c.src.DoneTasks(c.jobs[0])
 		for c.first < len(runs) {
 			d := runs[c.first]
 			need := len(d.Bits)*4/3 + len(c.jobs[0]) + 40
--- a/internal/leader/wal/record.go
+++ b/internal/leader/wal/record.go
@@ -91,31 +91,31 @@
 
 // Attempt is one start of a task that may be on its machine.
 type Attempt struct {
-	Piece string `json:"p"`
-	Try   uint64 `json:"t"`
-	Shift uint64 `json:"h"`
+	Task   string `json:"p"`
+	Number uint64 `json:"t"`
+	Epoch  uint64 `json:"h"`
 }
 
 // Job is the owner and size of an attempt's job: the job may be over while a
 // task of it still stands on a machine and counts.
-type Job struct {
-	Owner string `json:"w"`
-	Room  Room   `json:"r"`
+type JobUse struct {
+	Team      string    `json:"w"`
+	Resources Resources `json:"r"`
 }
 
 // Room is CPUs, GPUs and memory, in this order.
-type Room [3]float64
+type Resources [3]float64
 
 // Hold is room kept for a pipeline.
 type Hold struct {
-	Owner    string `json:"w"`
-	Workload string `json:"k"`
-	Up       string `json:"u"`
-	Down     string `json:"d"`
-	Edge     bool   `json:"e,omitempty"` // along an edge that users named
-	Priority int    `json:"p"`
-	Room     Room   `json:"r"`
-	Expires  int64  `json:"x"` // Unix time, ms
+	Team       string    `json:"w"`
+	Class      string    `json:"k"`
+	Upstream   string    `json:"u"`
+	Downstream string    `json:"d"`
+	Edge       bool      `json:"e,omitempty"` // along an edge that users named
+	Priority   int       `json:"p"`
+	Resources  Resources `json:"r"`
+	Expires    int64     `json:"x"` // Unix time, ms
 }
 
 // Image is one image that a machine has.
@@ -126,27 +126,27 @@
 
 // Machine is what is kept of one machine.
 type Machine struct {
-	Type     string         `json:"t,omitempty"`
-	Zone     string         `json:"z,omitempty"`
-	Spot     bool           `json:"s,omitempty"`
-	Endpoint string         `json:"e,omitempty"`
-	Shift    uint64         `json:"h,omitempty"`
-	Leaving  bool           `json:"l,omitempty"`
-	Attempts []Attempt      `json:"a,omitempty"`
-	Jobs     map[string]Job `json:"j,omitempty"`
-	Holds    []Hold         `json:"o,omitempty"`
-	Images   []Image        `json:"i,omitempty"`
+	Type     string            `json:"t,omitempty"`
+	Zone     string            `json:"z,omitempty"`
+	Spot     bool              `json:"s,omitempty"`
+	Endpoint string            `json:"e,omitempty"`
+	Epoch    uint64            `json:"h,omitempty"`
+	Leaving  bool              `json:"l,omitempty"`
+	Attempts []Attempt         `json:"a,omitempty"`
+	Jobs     map[string]JobUse `json:"j,omitempty"`
+	Holds    []Hold            `json:"o,omitempty"`
+	Images   []Image           `json:"i,omitempty"`
 }
 
 // Change is what one entry says of one machine.
-type Change struct {
+type MachineChange struct {
 	// Meta replaces all but the attempts.
-	Meta *Machine       `json:"m,omitempty"`
-	Add  []Attempt      `json:"a,omitempty"`
-	Del  []Attempt      `json:"x,omitempty"` // proven to be off the machine
-	Jobs map[string]Job `json:"j,omitempty"`
+	Metadata *Machine          `json:"m,omitempty"`
+	Placed   []Attempt         `json:"a,omitempty"`
+	Gone     []Attempt         `json:"x,omitempty"` // proven to be off the machine
+	Jobs     map[string]JobUse `json:"j,omitempty"`
 	// Gone: the cloud has taken the machine back.
-	Gone bool `json:"g,omitempty"`
+	Removed bool `json:"g,omitempty"`
 }
 
 // AllTasks stands for every task of a job in an entry's list.
@@ -154,26 +154,26 @@
 
 // Entry is one value of the log.
 type Entry struct {
-	Seq      uint64            `json:"s"`
-	Machines map[string]Change `json:"r,omitempty"`
+	Seq      uint64                   `json:"s"`
+	Machines map[string]MachineChange `json:"r,omitempty"`
 	// Done are tasks that were completed, by job.
 	Done map[string][]int `json:"d,omitempty"`
 }
 
 // part is one value of a checkpoint.
 type part struct {
-	Machines map[string]Machine `json:"r,omitempty"`
-	Done     map[string][]Done  `json:"d,omitempty"`
+	Machines map[string]Machine     `json:"r,omitempty"`
+	Done     map[string][]DoneTasks `json:"d,omitempty"`
 }
 
 // Done is a run of a job's completed tasks: bits from task First on.
-type Done struct {
+type DoneTasks struct {
 	First int    `json:"f"`
 	Bits  []byte `json:"b"`
 }
 
 // Row is one key as the state service lists it.
-type Row struct {
+type KeyValue struct {
 	Key   string
 	Value json.RawMessage
 }
@@ -190,7 +190,7 @@
 // counts on and that can't be read may hide a task that still runs, so it is
 // an error: nothing may be decided without it. Rows that are not ours are
 // named in odd and do no harm.
-func Read(rows []Row) (st State, odd []string, err error) {
+func Read(rows []KeyValue) (st State, odd []string, err error) {
 	st = State{Machines: make(map[string]*Machine), Done: make(map[string][]int)}
 	byKey := make(map[string]json.RawMessage, len(rows))
 	for _, r := range rows {
@@ -263,9 +263,9 @@
 // apply takes in one entry.
 func (st *State) apply(e Entry) {
 	for name, c := range e.Machines {
-		if c.Gone {
+		if c.Removed {
 			delete(st.Machines, name)
-			if c.Meta == nil && len(c.Add) == 0 {
+			if c.Metadata == nil && len(c.Placed) == 0 {
 				continue
 			}
 		}
@@ -274,19 +274,19 @@
 			r = &Machine{}
 			st.Machines[name] = r
 		}
-		if c.Meta != nil {
-			m := *c.Meta
+		if c.Metadata != nil {
+			m := *c.Metadata
 			m.Attempts, m.Jobs = r.Attempts, r.Jobs
 			*r = m
 		}
-		r.remove(c.Del)
-		for _, a := range c.Add {
+		r.remove(c.Gone)
+		for _, a := range c.Placed {
 			r.remove([]Attempt{a})
 			r.Attempts = append(r.Attempts, a)
 		}
 		for id, j := range c.Jobs {
 			if r.Jobs == nil {
-				r.Jobs = make(map[string]Job)
+				r.Jobs = make(map[string]JobUse)
 			}
 			r.Jobs[id] = j
 		}
@@ -300,7 +300,7 @@
 	for _, g := range gone {
 		kept := r.Attempts[:0:0]
 		for _, a := range r.Attempts {
-			if a.Piece != g.Piece || a.Try != g.Try {
+			if a.Task != g.Task || a.Number != g.Number {
 				kept = append(kept, a)
 			}
 		}
--- a/internal/leader/wal/ring.go
+++ b/internal/leader/wal/ring.go
@@ -16,11 +16,11 @@
 
 // SetLarge says whether entries may stand in the large ring. It is used once the
 // checkpoint is so large that it would have to be written again and again in the other.
-func (w *Writer) SetLarge(allowed bool) { w.large = allowed }
+func (w *Writer) AllowLargeRing(allowed bool) { w.large = allowed }
 
 // WantsLarge tells whether the checkpoint is too large for the ring that all versions
 // read.
-func (w *Writer) WantsLarge() bool {
+func (w *Writer) WantsLargeRing() bool {
 	return w.head.Ring == 0 && w.head.Parts > w.largeParts
 }
 
@@ -31,7 +31,7 @@
 // nothing in it counts any more.
 func (w *Writer) chooseRing(h *Head) {
 	switch {
-	case w.large && w.WantsLarge():
+	case w.large && w.WantsLargeRing():
 		h.Ring, h.RingFrom = w.largeRing, h.Next
 	case w.giveUpLarge(*h) && h.From == h.Next:
 		h.Ring, h.RingFrom = 0, 0
--- a/internal/leader/wal/wal_test.go
+++ b/internal/leader/wal/wal_test.go
@@ -21,7 +21,7 @@
 
 // store is a state service that carries out transactions whole.
 type store struct {
-	rows  map[string]Row
+	rows  map[string]KeyValue
 	stamp map[string]uint64
 	epoch uint64
 }
@@ -42,25 +42,25 @@
 			delete(s.stamp, w.Delete)
 			continue
 		}
-		s.rows[w.Put] = Row{w.Put, w.Value}
+		s.rows[w.Put] = KeyValue{w.Put, w.Value}
 		s.stamp[w.Put] = s.epoch
 	}
 	return nil
 }
 
 // log lists all of the log's keys.
-func (s *store) log() (out []Row) {
+func (s *store) log() (out []KeyValue) {
 	for k, r := range s.rows {
 		if strings.HasPrefix(k, Prefix) {
 			out = append(out, r)
 		}
 	}
-	slices.SortFunc(out, func(a, b Row) int { return strings.Compare(a.Key, b.Key) })
+	slices.SortFunc(out, func(a, b KeyValue) int { return strings.Compare(a.Key, b.Key) })
 	return out
 }
 
 // named lists what a takeover reads: the head, and what it names.
-func (s *store) named() (out []Row) {
+func (s *store) named() (out []KeyValue) {
 	var head Head
 	if r, ok := s.rows[HeadKey]; ok {
 		_ = json.Unmarshal(r.Value, &head) // Read tells
@@ -71,7 +71,7 @@
 			out = append(out, r)
 		}
 	}
-	slices.SortFunc(out, func(a, b Row) int { return strings.Compare(a.Key, b.Key) })
+	slices.SortFunc(out, func(a, b KeyValue) int { return strings.Compare(a.Key, b.Key) })
 	return out
 }
 
@@ -104,12 +104,12 @@
 	for a := range on {
 		r.Attempts = append(r.Attempts, a)
 	}
-	slices.SortFunc(r.Attempts, func(a, b Attempt) int { return int(a.Try) - int(b.Try) })
+	slices.SortFunc(r.Attempts, func(a, b Attempt) int { return int(a.Number) - int(b.Number) })
 	return r, true
 }
 
 // Done gives a checkpoint what is done, in runs of eight.
-func (m *model) Done(job string) (out []Done) {
+func (m *model) DoneTasks(job string) (out []DoneTasks) {
 	for first := 0; first < 64; first += 8 {
 		var b byte
 		for k := range 8 {
@@ -118,7 +118,7 @@
 			}
 		}
 		if b != 0 {
-			out = append(out, Done{first, []byte{b}})
+			out = append(out, DoneTasks{first, []byte{b}})
 		}
 	}
 	return out
@@ -130,14 +130,14 @@
 // end stood, every completion that stood and none that never was.
 func TestReplayEqualsWhatWasCommitted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &store{rows: map[string]Row{}, stamp: map[string]uint64{termKey: 1}, epoch: 1}
+		s := &store{rows: map[string]KeyValue{}, stamp: map[string]uint64{termKey: 1}, epoch: 1}
 		lim := Limits{ValueBytes: 600, Ops: 5}
 		m := newModel()
 		// A ring so small that it wraps, and that any checkpoint is large enough for.
 		newWriter := func(term uint64, head Head, stamp uint64) *Writer {
 			w := NewWriter(term, lim, head, stamp)
 			w.largeRing, w.largeParts = 24, 0
-			w.SetLarge(rapid.Bool().Draw(t, "large"))
+			w.AllowLargeRing(rapid.Bool().Draw(t, "large"))
 			return w
 		}
 		m.term, m.w = 1, newWriter(1, Head{}, 0)
@@ -160,20 +160,20 @@
 			if len(list) == 0 {
 				return "", Attempt{}, false
 			}
-			slices.SortFunc(list, func(a, b Attempt) int { return int(a.Try) - int(b.Try) })
+			slices.SortFunc(list, func(a, b Attempt) int { return int(a.Number) - int(b.Number) })
 			return name, rapid.SampledFrom(list).Draw(t, "attempt"), true
 		}
 		send := func() {
 			if m.w.Pending() || m.w.Checkpointing() {
-				var extras []Extra
+				var extras []JobWrite
 				if !m.w.InFlight() && rapid.IntRange(0, 4).Draw(t, "extra") == 0 {
 					job := fmt.Sprint("open/", rapid.IntRange(0, 3).Draw(t, "which"))
 					stamp := s.stamp[job]
 					if rapid.Bool().Draw(t, "wrong") {
 						stamp += 100
 					}
-					extras = append(extras, Extra{When: []statestore.Condition{{Key: job, Revision: stamp}}, Writes: []statestore.Write{{Put: job, Value: json.RawMessage("1")}},
-						Stood: func(uint64) { ended[job] = true }})
+					extras = append(extras, JobWrite{When: []statestore.Condition{{Key: job, Revision: stamp}}, Writes: []statestore.Write{{Put: job, Value: json.RawMessage("1")}},
+						Committed: func(uint64) { ended[job] = true }})
 				}
 				x := m.w.Next(extras)
 				if x == nil {
@@ -191,17 +191,17 @@
 				finalKnown := rapid.IntRange(0, 5).Draw(t, "fate")
 				if finalKnown == 0 { // lost on the way, may arrive later
 					late = append(late, txn{when, x.Writes})
-					m.w.Unknown()
+					m.w.OutcomeUnknown()
 					return
 				}
 				failed := s.run(when, x.Writes)
 				if finalKnown == 1 { // the answer is lost, and a copy is about
 					late = append(late, txn{when, x.Writes})
-					m.w.Unknown()
+					m.w.OutcomeUnknown()
 					return
 				}
 				if failed == nil {
-					m.w.Stood(s.epoch)
+					m.w.Committed(s.epoch)
 					return
 				}
 				var h Head
@@ -213,12 +213,12 @@
 				switch {
 				case slices.Contains(failed, termKey):
 					t.Fatalf("deposed without a takeover")
-				case m.w.Ours(h):
-					m.w.Stood(s.stamp[HeadKey])
+				case m.w.WroteHead(h):
+					m.w.Committed(s.stamp[HeadKey])
 				case slices.Contains(failed, HeadKey):
 					t.Fatalf("somebody else wrote the head: %+v", h)
 				default:
-					m.w.Clashed(func(k string) bool { return slices.Contains(failed, k) })
+					m.w.Conflicted(func(k string) bool { return slices.Contains(failed, k) })
 				}
 			}
 		}
@@ -226,12 +226,12 @@
 			"add": func(t *rapid.T) {
 				name := machine()
 				tries++
-				a := Attempt{Piece: fmt.Sprintf("%s/%d", rapid.SampledFrom(jobs).Draw(t, "job"), tries%20), Try: tries, Shift: 1}
+				a := Attempt{Task: fmt.Sprintf("%s/%d", rapid.SampledFrom(jobs).Draw(t, "job"), tries%20), Number: tries, Epoch: 1}
 				if m.live[name] == nil {
 					m.live[name] = map[Attempt]bool{}
 				}
 				m.live[name][a] = true
-				m.w.Add(name, a, "j-1", Job{Owner: "x"}, func() { m.stood[a] = true })
+				m.w.AttemptPlaced(name, a, "j-1", JobUse{Team: "x"}, func() { m.stood[a] = true })
 			},
 			"del": func(t *rapid.T) {
 				name, a, ok := attempt()
@@ -240,7 +240,7 @@
 				}
 				delete(m.live[name], a)
 				delete(m.stood, a)
-				m.w.Del(name, a)
+				m.w.AttemptGone(name, a)
 			},
 			"meta": func(t *rapid.T) {
 				// Each zone is new, so that it tells which record was read.
@@ -250,7 +250,7 @@
 					m.live[name] = map[Attempt]bool{}
 				}
 				m.zone[name] = zone
-				m.w.Meta(name, Machine{Zone: zone}, func() { m.written[name] = zone })
+				m.w.MachineChanged(name, Machine{Zone: zone}, func() { m.written[name] = zone })
 			},
 			"gone": func(t *rapid.T) {
 				name := machine()
@@ -260,7 +260,7 @@
 				delete(m.live, name)
 				delete(m.zone, name)
 				delete(m.written, name)
-				m.w.Gone(name)
+				m.w.MachineRemoved(name)
 				// The cloud never gives a name twice.
 				tries++
 				machines[slices.Index(machines, name)] = fmt.Sprint("m-", tries+10)
@@ -272,7 +272,7 @@
 				}
 				safe := m.safe[job]
 				m.done[job][i] = true
-				m.w.Done(job, []int{i}, func() { safe[i] = true })
+				m.w.TasksDone(job, []int{i}, func() { safe[i] = true })
 			},
 			"checkpoint": func(t *rapid.T) {
 				var names []string
@@ -282,7 +282,7 @@
 				slices.Sort(names)
 				m.w.Checkpoint(names, jobs, m, nil)
 			},
-			"ring":  func(t *rapid.T) { m.w.SetLarge(rapid.Bool().Draw(t, "large")) },
+			"ring":  func(t *rapid.T) { m.w.AllowLargeRing(rapid.Bool().Draw(t, "large")) },
 			"send":  func(t *rapid.T) { send() },
 			"send2": func(t *rapid.T) { send() },
 			"late": func(t *rapid.T) {
@@ -359,7 +359,7 @@
 // TestRingIsNeverOverrun: however long a checkpoint takes, entries that still
 // count are not written over.
 func TestRingIsNeverOverrun(t *testing.T) {
-	s := &store{rows: map[string]Row{}, stamp: map[string]uint64{}}
+	s := &store{rows: map[string]KeyValue{}, stamp: map[string]uint64{}}
 	m := newModel()
 	m.w = NewWriter(1, Limits{ValueBytes: 2000, Ops: 8}, Head{}, 0)
 	for i := range 3 * constants.LogRing {
@@ -367,13 +367,13 @@
 		if m.live[name] == nil {
 			m.live[name] = map[Attempt]bool{}
 		}
-		a := Attempt{Piece: "j-1/0", Try: uint64(i), Shift: 1}
+		a := Attempt{Task: "j-1/0", Number: uint64(i), Epoch: 1}
 		m.live[name][a] = true
-		m.w.Add(name, a, "j-1", Job{Owner: "x"}, nil)
+		m.w.AttemptPlaced(name, a, "j-1", JobUse{Team: "x"}, nil)
 		if i%50 != 0 { // and some are over soon
 			delete(m.live[name], a)
-			m.w.Del(name, a)
-			m.w.Meta(name, Machine{Zone: fmt.Sprint(i)}, nil)
+			m.w.AttemptGone(name, a)
+			m.w.MachineChanged(name, Machine{Zone: fmt.Sprint(i)}, nil)
 		}
 		x := m.w.Next(nil)
 		if x == nil {
@@ -382,7 +382,7 @@
 		if failed := s.run(x.When, x.Writes); failed != nil {
 			t.Fatal(failed)
 		}
-		m.w.Stood(s.epoch)
+		m.w.Committed(s.epoch)
 		if m.w.Backlog() > constants.LogRing-constants.LogSlack {
 			t.Fatalf("%d entries are to be read", m.w.Backlog())
 		}
@@ -418,7 +418,7 @@
 const maxIdle = 5
 
 func checkpointUnderLoad(t *testing.T, machines int, ending bool) {
-	s := &store{rows: map[string]Row{}, stamp: map[string]uint64{}}
+	s := &store{rows: map[string]KeyValue{}, stamp: map[string]uint64{}}
 	m := newModel()
 	lim := Limits{ValueBytes: 2048, Ops: constants.TxnOpsLeast}
 	m.w = NewWriter(1, lim, Head{}, 0)
@@ -432,13 +432,13 @@
 	for i := range 6 * constants.LogRing {
 		for range 40 { // fills more than one value
 			try++
-			name, a := names[int(try)%machines], Attempt{Piece: fmt.Sprintf("j-%06d/0", try), Try: try, Shift: 1}
-			m.w.Add(name, a, "j-000001", Job{Owner: "someone"}, nil)
+			name, a := names[int(try)%machines], Attempt{Task: fmt.Sprintf("j-%06d/0", try), Number: try, Epoch: 1}
+			m.w.AttemptPlaced(name, a, "j-000001", JobUse{Team: "someone"}, nil)
 		}
-		var extras []Extra
+		var extras []JobWrite
 		if ending {
 			job := fmt.Sprint("j-", i)
-			extras = append(extras, Extra{Writes: []statestore.Write{{Delete: "open/" + job}, {Put: "final/" + job, Value: json.RawMessage(`{}`)}}})
+			extras = append(extras, JobWrite{Writes: []statestore.Write{{Delete: "open/" + job}, {Put: "final/" + job, Value: json.RawMessage(`{}`)}}})
 		}
 		if !m.w.Checkpointing() && m.w.Backlog() > constants.CheckpointAfter {
 			m.w.Checkpoint(names, nil, m, func() { checkpoints++ })
@@ -451,7 +451,7 @@
 		if len(x.Writes) > lim.Ops {
 			t.Fatalf("%d changes in a transaction", len(x.Writes))
 		}
-		m.w.Stood(s.epoch)
+		m.w.Committed(s.epoch)
 		if full := constants.LogRing - constants.LogSlack - lim.Ops; m.w.Backlog() > full {
 			t.Fatalf("%d machines, jobs ending %v: the ring is full", machines, ending)
 		}
@@ -475,7 +475,7 @@
 // soon as a checkpoint stands.
 func TestLargeRing(t *testing.T) {
 	const machines = 6000
-	s := &store{rows: map[string]Row{}, stamp: map[string]uint64{}}
+	s := &store{rows: map[string]KeyValue{}, stamp: map[string]uint64{}}
 	m := newModel()
 	m.w = NewWriter(1, Limits{ValueBytes: 2048, Ops: 10}, Head{}, 0)
 	names := make([]string, machines)
@@ -490,7 +490,7 @@
 		for range transactions {
 			for range 200 {
 				try++
-				m.w.Add(names[int(try)%machines], Attempt{Piece: fmt.Sprintf("j-%06d/0", try), Try: try, Shift: 1}, "j-000001", Job{Owner: "someone"}, nil)
+				m.w.AttemptPlaced(names[int(try)%machines], Attempt{Task: fmt.Sprintf("j-%06d/0", try), Number: try, Epoch: 1}, "j-000001", JobUse{Team: "someone"}, nil)
 			}
 			if m.w.CheckpointDue() {
 				m.w.Checkpoint(names, nil, m, nil)
@@ -499,7 +499,7 @@
 			if failed := s.run(x.When, x.Writes); failed != nil {
 				t.Fatal(failed)
 			}
-			m.w.Stood(s.epoch)
+			m.w.Committed(s.epoch)
 		}
 	}
 	// earlier reads as a version that knows one ring.
@@ -518,10 +518,10 @@
 	}
 	write(1000)
 	before := m.w.Stats()
-	if m.w.Head().Ring != 0 || earlier() != nil || !m.w.WantsLarge() {
-		t.Fatalf("head %+v, wants the large ring %v, earlier versions: %v", m.w.Head(), m.w.WantsLarge(), earlier())
+	if m.w.Head().Ring != 0 || earlier() != nil || !m.w.WantsLargeRing() {
+		t.Fatalf("head %+v, wants the large ring %v, earlier versions: %v", m.w.Head(), m.w.WantsLargeRing(), earlier())
 	}
-	m.w.SetLarge(true)
+	m.w.AllowLargeRing(true)
 	write(3000)
 	after := m.w.Stats()
 	if m.w.Head().Ring != constants.LogRingLarge || earlier() == nil {
@@ -535,7 +535,7 @@
 	if small < 1 || large > 0.75 {
 		t.Errorf("checkpoints take %.2f of what entries do in the first ring, %.2f in the large one", small, large)
 	}
-	m.w.SetLarge(false)
+	m.w.AllowLargeRing(false)
 	write(500)
 	if m.w.Head().Ring != 0 || earlier() != nil {
 		t.Errorf("head %+v, earlier versions: %v", m.w.Head(), earlier())
@@ -548,13 +548,13 @@
 // TestDamagedLog: a value that counts and can't be read stops the takeover and
 // is named; a foreign key is named and does no harm.
 func TestDamagedLog(t *testing.T) {
-	s := &store{rows: map[string]Row{}, stamp: map[string]uint64{}}
+	s := &store{rows: map[string]KeyValue{}, stamp: map[string]uint64{}}
 	w := NewWriter(1, Limits{ValueBytes: 2000, Ops: 8}, Head{}, 0)
-	w.Add("m-1", Attempt{Piece: "j-1/0", Try: 1, Shift: 1}, "j-1", Job{Owner: "x"}, nil)
+	w.AttemptPlaced("m-1", Attempt{Task: "j-1/0", Number: 1, Epoch: 1}, "j-1", JobUse{Team: "x"}, nil)
 	x := w.Next(nil)
 	s.run(x.When, x.Writes)
-	w.Stood(s.epoch)
-	s.rows[Prefix+"note"] = Row{Prefix + "note", json.RawMessage(`"hello"`)}
+	w.Committed(s.epoch)
+	s.rows[Prefix+"note"] = KeyValue{Prefix + "note", json.RawMessage(`"hello"`)}
 	if st, odd, err := Read(s.log()); err != nil || !slices.Equal(odd, []string{Prefix + "note"}) || len(st.Machines["m-1"].Attempts) != 1 {
 		t.Errorf("%v %v %v", st, odd, err)
 	}
@@ -562,7 +562,7 @@
 		if bad == "" {
 			delete(s.rows, ringKey(0))
 		} else {
-			s.rows[ringKey(0)] = Row{ringKey(0), json.RawMessage(bad)}
+			s.rows[ringKey(0)] = KeyValue{ringKey(0), json.RawMessage(bad)}
 		}
 		if _, _, err := Read(s.log()); err == nil || !strings.Contains(err.Error(), ringKey(0)) {
 			t.Errorf("%q: %v", bad, err)
@@ -575,7 +575,7 @@
 // entry that counts is written over, no start is told to stand that does not,
 // and the first leader that lasts long enough brings the log in order again.
 func TestCheckpointThatCantKeepUp(t *testing.T) {
-	s := &store{rows: map[string]Row{}, stamp: map[string]uint64{}}
+	s := &store{rows: map[string]KeyValue{}, stamp: map[string]uint64{}}
 	m := newModel()
 	var names []string
 	for i := range 300 {
@@ -603,9 +603,9 @@
 		}
 		for range txns {
 			try++
-			name, a := names[try%300], Attempt{Piece: fmt.Sprintf("j-%06d/0", try), Try: try, Shift: 1}
+			name, a := names[try%300], Attempt{Task: fmt.Sprintf("j-%06d/0", try), Number: try, Epoch: 1}
 			m.live[name][a] = true
-			m.w.Add(name, a, "j-1", Job{Owner: "x"}, func() { stood[a] = name })
+			m.w.AttemptPlaced(name, a, "j-1", JobUse{Team: "x"}, func() { stood[a] = name })
 			if !m.w.Checkpointing() && m.w.Backlog() > constants.CheckpointAfter {
 				m.w.Checkpoint(slices.Clone(names), nil, m, nil)
 			}
@@ -617,7 +617,7 @@
 			if failed := s.run(x.When, x.Writes); failed != nil {
 				t.Fatal(failed)
 			}
-			m.w.Stood(s.epoch)
+			m.w.Committed(s.epoch)
 			if m.w.Backlog() > constants.LogRing-constants.LogSlack {
 				t.Fatalf("%d entries are to be read", m.w.Backlog())
 			}
--- a/internal/leader/wal/writer.go
+++ b/internal/leader/wal/writer.go
@@ -24,15 +24,15 @@
 }
 
 // Extra is a change of other keys that goes with a transaction.
-type Extra struct {
+type JobWrite struct {
 	When   []statestore.Condition
 	Writes []statestore.Write
 	// Stood is called once the transaction is known to stand; Clash when it
 	// will never be carried out because of this part, Again when it will not
 	// because of another: this one must be asked for anew.
-	Stood func(epoch uint64)
-	Clash func()
-	Again func()
+	Committed  func(epoch uint64)
+	Conflicted func()
+	Retry      func()
 }
 
 // Writer turns changes into transactions, one at a time.
@@ -61,7 +61,7 @@
 }
 
 type change struct {
-	Change
+	MachineChange
 	stood []func()
 	// addFns are called for their attempts once these stand.
 	addFns map[Attempt]func()
@@ -75,7 +75,7 @@
 	When   []statestore.Condition
 	Writes []statestore.Write
 
-	extras []Extra
+	extras []JobWrite
 	values []statestore.Write
 	head   Head
 	stood  []func()
@@ -83,7 +83,7 @@
 	last   bool        // it completes the checkpoint
 	parts  int
 	// Unsure is set once a try had no answer: it may be carried out yet.
-	Unsure bool
+	Retried bool
 }
 
 // NewWriter goes on behind the head that was read, with its revision.
@@ -104,11 +104,11 @@
 }
 
 // Add records that an attempt may be on a machine from now on.
-func (w *Writer) Add(machine string, a Attempt, id string, j Job, stood func()) {
+func (w *Writer) AttemptPlaced(machine string, a Attempt, id string, j JobUse, stood func()) {
 	c := w.change(machine)
-	c.Add = append(c.Add, a)
+	c.Placed = append(c.Placed, a)
 	if c.Jobs == nil {
-		c.Jobs = make(map[string]Job)
+		c.Jobs = make(map[string]JobUse)
 	}
 	c.Jobs[id] = j
 	if stood != nil {
@@ -120,40 +120,40 @@
 }
 
 // Del records that an attempt is proven to be off its machine.
-func (w *Writer) Del(machine string, a Attempt) {
+func (w *Writer) AttemptGone(machine string, a Attempt) {
 	c := w.change(machine)
-	for i, b := range c.Add {
+	for i, b := range c.Placed {
 		if b == a {
 			// Never logged: it need not be, unless a part has overtaken it.
-			c.Add = append(c.Add[:i:i], c.Add[i+1:]...)
+			c.Placed = append(c.Placed[:i:i], c.Placed[i+1:]...)
 			delete(c.addFns, a)
 			if !c.inPart {
 				return
 			}
 		}
 	}
-	c.Del = append(c.Del, a)
+	c.Gone = append(c.Gone, a)
 }
 
 // Meta records a machine's other data.
-func (w *Writer) Meta(machine string, r Machine, stood func()) {
+func (w *Writer) MachineChanged(machine string, r Machine, stood func()) {
 	r.Attempts, r.Jobs = nil, nil
 	c := w.change(machine)
-	c.Meta = &r
+	c.Metadata = &r
 	if stood != nil {
 		c.stood = append(c.stood, stood)
 	}
 }
 
 // Gone records that a machine is no more.
-func (w *Writer) Gone(machine string) {
+func (w *Writer) MachineRemoved(machine string) {
 	c := w.change(machine)
-	c.Change = Change{Gone: true}
+	c.MachineChange = MachineChange{Removed: true}
 	c.stood, c.addFns = nil, nil
 }
 
 // Done records completed tasks of a job.
-func (w *Writer) Done(job string, tasks []int, stood func()) {
+func (w *Writer) TasksDone(job string, tasks []int, stood func()) {
 	if w.done[job] == nil {
 		w.jobs = append(w.jobs, job)
 	}
@@ -184,7 +184,7 @@
 // Next freezes a transaction of what is pending, with the extras in front.
 // It returns nil if there is nothing to write. While a transaction is under
 // way it returns that one again.
-func (w *Writer) Next(extras []Extra) *Txn {
+func (w *Writer) Next(extras []JobWrite) *Txn {
 	if w.flight != nil {
 		return w.flight
 	}
@@ -270,7 +270,7 @@
 	n := 0
 	for _, name := range w.order {
 		c := w.changes[name]
-		raw, _ := json.Marshal(c.Change) // plain fields always encode
+		raw, _ := json.Marshal(c.MachineChange) // plain fields always encode
 		if len(raw)+len(name)+4 > room && len(e.Machines) > 0 {
 			break
 		}
@@ -330,14 +330,14 @@
 }
 
 // Unknown notes that a try of the transaction had no answer.
-func (w *Writer) Unknown() {
+func (w *Writer) OutcomeUnknown() {
 	if w.flight != nil {
-		w.flight.Unsure = true
+		w.flight.Retried = true
 	}
 }
 
 // Stood takes in that the transaction was carried out at this revision.
-func (w *Writer) Stood(epoch uint64) {
+func (w *Writer) Committed(epoch uint64) {
 	t := w.flight
 	w.flight = nil
 	w.head, w.stamp = t.head, epoch
@@ -351,25 +351,25 @@
 		f()
 	}
 	for _, e := range t.extras {
-		if e.Stood != nil {
-			e.Stood(epoch)
+		if e.Committed != nil {
+			e.Committed(epoch)
 		}
 	}
 }
 
 // Ours tells whether a head that was read is the one of the transaction under
 // way, which then was carried out.
-func (w *Writer) Ours(h Head) bool {
+func (w *Writer) WroteHead(h Head) bool {
 	return w.flight != nil && h.Term == w.flight.head.Term && h.Turn == w.flight.head.Turn
 }
 
 // Clashed takes in that the transaction was refused for conditions of its
 // extras. These never come to hold again, so no copy of it can be carried out
 // later. The rest goes on without the extras.
-func (w *Writer) Clashed(failed func(key string) bool) {
+func (w *Writer) Conflicted(failed func(key string) bool) {
 	t := w.flight
 	extras := t.extras
-	t.extras, t.Unsure = nil, false
+	t.extras, t.Retried = nil, false
 	if len(t.values) == 0 && !t.last {
 		w.flight = nil
 	} else {
@@ -383,10 +383,10 @@
 			hit = hit || failed(c.Key)
 		}
 		switch {
-		case hit && e.Clash != nil:
-			e.Clash()
-		case !hit && e.Again != nil:
-			e.Again()
+		case hit && e.Conflicted != nil:
+			e.Conflicted()
+		case !hit && e.Retry != nil:
+			e.Retry()
 		}
 	}
 }
