--- a/cmd/thornnotch/client.go
+++ b/cmd/thornnotch/client.go
@@ -105,7 +105,7 @@
 	var raw []byte
 	var err error
 	if c.File == "-" {
-		raw, err = io.ReadAll(io.LimitReader(os.Stdin, constants.BodyMax+1))
+		raw, err = io.ReadAll(io.LimitReader(os.Stdin, constants.MaxBodyBytes+1))
 	} else {
 		raw, err = os.ReadFile(c.File)
 	}
--- a/cmd/thornnotch/main.go
+++ b/cmd/thornnotch/main.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	for _, w := range set.Warnings(max(c.Machines, constants.WorkersLeast)) {
+	for _, w := range set.Warnings(max(c.Machines, constants.MinWorkers)) {
 		fmt.Println("warning:", w)
 	}
 	fmt.Println("the settings are good")
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -69,7 +69,7 @@
 	return Operator{
 		Holds:   HoldSettings{Enabled: true, SubmissionOrder: true, Alpha: constants.HoldAlpha, P: constants.HoldP, Threshold: constants.HoldThreshold},
 		Budgets: BudgetSettings{LeaderShare: constants.LeaderShare, LeaderWriteShare: constants.LeaderWriteShare, Use: constants.BudgetUse},
-		Renting: RentSettings{Spare: constants.RentSpare, Keep: constants.KeepSpare},
+		Renting: RentSettings{Spare: constants.ScaleOutSpare, Keep: constants.ScaleInSpare},
 		Log:     LogSettings{LargeRing: true},
 	}
 }
--- a/internal/config/sizing.go
+++ b/internal/config/sizing.go
@@ -9,7 +9,7 @@
 
 // socketsKept is how many sockets the calls of a node with so many others take.
 func socketsKept(known int) int {
-	return constants.StateConns + constants.StateLeaseConns + constants.CloudConns + constants.CommandsAtOnce + constants.CommandsIdle +
+	return constants.StateConns + constants.StateLeaseConns + constants.CloudConns + constants.MaxCommandsInFlight + constants.MaxIdleCommandConns +
 		known*(1+constants.MeshConnsPerNode) + constants.SocketMargin
 }
 
@@ -21,8 +21,8 @@
 	if all <= 0 {
 		return 0
 	}
-	kept := min(socketsKept(len(s.Known)), int(float64(all)*constants.SocketsMostKept))
-	return max(constants.SocketsLeast, all-kept)
+	kept := min(socketsKept(len(s.Known)), int(float64(all)*constants.MaxReservedSocketShare))
+	return max(constants.MinSockets, all-kept)
 }
 
 // Fits tells how many workers one node can serve by its sockets and by its
@@ -30,18 +30,18 @@
 func (s *Settings) Fits() (bySockets, byMemory float64) {
 	bySockets, byMemory = math.Inf(1), math.Inf(1)
 	if n := s.SocketLimit(); n > 0 {
-		bySockets = max(0, float64(n-constants.UsersLeast))
+		bySockets = max(0, float64(n-constants.MinUsers))
 	}
 	if mb := s.Params.Limits.MemMB; mb > 0 {
-		byMemory = max(0, math.Floor((mb-constants.MemoryOwnMB)/constants.MemoryPerWorkerMB))
+		byMemory = max(0, math.Floor((mb-constants.BaseMemoryMB)/constants.MemoryPerWorkerMB))
 	}
 	return bySockets, byMemory
 }
 
 // listCalls is how many calls a second the cloud's list of so many machines takes.
 func (s *Settings) listCalls(machines int) float64 {
-	pages := math.Ceil(float64(machines) / constants.HostPage)
-	return pages / max(s.Params.Cloud.ListLagS, constants.ListEveryLeast.Seconds())
+	pages := math.Ceil(float64(machines) / constants.InstanceListPage)
+	return pages / max(s.Params.Cloud.ListLagS, constants.MinListInterval.Seconds())
 }
 
 // Warnings name the settings under which a node can't serve so many workers, each with
@@ -52,15 +52,15 @@
 	need := float64(workers)
 	if bySockets < need {
 		out = append(out, fmt.Sprintf("params.machine_limits.sockets: %d leave room for %.0f workers beside %d users and our own calls; %d are to be expected: all of them would take %d",
-			s.Params.Limits.Sockets, bySockets, constants.UsersLeast, workers, workers+constants.UsersLeast+socketsKept(len(s.Known))))
+			s.Params.Limits.Sockets, bySockets, constants.MinUsers, workers, workers+constants.MinUsers+socketsKept(len(s.Known))))
 	}
 	if byMemory < need {
 		out = append(out, fmt.Sprintf("params.machine_limits.mem_mb: %g are enough for %.0f workers; %d are to be expected: they would take about %.0f",
-			s.Params.Limits.MemMB, byMemory, workers, constants.MemoryOwnMB+need*constants.MemoryPerWorkerMB))
+			s.Params.Limits.MemMB, byMemory, workers, constants.BaseMemoryMB+need*constants.MemoryPerWorkerMB))
 	}
-	if rps, list := s.Params.Cloud.RPS, s.listCalls(workers); rps > 0 && list > rps*constants.ListShareMost {
+	if rps, list := s.Params.Cloud.RPS, s.listCalls(workers); rps > 0 && list > rps*constants.MaxListShare {
 		out = append(out, fmt.Sprintf("params.cloud.rps: %g leave too little for renting and returning; %d machines are to be expected: their list alone takes %.1f, so it should be %.1f",
-			rps, workers, list, list/constants.ListShareMost))
+			rps, workers, list, list/constants.MaxListShare))
 	}
 	return out
 }
--- a/internal/config/sizing_test.go
+++ b/internal/config/sizing_test.go
@@ -58,7 +58,7 @@
 	}
 	s.Params.Cloud = Cloud{}
 	s.Params.Limits = Limits{Sockets: 20, MemMB: 20}
-	if w := s.Warnings(constants.WorkersLeast); len(w) != 2 {
+	if w := s.Warnings(constants.MinWorkers); len(w) != 2 {
 		t.Errorf("too little for anybody: %v", w)
 	}
 }
--- a/internal/confirmations/confirmations.go
+++ b/internal/confirmations/confirmations.go
@@ -68,12 +68,12 @@
 // Span is for how long the nodes must vouch to reach back to the watch's last
 // proof, by their clocks and counted from when they answer.
 func Window(asked, watched time.Time) time.Duration {
-	return time.Duration(float64(asked.Sub(watched))*(1+constants.ClockDrift)) + constants.VouchMargin
+	return time.Duration(float64(asked.Sub(watched))*(1+constants.ClockDrift)) + constants.AttestationMargin
 }
 
 // Late tells whether answers come too long after the question: they may reach
 // back less far than was asked for.
-func Stale(asked, now time.Time) bool { return now.Sub(asked) > constants.VouchLate }
+func Stale(asked, now time.Time) bool { return now.Sub(asked) > constants.AttestationMaxAge }
 
 // Word is what one node answers; not OK if it can't say, or does not answer.
 type Attestation struct {
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -233,14 +233,14 @@
 // nobody else has raised the term: safety rests on the term record, not on
 // the lease.
 func (e *Elector) keep(ctx context.Context, v View, tenure uint64) error {
-	tick := time.NewTicker(constants.LeaseRenew)
+	tick := time.NewTicker(constants.LeaseRenewInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			if errors.Is(context.Cause(ctx), context.Canceled) {
 				// An orderly end: let another node lead at once.
-				done, cancel := context.WithTimeout(context.WithoutCancel(ctx), constants.LeaseRenew)
+				done, cancel := context.WithTimeout(context.WithoutCancel(ctx), constants.LeaseRenewInterval)
 				defer cancel()
 				_ = e.store.RevokeLease(done, tenure)
 			}
--- a/internal/leader/attempts.go
+++ b/internal/leader/attempts.go
@@ -11,18 +11,18 @@
 // next is a new number; false once the term has none left.
 func (n *attemptNumbers) next() (try uint64, ok bool) {
 	used := n.used + 1
-	carry := used >> constants.TryBits
-	if carry >= 1<<constants.TryCarryBits || carry > 0 && n.term >= 1<<constants.TermBits {
+	carry := used >> constants.AttemptCounterBits
+	if carry >= 1<<constants.AttemptCarryBits || carry > 0 && n.term >= 1<<constants.TermBits {
 		return 0, false
 	}
 	n.used = used
-	return carry<<(constants.TryBits+constants.TermBits) | n.term<<constants.TryBits | used&(1<<constants.TryBits-1), true
+	return carry<<(constants.AttemptCounterBits+constants.TermBits) | n.term<<constants.AttemptCounterBits | used&(1<<constants.AttemptCounterBits-1), true
 }
 
 // owns tells whether a number is one of this term's.
 func (n *attemptNumbers) owns(try uint64) bool {
 	if n.term >= 1<<constants.TermBits {
-		return try>>constants.TryBits == n.term
+		return try>>constants.AttemptCounterBits == n.term
 	}
-	return try>>constants.TryBits&(1<<constants.TermBits-1) == n.term
+	return try>>constants.AttemptCounterBits&(1<<constants.TermBits-1) == n.term
 }
--- a/internal/leader/attempts_test.go
+++ b/internal/leader/attempts_test.go
@@ -16,9 +16,9 @@
 		draw := func(name string) attemptNumbers {
 			n := attemptNumbers{term: rapid.Uint64Range(1, 1<<constants.TermBits-1).Draw(t, name+" term")}
 			if rapid.Bool().Draw(t, name+" carries") {
-				n.used = rapid.Uint64Range(0, 1<<(constants.TryBits+constants.TryCarryBits)-2).Draw(t, name+" used")
+				n.used = rapid.Uint64Range(0, 1<<(constants.AttemptCounterBits+constants.AttemptCarryBits)-2).Draw(t, name+" used")
 			} else {
-				n.used = rapid.Uint64Range(0, 2<<constants.TryBits).Draw(t, name+" few")
+				n.used = rapid.Uint64Range(0, 2<<constants.AttemptCounterBits).Draw(t, name+" few")
 			}
 			return n
 		}
@@ -26,7 +26,7 @@
 		if rapid.Bool().Draw(t, "one term") {
 			b.term = a.term
 			if rapid.Bool().Draw(t, "a carry apart") {
-				b.used = a.used%(1<<constants.TryBits) + 1<<constants.TryBits
+				b.used = a.used%(1<<constants.AttemptCounterBits) + 1<<constants.AttemptCounterBits
 			}
 		}
 		same := a == b
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -222,7 +222,7 @@
 		l.scaling.listedAt, l.scaling.callInFlight = now, true
 		b.ResetTimer()
 		for range b.N {
-			now = now.Add(constants.TickEvery)
+			now = now.Add(constants.TickInterval)
 			for _, r := range l.sortedMachines() {
 				r.agent.LastHeartbeat, r.agent.LastAcknowledged = now, now
 			}
@@ -285,7 +285,7 @@
 		l, list := grown(b, machines)
 		rows := make(map[string]wal.KeyValue)
 		written(l, rows)
-		for i := range constants.CheckpointAfter {
+		for i := range constants.CheckpointEntries {
 			for k := range 20 {
 				l.logMetadata(list[(i*20+k)%len(list)], nil)
 			}
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -45,7 +45,7 @@
 
 // quiet is how long a worker may well be silent: a few of its reports.
 func (l *Leader) silenceTolerance() time.Duration {
-	return time.Duration(constants.QuietReports * float64(config.Seconds(l.deps.Settings.Params.Workers.ReportS)))
+	return time.Duration(constants.SilentAfterHeartbeats * float64(config.Seconds(l.deps.Settings.Params.Workers.ReportS)))
 }
 
 // command sends orders to a worker's own address. They may arrive minutes
@@ -60,11 +60,11 @@
 		return true
 	}
 	silent := l.silentFor(r, now) > l.silenceTolerance()
-	most := constants.CommandsAtOnce
+	most := constants.MaxCommandsInFlight
 	if len(orders) == 0 {
 		most /= 2
 	}
-	if l.commandsInFlight >= most || silent && l.silentCommandsInFlight >= constants.CommandsSilent {
+	if l.commandsInFlight >= most || silent && l.silentCommandsInFlight >= constants.MaxSilentCommandsInFlight {
 		l.counts.Postponed++
 		return false
 	}
@@ -132,7 +132,7 @@
 
 // probe tries to reach a worker directly: an answer shows that it hears.
 func (l *Leader) probeAgent(r *machine, now time.Time) {
-	if now.Sub(r.lastCommandAt) >= constants.ProbeEvery {
+	if now.Sub(r.lastCommandAt) >= constants.ProbeInterval {
 		l.sendCommand(r, nil, now)
 	}
 }
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -56,7 +56,7 @@
 
 // behind tells whether records have not kept up for a while.
 func (c *groupCommit) behind(now time.Time) bool {
-	return c.hasMore && now.Sub(c.hasMoreSince) > constants.RecordsBehind
+	return c.hasMore && now.Sub(c.hasMoreSince) > constants.CommitBehindAfter
 }
 
 // commitDue is when the next transaction should go out; zero if there is none.
@@ -72,9 +72,9 @@
 		// bound how many go out a second.
 		at = c.lastCommitAt
 	case c.log.Pending() || len(c.finalizing) > 0 || len(c.cancelled) > 0:
-		at = c.lastCommitAt.Add(constants.CommitEvery)
+		at = c.lastCommitAt.Add(constants.CommitInterval)
 	case c.log.Checkpointing() || len(c.legacyKeys) > 0:
-		at = c.lastCommitAt.Add(constants.CheckpointEvery)
+		at = c.lastCommitAt.Add(constants.CheckpointPartInterval)
 	default:
 		return time.Time{}
 	}
@@ -146,7 +146,7 @@
 	for _, j := range c.finalizing {
 		switch {
 		case j.removed || j.finalizing:
-		case len(extras) < constants.FinalsAtOnce && room >= 2:
+		case len(extras) < constants.JobWritesPerTxn && room >= 2:
 			j.finalizing = true
 			room -= 2
 			extras = append(extras, l.finalExtra(j))
@@ -155,7 +155,7 @@
 		}
 	}
 	c.finalizing = kept
-	for len(c.cancelled) > 0 && len(extras) < constants.FinalsAtOnce && room >= 2 {
+	for len(c.cancelled) > 0 && len(extras) < constants.JobWritesPerTxn && room >= 2 {
 		room -= 2
 		extras = append(extras, l.cancelledExtra(c.cancelled[0]))
 		c.cancelled = c.cancelled[1:]
@@ -315,7 +315,7 @@
 	if j == nil {
 		return nil
 	}
-	per := constants.DoneChunk / 8
+	per := constants.DoneChunkTasks / 8
 	for at := 0; at < len(j.doneTasks); at += per {
 		out = append(out, wal.DoneTasks{First: at * 8, Bits: slices.Clone(j.doneTasks[at:min(len(j.doneTasks), at+per)])})
 	}
--- a/internal/leader/commit_test.go
+++ b/internal/leader/commit_test.go
@@ -18,7 +18,7 @@
 	now := time.Now()
 	l := testLeader(t)
 	offline(t, l)
-	l.deps.Settings.Params.State.TxnOps, l.deps.Settings.Params.State.ValueKB = constants.TxnOpsLeast, 1
+	l.deps.Settings.Params.State.TxnOps, l.deps.Settings.Params.State.ValueKB = constants.MinTxnOps, 1
 	l.openLog(l.commits.log.Head(), 0)
 	plan := func(i int) *workers.Attempt {
 		r := addRig(l, fmt.Sprintf("m-%04d", i), "east", now)
@@ -52,7 +52,7 @@
 		t.Errorf("nothing is left, and due at %v", due)
 	}
 	plan(200)
-	if due := l.commitDue(); !due.Equal(now.Add(constants.CommitEvery)) {
+	if due := l.commitDue(); !due.Equal(now.Add(constants.CommitInterval)) {
 		t.Errorf("little waits for %v", due.Sub(now))
 	}
 	send()
--- a/internal/leader/confirmations.go
+++ b/internal/leader/confirmations.go
@@ -14,7 +14,7 @@
 
 // askAll asks the nodes for as long as the watch is not answered.
 func (l *Leader) collectAttestations(ctx context.Context) error {
-	tick := time.NewTicker(constants.VouchEvery)
+	tick := time.NewTicker(constants.AttestationInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -35,7 +35,7 @@
 			return ctx.Err()
 		}
 		asked := time.Now()
-		if asked.Sub(since) < constants.VouchAfter {
+		if asked.Sub(since) < constants.AttestationAfter {
 			continue
 		}
 		ids, ok := l.deps.Attest(ctx, confirmations.Window(asked, since))
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -94,7 +94,7 @@
 		return
 	}
 	for name := range w.wanted {
-		if len(w.asking) >= constants.FinalReadsAtOnce {
+		if len(w.asking) >= constants.MaxFinalReads {
 			break
 		}
 		if w.asking[name] {
@@ -130,7 +130,7 @@
 			delete(w.unnamed, j)
 			continue
 		}
-		if len(w.asking) >= constants.FinalReadsAtOnce || w.asking["list of "+name] {
+		if len(w.asking) >= constants.MaxFinalReads || w.asking["list of "+name] {
 			continue
 		}
 		w.asking["list of "+name] = true
--- a/internal/leader/edges.go
+++ b/internal/leader/edges.go
@@ -20,7 +20,7 @@
 func (l *Leader) downstreamEdges(up *jobState) (out []reservations.Downstream) {
 	var jobs []*jobState
 	for _, j := range l.dependencies.after[up.spec.ID] {
-		if len(jobs) == constants.DownstreamsSeen {
+		if len(jobs) == constants.MaxDownstreams {
 			break
 		}
 		if !j.removed && !j.placed {
--- a/internal/leader/faults.go
+++ b/internal/leader/faults.go
@@ -48,7 +48,7 @@
 	if b.byMachine == nil {
 		b.byMachine, b.machinesByTask = make(map[string]failure), make(map[int]int)
 	}
-	if b.machinesByTask[task]++; b.machinesByTask[task] > constants.BadTaskMachines && b.succeeded {
+	if b.machinesByTask[task]++; b.machinesByTask[task] > constants.FaultyTaskMachines && b.succeeded {
 		// The others of the job do well, this one fails wherever it starts:
 		// that is no machine's fault.
 		return constants.RetryMax, true
@@ -60,11 +60,11 @@
 	}
 	recent := 0
 	for _, f := range b.byMachine {
-		if now.Sub(f.at) < constants.BlameMemory {
+		if now.Sub(f.at) < constants.FailureWindow {
 			recent++
 		}
 	}
-	if recent < constants.BadJobMachines && b.failedRounds == 0 {
+	if recent < constants.FaultyJobMachines && b.failedRounds == 0 {
 		return constants.RetryBase, false
 	}
 	if !waits {
@@ -82,13 +82,13 @@
 // machine is named once.
 func (b *failureHistory) faultyMachines(runs map[string]time.Duration, now time.Time) (machines []string) {
 	for name, f := range b.byMachine {
-		if now.Sub(f.at) >= constants.BlameMemory {
+		if now.Sub(f.at) >= constants.FailureWindow {
 			delete(b.byMachine, name)
 			continue
 		}
 		better := b.succeeded
 		for other, ran := range runs {
-			better = better || other != name && ran > f.ran+constants.BlameMargin
+			better = better || other != name && ran > f.ran+constants.FailureAttributionMargin
 		}
 		if better {
 			machines = append(machines, name)
@@ -117,12 +117,12 @@
 		return
 	}
 	// Until it is known whose fault it was nothing else should meet it there.
-	r.pausedUntil = now.Add(constants.BlamePause)
+	r.pausedUntil = now.Add(constants.SuspectMachinePause)
 	if r.failedJobs == nil {
 		r.failedJobs = make(map[string]bool)
 	}
 	r.failedJobs[j.spec.ID] = true
-	if len(r.failedJobs) >= constants.BadMachineJobs {
+	if len(r.failedJobs) >= constants.FaultyMachineJobs {
 		l.quarantine(r, "several jobs failed on it", now)
 	}
 	l.attributeFailures(j, now)
--- a/internal/leader/faults_test.go
+++ b/internal/leader/faults_test.go
@@ -142,13 +142,13 @@
 	now := time.Unix(1000, 0)
 	guilty := 0
 	for i := range 20 {
-		if pause, alone := b.note(fmt.Sprint("m-", i), 7, time.Second, false, now); alone != (i >= constants.BadTaskMachines) || alone && pause != constants.RetryMax {
+		if pause, alone := b.note(fmt.Sprint("m-", i), 7, time.Second, false, now); alone != (i >= constants.FaultyTaskMachines) || alone && pause != constants.RetryMax {
 			t.Fatalf("failure %d: pause %v, alone %v", i, pause, alone)
 		}
 		guilty += len(b.faultyMachines(nil, now))
 		now = now.Add(time.Second)
 	}
-	if guilty != constants.BadTaskMachines {
+	if guilty != constants.FaultyTaskMachines {
 		t.Errorf("%d machines are held guilty of one task's failures", guilty)
 	}
 }
--- a/internal/leader/gap_test.go
+++ b/internal/leader/gap_test.go
@@ -51,7 +51,7 @@
 					time.Sleep(time.Duration(rng.Int64N(int64(2 * time.Second))))
 				}
 				l.nextFlush = time.Time{}
-				l.flushReplies(time.Now().Add(constants.IdleHold))
+				l.flushReplies(time.Now().Add(constants.IdleReplyHold))
 				if a := <-ch; a.Status == 200 {
 					renewed = sent
 					answers++
@@ -59,7 +59,7 @@
 			}
 			slow := func(d time.Duration) time.Duration { return d + time.Duration(float64(d)*constants.ClockDrift) }
 			fast := func(d time.Duration) time.Duration { return d - time.Duration(float64(d)*constants.ClockDrift) }
-			gone := renewed.Add(slow(lease) + constants.WorkerLag)
+			gone := renewed.Add(slow(lease) + constants.WorkerKillDelay)
 			if limit := told.Add(fast(cancel)); gone.After(limit) {
 				t.Fatalf("seed %d: gone %v too late", seed, gone.Sub(limit))
 			}
@@ -111,11 +111,11 @@
 	l := testLeader(t)
 	l.watchedUntil, l.certainUntil = now.Add(-time.Minute), now.Add(-time.Minute)
 	j := addJob(t, l, sweep("j-1", 1), now)
-	l.applyAttestation([]string{"j-1"}, now.Add(-constants.VouchLate-time.Second), now)
+	l.applyAttestation([]string{"j-1"}, now.Add(-constants.AttestationMaxAge-time.Second), now)
 	if j.removed || l.certainUntil.After(now.Add(-time.Minute)) {
 		t.Errorf("late words are taken: gone %v, sure %v", j.removed, now.Sub(l.certainUntil))
 	}
-	asked := now.Add(-constants.VouchLate / 2)
+	asked := now.Add(-constants.AttestationMaxAge / 2)
 	l.applyAttestation([]string{"j-1", "j-2"}, asked, now)
 	if !j.removed || !l.certainUntil.Equal(asked) {
 		t.Errorf("gone %v, sure %v", j.removed, now.Sub(l.certainUntil))
--- a/internal/leader/hints.go
+++ b/internal/leader/hints.go
@@ -25,10 +25,10 @@
 func newMetadataQueue(state config.State, share config.BudgetSettings) metadataQueue {
 	_, changes := state.Rates(true)
 	value := state.ValueKB * 1024
-	perSecond := max(value, constants.HintShare*share.LeaderWriteShare*share.Use*changes*value)
+	perSecond := max(value, constants.MetadataWriteShare*share.LeaderWriteShare*share.Use*changes*value)
 	return metadataQueue{
 		due:    make(map[*machine]time.Time),
-		budget: rate.NewLimiter(rate.Limit(perSecond), int(max(value, perSecond*constants.HintBurst.Seconds()))),
+		budget: rate.NewLimiter(rate.Limit(perSecond), int(max(value, perSecond*constants.MetadataBurst.Seconds()))),
 	}
 }
 
@@ -36,7 +36,7 @@
 func (l *Leader) metadataChanged(r *machine, now time.Time) {
 	l.markStale(r)
 	if _, waits := l.metadata.due[r]; !waits {
-		l.metadata.due[r] = now.Add(constants.HintQuiet)
+		l.metadata.due[r] = now.Add(constants.MetadataDelay)
 	}
 }
 
--- a/internal/leader/hints_test.go
+++ b/internal/leader/hints_test.go
@@ -17,7 +17,7 @@
 	for _, c := range []struct {
 		changes float64
 		want    float64 // values a second
-	}{{35, constants.HintShare * constants.LeaderWriteShare * constants.BudgetUse * 35}, {10, 1}} {
+	}{{35, constants.MetadataWriteShare * constants.LeaderWriteShare * constants.BudgetUse * 35}, {10, 1}} {
 		const machines, seconds = 3000, 60
 		now := time.Now()
 		l := testLeader(t)
@@ -32,21 +32,21 @@
 			}
 			l.metadataChanged(r, now)
 		}
-		l.logDueMetadata(now.Add(constants.HintQuiet / 2))
+		l.logDueMetadata(now.Add(constants.MetadataDelay / 2))
 		if l.counts.HintBytes != 0 {
 			t.Errorf("recorded before it is quiet")
 		}
-		l.commits.setMore(true, now.Add(-constants.RecordsBehind))
-		l.logDueMetadata(now.Add(constants.HintQuiet))
+		l.commits.setMore(true, now.Add(-constants.CommitBehindAfter))
+		l.logDueMetadata(now.Add(constants.MetadataDelay))
 		if l.counts.HintBytes != 0 {
 			t.Errorf("recorded while starts and ends wait")
 		}
 		l.commits.setMore(false, now)
-		for tick := range int(seconds * time.Second / constants.TickEvery) {
-			l.logDueMetadata(now.Add(constants.HintQuiet + time.Duration(tick)*constants.TickEvery))
+		for tick := range int(seconds * time.Second / constants.TickInterval) {
+			l.logDueMetadata(now.Add(constants.MetadataDelay + time.Duration(tick)*constants.TickInterval))
 		}
 		perSecond := max(c.want, 1) * state.ValueKB * 1024
-		if got, most := float64(l.counts.HintBytes), perSecond*(seconds+constants.HintBurst.Seconds()); got > most || got < most/2 {
+		if got, most := float64(l.counts.HintBytes), perSecond*(seconds+constants.MetadataBurst.Seconds()); got > most || got < most/2 {
 			t.Errorf("%v changes a second: %.0f bytes in %d s, at most %.0f", c.changes, got, seconds, most)
 		}
 		for hour := 0; len(l.metadata.due) > 0 && hour < 100; hour++ {
--- a/internal/leader/inherit.go
+++ b/internal/leader/inherit.go
@@ -25,7 +25,7 @@
 func (l *Leader) expectedRuntime(j *jobState) time.Duration {
 	ratio := 1.0
 	if r, ok := l.runtimeRatios[j.spec.Class]; ok {
-		ratio = min(max(r, 1/constants.ExpectMost), constants.ExpectMost)
+		ratio = min(max(r, 1/constants.MaxRuntimeRatio), constants.MaxRuntimeRatio)
 	}
 	return config.Seconds(j.spec.ExpectedS * ratio)
 }
@@ -40,7 +40,7 @@
 	if !ok {
 		was = ratio
 	}
-	l.runtimeRatios[j.spec.Class] = was + (ratio-was)*constants.ExpectWeight
+	l.runtimeRatios[j.spec.Class] = was + (ratio-was)*constants.RuntimeRatioWeight
 }
 
 // latest is when a job must start at the latest for itself and those that need it to
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -113,7 +113,7 @@
 	var rec userapi.JobRecord
 	err := json.Unmarshal(v, &rec)
 	spec := rec.Spec
-	if err != nil || spec.ID != name || spec.Tasks < 1 || spec.Tasks > constants.MaxPieces {
+	if err != nil || spec.ID != name || spec.Tasks < 1 || spec.Tasks > constants.MaxTasks {
 		l.deps.Log.Error("unreadable job", "key", key, "err", err)
 		return
 	}
@@ -144,7 +144,7 @@
 
 // comes counts a job that may start among those that came lately.
 func (l *Leader) noteArrival(j *jobState, now time.Time) {
-	if at := j.view.Submitted; now.Sub(at) <= constants.RecentWindow {
+	if at := j.view.Submitted; now.Sub(at) <= constants.ArrivalRateWindow {
 		l.scaling.recentArrivals = append(l.scaling.recentArrivals, arrival{at, demandOf(j, j.spec.Tasks), l.wantsWhole(j.spec)})
 	}
 }
--- a/internal/leader/largest.go
+++ b/internal/leader/largest.go
@@ -23,8 +23,8 @@
 
 // note takes in how one of them fared.
 func (g *gangWaitStats) note(late bool) {
-	g.good *= constants.LargestMemory
-	g.late *= constants.LargestMemory
+	g.good *= constants.LargeGangWaitDecay
+	g.late *= constants.LargeGangWaitDecay
 	if late {
 		g.late++
 	} else {
@@ -40,9 +40,9 @@
 		part = g.late / (g.good + g.late)
 	}
 	switch {
-	case part > constants.LargestPressing:
+	case part > constants.LargeGangCriticalShare:
 		return placement.BoostAboveAll
-	case part > constants.LargestLate:
+	case part > constants.LargeGangLateShare:
 		return placement.BoostWithinPriority
 	}
 	return placement.NoBoost
@@ -61,7 +61,7 @@
 	if spec.Tasks > g.size {
 		// A few are taken to have begun in time, so that one late one does not
 		// decide.
-		*g = gangWaitStats{size: spec.Tasks, good: constants.LargestPrior}
+		*g = gangWaitStats{size: spec.Tasks, good: constants.LargeGangPriorOnTime}
 	}
 }
 
@@ -72,7 +72,7 @@
 	if j.waitCounted || j.blockedByUpstream() || j.fromEarlierTerm && !j.started.IsZero() || g == nil || j.spec.Kind != userapi.KindGang || j.spec.Tasks < g.size {
 		return
 	}
-	late := now.Sub(j.view.Submitted) > constants.LargestWithin
+	late := now.Sub(j.view.Submitted) > constants.LargeGangLateAfter
 	if !late && j.started.IsZero() {
 		return
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -185,7 +185,7 @@
 func certaintyWindow(w config.Workers) time.Duration {
 	cancel, lease := config.Seconds(w.CancelS), config.Seconds(w.LeaseS)
 	drift := time.Duration(float64(cancel+lease) * constants.ClockDrift)
-	return max(cancel-lease-drift-constants.WorkerLag, time.Second)
+	return max(cancel-lease-drift-constants.WorkerKillDelay, time.Second)
 }
 
 // do runs f on the leader's routine. It reports false once the term is over.
@@ -220,7 +220,7 @@
 }
 
 func (l *Leader) loop(ctx context.Context) error {
-	tick := time.NewTicker(constants.TickEvery)
+	tick := time.NewTicker(constants.TickInterval)
 	defer tick.Stop()
 	alarm := time.NewTimer(0)
 	defer alarm.Stop()
@@ -302,7 +302,7 @@
 // passDue is when the next placement pass may run. A pass that takes long is
 // followed by a longer pause: reports and records must not wait for passes.
 func (l *Leader) nextPassAt() time.Time {
-	return l.lastPass.Add(min(max(constants.PassEvery, constants.PassRest*l.lastPassDuration), constants.PassEveryMost))
+	return l.lastPass.Add(min(max(constants.MinPassInterval, constants.PassIntervalFactor*l.lastPassDuration), constants.MaxPassInterval))
 }
 
 // nextAlarm is when the routine must look again if nothing comes in.
@@ -388,9 +388,9 @@
 // tick does what only time brings about.
 func (l *Leader) tick(now time.Time) {
 	for class := range l.arrivals {
-		l.arrivals[class] *= 1 - constants.TickEvery.Seconds()/constants.ArrivalMemory.Seconds()
+		l.arrivals[class] *= 1 - constants.TickInterval.Seconds()/constants.ArrivalWindow.Seconds()
 	}
-	l.placementRates.fade(constants.TickEvery)
+	l.placementRates.fade(constants.TickInterval)
 	l.trackFailover(now)
 	l.fleet.Store(int64(len(l.machines)))
 	shown := 0
@@ -408,7 +408,7 @@
 		switch {
 		case r.agent.RepliesLost || r.agent.EpochUnconfirmed:
 			l.probeAgent(r, now)
-		case r.agent.Token < l.grant.Term && shown < constants.ShowsAtOnce && !r.commandInFlight && now.Sub(r.lastCommandAt) >= l.lease/2:
+		case r.agent.Token < l.grant.Term && shown < constants.TokenPushesPerTick && !r.commandInFlight && now.Sub(r.lastCommandAt) >= l.lease/2:
 			// Show the worker the new token, so that it turns to this node
 			// soon and an older leader's answers are dropped. A few at a time:
 			// all at once would take more sockets and time than there are.
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -54,7 +54,7 @@
 		addRig(l, fmt.Sprint("m-e", i), "east", t0)
 		addRig(l, fmt.Sprint("m-w", i), "west", t0)
 	}
-	now := t0.Add(l.lease + constants.SilentReturn + time.Second)
+	now := t0.Add(l.lease + constants.SilentReturnAfter + time.Second)
 	for i := range 4 {
 		l.machines[fmt.Sprint("m-w", i)].agent.LastHeartbeat = now
 	}
@@ -81,7 +81,7 @@
 	if l.machines["m-e3"].leaving {
 		t.Errorf("the last one is given up as the cut heals")
 	}
-	l.retireMachines(back.Add(constants.UnreachableAfter + l.lease + constants.SilentReturn))
+	l.retireMachines(back.Add(constants.UnreachableHold + l.lease + constants.SilentReturnAfter))
 	if !l.machines["m-e3"].leaving {
 		t.Errorf("one that does not come back with the others is never given up")
 	}
@@ -89,7 +89,7 @@
 		r := l.machines[fmt.Sprint("m-e", i)]
 		r.agent.LastHeartbeat, r.leaving = t0, false
 	}
-	l.retireMachines(t0.Add(l.lease + constants.UnreachableReturn + time.Second))
+	l.retireMachines(t0.Add(l.lease + constants.UnreachableReturnAfter + time.Second))
 	if !l.machines["m-e0"].leaving {
 		t.Errorf("a zone that stays dark is never given up")
 	}
@@ -253,7 +253,7 @@
 	now := time.Unix(1000, 0)
 	l := testLeader(t)
 	calls := 0
-	for at := now; at.Before(now.Add(time.Minute)); at = at.Add(constants.TickEvery) {
+	for at := now; at.Before(now.Add(time.Minute)); at = at.Add(constants.TickInterval) {
 		if at.Before(l.scaling.retryAt) {
 			continue
 		}
@@ -300,7 +300,7 @@
 			t.Errorf("%v is not saved and stopped", a.ID)
 		}
 	}
-	if !bad.schedulable(now.Add(constants.SlowPause + time.Second)) {
+	if !bad.schedulable(now.Add(constants.StragglerPause + time.Second)) {
 		t.Errorf("it gets no second chance")
 	}
 }
@@ -334,7 +334,7 @@
 	for i := range 3 {
 		addRig(l, fmt.Sprint("m-", i), "east", now)
 	}
-	spec := sweep("j-00000000000000000001", constants.MaxPieces)
+	spec := sweep("j-00000000000000000001", constants.MaxTasks)
 	spec.CPUs, spec.GPUs, spec.MemoryGB = 0.01, 0, 0.01
 	j := addJob(t, l, spec, now)
 	for i := range spec.Tasks - 300 {
@@ -389,7 +389,7 @@
 			j.started = now.Add(began)
 			l.countGangWait(j, now.Add(began))
 		} else {
-			l.countGangWait(j, now.Add(constants.LargestWithin+time.Second)) // it still waits
+			l.countGangWait(j, now.Add(constants.LargeGangLateAfter+time.Second)) // it still waits
 		}
 	}
 	add(8, 20*time.Second)
--- a/internal/leader/pace.go
+++ b/internal/leader/pace.go
@@ -26,7 +26,7 @@
 
 // add takes in a finished task's run time.
 func (p *runtimeStats) add(ran time.Duration) {
-	if len(p.runs) >= constants.PaceRuns {
+	if len(p.runs) >= constants.MaxRuntimeSamples {
 		p.runs = p.runs[1:]
 	}
 	p.runs = append(p.runs, ran)
@@ -36,7 +36,7 @@
 // typical is the middle run time, once enough of the job's tasks are done: the
 // first finishers are its shortest tasks.
 func (p *runtimeStats) typical(pieces int) (time.Duration, bool) {
-	if len(p.runs) < constants.PaceLeast || 2*len(p.runs) < min(pieces, constants.PaceRuns) {
+	if len(p.runs) < constants.MinRuntimeSamples || 2*len(p.runs) < min(pieces, constants.MaxRuntimeSamples) {
 		return 0, false
 	}
 	if p.middle == 0 {
@@ -55,9 +55,9 @@
 		return 0
 	}
 	switch r := float64(ran) / float64(typical); {
-	case r > constants.SlowClear:
+	case r > constants.StragglerCertainRatio:
 		return 2
-	case r > constants.SlowLikely:
+	case r > constants.StragglerLikelyRatio:
 		return 1
 	}
 	return 0
@@ -76,7 +76,7 @@
 		}
 		marks := r.slowSignals[:0]
 		for _, at := range r.slowSignals {
-			if now.Sub(at) < constants.SlowMemory {
+			if now.Sub(at) < constants.StragglerSignalWindow {
 				marks = append(marks, at)
 			}
 		}
@@ -89,11 +89,11 @@
 			}
 			sum += j.runtimes.slowness(r.agent.LastHeartbeat.Sub(a.RunningSince), j.spec.Tasks)
 		}
-		if sum < constants.SlowProof {
+		if sum < constants.StragglerSignals {
 			continue
 		}
 		r.slowCount++
-		pause := min(constants.SlowPause<<min(r.slowCount-1, 4), constants.SlowPauseMax)
+		pause := min(constants.StragglerPause<<min(r.slowCount-1, 4), constants.MaxStragglerPause)
 		r.slowUntil = now.Add(pause)
 		r.slowSignals = nil
 		l.deps.Log.Info("machine is slow", "rig", r.agent.Name, "zone", r.agent.Zone, "spared_s", pause.Seconds())
--- a/internal/leader/provisioning.go
+++ b/internal/leader/provisioning.go
@@ -58,7 +58,7 @@
 	m.refused = make(map[provisioning.InstancePool]time.Time)
 	m.unreachableUntil = make(map[string]time.Time)
 	m.terminated = make(map[string]time.Time)
-	m.memory = provisioning.NewDemandWindow(constants.KeepWindow)
+	m.memory = provisioning.NewDemandWindow(constants.DemandWindow)
 }
 
 func (m *scalingState) unmet(jobs []*placement.Job, _ time.Time) { m.unplacedJobs = jobs }
@@ -85,7 +85,7 @@
 			delete(m.terminated, name)
 		}
 	}
-	for len(m.recentArrivals) > 0 && now.Sub(m.recentArrivals[0].at) > constants.RecentWindow {
+	for len(m.recentArrivals) > 0 && now.Sub(m.recentArrivals[0].at) > constants.ArrivalRateWindow {
 		m.recentArrivals = m.recentArrivals[1:]
 	}
 	l.retireMachines(now)
@@ -117,7 +117,7 @@
 }
 
 func (l *Leader) listEvery() time.Duration {
-	return max(time.Duration(l.deps.Settings.Params.Cloud.ListLagS*float64(time.Second)), constants.ListEveryLeast)
+	return max(time.Duration(l.deps.Settings.Params.Cloud.ListLagS*float64(time.Second)), constants.MinListInterval)
 }
 
 // silent is how long nothing has been heard of the machine in this term, while
@@ -151,8 +151,8 @@
 	}
 	dark := make(map[string]bool)
 	for z, n := range silent {
-		if n >= constants.UnreachableLeast && 2*n > all[z] {
-			l.scaling.unreachableUntil[z] = now.Add(constants.UnreachableAfter)
+		if n >= constants.UnreachableMinMachines && 2*n > all[z] {
+			l.scaling.unreachableUntil[z] = now.Add(constants.UnreachableHold)
 		}
 	}
 	// When the cut heals, machines come back one after the other. Those that
@@ -171,9 +171,9 @@
 			continue
 		}
 		why := ""
-		patience := constants.SilentReturn
+		patience := constants.SilentReturnAfter
 		if dark[r.agent.Zone] {
-			patience = constants.UnreachableReturn
+			patience = constants.UnreachableReturnAfter
 		}
 		switch {
 		case l.silentFor(r, now) > l.lease+patience:
@@ -217,7 +217,7 @@
 		typ, _ := l.deps.Catalog().Type(b.pool.Type)
 		// A machine of an earlier term that has no record was idle: its worker
 		// needs a moment to turn to this node.
-		if limit := time.Duration(typ.BootS * constants.BootPatience * float64(time.Second)); now.Sub(b.since) > limit && now.Sub(b.noted) > l.lease && now.Sub(l.resumedAt) > l.lease && l.machines[name] == nil {
+		if limit := time.Duration(typ.BootS * constants.BootTimeoutFactor * float64(time.Second)); now.Sub(b.since) > limit && now.Sub(b.noted) > l.lease && now.Sub(l.resumedAt) > l.lease && l.machines[name] == nil {
 			l.deps.Log.Info("machine never came up", "rig", name)
 			names = append(names, name)
 		}
@@ -354,7 +354,7 @@
 			switch {
 			case errors.Is(err, provisioning.ErrNoCapacity):
 				l.cloudFailed("rent", nil, now)
-				m.refused[pool] = now.Add(constants.RefusedPause)
+				m.refused[pool] = now.Add(constants.NoCapacityPause)
 			case l.cloudFailed("rent", err, now):
 			default:
 				l.deps.Log.Info("rented", "type", pool.Type, "zone", pool.Zone, "spot", pool.Spot, "asked", req.Count, "got", len(names))
@@ -364,7 +364,7 @@
 					}
 				}
 				if len(names) < req.Count {
-					m.refused[pool] = now.Add(constants.RefusedPause)
+					m.refused[pool] = now.Add(constants.NoCapacityPause)
 				}
 			}
 		})
@@ -414,7 +414,7 @@
 		}
 		v.Demand = append(v.Demand, demandOf(j, left))
 	}
-	v.Window = constants.RecentWindow
+	v.Window = constants.ArrivalRateWindow
 	for _, n := range l.scaling.recentArrivals {
 		v.Recent = append(v.Recent, n.demand)
 	}
@@ -449,7 +449,7 @@
 	keep := m.memory.Add(now, want)
 	var idle []provisioning.IdleMachine
 	for _, r := range l.machines {
-		if r.schedulable(now) && len(r.agent.Attempts) == 0 && len(l.reservations.On(r.agent.Name)) == 0 && now.Sub(r.idleSince) > constants.IdleReturn {
+		if r.schedulable(now) && len(r.agent.Attempts) == 0 && len(l.reservations.On(r.agent.Name)) == 0 && now.Sub(r.idleSince) > constants.IdleReturnAfter {
 			idle = append(idle, provisioning.IdleMachine{Name: r.agent.Name, Pool: r.pool(), Images: len(r.images)})
 		}
 	}
--- a/internal/leader/provisioning_test.go
+++ b/internal/leader/provisioning_test.go
@@ -36,7 +36,7 @@
 	c.calls = append(c.calls, "page")
 	for i := range c.machines {
 		name := fmt.Sprintf("m-%06d", i)
-		if name > from && len(hosts) < constants.HostPage {
+		if name > from && len(hosts) < constants.InstanceListPage {
 			hosts = append(hosts, provisioning.Instance{Name: name, MachineType: "g4", Zone: "east", Status: "running"})
 			next = name
 		}
@@ -80,7 +80,7 @@
 				t.Errorf("two pages in a row while machines are needed: %v", cloud.calls)
 			}
 		}
-		if want := cloud.machines / constants.HostPage; pages != want {
+		if want := cloud.machines / constants.InstanceListPage; pages != want {
 			t.Errorf("%d pages read, want %d: %v", pages, want, cloud.calls)
 		}
 		if !slices.Contains(cloud.calls, "rent") || l.scaling.listedAt.IsZero() {
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -195,7 +195,7 @@
 	}
 	for k := range len(bits) * 8 {
 		if bitset(bits).has(k) {
-			list = append(list, chunk*constants.DoneChunk+k)
+			list = append(list, chunk*constants.DoneChunkTasks+k)
 		}
 	}
 	return job, list, nil
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -128,9 +128,9 @@
 		// The worker has given up the earlier report.
 		r.pending.reply <- Reply{Status: 503}
 	}
-	hold := constants.AnswerHold
+	hold := constants.ReplyHold
 	if len(r.agent.Attempts) == 0 {
-		hold = min(constants.IdleHold, l.lease/4)
+		hold = min(constants.IdleReplyHold, l.lease/4)
 	}
 	r.pending = &pendingReply{shift: rep.Epoch, arrived: arrived, until: arrived.Add(hold), reply: ch}
 	l.pendingReplies[r] = true
@@ -156,7 +156,7 @@
 	if now.Before(l.nextFlush) {
 		return
 	}
-	l.nextFlush = now.Add(constants.FlushEvery)
+	l.nextFlush = now.Add(constants.ReplyFlushInterval)
 	for r := range l.pendingReplies {
 		l.replyIfDue(r, now)
 	}
@@ -183,7 +183,7 @@
 	if w.shift != r.agent.Epoch || r.agent.RepliesLost {
 		w.reply <- Reply{Status: 503}
 	} else {
-		if !r.agent.HasCommands() && (now.Before(w.until) || now.Before(w.arrived.Add(constants.PendingHold)) && r.hasUnrecordedStart()) {
+		if !r.agent.HasCommands() && (now.Before(w.until) || now.Before(w.arrived.Add(constants.PendingStartReplyHold)) && r.hasUnrecordedStart()) {
 			return
 		}
 		orders := r.agent.Commands(true, now)
--- a/internal/leader/scheduling.go
+++ b/internal/leader/scheduling.go
@@ -67,7 +67,7 @@
 
 // summary logs once in a while what the machines do and what waits.
 func (l *Leader) summary(w *placement.Snapshot, now time.Time) {
-	if now.Sub(l.lastSummary) < constants.SummaryEvery || !l.deps.Log.Enabled(l.ctx, slog.LevelDebug) {
+	if now.Sub(l.lastSummary) < constants.SummaryLogInterval || !l.deps.Log.Enabled(l.ctx, slog.LevelDebug) {
 		return
 	}
 	l.lastSummary = now
@@ -120,7 +120,7 @@
 	cat := l.deps.Catalog()
 	sum := 0.0
 	for _, n := range l.scaling.recentArrivals {
-		if !n.whole || now.Sub(n.at) > constants.RecentWindow {
+		if !n.whole || now.Sub(n.at) > constants.ArrivalRateWindow {
 			continue
 		}
 		for _, t := range cat.MachineTypes {
@@ -131,7 +131,7 @@
 			}
 		}
 	}
-	return int(math.Ceil(sum * constants.SpareHorizon.Seconds() / constants.RecentWindow.Seconds()))
+	return int(math.Ceil(sum * constants.GangReserveHorizon.Seconds() / constants.ArrivalRateWindow.Seconds()))
 }
 
 // wantsWhole tells whether whole machines are kept for jobs like this one.
@@ -140,7 +140,7 @@
 		return false
 	}
 	for _, o := range l.deps.Settings.Params.Objectives {
-		if o.Kind == config.AimWait && o.Class == spec.Class && config.Seconds(o.WithinS) <= constants.SpareAim {
+		if o.Kind == config.AimWait && o.Class == spec.Class && config.Seconds(o.WithinS) <= constants.GangReserveMaxAim {
 			return true
 		}
 	}
@@ -189,14 +189,14 @@
 		// One that has not been heard for a few reports may well be dead or cut
 		// off: what is put there would wait until its lease is over.
 		r.view.Schedulable = r.view.Total != (placement.Resources{}) && r.schedulable(now) && r.agent.Token == l.grant.Term &&
-			l.silentFor(r, now) <= l.silenceTolerance()+constants.IdleHold
+			l.silentFor(r, now) <= l.silenceTolerance()+constants.IdleReplyHold
 		if r.view.Schedulable && !r.view.Spot {
 			ordinary++
 		}
 		w.Machines = append(w.Machines, r.view)
 	}
 	l.addReservationEdges(w)
-	w.ReservedMachines = min(l.reservedMachines(now), int(float64(ordinary)*constants.SpareMost))
+	w.ReservedMachines = min(l.reservedMachines(now), int(float64(ordinary)*constants.GangReserveMaxShare))
 	for _, t := range l.teams {
 		w.Teams[t.Name] = &placement.Team{Name: t.Name, Used: l.teamUsage[t.Name],
 			Guarantee: placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs}, Limit: placement.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax}}
@@ -214,7 +214,7 @@
 // viewAge is how old the view of a machine that has not changed may be: making all of a
 // large fleet's anew every time would take longer than the pass itself.
 func viewAge(machines int) time.Duration {
-	return time.Duration(float64(constants.ViewAge) * max(1, float64(machines)/constants.ViewAgeFleet))
+	return time.Duration(float64(constants.MaxViewAge) * max(1, float64(machines)/constants.ViewAgeBaseMachines))
 }
 
 // showMachine makes a machine's view anew.
@@ -302,7 +302,7 @@
 		}
 		return
 	}
-	shown := constants.WaitingShown
+	shown := constants.MaxWaitingTasks
 	if j.failures.faultyJob() {
 		// One task tells whether it still fails, and takes no room of others.
 		shown = max(0, 1-len(j.attempts))
@@ -334,7 +334,7 @@
 	again := constants.RestartCost
 	if j.spec.Kind == userapi.KindGang {
 		// The whole gang goes, and finds whole machines again less easily.
-		again *= constants.GangRestart * time.Duration(j.spec.Tasks)
+		again *= constants.GangRestartFactor * time.Duration(j.spec.Tasks)
 	}
 	if a.RunningSince.IsZero() {
 		return expect, again
@@ -346,8 +346,8 @@
 	} else {
 		loss = ran
 	}
-	if ran < constants.StartCounts {
-		loss += constants.EarlyStop
+	if ran < constants.StartCountsAfter {
+		loss += constants.EarlyStopCost
 	}
 	return left, loss + again
 }
@@ -421,10 +421,10 @@
 // for less.
 type placementRates map[string]float64
 
-func (r placementRates) add(class string) { r[class] += 1 / constants.RateMemory.Seconds() }
+func (r placementRates) add(class string) { r[class] += 1 / constants.StartRateWindow.Seconds() }
 
 func (r placementRates) fade(d time.Duration) {
 	for class := range r {
-		r[class] *= 1 - d.Seconds()/constants.RateMemory.Seconds()
+		r[class] *= 1 - d.Seconds()/constants.StartRateWindow.Seconds()
 	}
 }
--- a/internal/leader/stall_test.go
+++ b/internal/leader/stall_test.go
@@ -76,7 +76,7 @@
 	l.scaling.booting["m-9"] = booting{provisioning.InstancePool{Type: "g4", Zone: "east"}, t0, t0}
 	addJob(t, l, sweep("j-1", 40), t0)
 	// It stood still from a while ago until now.
-	still := l.lease + constants.SilentReturn + time.Minute
+	still := l.lease + constants.SilentReturnAfter + time.Minute
 	l.noteRound()
 	l.lastRound = time.Now().Add(-still)
 	for _, r := range l.machines {
@@ -148,7 +148,7 @@
 		r.agent.Endpoint = "x"
 		l.sendCommand(r, nil, now)
 	}
-	if l.commandsInFlight != constants.CommandsAtOnce/2 {
+	if l.commandsInFlight != constants.MaxCommandsInFlight/2 {
 		t.Errorf("%d orders under way that stop nothing", l.commandsInFlight)
 	}
 	addJob(t, l, sweep("j-1", 16), now)
@@ -158,7 +158,7 @@
 		r.agent.Commands(true, now)
 	}
 	l.jobRecordDeleted("j-1", now)
-	stops := l.commandsInFlight - constants.CommandsAtOnce/2
+	stops := l.commandsInFlight - constants.MaxCommandsInFlight/2
 	if stops < 4 {
 		t.Errorf("%d stops found a place", stops)
 	}
@@ -208,11 +208,11 @@
 			t.Fatalf("%d tasks of the gang placed", len(j.attempts))
 		}
 		l.jobRecordDeleted("j-1", now)
-		if l.commandsInFlight != constants.CommandsSilent {
+		if l.commandsInFlight != constants.MaxSilentCommandsInFlight {
 			t.Errorf("%d orders under way to machines that are cut off", l.commandsInFlight)
 		}
 		l.stopGang(j, 10, now)
-		if told := l.commandsInFlight - constants.CommandsSilent; told != gang {
+		if told := l.commandsInFlight - constants.MaxSilentCommandsInFlight; told != gang {
 			t.Errorf("%d of %d tasks of the gang are told at once", told, gang)
 		}
 		close(hang)
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -227,7 +227,7 @@
 
 // logLoad logs once in a while how much the routine had to do since last.
 func (l *Leader) logLoad(now time.Time) {
-	if now.Sub(l.lastLoadLog) < constants.LoadEvery {
+	if now.Sub(l.lastLoadLog) < constants.LoadLogInterval {
 		return
 	}
 	s := now.Sub(l.lastLoadLog).Seconds()
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -151,7 +151,7 @@
 // fleet has grown so large that it is wanted.
 func (l *Leader) checkLargeRingSupport(now time.Time) {
 	c := &l.commits
-	if l.deps.ReadsLargeRing == nil || !l.deps.Operator.Log.LargeRing || !c.log.WantsLargeRing() || now.Sub(c.ringsAsked) < constants.LargeRingAsk {
+	if l.deps.ReadsLargeRing == nil || !l.deps.Operator.Log.LargeRing || !c.log.WantsLargeRing() || now.Sub(c.ringsAsked) < constants.LargeRingCheckInterval {
 		return
 	}
 	c.ringsAsked = now
--- a/internal/leader/targets_test.go
+++ b/internal/leader/targets_test.go
@@ -15,7 +15,7 @@
 	now := time.Unix(1000, 0)
 	l := testLeader(t)
 	silent, heard := addRig(l, "m-1", "east", now), addRig(l, "m-2", "east", now)
-	now = now.Add(l.silenceTolerance() + constants.IdleHold + time.Second)
+	now = now.Add(l.silenceTolerance() + constants.IdleReplyHold + time.Second)
 	if now.Sub(silent.agent.LastHeartbeat) >= l.lease {
 		t.Fatal("the lease is over: nothing is tested")
 	}
--- a/internal/leader/wal/checkpoint.go
+++ b/internal/leader/wal/checkpoint.go
@@ -73,8 +73,8 @@
 // checkpointAfter is how many entries may be read on top of a checkpoint before the
 // next is begun. As many may come on top while it is written.
 func (w *Writer) checkpointAfter() int {
-	half := int(float64(w.head.ring()) * constants.LogFill / 2)
-	return max(constants.CheckpointAfter, min(constants.CheckpointWorth*w.head.Parts, half))
+	half := int(float64(w.head.ring()) * constants.LogMaxFill / 2)
+	return max(constants.CheckpointEntries, min(constants.CheckpointPartsFactor*w.head.Parts, half))
 }
 
 // partShare is how many of so many changes of a transaction are kept for parts of the
--- a/internal/leader/wal/record.go
+++ b/internal/leader/wal/record.go
@@ -27,7 +27,7 @@
 	largePrefix = Prefix + "w/"
 )
 
-func ringKey(seq uint64) string { return fmt.Sprintf("%s%04d", ringPrefix, seq%constants.LogRing) }
+func ringKey(seq uint64) string { return fmt.Sprintf("%s%04d", ringPrefix, seq%constants.LogRingSize) }
 
 func largeKey(seq, ring uint64) string { return fmt.Sprintf("%s%05d", largePrefix, seq%ring) }
 
@@ -65,7 +65,7 @@
 	if h.Ring > 0 {
 		return int(h.Ring)
 	}
-	return constants.LogRing
+	return constants.LogRingSize
 }
 
 // Prefixes list the keys that a takeover must read: of the checkpoint and of the
--- a/internal/leader/wal/wal_test.go
+++ b/internal/leader/wal/wal_test.go
@@ -362,7 +362,7 @@
 	s := &store{rows: map[string]KeyValue{}, stamp: map[string]uint64{}}
 	m := newModel()
 	m.w = NewWriter(1, Limits{ValueBytes: 2000, Ops: 8}, Head{}, 0)
-	for i := range 3 * constants.LogRing {
+	for i := range 3 * constants.LogRingSize {
 		name := fmt.Sprint("m-", i%7)
 		if m.live[name] == nil {
 			m.live[name] = map[Attempt]bool{}
@@ -383,10 +383,10 @@
 			t.Fatal(failed)
 		}
 		m.w.Committed(s.epoch)
-		if m.w.Backlog() > constants.LogRing-constants.LogSlack {
+		if m.w.Backlog() > constants.LogRingSize-constants.LogSlack {
 			t.Fatalf("%d entries are to be read", m.w.Backlog())
 		}
-		if m.w.Backlog() > constants.LogRing-2*constants.LogSlack && !m.w.Checkpointing() {
+		if m.w.Backlog() > constants.LogRingSize-2*constants.LogSlack && !m.w.Checkpointing() {
 			m.w.Checkpoint([]string{"m-0", "m-1", "m-2", "m-3", "m-4", "m-5", "m-6"}, nil, m, nil)
 		}
 	}
@@ -420,7 +420,7 @@
 func checkpointUnderLoad(t *testing.T, machines int, ending bool) {
 	s := &store{rows: map[string]KeyValue{}, stamp: map[string]uint64{}}
 	m := newModel()
-	lim := Limits{ValueBytes: 2048, Ops: constants.TxnOpsLeast}
+	lim := Limits{ValueBytes: 2048, Ops: constants.MinTxnOps}
 	m.w = NewWriter(1, lim, Head{}, 0)
 	names := make([]string, machines)
 	for i := range names {
@@ -429,7 +429,7 @@
 		m.live[names[i]] = map[Attempt]bool{}
 	}
 	try, checkpoints, idle := uint64(0), 0, 0
-	for i := range 6 * constants.LogRing {
+	for i := range 6 * constants.LogRingSize {
 		for range 40 { // fills more than one value
 			try++
 			name, a := names[int(try)%machines], Attempt{Task: fmt.Sprintf("j-%06d/0", try), Number: try, Epoch: 1}
@@ -440,7 +440,7 @@
 			job := fmt.Sprint("j-", i)
 			extras = append(extras, JobWrite{Writes: []statestore.Write{{Delete: "open/" + job}, {Put: "final/" + job, Value: json.RawMessage(`{}`)}}})
 		}
-		if !m.w.Checkpointing() && m.w.Backlog() > constants.CheckpointAfter {
+		if !m.w.Checkpointing() && m.w.Backlog() > constants.CheckpointEntries {
 			m.w.Checkpoint(names, nil, m, func() { checkpoints++ })
 		}
 		was := m.w.head.Next
@@ -452,7 +452,7 @@
 			t.Fatalf("%d changes in a transaction", len(x.Writes))
 		}
 		m.w.Committed(s.epoch)
-		if full := constants.LogRing - constants.LogSlack - lim.Ops; m.w.Backlog() > full {
+		if full := constants.LogRingSize - constants.LogSlack - lim.Ops; m.w.Backlog() > full {
 			t.Fatalf("%d machines, jobs ending %v: the ring is full", machines, ending)
 		}
 		if m.w.head.Next > was {
@@ -524,7 +524,7 @@
 	m.w.AllowLargeRing(true)
 	write(3000)
 	after := m.w.Stats()
-	if m.w.Head().Ring != constants.LogRingLarge || earlier() == nil {
+	if m.w.Head().Ring != constants.LogLargeRingSize || earlier() == nil {
 		t.Errorf("head %+v, earlier versions read on", m.w.Head())
 	}
 	if _, _, err := Read(s.named()); err != nil {
@@ -606,7 +606,7 @@
 			name, a := names[try%300], Attempt{Task: fmt.Sprintf("j-%06d/0", try), Number: try, Epoch: 1}
 			m.live[name][a] = true
 			m.w.AttemptPlaced(name, a, "j-1", JobUse{Team: "x"}, func() { stood[a] = name })
-			if !m.w.Checkpointing() && m.w.Backlog() > constants.CheckpointAfter {
+			if !m.w.Checkpointing() && m.w.Backlog() > constants.CheckpointEntries {
 				m.w.Checkpoint(slices.Clone(names), nil, m, nil)
 			}
 			was := m.w.Backlog()
@@ -618,7 +618,7 @@
 				t.Fatal(failed)
 			}
 			m.w.Committed(s.epoch)
-			if m.w.Backlog() > constants.LogRing-constants.LogSlack {
+			if m.w.Backlog() > constants.LogRingSize-constants.LogSlack {
 				t.Fatalf("%d entries are to be read", m.w.Backlog())
 			}
 			if m.w.Backlog() == was && m.w.Checkpointing() {
@@ -652,7 +652,7 @@
 	before := len(stood)
 	lead(term, 600)
 	check()
-	if m.w.Backlog() > 2*constants.CheckpointAfter || len(stood) < before+400 {
+	if m.w.Backlog() > 2*constants.CheckpointEntries || len(stood) < before+400 {
 		t.Errorf("%d entries are to be read, %d starts stand, %d did before", m.w.Backlog(), len(stood), before)
 	}
 }
--- a/internal/leader/wal/writer.go
+++ b/internal/leader/wal/writer.go
@@ -89,7 +89,7 @@
 // NewWriter goes on behind the head that was read, with its revision.
 func NewWriter(term uint64, lim Limits, head Head, stamp uint64) *Writer {
 	return &Writer{term: term, lim: lim, head: head, stamp: stamp,
-		largeRing: constants.LogRingLarge, largeParts: constants.LogRing / constants.LargeRingParts,
+		largeRing: constants.LogLargeRingSize, largeParts: constants.LogRingSize / constants.LargeRingParts,
 		changes: make(map[string]*change), done: make(map[string][]int)}
 }
 
--- a/internal/node/formats.go
+++ b/internal/node/formats.go
@@ -15,7 +15,7 @@
 	}
 	for _, k := range n.set.Known {
 		formats, err := n.peers.Formats(ctx, k.Label)
-		if err != nil || formats.LogRing < constants.LogRingLarge {
+		if err != nil || formats.LogRing < constants.LogLargeRingSize {
 			return false
 		}
 	}
--- a/internal/node/large_fleet_test.go
+++ b/internal/node/large_fleet_test.go
@@ -102,7 +102,7 @@
 		}
 		s.until(3*time.Minute, "all tasks running", func() bool { return len(s.running()) == jobs*tasks })
 		s.until(time.Minute, "all workers heard", func() bool { return s.workersHeard() == lay.machines })
-		s.until(2*time.Minute, "the log in the large ring", func() bool { return s.logHead().Ring == constants.LogRingLarge })
+		s.until(2*time.Minute, "the log in the large ring", func() bool { return s.logHead().Ring == constants.LogLargeRingSize })
 		before := s.running()
 
 		label := s.leader()
@@ -179,7 +179,7 @@
 		var memory runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&memory)
-		nodesMB := float64(lay.nodes) * (constants.MemoryOwnMB + constants.MemoryPerWorkerMB*float64(lay.machines))
+		nodesMB := float64(lay.nodes) * (constants.BaseMemoryMB + constants.MemoryPerWorkerMB*float64(lay.machines))
 		standinsMB := 0.05 * float64(lay.machines)
 		if held := float64(memory.HeapAlloc) / (1 << 20); held > nodesMB+standinsMB {
 			t.Errorf("%.0f MB are held, at most %.0f of the nodes and %.0f of the stand-ins", held, nodesMB, standinsMB)
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -27,10 +27,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.recent = append(l.recent, now)
-	for len(l.recent) > 0 && now.Sub(l.recent[0]) > constants.LimitedWithin {
+	for len(l.recent) > 0 && now.Sub(l.recent[0]) > constants.RateLimitedWindow {
 		l.recent = l.recent[1:]
 	}
-	return len(l.recent) >= constants.LimitedRun && l.fallen.CompareAndSwap(false, true)
+	return len(l.recent) >= constants.RateLimitedRun && l.fallen.CompareAndSwap(false, true)
 }
 
 // shrink has the next term's transactions be half as large.
@@ -45,7 +45,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for range l.halved {
-		s.ValueKB, s.TxnOps = max(s.ValueKB/2, min(s.ValueKB, constants.ValueKBLeast)), max(s.TxnOps/2, min(s.TxnOps, constants.TxnOpsLeast))
+		s.ValueKB, s.TxnOps = max(s.ValueKB/2, min(s.ValueKB, constants.MinValueKB)), max(s.TxnOps/2, min(s.TxnOps, constants.MinTxnOps))
 	}
 	return s
 }
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -14,14 +14,14 @@
 	var l limits
 	now := time.Unix(1000, 0)
 	for range 20 {
-		now = now.Add(constants.LimitedWithin / 2)
+		now = now.Add(constants.RateLimitedWindow / 2)
 		if l.refused(now) || l.fallen.Load() {
 			t.Fatal("single refusals count as lower rates")
 		}
 	}
 	fell := 0
 	for range 20 {
-		now = now.Add(constants.LimitedWithin / 20)
+		now = now.Add(constants.RateLimitedWindow / 20)
 		if l.refused(now) {
 			fell++
 		}
@@ -40,7 +40,7 @@
 	for range 9 {
 		l.shrink()
 	}
-	if got := l.within(s); got.ValueKB != constants.ValueKBLeast || got.TxnOps != constants.TxnOpsLeast {
+	if got := l.within(s); got.ValueKB != constants.MinValueKB || got.TxnOps != constants.MinTxnOps {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/node/needs.go
+++ b/internal/node/needs.go
@@ -34,7 +34,7 @@
 // expected is how many machines the settings must be enough for: those that the teams
 // are guaranteed, or those that there are if this node leads.
 func (n *Node) expected() int {
-	expected := max(constants.WorkersLeast, n.guaranteedMachines())
+	expected := max(constants.MinWorkers, n.guaranteedMachines())
 	if l := n.leading.Load(); l != nil {
 		expected = max(expected, l.Machines())
 	}
@@ -99,10 +99,10 @@
 // the settings are enough for the machines that are to be expected, as their number
 // grows.
 func (n *Node) watchNeeds(ctx context.Context) error {
-	tick := time.NewTicker(constants.NeedsEvery)
+	tick := time.NewTicker(constants.ResourceCheckInterval)
 	defer tick.Stop()
 	var was []string
-	checked := float64(constants.WorkersLeast)
+	checked := float64(constants.MinWorkers)
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -110,7 +110,7 @@
 // that a user is let wait: each is one change.
 func (n *Node) submitsAtOnce() int {
 	_, changes := n.share(false)
-	return max(constants.SubmitsLeast, int(changes*(1+constants.UserPatience.Seconds())))
+	return max(constants.MinConcurrentSubmits, int(changes*(1+constants.UserRequestTimeout.Seconds())))
 }
 
 // FitMachine keeps the Go runtime within the machine's limits.
@@ -166,7 +166,7 @@
 		attrs = append(attrs, "room_for_workers_by_memory", byMemory)
 	}
 	n.log.Info("serving", attrs...)
-	n.warn(constants.WorkersLeast)
+	n.warn(constants.MinWorkers)
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
 		if err := srv.Serve(listen); !errors.Is(err, http.ErrServerClosed) {
@@ -266,7 +266,7 @@
 		return
 	}
 	if l := n.leading.Load(); l != nil {
-		ctx, cancel := context.WithTimeout(r.Context(), constants.HelloPatience)
+		ctx, cancel := context.WithTimeout(r.Context(), constants.HeartbeatTimeout)
 		defer cancel()
 		a, ok := l.Heartbeat(ctx, rep)
 		if n.sockets.worker(r.Context()) {
@@ -295,7 +295,7 @@
 		if n.catalog.Load() == nil {
 			n.recallCatalog(ctx)
 		}
-		wait := constants.CatalogEvery
+		wait := constants.CatalogInterval
 		if n.catalog.Load() == nil || n.leading.Load() != nil {
 			cat, err := n.cloud.Catalog(ctx)
 			if err != nil {
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -20,12 +20,12 @@
 
 // Healthy tells whether the state service answers this node.
 func (n *Node) Healthy() bool {
-	return n.store.FailingFor() == 0 && time.Since(n.store.LastSuccess()) < constants.HealthFresh
+	return n.store.FailingFor() == 0 && time.Since(n.store.LastSuccess()) < constants.HealthMaxAge
 }
 
 // watchHealth finds out who can help while the state service fails this node.
 func (n *Node) watchHealth(ctx context.Context) error {
-	tick := time.NewTicker(constants.HealthEvery)
+	tick := time.NewTicker(constants.HealthCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -34,14 +34,14 @@
 		case <-tick.C:
 		}
 		failing := n.store.FailingFor()
-		if failing < constants.HealthEvery {
+		if failing < constants.HealthCheckInterval {
 			n.helpers.Store(nil)
 			n.lonely.Store(false)
 			continue
 		}
 		helpers, reached := n.askHealth(ctx)
 		n.helpers.Store(&helpers)
-		n.lonely.Store(reached == 0 && len(n.set.Known) > 0 && failing > constants.LonelyAfter)
+		n.lonely.Store(reached == 0 && len(n.set.Known) > 0 && failing > constants.IsolatedAfter)
 	}
 }
 
@@ -95,7 +95,7 @@
 		_, _ = w.Write(a.Body)
 		return
 	}
-	r.Body = http.MaxBytesReader(w, nopCloser{bytes.NewReader(body)}, constants.BodyMax)
+	r.Body = http.MaxBytesReader(w, nopCloser{bytes.NewReader(body)}, constants.MaxBodyBytes)
 	n.users.ServeHTTP(w, r)
 }
 
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -117,13 +117,13 @@
 // protocol and costs nothing while nobody asks.
 func (n *Node) registerOperators(mux *http.ServeMux) {
 	mux.HandleFunc("GET /cluster", func(w http.ResponseWriter, r *http.Request) {
-		ctx, cancel := context.WithTimeout(r.Context(), constants.UserPatience)
+		ctx, cancel := context.WithTimeout(r.Context(), constants.UserRequestTimeout)
 		defer cancel()
 		userapi.WriteJSON(w, http.StatusOK, n.overview(ctx))
 	})
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(&collector{n})
-	mux.Handle("GET /metrics", promhttp.HandlerFor(reg, promhttp.HandlerOpts{MaxRequestsInFlight: 2, Timeout: constants.UserPatience}))
+	mux.Handle("GET /metrics", promhttp.HandlerFor(reg, promhttp.HandlerOpts{MaxRequestsInFlight: 2, Timeout: constants.UserRequestTimeout}))
 }
 
 // collector gathers metrics when they are asked for. Their number is bounded
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -123,7 +123,7 @@
 
 // Formats answers another node.
 func (s *service) Formats(_ FormatsArgs, reply *FormatsReply) error {
-	reply.LogRing = constants.LogRingLarge
+	reply.LogRing = constants.LogLargeRingSize
 	return nil
 }
 
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -101,7 +101,7 @@
 		}
 		if j.Spec.Kind == "gang" {
 			p.gang(j)
-		} else if done := p.sweep(j, 0, j.SinceLastStart.Seconds()+constants.LocalDelay); done < len(j.Waiting) {
+		} else if done := p.sweep(j, 0, j.SinceLastStart.Seconds()+constants.LocalImageMaxWaitS); done < len(j.Waiting) {
 			again = append(again, rest{j, done})
 		}
 	}
@@ -291,22 +291,22 @@
 func (p *pass) score(r *Machine, j *Job) float64 {
 	s := r.delay(j)
 	if _, n := r.heldFor(j); n > 0 {
-		s -= constants.SpareEmpty
+		s -= constants.EmptyMachinePenalty
 	}
 	if j.Spec.AllowSpot && !r.Spot {
-		s += constants.SpareOrdinary
+		s += constants.OrdinaryMachinePenalty
 		if j.Spec.Kind != "gang" && r.used == (Resources{}) && p.whole > 0 {
-			s += constants.SpareWhole / float64(p.whole)
+			s += constants.LastWholeMachinePenalty / float64(p.whole)
 		}
 	}
 	if j.Spec.Kind != "gang" {
 		full := r.used.DominantShare(r.Total)
 		if _, have := r.ImageWait[j.Spec.Image]; have || !r.Spot {
-			s += constants.SparePart * (1 - full)
+			s += constants.PartlyUsedBonus * (1 - full)
 		} else {
 			// The image must be fetched anyway: on a machine that gangs can't
 			// use it had better come to one more machine than to few.
-			s += constants.SpareEmpty * full
+			s += constants.EmptyMachinePenalty * full
 		}
 	}
 	return s
--- a/internal/placement/room.go
+++ b/internal/placement/room.go
@@ -71,7 +71,7 @@
 	if !p.allows(j, need) || !gang && !mayStop {
 		return
 	}
-	if p.tries++; p.tries > constants.RoomTries {
+	if p.tries++; p.tries > constants.MaxPreemptionAttempts {
 		return
 	}
 	// Once as many machines drain as may, only what comes free by itself or by
@@ -178,7 +178,7 @@
 // drained tells whether so many machines more would be too many to drain at a
 // time.
 func (p *pass) drained(more int) bool {
-	return p.draining > 0 && float64(p.draining+more) > constants.ClaimMost*float64(len(p.Machines))
+	return p.draining > 0 && float64(p.draining+more) > constants.MaxDrainingShare*float64(len(p.Machines))
 }
 
 // stops are the standings, as bits, whose tasks the job may stop.
@@ -239,14 +239,14 @@
 	if j.Spec.Kind != "gang" {
 		return o, false
 	}
-	if 1e6+r.left.Seconds()-constants.ClaimKept-constants.ClaimKeptOverdue >= worst {
+	if 1e6+r.left.Seconds()-constants.ClaimedMachineBonusS-constants.BoostedClaimBonusS >= worst {
 		return o, false
 	}
 	o.cost = 1e6 + r.left.Seconds() + r.delay(j)
 	if j.ClaimedMachines[r.Name] {
-		o.cost -= constants.ClaimKept
+		o.cost -= constants.ClaimedMachineBonusS
 		if j.Boost != NoBoost {
-			o.cost -= constants.ClaimKeptOverdue
+			o.cost -= constants.BoostedClaimBonusS
 		}
 	}
 	return o, o.cost < worst
--- a/internal/placement/world.go
+++ b/internal/placement/world.go
@@ -37,7 +37,7 @@
 
 // Fits tells whether need fits into r.
 func (r Resources) Fits(need Resources) bool {
-	return need.CPUs <= r.CPUs+constants.RoundingSlack && need.GPUs <= r.GPUs+constants.RoundingSlack && need.MemoryGB <= r.MemoryGB+constants.RoundingSlack
+	return need.CPUs <= r.CPUs+constants.ResourceTolerance && need.GPUs <= r.GPUs+constants.ResourceTolerance && need.MemoryGB <= r.MemoryGB+constants.ResourceTolerance
 }
 
 // Count tells how many times need fits into r, at most limit.
@@ -45,7 +45,7 @@
 	n := float64(limit)
 	for _, d := range [][2]float64{{r.CPUs, need.CPUs}, {r.GPUs, need.GPUs}, {r.MemoryGB, need.MemoryGB}} {
 		if d[1] > 0 {
-			n = min(n, math.Floor((d[0]+constants.RoundingSlack)/d[1]))
+			n = min(n, math.Floor((d[0]+constants.ResourceTolerance)/d[1]))
 		}
 	}
 	return max(0, int(n))
@@ -80,7 +80,7 @@
 func (t *Team) Allows(extra Resources) bool { return t.within(t.Used.Add(extra)) }
 
 func (t *Team) within(u Resources) bool {
-	return (t.Limit.CPUs <= 0 || u.CPUs <= t.Limit.CPUs+constants.RoundingSlack) && (t.Limit.GPUs <= 0 || u.GPUs <= t.Limit.GPUs+constants.RoundingSlack)
+	return (t.Limit.CPUs <= 0 || u.CPUs <= t.Limit.CPUs+constants.ResourceTolerance) && (t.Limit.GPUs <= 0 || u.GPUs <= t.Limit.GPUs+constants.ResourceTolerance)
 }
 
 // Guards tells whether use as large as this lies within the guarantee. Only
@@ -89,8 +89,8 @@
 	if t.Guarantee.CPUs <= 0 && t.Guarantee.GPUs <= 0 {
 		return false
 	}
-	return (t.Guarantee.CPUs <= 0 || use.CPUs <= t.Guarantee.CPUs+constants.RoundingSlack) &&
-		(t.Guarantee.GPUs <= 0 || use.GPUs <= t.Guarantee.GPUs+constants.RoundingSlack)
+	return (t.Guarantee.CPUs <= 0 || use.CPUs <= t.Guarantee.CPUs+constants.ResourceTolerance) &&
+		(t.Guarantee.GPUs <= 0 || use.GPUs <= t.Guarantee.GPUs+constants.ResourceTolerance)
 }
 
 // Slot is a task that occupies a machine.
@@ -243,7 +243,7 @@
 	if n := len(j.Targets); n > 0 {
 		last = j.Targets[n-1]
 	}
-	j.Slack = constants.LateStanding - (age-last)/constants.LateRise
+	j.Slack = constants.LateSlack - (age-last)/constants.LateSlackDecay
 }
 
 // Pipeline tells which pipeline the job belongs to by its owner and workload.
@@ -385,12 +385,12 @@
 	for _, j := range unfinished {
 		j.Boost = NoBoost
 		g := largest[j.Spec.Class]
-		if g.Size > 0 && j.Spec.Tasks >= g.Size && j.Spec.Kind == userapi.KindGang && len(j.Waiting) > 0 && now.Sub(j.Submitted) > constants.OverdueAfter {
+		if g.Size > 0 && j.Spec.Tasks >= g.Size && j.Spec.Kind == userapi.KindGang && len(j.Waiting) > 0 && now.Sub(j.Submitted) > constants.BoostAfter {
 			late = append(late, j)
 		}
 	}
 	slices.SortFunc(late, func(a, b *Job) int { return cmp.Compare(a.Order, b.Order) })
-	for _, j := range late[:min(len(late), constants.OverdueMost)] {
+	for _, j := range late[:min(len(late), constants.MaxBoosted)] {
 		j.Boost = largest[j.Spec.Class].Boost
 	}
 }
--- a/internal/provisioning/cloud.go
+++ b/internal/provisioning/cloud.go
@@ -211,7 +211,7 @@
 // where the following page begins, empty after the last one. The list lags, and may
 // be older than the last.
 func (c *Cloud) List(ctx context.Context, from string) (hosts []Instance, next string, err error) {
-	q := url.Values{"limit": {strconv.Itoa(constants.HostPage)}}
+	q := url.Values{"limit": {strconv.Itoa(constants.InstanceListPage)}}
 	if from != "" {
 		q.Set("from", from)
 	}
--- a/internal/provisioning/plan.go
+++ b/internal/provisioning/plan.go
@@ -89,7 +89,7 @@
 		}
 		used[d.Team] = used[d.Team].Add(d.TaskResources.Times(n))
 		// A task that fills most of a machine takes all of it.
-		if per := (placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}).Count(d.TaskResources, constants.MaxPieces); per >= 1 {
+		if per := (placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}).Count(d.TaskResources, constants.MaxTasks); per >= 1 {
 			tell(d, n, per)
 		}
 	}
@@ -122,7 +122,7 @@
 	ordinary, spot := Targets(v, t)
 	part := 1.0
 	if t.OnDemandPrice > 0 && t.SpotPrice > 0 {
-		part = min(1, constants.OverflowWorth*t.SpotPrice/t.OnDemandPrice)
+		part = min(1, constants.OverflowPriceFactor*t.SpotPrice/t.OnDemandPrice)
 	}
 	newOrdinary, newSpot := v.fill(v.Recent, t)
 	ahead := 0.0
--- a/internal/statestore/budget.go
+++ b/internal/statestore/budget.go
@@ -119,7 +119,7 @@
 		if began.IsZero() {
 			began = time.Now()
 		}
-		t := time.NewTimer(constants.BudgetPoll)
+		t := time.NewTimer(constants.BudgetRetryInterval)
 		select {
 		case <-ctx.Done():
 			t.Stop()
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -135,7 +135,7 @@
 func (p *txnTimeout) answered(after time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.wait = min(max(p.wait/2, constants.TxnSlack*after), constants.StateTimeout)
+	p.wait = min(max(p.wait/2, constants.TxnTimeoutFactor*after), constants.StateTimeout)
 }
 
 // Answers tells when the service last answered this node usefully.
@@ -358,7 +358,7 @@
 		return fmt.Errorf("renew: %w: %w", ErrUnavailable, err)
 	}
 	path := fmt.Sprintf("/holds/%d/touch", tenure)
-	status, raw, err := c.call(ctx, ClassLease, constants.LeaseRenew, http.MethodPost, path, nil, nil)
+	status, raw, err := c.call(ctx, ClassLease, constants.LeaseRenewInterval, http.MethodPost, path, nil, nil)
 	switch {
 	case err != nil:
 		return err
--- a/internal/userapi/dependencies.go
+++ b/internal/userapi/dependencies.go
@@ -180,7 +180,7 @@
 // settleWaiting settles polls for jobs that wait for others, by one question for all:
 // each of the open jobs was so at a moment after the polls had come.
 func (s *Server) settleWaiting(ctx context.Context, batch []ask) {
-	ctx, cancel := context.WithTimeout(ctx, constants.PollPatience)
+	ctx, cancel := context.WithTimeout(ctx, constants.PollTimeout)
 	defer cancel()
 	err := s.sync(ctx)
 	open := make(map[string]uint64)
--- a/internal/userapi/job.go
+++ b/internal/userapi/job.go
@@ -144,7 +144,7 @@
 		case v == nil:
 			fail(field, "is missing")
 			return 0
-		case !(*v >= least) || math.IsInf(*v, 0) || *v > constants.AmountMax:
+		case !(*v >= least) || math.IsInf(*v, 0) || *v > constants.MaxAmount:
 			fail(field, fmt.Sprintf("%v is out of range", *v))
 		}
 		return *v
@@ -177,8 +177,8 @@
 	switch {
 	case s.Pieces == nil:
 		fail("pieces", "is missing")
-	case *s.Pieces < 1 || *s.Pieces > constants.MaxPieces:
-		fail("pieces", fmt.Sprintf("%d is not from 1 to %d", *s.Pieces, constants.MaxPieces))
+	case *s.Pieces < 1 || *s.Pieces > constants.MaxTasks:
+		fail("pieces", fmt.Sprintf("%d is not from 1 to %d", *s.Pieces, constants.MaxTasks))
 	default:
 		j.Tasks = *s.Pieces
 	}
--- a/internal/userapi/mirror.go
+++ b/internal/userapi/mirror.go
@@ -134,13 +134,13 @@
 	for ctx.Err() == nil {
 		rows, epoch, err := s.store.List(ctx, statestore.ClassPoll, OpenPrefix)
 		if err != nil {
-			sleep(ctx, constants.MirrorEvery)
+			sleep(ctx, constants.MirrorInterval)
 			continue
 		}
 		s.mirror.replace(rows, epoch)
 		rows = nil
 		for ctx.Err() == nil {
-			sleep(ctx, constants.MirrorEvery)
+			sleep(ctx, constants.MirrorInterval)
 			from := s.mirror.at()
 			next, log, err := s.store.Watch(ctx, OpenPrefix, from, constants.MirrorBlock)
 			if errors.Is(err, statestore.ErrCompacted) {
--- a/internal/userapi/poll.go
+++ b/internal/userapi/poll.go
@@ -58,7 +58,7 @@
 	group.SetLimit(1 + constants.PollBatches)
 	// Reads have places of their own: batches wait for them, never the reverse.
 	reads, ctx := errgroup.WithContext(ctx)
-	reads.SetLimit(constants.AskReads)
+	reads.SetLimit(constants.MaxPollReads)
 	group.Go(func() error {
 		for {
 			batch, err := s.nextBatch(ctx)
@@ -89,7 +89,7 @@
 	case first := <-s.asks:
 		batch = append(batch, first)
 	}
-	window := time.NewTimer(constants.AskWindow)
+	window := time.NewTimer(constants.PollBatchWindow)
 	defer window.Stop()
 	for len(batch) < s.batchSize() {
 		select {
@@ -185,7 +185,7 @@
 		if len(c.polls) == 0 {
 			continue
 		}
-		callCtx, cancel := context.WithTimeout(ctx, constants.PollPatience)
+		callCtx, cancel := context.WithTimeout(ctx, constants.PollTimeout)
 		_, err := s.multi(callCtx, statestore.ClassPoll, c.when, nil)
 		cancel()
 		var conflict *statestore.ConflictError
--- a/internal/userapi/poll_test.go
+++ b/internal/userapi/poll_test.go
@@ -37,7 +37,7 @@
 	const jobs, every = 2000, 5 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		store := &slowStore{memory: &memory{rows: map[string]statestore.KeyValue{}, stamp: 10}, takes: 40 * time.Millisecond}
-		s, err := NewServer(store, nil, config.State{TxnOps: constants.TxnOpsLeast, ValueKB: 2}, 4, nil, allRunning, nil, slog.New(slog.DiscardHandler))
+		s, err := NewServer(store, nil, config.State{TxnOps: constants.MinTxnOps, ValueKB: 2}, 4, nil, allRunning, nil, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -53,7 +53,7 @@
 		for i := range jobs {
 			wait.Go(func() {
 				time.Sleep(every * time.Duration(i) / jobs)
-				patience, stop := context.WithTimeout(ctx, constants.PollPatience)
+				patience, stop := context.WithTimeout(ctx, constants.PollTimeout)
 				defer stop()
 				if _, found, err := s.ask(patience, fmt.Sprintf("j-%06d", i)); err != nil || !found {
 					failed.Add(1)
@@ -66,7 +66,7 @@
 			t.Errorf("%d of %d polls without an answer", n, jobs)
 		}
 		// Each takes one condition, and the last batch of a window may not be full.
-		if most := jobs/s.batchSize() + int(every/constants.AskWindow) + 1; store.multis > most || store.gets > 0 {
+		if most := jobs/s.batchSize() + int(every/constants.PollBatchWindow) + 1; store.multis > most || store.gets > 0 {
 			t.Errorf("%d transactions and %d reads, at most %d and none", store.multis, store.gets, most)
 		}
 	})
--- a/internal/userapi/server.go
+++ b/internal/userapi/server.go
@@ -56,7 +56,7 @@
 
 // vouchesKept is how many cancellations are remembered at so many changes a second.
 func vouchesKept(writeRPS float64) int {
-	return max(constants.VouchLeast, int(writeRPS*constants.VouchMemory.Seconds()))
+	return max(constants.CancellationLogMinEntries, int(writeRPS*constants.CancellationLogWindow.Seconds()))
 }
 
 // NewServer makes the users' interface. submits is how many submissions it takes
@@ -67,7 +67,7 @@
 		return nil, err
 	}
 	return &Server{store: store, teams: teams, catalog: catalog, progress: progress, ready: ready, log: log, finals: finals, cancelled: confirmations.NewCancellationLog(vouchesKept(state.WriteRPS), time.Now()),
-		mirror: newMirror(), asks: make(chan ask, constants.AskQueue), conds: constants.CondsPerOp * max(state.TxnOps, 1),
+		mirror: newMirror(), asks: make(chan ask, constants.PollQueue), conds: constants.CondsPerOp * max(state.TxnOps, 1),
 		ops: max(state.TxnOps, 1), valueBytes: int(state.ValueKB * 1024),
 		submits: make(chan struct{}, max(submits, 1))}, nil
 }
@@ -114,7 +114,7 @@
 
 // ReadBody reads a request's body within the protocol's bound.
 func ReadBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, constants.BodyMax))
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, constants.MaxBodyBytes))
 	if err != nil {
 		WriteJSON(w, http.StatusBadRequest, problem{Error: "the body can't be read: " + err.Error()})
 		return nil, false
@@ -152,7 +152,7 @@
 		malformed(w, err)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), constants.UserPatience)
+	ctx, cancel := context.WithTimeout(r.Context(), constants.UserRequestTimeout)
 	defer cancel()
 	cat := s.catalog()
 	if len(cat) == 0 {
@@ -240,7 +240,7 @@
 // just one of them be carried out. Without that its user would come back after a
 // second or more.
 func (s *Server) multi(ctx context.Context, class statestore.Class, when []statestore.Condition, writes []statestore.Write) (epoch uint64, err error) {
-	for range constants.UserTries {
+	for range constants.UserTxnAttempts {
 		epoch, err = s.store.Txn(ctx, class, when, writes)
 		if !errors.Is(err, statestore.ErrOutcomeUnknown) || ctx.Err() != nil {
 			break
@@ -330,7 +330,7 @@
 		WriteJSON(w, http.StatusNotFound, problem{Error: "no such job"})
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), constants.PollPatience)
+	ctx, cancel := context.WithTimeout(r.Context(), constants.PollTimeout)
 	defer cancel()
 	st, found, err := s.ask(ctx, id)
 	switch {
@@ -349,7 +349,7 @@
 		WriteJSON(w, http.StatusNotFound, problem{Error: "no such job"})
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), constants.UserPatience)
+	ctx, cancel := context.WithTimeout(r.Context(), constants.UserRequestTimeout)
 	defer cancel()
 	if f, ok := s.finals.Get(id); ok {
 		WriteJSON(w, http.StatusOK, JobStatus{ID: id, Status: f.Status})
--- a/internal/userapi/server_test.go
+++ b/internal/userapi/server_test.go
@@ -442,7 +442,7 @@
 				if w.Code != http.StatusServiceUnavailable {
 					return w.Code, w.Body.String(), n
 				}
-				if unanswered < constants.UserTries {
+				if unanswered < constants.UserTxnAttempts {
 					t.Fatalf("%s: 503 after %d without an answer", path, unanswered)
 				}
 			}
--- a/internal/workers/courier.go
+++ b/internal/workers/courier.go
@@ -18,7 +18,7 @@
 // NewCourier makes a courier that reaches workers through dial.
 func NewCommandClient(dial func(ctx context.Context, network, addr string) (net.Conn, error)) *CommandClient {
 	return &CommandClient{&http.Client{Transport: &http.Transport{
-		DialContext: dial, MaxConnsPerHost: 2, MaxIdleConnsPerHost: 1, MaxIdleConns: constants.CommandsIdle,
+		DialContext: dial, MaxConnsPerHost: 2, MaxIdleConnsPerHost: 1, MaxIdleConns: constants.MaxIdleCommandConns,
 		IdleConnTimeout: constants.HeaderTimeout, DisableCompression: true,
 	}}}
 }
@@ -41,7 +41,7 @@
 		return nil, fmt.Errorf("orders: %w", err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, 16*constants.BodyMax))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, 16*constants.MaxBodyBytes))
 	if err != nil {
 		return nil, fmt.Errorf("orders: %w", err)
 	}
--- a/internal/workers/machine.go
+++ b/internal/workers/machine.go
@@ -232,12 +232,12 @@
 	ignored := false
 	for id, a := range agent.Attempts {
 		switch {
-		case listed[id] && a.StopRequested && !a.StopRequestedAt.IsZero() && now.Sub(a.StopRequestedAt) > constants.StopIgnored &&
+		case listed[id] && a.StopRequested && !a.StopRequestedAt.IsZero() && now.Sub(a.StopRequestedAt) > constants.StopIgnoredAfter &&
 			(a.Status == StatusRunning || a.Status == StatusFetching || a.Status == StatusWaiting):
 			ignored = true
 		case !listed[id] && a.Sent && !a.FromEarlierTerm && a.Status == "" && r.Sequence > a.SentSequence:
 			a.MissedHeartbeats++
-			if a.MissedHeartbeats >= constants.UnheardReports {
+			if a.MissedHeartbeats >= constants.LostReplyHeartbeats {
 				agent.RepliesLost = true
 			}
 		}
@@ -247,7 +247,7 @@
 	} else {
 		agent.IgnoredStops = 0
 	}
-	if agent.IgnoredStops >= constants.UnheardReports {
+	if agent.IgnoredStops >= constants.LostReplyHeartbeats {
 		agent.RepliesLost = true
 	}
 	if !agent.RepliesLost {
@@ -264,7 +264,7 @@
 // reported it, and has not.
 func (agent *Agent) StartOverdue(now time.Time) bool {
 	for _, a := range agent.Attempts {
-		if a.Sent && a.Status == "" && !a.SentAt.IsZero() && now.Sub(a.SentAt) > constants.OrderPatience {
+		if a.Sent && a.Status == "" && !a.SentAt.IsZero() && now.Sub(a.SentAt) > constants.StartOverdueAfter {
 			return true
 		}
 	}
