--- /dev/null
+++ b/docs/docs_test.go
@@ -0,0 +1,157 @@
+// Package docs_test checks that what the pages name exists.
+package docs_test
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+// declarations are the names that the module's Go files declare: "Name", "pkg.Name",
+// "Type.Member" and "pkg.Type.Member".
+type declarations struct{ names map[string]bool }
+
+// parseModule reads all Go files of the module, tests included.
+func parseModule(t *testing.T, root string) declarations {
+	t.Helper()
+	found := declarations{names: make(map[string]bool)}
+	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		if entry.IsDir() && (entry.Name() == "target" || entry.Name() == "journal" || entry.Name() == ".git") {
+			return filepath.SkipDir
+		}
+		if entry.IsDir() || !strings.HasSuffix(path, ".go") {
+			return nil
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+		if err != nil {
+			return err
+		}
+		found.add(file)
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return found
+}
+
+// add takes in the top-level declarations of one file.
+func (d declarations) add(file *ast.File) {
+	pkg := file.Name.Name
+	for _, decl := range file.Decls {
+		switch decl := decl.(type) {
+		case *ast.FuncDecl:
+			d.addFunc(pkg, decl)
+		case *ast.GenDecl:
+			for _, spec := range decl.Specs {
+				d.addSpec(pkg, spec)
+			}
+		}
+	}
+}
+
+func (d declarations) addName(pkg, name string) {
+	d.names[name] = true
+	d.names[pkg+"."+name] = true
+}
+
+func (d declarations) addFunc(pkg string, decl *ast.FuncDecl) {
+	d.addName(pkg, decl.Name.Name)
+	if decl.Recv == nil {
+		return
+	}
+	receiver := decl.Recv.List[0].Type
+	if star, ok := receiver.(*ast.StarExpr); ok {
+		receiver = star.X
+	}
+	if ident, ok := receiver.(*ast.Ident); ok {
+		d.addName(pkg, ident.Name+"."+decl.Name.Name)
+	}
+}
+
+func (d declarations) addSpec(pkg string, spec ast.Spec) {
+	switch spec := spec.(type) {
+	case *ast.TypeSpec:
+		d.addName(pkg, spec.Name.Name)
+		if fields, ok := spec.Type.(*ast.StructType); ok {
+			for _, field := range fields.Fields.List {
+				for _, name := range field.Names {
+					d.names[name.Name] = true
+					d.addName(pkg, spec.Name.Name+"."+name.Name)
+				}
+			}
+		}
+	case *ast.ValueSpec:
+		for _, name := range spec.Names {
+			d.addName(pkg, name.Name)
+		}
+	}
+}
+
+var (
+	testName = regexp.MustCompile(`\bTest[A-Z]\w+`)
+	// codeName is a backquoted Go name with a package or type before it, or an exported
+	// one with more than one hump.
+	codeName = regexp.MustCompile("`((?:[a-zA-Z]\\w*\\.)+[a-zA-Z]\\w*|[A-Z][a-z]+[A-Z]\\w*)`")
+	codePath = regexp.MustCompile("`((?:internal|cmd|docs|examples|deploy|\\.ci)/[\\w./-]+)`")
+)
+
+// packageRow is a row of the architecture page's table of packages.
+var packageRow = regexp.MustCompile("(?m)^\\| `([a-z/]+)`(?:, `([a-z/]+)`)? \\|")
+
+// settingsName are backquoted names of settings, files and metrics, which look like Go names.
+var settingsName = regexp.MustCompile(`^(params|holds|budgets|log|renting|state|cloud|txn|THORNNOTCH|LOG)\b|\.(go|md|toml|yaml|json|mod)$`)
+
+// TestPagesNameWhatExists: each test that a page names exists, and each package, type,
+// function and file that the architecture page names.
+func TestPagesNameWhatExists(t *testing.T) {
+	root := ".."
+	declared := parseModule(t, root)
+	for _, page := range []string{"architecture.md", "design.md", "operations.md"} {
+		text, err := os.ReadFile(page)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, name := range testName.FindAllString(string(text), -1) {
+			if !declared.names[name] {
+				t.Errorf("%s names %s, which no file declares", page, name)
+			}
+		}
+	}
+	text, err := os.ReadFile("architecture.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, match := range codeName.FindAllStringSubmatch(string(text), -1) {
+		if name := match[1]; !settingsName.MatchString(name) && !declared.names[name] {
+			t.Errorf("architecture.md names %s, which no file declares", name)
+		}
+	}
+	_, packages, _ := strings.Cut(string(text), "\n## Packages\n")
+	packages, _, _ = strings.Cut(packages, "\n##")
+	rows := packageRow.FindAllStringSubmatch(packages, -1)
+	if len(rows) == 0 {
+		t.Error("architecture.md has no table of packages")
+	}
+	for _, row := range rows {
+		for _, dir := range row[1:] {
+			if _, err := os.Stat(filepath.Join(root, "internal", dir)); err != nil && !strings.HasPrefix(dir, "cmd/") {
+				t.Errorf("architecture.md names a package that is not there: %v", err)
+			}
+		}
+	}
+	for _, match := range codePath.FindAllStringSubmatch(string(text), -1) {
+		if _, err := os.Stat(filepath.Join(root, match[1])); err != nil {
+			t.Errorf("architecture.md names a file that is not there: %v", err)
+		}
+	}
+}
