--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -31,18 +31,18 @@
 
 // grown makes a leader of a large site: so many machines, all busy but a few,
 // and a third as many jobs waiting.
-func grown(b testing.TB, machines int) (*Leader, []*machine) {
+func grown(b testing.TB, machines int) (*Leader, []*machineState) {
 	now := time.Now()
 	l := testLeader(b)
 	l.teams = []config.Team{{Name: "a", GPUs: 1000, GPUsMax: 10 * float64(machines)}}
 	l.deps.Settings.Params.Teams = l.teams
 	offline(b, l)
 	l.certainUntil = now
-	var list []*machine
+	var list []*machineState
 	for i := range machines {
-		r := addRig(l, fmt.Sprintf("m-%06d", i), []string{"east", "west"}[i%2], now)
-		r.agent.Spot = i%3 == 0
-		list = append(list, r)
+		machine := addRig(l, fmt.Sprintf("m-%06d", i), []string{"east", "west"}[i%2], now)
+		machine.agent.Spot = i%3 == 0
+		list = append(list, machine)
 	}
 	for i := range machines / 3 {
 		j := sweep(fmt.Sprintf("j-%06d", i), 40)
@@ -58,8 +58,8 @@
 		l.runSchedulingPass(now)
 		settle(l, 100)
 	}
-	for _, r := range list {
-		r.agent.Commands(true, now) // the starts have left: no answer waits for them
+	for _, machine := range list {
+		machine.agent.Commands(true, now) // the starts have left: no answer waits for them
 	}
 	return l, list
 }
@@ -82,7 +82,7 @@
 
 // crowded makes a leader of a site where far more waits than there is room for: gangs of
 // whole machines, urgent and not, and sweeps of small tasks, of several teams.
-func crowded(b testing.TB, machines int) (*Leader, []*machine) {
+func crowded(b testing.TB, machines int) (*Leader, []*machineState) {
 	now := time.Now()
 	l := testLeader(b)
 	l.teams = nil
@@ -92,11 +92,11 @@
 	l.deps.Settings.Params.Teams = l.teams
 	offline(b, l)
 	l.certainUntil = now
-	var list []*machine
+	var list []*machineState
 	for i := range machines {
-		r := addRig(l, fmt.Sprintf("m-%06d", i), []string{"east", "west"}[i%2], now)
-		r.agent.Spot = i%5 < 2
-		list = append(list, r)
+		machine := addRig(l, fmt.Sprintf("m-%06d", i), []string{"east", "west"}[i%2], now)
+		machine.agent.Spot = i%5 < 2
+		list = append(list, machine)
 	}
 	for i := range machines / 4 {
 		j := sweep(fmt.Sprintf("j-%06d", i), 50)
@@ -117,8 +117,8 @@
 		l.runSchedulingPass(now)
 		settle(l, 100)
 	}
-	for _, r := range list {
-		r.agent.Commands(true, now)
+	for _, machine := range list {
+		machine.agent.Commands(true, now)
 	}
 	return l, list
 }
@@ -140,8 +140,8 @@
 			for k := range 20 {
 				l.markStale(list[(i*20+k)%len(list)])
 			}
-			for _, r := range list {
-				r.agent.LastHeartbeat = now
+			for _, machine := range list {
+				machine.agent.LastHeartbeat = now
 			}
 			l.runSchedulingPass(now)
 		}
@@ -159,14 +159,14 @@
 		for i := range b.N {
 			now := time.Now()
 			for k := range 20 {
-				r := list[(i*20+k*101)%len(list)]
-				rep := report(l, r, workers.StatusRunning, "")
+				machine := list[(i*20+k*101)%len(list)]
+				rep := report(l, machine, workers.StatusRunning, "")
 				for n := range rep.Tasks {
-					if a := r.agent.Attempts[attemptID(b, rep.Tasks[n])]; n%3 == 0 && a.ID.Task.Index%50 != 0 && l.jobs[a.ID.Task.Job] != nil && l.jobs[a.ID.Task.Job].spec.Kind != jobs.KindGang {
+					if a := machine.agent.Attempts[attemptID(b, rep.Tasks[n])]; n%3 == 0 && a.ID.Task.Index%50 != 0 && l.jobs[a.ID.Task.Job] != nil && l.jobs[a.ID.Task.Job].spec.Kind != jobs.KindGang {
 						rep.Tasks[n].Status, rep.Tasks[n].Cause = workers.StatusExited, workers.CauseError
 					}
 				}
-				l.applyHeartbeat(r, rep, false, now)
+				l.applyHeartbeat(machine, rep, false, now)
 			}
 			for _, j := range l.jobs {
 				j.notBefore = time.Time{}
@@ -176,8 +176,8 @@
 			l.runSchedulingPass(now)
 			epoch = settle(l, epoch)
 			for k := range 20 {
-				r := list[(i*20+k*101)%len(list)]
-				r.agent.Commands(true, now)
+				machine := list[(i*20+k*101)%len(list)]
+				machine.agent.Commands(true, now)
 			}
 		}
 	})
@@ -200,12 +200,12 @@
 		ch := make(chan Reply, 1)
 		b.ResetTimer()
 		for i := range b.N {
-			r := list[i%len(list)]
-			rep := report(l, r, workers.StatusRunning, "")
+			machine := list[i%len(list)]
+			rep := report(l, machine, workers.StatusRunning, "")
 			l.heartbeat(rep, now, ch)
 			l.commit(now)
-			r.pending.until = now
-			l.wakeReply(r)
+			machine.pending.until = now
+			l.wakeReply(machine)
 			l.flushReplies(now)
 			<-ch
 		}
@@ -223,8 +223,8 @@
 		b.ResetTimer()
 		for range b.N {
 			now = now.Add(constants.TickInterval)
-			for _, r := range l.sortedMachines() {
-				r.agent.LastHeartbeat, r.agent.LastAcknowledged = now, now
+			for _, machine := range l.sortedMachines() {
+				machine.agent.LastHeartbeat, machine.agent.LastAcknowledged = now, now
 			}
 			l.tick(now)
 		}
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -13,13 +13,13 @@
 // next report. One that has not been heard for a while is most likely cut off:
 // orders to it hang until their time is over, and a whole dark zone's would
 // take the sockets and the places that the others' stops need.
-func (l *Leader) sendStops(r *machine, now time.Time) {
+func (l *Leader) sendStops(machine *machineState, now time.Time) {
 	again := constants.StopResend
-	if l.silentFor(r, now) > l.silenceTolerance() {
+	if l.silentFor(machine, now) > l.silenceTolerance() {
 		again = constants.StopResendSilent
 	}
 	due := false
-	for _, a := range r.agent.Attempts {
+	for _, a := range machine.agent.Attempts {
 		if a.StopRequested && a.Status != workers.StatusExited && (a.Sent || a.FromEarlierTerm) && now.Sub(a.StopSentAt) >= again {
 			due = true
 		}
@@ -28,15 +28,15 @@
 		return
 	}
 	var orders []workers.Command
-	for _, o := range r.agent.Commands(false, now) {
+	for _, o := range machine.agent.Commands(false, now) {
 		if o.Verb == workers.VerbStop {
 			orders = append(orders, o)
 		}
 	}
-	if !l.sendCommand(r, orders, now) {
+	if !l.sendCommand(machine, orders, now) {
 		return // the next tick tries again
 	}
-	for _, a := range r.agent.Attempts {
+	for _, a := range machine.agent.Attempts {
 		if a.StopRequested {
 			a.StopSentAt = now
 		}
@@ -55,11 +55,11 @@
 // So many are under way at once at most, half of these for stops alone and half for
 // workers that have been heard of late: a node has few sockets beside those of its
 // workers. It reports false when the order has to wait for others.
-func (l *Leader) sendCommand(r *machine, orders []workers.Command, now time.Time) bool {
-	if r.agent.Endpoint == "" || r.agent.Epoch == 0 || r.commandInFlight && len(orders) == 0 {
+func (l *Leader) sendCommand(machine *machineState, orders []workers.Command, now time.Time) bool {
+	if machine.agent.Endpoint == "" || machine.agent.Epoch == 0 || machine.commandInFlight && len(orders) == 0 {
 		return true
 	}
-	silent := l.silentFor(r, now) > l.silenceTolerance()
+	silent := l.silentFor(machine, now) > l.silenceTolerance()
 	most := constants.MaxCommandsInFlight
 	if len(orders) == 0 {
 		most /= 2
@@ -73,31 +73,31 @@
 		l.silentCommandsInFlight++
 	}
 	answered := func() {
-		r.commandInFlight = false
+		machine.commandInFlight = false
 		l.commandsInFlight--
 		if silent {
 			l.silentCommandsInFlight--
 		}
 	}
-	r.lastCommandAt = now
-	r.commandInFlight = true
+	machine.lastCommandAt = now
+	machine.commandInFlight = true
 	l.counts.Commands++
 	if orders == nil {
 		orders = []workers.Command{}
 	}
-	a := workers.CommandBatch{Token: l.grant.Term, Epoch: r.agent.Epoch, Commands: orders}
-	endpoint := r.agent.Endpoint
+	a := workers.CommandBatch{Token: l.grant.Term, Epoch: machine.agent.Epoch, Commands: orders}
+	endpoint := machine.agent.Endpoint
 	l.background.Go(func() error {
 		rep, err := l.deps.Workers.Command(l.ctx, endpoint, a)
 		if err != nil || rep == nil {
-			l.deps.Log.Debug("direct order failed", "rig", r.agent.Name, "err", err)
+			l.deps.Log.Debug("direct order failed", "rig", machine.agent.Name, "err", err)
 			l.post(l.ctx, answered)
 			return nil
 		}
 		l.post(l.ctx, func() {
 			answered()
-			if l.machines[r.agent.Name] == r && rep.Machine == r.agent.Name {
-				l.applyHeartbeat(r, rep, true, time.Now())
+			if l.machines[machine.agent.Name] == machine && rep.Machine == machine.agent.Name {
+				l.applyHeartbeat(machine, rep, true, time.Now())
 			}
 		})
 		return nil
@@ -107,32 +107,32 @@
 
 // drain stops what runs on a machine that the cloud takes away, while there
 // is time to save. A notice may be half as long as it says.
-func (l *Leader) drain(r *machine, now time.Time) {
-	for _, a := range r.agent.SortedAttempts() {
+func (l *Leader) drain(machine *machineState, now time.Time) {
+	for _, a := range machine.agent.SortedAttempts() {
 		if a.StopRequested || !a.Live() {
 			continue
 		}
 		j := l.jobs[a.ID.Task.Job]
 		if j == nil {
-			l.stopAttempt(r, a, 0, now)
+			l.stopAttempt(machine, a, 0, now)
 			continue
 		}
 		grace := j.spec.SaveS + constants.StopGrace.Seconds()
 		if j.spec.Kind == jobs.KindGang {
 			l.stopGang(j, grace, now)
 		} else {
-			l.stopAttempt(r, a, grace, now)
+			l.stopAttempt(machine, a, grace, now)
 		}
 	}
-	if len(l.reservations.On(r.agent.Name)) > 0 {
-		l.reservations.RemoveMachine(r.agent.Name)
-		l.metadataChanged(r, now)
+	if len(l.reservations.On(machine.agent.Name)) > 0 {
+		l.reservations.RemoveMachine(machine.agent.Name)
+		l.metadataChanged(machine, now)
 	}
 }
 
 // probeAgent tries to reach a worker directly: an answer shows that it hears.
-func (l *Leader) probeAgent(r *machine, now time.Time) {
-	if now.Sub(r.lastCommandAt) >= constants.ProbeInterval {
-		l.sendCommand(r, nil, now)
+func (l *Leader) probeAgent(machine *machineState, now time.Time) {
+	if now.Sub(machine.lastCommandAt) >= constants.ProbeInterval {
+		l.sendCommand(machine, nil, now)
 	}
 }
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -302,11 +302,11 @@
 
 // Machine gives a checkpoint one machine's record.
 func (l *Leader) Machine(name string) (wal.Machine, bool) {
-	r := l.machines[name]
-	if r == nil {
+	machine := l.machines[name]
+	if machine == nil {
 		return wal.Machine{}, false
 	}
-	return l.machineRecord(r), true
+	return l.machineRecord(machine), true
 }
 
 // DoneTasks gives a checkpoint a job's completed tasks.
@@ -340,8 +340,8 @@
 	if len(j.pendingUpstreams) > 0 {
 		l.propagateDemand(slices.Collect(maps.Keys(j.pendingUpstreams))) // they are needed less
 	}
-	for a, r := range j.unrecordedExits {
-		l.allowForget(r, a)
+	for a, machine := range j.unrecordedExits {
+		l.allowForget(machine, a)
 	}
 	j.unrecordedExits = nil
 	for _, s := range seats {
@@ -355,52 +355,52 @@
 }
 
 // allowForget lets a worker forget an exit that is recorded, or of no interest.
-func (l *Leader) allowForget(r *machine, a *workers.Attempt) {
+func (l *Leader) allowForget(machine *machineState, a *workers.Attempt) {
 	if !a.ExitRecorded {
 		a.ExitRecorded = true
-		l.wakeReply(r)
+		l.wakeReply(machine)
 	}
 }
 
 // releaseRecordedExits lets workers forget the exits of a job's tasks that are recorded.
 func (l *Leader) releaseRecordedExits(j *jobState) {
-	for a, r := range j.unrecordedExits {
+	for a, machine := range j.unrecordedExits {
 		if j.recordedDone.has(a.ID.Task.Index) {
-			l.allowForget(r, a)
+			l.allowForget(machine, a)
 			delete(j.unrecordedExits, a)
 		}
 	}
 }
 
 // logAttempt has an attempt recorded; its `run` leaves only once that stands.
-func (l *Leader) logAttempt(r *machine, a *workers.Attempt) {
-	if !r.metadataLogged {
-		l.logMetadata(r, nil)
+func (l *Leader) logAttempt(machine *machineState, a *workers.Attempt) {
+	if !machine.metadataLogged {
+		l.logMetadata(machine, nil)
 	}
-	l.commits.log.AttemptPlaced(r.agent.Name, recordAttempt(a), a.ID.Task.Job, wal.JobUse{Team: l.teamOf(a), Resources: recordRoom(l.resourcesOf(a))}, func() {
+	l.commits.log.AttemptPlaced(machine.agent.Name, recordAttempt(a), a.ID.Task.Job, wal.JobUse{Team: l.teamOf(a), Resources: recordRoom(l.resourcesOf(a))}, func() {
 		if !a.Committed {
 			a.Committed = true
-			l.allowStart(r, a)
+			l.allowStart(machine, a)
 		}
 	})
 }
 
 // logMetadata has all but a machine's attempts recorded.
-func (l *Leader) logMetadata(r *machine, stood func()) {
-	r.metadataLogged, r.loggedMetadata = true, l.machineMetadata(r)
-	l.commits.log.MachineChanged(r.agent.Name, r.loggedMetadata, stood)
+func (l *Leader) logMetadata(machine *machineState, stood func()) {
+	machine.metadataLogged, machine.loggedMetadata = true, l.machineMetadata(machine)
+	l.commits.log.MachineChanged(machine.agent.Name, machine.loggedMetadata, stood)
 }
 
 // allowStart lets a committed attempt start. A gang waits until the records of all
 // its tasks stand.
-func (l *Leader) allowStart(r *machine, a *workers.Attempt) {
+func (l *Leader) allowStart(machine *machineState, a *workers.Attempt) {
 	j := l.jobs[a.ID.Task.Job]
 	if j == nil {
 		return
 	}
 	if j.spec.Kind != jobs.KindGang {
 		a.StartAllowed = true
-		l.wakeReply(r)
+		l.wakeReply(machine)
 		return
 	}
 	seats := sortedAttempts(j)
--- a/internal/leader/commit_test.go
+++ b/internal/leader/commit_test.go
@@ -24,10 +24,10 @@
 	l.deps.Settings.Params.State.TxnOps, l.deps.Settings.Params.State.ValueKB = constants.MinTxnOps, 1
 	l.openLog(l.commits.log.Head(), 0)
 	plan := func(i int) *workers.Attempt {
-		r := addRig(l, fmt.Sprintf("m-%04d", i), "east", now)
+		machine := addRig(l, fmt.Sprintf("m-%04d", i), "east", now)
 		a := &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: "j-1", Index: i}, Number: uint64(i)}, Epoch: 1, PlacedAt: now}
-		r.agent.Attempts[a.ID] = a
-		l.logAttempt(r, a)
+		machine.agent.Attempts[a.ID] = a
+		l.logAttempt(machine, a)
 		return a
 	}
 	for i := range 100 {
@@ -70,12 +70,12 @@
 func TestLateWriteClashes(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	r := addRig(l, "m-1", "east", now)
+	machine := addRig(l, "m-1", "east", now)
 	addJob(t, l, sweep("j-1", 1), now)
 	l.runSchedulingPass(now)
 	first := l.nextTxn()
 	l.committed(commitResult{err: fmt.Errorf("no answer")})
-	if l.commits.backoff == 0 || len(r.agent.Commands(true, now)) != 0 {
+	if l.commits.backoff == 0 || len(machine.agent.Commands(true, now)) != 0 {
 		t.Fatalf("an unknown outcome counts as success")
 	}
 	again := l.nextTxn()
@@ -88,7 +88,7 @@
 	}
 	clash := &statestore.ConflictError{Failed: []string{wal.HeadKey}}
 	l.committed(commitResult{err: clash, failed: clash, head: &head, stamp: 55})
-	if l.termErr != nil || len(r.agent.Commands(true, now)) != 1 {
+	if l.termErr != nil || len(machine.agent.Commands(true, now)) != 1 {
 		t.Fatalf("the first try stands, but the start does not leave (%v)", l.termErr)
 	}
 	addJob(t, l, sweep("j-2", 1), now)
--- a/internal/leader/edges_test.go
+++ b/internal/leader/edges_test.go
@@ -17,29 +17,29 @@
 // edgeScene is a machine for four tasks with n of a job, which another one of another
 // team waits for, while a third, of the first one's owner and workload and as urgent,
 // waits for room.
-func edgeScene(t *testing.T, n int, now time.Time) (l *Leader, r *machine, down, other *jobState) {
+func edgeScene(t *testing.T, n int, now time.Time) (l *Leader, machine *machineState, down, other *jobState) {
 	t.Helper()
 	l = testLeader(t)
 	l.certainUntil = now
 	l.teams = append(l.teams, config.Team{Name: "b", GPUs: 0, GPUsMax: 12})
 	l.teams[0].GPUs = 0 // nobody has a guarantee: it would go before any hold
-	r = addRig(l, "m-1", "east", now)
-	r.agent.Endpoint = ""
+	machine = addRig(l, "m-1", "east", now)
+	machine.agent.Endpoint = ""
 	addJob(t, l, sweep("j-1", n), now)
 	l.runSchedulingPass(now)
 	settle(l, 100)
-	r.agent.Commands(true, now)
-	l.applyHeartbeat(r, report(l, r, workers.StatusRunning, ""), false, now)
+	machine.agent.Commands(true, now)
+	l.applyHeartbeat(machine, report(l, machine, workers.StatusRunning, ""), false, now)
 	spec := sweep("j-2", n)
 	spec.Team, spec.DependsOn = "b", []string{"j-1"}
 	down = addJob(t, l, spec, now)
 	other = addJob(t, l, sweep("j-3", n), now)
-	return l, r, down, other
+	return l, machine, down, other
 }
 
 // endAll has all tasks on the machine reported done.
-func endAll(l *Leader, r *machine, now time.Time) {
-	l.applyHeartbeat(r, report(l, r, workers.StatusExited, workers.CauseDone), false, now)
+func endAll(l *Leader, machine *machineState, now time.Time) {
+	l.applyHeartbeat(machine, report(l, machine, workers.StatusExited, workers.CauseDone), false, now)
 }
 
 // TestEdgesAreThePipeline: where users name edges, what a finisher leaves is held for
@@ -47,9 +47,9 @@
 // may start, which then takes it up.
 func TestEdgesAreThePipeline(t *testing.T) {
 	now := time.Now()
-	l, r, down, other := edgeScene(t, 4, now)
+	l, machine, down, other := edgeScene(t, 4, now)
 	now = now.Add(10 * time.Second)
-	endAll(l, r, now)
+	endAll(l, machine, now)
 	holds := l.reservations.On("m-1")
 	if len(holds) != 4 {
 		t.Fatalf("%d holds, want 4", len(holds))
@@ -74,8 +74,8 @@
 // barred until the job that they are for may start.
 func TestEdgeHoldsAreTakenUp(t *testing.T) {
 	now := time.Now()
-	l, r, down, _ := edgeScene(t, 1, now)
-	endAll(l, r, now.Add(10*time.Second))
+	l, machine, down, _ := edgeScene(t, 1, now)
+	endAll(l, machine, now.Add(10*time.Second))
 	shown := func() (out []bool) {
 		w, _ := l.snapshotForPlacement(now)
 		for _, h := range w.Machines[0].Held {
@@ -122,9 +122,9 @@
 func TestEdgeHoldsEnd(t *testing.T) {
 	start := time.Now()
 	for _, cancelled := range []bool{true, false} {
-		l, r, _, other := edgeScene(t, 4, start)
+		l, machine, _, other := edgeScene(t, 4, start)
 		now := start.Add(10 * time.Second)
-		endAll(l, r, now)
+		endAll(l, machine, now)
 		if cancelled {
 			l.jobRecordDeleted("j-2", now)
 		} else {
@@ -139,7 +139,7 @@
 		for _, name := range l.reservations.Expire(now, l.stillWaits) {
 			l.metadataChanged(l.machines[name], now)
 		}
-		r.agent.LastHeartbeat, r.agent.LastAcknowledged = now, now
+		machine.agent.LastHeartbeat, machine.agent.LastAcknowledged = now, now
 		l.certainUntil = now
 		l.runSchedulingPass(now)
 		if len(l.reservations.All()) != 0 || len(other.attempts) != 4 {
@@ -152,9 +152,9 @@
 // still for the job that waits, not for its owner's next.
 func TestEdgeHoldsOutliveTheLeader(t *testing.T) {
 	now := time.Now()
-	l, r, _, _ := edgeScene(t, 4, now)
-	endAll(l, r, now.Add(10*time.Second))
-	raw, err := json.Marshal(l.machineRecord(r))
+	l, machine, _, _ := edgeScene(t, 4, now)
+	endAll(l, machine, now.Add(10*time.Second))
+	raw, err := json.Marshal(l.machineRecord(machine))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -224,21 +224,21 @@
 		l := testLeader(t)
 		l.deps.Operator.Holds.SubmissionOrder = inOrder
 		l.teams[0].GPUsMax = 4 // the next one has to wait
-		r := addRig(l, "m-1", "east", now)
+		machine := addRig(l, "m-1", "east", now)
 		addJob(t, l, sweep("j-1", 4), now)
 		l.runSchedulingPass(now)
 		settle(l, 100)
-		r.agent.Commands(true, now)
-		l.applyHeartbeat(r, report(l, r, workers.StatusRunning, ""), false, now)
+		machine.agent.Commands(true, now)
+		l.applyHeartbeat(machine, report(l, machine, workers.StatusRunning, ""), false, now)
 		addJob(t, l, sweep("j-2", 4), now)
-		endAll(l, r, now.Add(10*time.Second))
+		endAll(l, machine, now.Add(10*time.Second))
 		if got, want := len(l.reservations.All()), map[bool]int{true: 4}[inOrder]; got != want {
 			t.Errorf("in submission order %v: %d holds, want %d", inOrder, got, want)
 		}
 		now = time.Now()
-		edged, r, _, _ := edgeScene(t, 4, now)
+		edged, machine, _, _ := edgeScene(t, 4, now)
 		edged.deps.Operator.Holds.SubmissionOrder = inOrder
-		endAll(edged, r, now.Add(10*time.Second))
+		endAll(edged, machine, now.Add(10*time.Second))
 		if got := len(edged.reservations.All()); got != 4 {
 			t.Errorf("in submission order %v: %d holds along edges", inOrder, got)
 		}
--- a/internal/leader/faults.go
+++ b/internal/leader/faults.go
@@ -99,14 +99,14 @@
 }
 
 // taskFailed takes in a task's failure.
-func (l *Leader) taskFailed(r *machine, j *jobState, a *workers.Attempt, now time.Time) {
+func (l *Leader) taskFailed(machine *machineState, j *jobState, a *workers.Attempt, now time.Time) {
 	ran := time.Duration(0)
 	if !a.RunningSince.IsZero() {
 		ran = now.Sub(a.RunningSince)
 	}
-	j.avoid[r.agent.Name] = now.Add(constants.AvoidFor)
+	j.avoid[machine.agent.Name] = now.Add(constants.AvoidFor)
 	j.stale = true
-	pause, alone := j.failures.note(r.agent.Name, a.ID.Task.Index, ran, now.Before(j.notBefore), now)
+	pause, alone := j.failures.note(machine.agent.Name, a.ID.Task.Index, ran, now.Before(j.notBefore), now)
 	if alone {
 		j.delayedTasks = append(j.delayedTasks, delayedTask{a.ID.Task.Index, now.Add(pause)})
 		return
@@ -117,13 +117,13 @@
 		return
 	}
 	// Until it is known whose fault it was nothing else should meet it there.
-	r.pausedUntil = now.Add(constants.SuspectMachinePause)
-	if r.failedJobs == nil {
-		r.failedJobs = make(map[string]bool)
+	machine.pausedUntil = now.Add(constants.SuspectMachinePause)
+	if machine.failedJobs == nil {
+		machine.failedJobs = make(map[string]bool)
 	}
-	r.failedJobs[j.spec.ID] = true
-	if len(r.failedJobs) >= constants.FaultyMachineJobs {
-		l.quarantine(r, "several jobs failed on it", now)
+	machine.failedJobs[j.spec.ID] = true
+	if len(machine.failedJobs) >= constants.FaultyMachineJobs {
+		l.quarantine(machine, "several jobs failed on it", now)
 	}
 	l.attributeFailures(j, now)
 }
@@ -150,8 +150,8 @@
 	}
 	for _, name := range j.failures.faultyMachines(runs, now) {
 		j.failures.reset()
-		if r := l.machines[name]; r != nil {
-			l.quarantine(r, "a job that does well elsewhere failed on it", now)
+		if machine := l.machines[name]; machine != nil {
+			l.quarantine(machine, "a job that does well elsewhere failed on it", now)
 		}
 	}
 }
@@ -166,13 +166,13 @@
 // clearMachineSuspicion takes back what a job with a mistake has said against machines.
 func (l *Leader) clearMachineSuspicion(j *jobState) {
 	for name := range j.failures.byMachine {
-		r := l.machines[name]
-		if r == nil || !r.failedJobs[j.spec.ID] {
+		machine := l.machines[name]
+		if machine == nil || !machine.failedJobs[j.spec.ID] {
 			continue
 		}
-		delete(r.failedJobs, j.spec.ID)
-		if len(r.failedJobs) == 0 {
-			r.pausedUntil = time.Time{}
+		delete(machine.failedJobs, j.spec.ID)
+		if len(machine.failedJobs) == 0 {
+			machine.pausedUntil = time.Time{}
 		}
 	}
 	l.passDueNow = true
@@ -180,25 +180,25 @@
 
 // quarantine takes a machine for faulty: it gets no more tasks, and goes back once
 // it has none. What has not begun to run there would only fail too.
-func (l *Leader) quarantine(r *machine, why string, now time.Time) {
-	if r.faulty {
+func (l *Leader) quarantine(machine *machineState, why string, now time.Time) {
+	if machine.faulty {
 		return
 	}
-	r.faulty = true
-	l.deps.Log.Info("machine taken for faulty", "rig", r.agent.Name, "zone", r.agent.Zone, "why", why)
-	for _, a := range r.agent.SortedAttempts() {
+	machine.faulty = true
+	l.deps.Log.Info("machine taken for faulty", "rig", machine.agent.Name, "zone", machine.agent.Zone, "why", why)
+	for _, a := range machine.agent.SortedAttempts() {
 		j := l.jobs[a.ID.Task.Job]
 		if j == nil || a.StopRequested || !a.Live() || a.Status == workers.StatusRunning || a.Status == workers.StatusSaving {
 			continue
 		}
 		if j.spec.Kind != jobs.KindGang {
-			l.stopAttempt(r, a, 0, now)
+			l.stopAttempt(machine, a, 0, now)
 		} else {
 			l.stopGang(j, 0, now)
 		}
 	}
-	l.markStale(r)
-	l.sendStops(r, now)
+	l.markStale(machine)
+	l.sendStops(machine, now)
 	l.passDueNow = true
 }
 
--- a/internal/leader/faults_test.go
+++ b/internal/leader/faults_test.go
@@ -33,9 +33,9 @@
 func (w *truth) step(now time.Time) {
 	w.l.runSchedulingPass(now)
 	w.epoch = settle(w.l, w.epoch)
-	for _, r := range w.l.sortedMachines() {
-		here := w.tasks[r.agent.Name]
-		for _, o := range r.agent.Commands(true, now) {
+	for _, machine := range w.l.sortedMachines() {
+		here := w.tasks[machine.agent.Name]
+		for _, o := range machine.agent.Commands(true, now) {
 			task, _ := workers.ParseTaskID(o.Task)
 			id := workers.AttemptID{Task: task, Number: o.Attempt}
 			switch o.Verb {
@@ -43,8 +43,8 @@
 				if here[id] == nil {
 					here[id] = &really{workers.StatusRunning, "", now}
 					w.starts[task.Job]++
-					if w.faulty[r.agent.Name] {
-						w.bad[r.agent.Name]++
+					if w.faulty[machine.agent.Name] {
+						w.bad[machine.agent.Name]++
 					}
 				}
 			case workers.VerbStop:
@@ -55,21 +55,21 @@
 				delete(here, id)
 			}
 		}
-		rep := &workers.Heartbeat{Machine: r.agent.Name, MachineType: r.agent.Type, Zone: r.agent.Zone, Epoch: 1, Sequence: r.agent.Sequence + 1, Token: w.l.grant.Term}
+		rep := &workers.Heartbeat{Machine: machine.agent.Name, MachineType: machine.agent.Type, Zone: machine.agent.Zone, Epoch: 1, Sequence: machine.agent.Sequence + 1, Token: w.l.grant.Term}
 		for id, k := range here {
 			switch ran := now.Sub(k.since); {
 			case k.status != workers.StatusRunning:
-			case (w.faulty[r.agent.Name] || w.mistaken[id.Task.Job]) && ran >= 500*time.Millisecond:
+			case (w.faulty[machine.agent.Name] || w.mistaken[id.Task.Job]) && ran >= 500*time.Millisecond:
 				k.status, k.cause = workers.StatusExited, workers.CauseError
 				if !w.mistaken[id.Task.Job] {
-					w.caught[r.agent.Name] = true
+					w.caught[machine.agent.Name] = true
 				}
 			case ran >= 10*time.Second:
 				k.status, k.cause = workers.StatusExited, workers.CauseDone
 			}
 			rep.Tasks = append(rep.Tasks, workers.TaskReport{Task: id.Task.String(), Attempt: id.Number, Status: k.status, Cause: k.cause})
 		}
-		w.l.applyHeartbeat(r, rep, false, now)
+		w.l.applyHeartbeat(machine, rep, false, now)
 	}
 	w.epoch = settle(w.l, w.epoch)
 	w.l.attributeAllFailures(now)
@@ -113,11 +113,11 @@
 			now = now.Add(250 * time.Millisecond)
 			w.step(now)
 		}
-		for name, r := range w.l.machines {
-			if r.faulty && !w.faulty[name] {
+		for name, machine := range w.l.machines {
+			if machine.faulty && !w.faulty[name] {
 				rt.Fatalf("%s is taken for faulty and is not", name)
 			}
-			if w.caught[name] && !r.faulty {
+			if w.caught[name] && !machine.faulty {
 				rt.Fatalf("%s failed a sound job's tasks and is not taken for faulty", name)
 			}
 			if w.bad[name] > 16 {
--- a/internal/leader/fixtures_test.go
+++ b/internal/leader/fixtures_test.go
@@ -37,11 +37,11 @@
 }
 
 // addRig gives the leader a machine that has just reported.
-func addRig(l *Leader, name, zone string, now time.Time) *machine {
-	r := l.machine(name, now)
-	r.agent.Observe(&workers.Heartbeat{Machine: name, MachineType: "g4", Zone: zone, Epoch: 1, Sequence: 1, Token: l.grant.Term}, l.grant.Term, false, now)
-	r.agent.LastAcknowledged = now
-	return r
+func addRig(l *Leader, name, zone string, now time.Time) *machineState {
+	machine := l.machine(name, now)
+	machine.agent.Observe(&workers.Heartbeat{Machine: name, MachineType: "g4", Zone: zone, Epoch: 1, Sequence: 1, Token: l.grant.Term}, l.grant.Term, false, now)
+	machine.agent.LastAcknowledged = now
+	return machine
 }
 
 // addJob gives the leader an accepted job.
@@ -63,9 +63,9 @@
 }
 
 // report makes a worker's next report with these tasks in this state.
-func report(l *Leader, r *machine, status, cause string) *workers.Heartbeat {
-	rep := &workers.Heartbeat{Machine: r.agent.Name, MachineType: r.agent.Type, Zone: r.agent.Zone, Epoch: r.agent.Epoch, Sequence: r.agent.Sequence + 1, Token: l.grant.Term}
-	for _, a := range r.agent.SortedAttempts() {
+func report(l *Leader, machine *machineState, status, cause string) *workers.Heartbeat {
+	rep := &workers.Heartbeat{Machine: machine.agent.Name, MachineType: machine.agent.Type, Zone: machine.agent.Zone, Epoch: machine.agent.Epoch, Sequence: machine.agent.Sequence + 1, Token: l.grant.Term}
+	for _, a := range machine.agent.SortedAttempts() {
 		rep.Tasks = append(rep.Tasks, workers.TaskReport{Task: a.ID.Task.String(), Attempt: a.ID.Number, Status: status, Cause: cause})
 	}
 	return rep
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -17,10 +17,10 @@
 	spec := sweep("j-1", 2)
 	spec.Kind, spec.SameZone, spec.GPUs = jobs.KindGang, true, 4
 	j := addJob(t, l, spec, now)
-	r := addRig(l, "m-1", "east", now)
+	machine := addRig(l, "m-1", "east", now)
 	a := &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: "j-1"}, Number: 9}, Epoch: 1, FromEarlierTerm: true, Sent: true, Committed: true}
-	r.agent.Attempts[a.ID] = a
-	l.addAttempt(r, a)
+	machine.agent.Attempts[a.ID] = a
+	l.addAttempt(machine, a)
 	l.stopIncompleteGang(j, now)
 	if !a.StopRequested {
 		t.Errorf("it waits on")
--- a/internal/leader/gap_test.go
+++ b/internal/leader/gap_test.go
@@ -184,20 +184,20 @@
 		l.deps.Workers = d
 		group, ctx := errgroup.WithContext(t.Context())
 		l.ctx, l.background = ctx, group
-		r := addRig(l, "m-1", "east", now)
-		r.agent.Endpoint = "m-1:1"
+		machine := addRig(l, "m-1", "east", now)
+		machine.agent.Endpoint = "m-1:1"
 		j := addJob(t, l, sweep("j-1", 3), now)
 		l.runSchedulingPass(now)
 		for _, s := range sortedAttempts(j) {
 			s.attempt.Committed, s.attempt.StartAllowed = true, true
 		}
-		if n := len(r.agent.Commands(true, now)); n != 3 {
+		if n := len(machine.agent.Commands(true, now)); n != 3 {
 			t.Fatalf("%d starts", n)
 		}
 		seats := sortedAttempts(j)
 		seats[0].attempt.StopRequested, seats[0].attempt.StopRequestedAt = true, now // to be stopped
 		seats[1].attempt.Status, seats[1].attempt.ExitRecorded = workers.StatusExited, true
-		l.sendStops(r, now)
+		l.sendStops(machine, now)
 		(<-l.events)()
 		if got := <-d.orders; len(got) != 1 || got[0].Verb != workers.VerbStop {
 			t.Errorf("straight to the worker went %+v", got)
--- a/internal/leader/growth_test.go
+++ b/internal/leader/growth_test.go
@@ -25,11 +25,11 @@
 		ch := make(chan Reply, 1)
 		next := 0
 		w.report = testing.AllocsPerRun(200, func() {
-			r := list[next%len(list)]
+			machine := list[next%len(list)]
 			next += 7
-			l.heartbeat(report(l, r, workers.StatusRunning, ""), now, ch)
-			r.pending.until = now
-			l.wakeReply(r)
+			l.heartbeat(report(l, machine, workers.StatusRunning, ""), now, ch)
+			machine.pending.until = now
+			l.wakeReply(machine)
 			l.flushReplies(now)
 			<-ch
 		})
@@ -37,9 +37,9 @@
 		now = time.Now()
 		l.runSchedulingPass(now)
 		settle(l, 2000)
-		for _, r := range list[:changes] {
-			l.logMetadata(r, nil)
-			l.markStale(r)
+		for _, machine := range list[:changes] {
+			l.logMetadata(machine, nil)
+			l.markStale(machine)
 		}
 		before, entries := l.counts.Views, l.commits.log.Stats().EntryBytes
 		l.runSchedulingPass(now)
--- a/internal/leader/hints.go
+++ b/internal/leader/hints.go
@@ -16,7 +16,7 @@
 // them, so their records are bounded in bytes a second: starts and ends come first.
 type metadataQueue struct {
 	// due is from when on each may be recorded.
-	due    map[*machine]time.Time
+	due    map[*machineState]time.Time
 	budget *rate.Limiter // bytes
 }
 
@@ -27,16 +27,16 @@
 	value := state.ValueKB * 1024
 	perSecond := max(value, constants.MetadataWriteShare*share.LeaderWriteShare*share.Use*changes*value)
 	return metadataQueue{
-		due:    make(map[*machine]time.Time),
+		due:    make(map[*machineState]time.Time),
 		budget: rate.NewLimiter(rate.Limit(perSecond), int(max(value, perSecond*constants.MetadataBurst.Seconds()))),
 	}
 }
 
 // metadataChanged has the machine's holds and images recorded again within a while.
-func (l *Leader) metadataChanged(r *machine, now time.Time) {
-	l.markStale(r)
-	if _, waits := l.metadata.due[r]; !waits {
-		l.metadata.due[r] = now.Add(constants.MetadataDelay)
+func (l *Leader) metadataChanged(machine *machineState, now time.Time) {
+	l.markStale(machine)
+	if _, waits := l.metadata.due[machine]; !waits {
+		l.metadata.due[machine] = now.Add(constants.MetadataDelay)
 	}
 }
 
@@ -46,22 +46,22 @@
 	if l.commits.behind(now) {
 		return
 	}
-	for r, due := range l.metadata.due {
+	for machine, due := range l.metadata.due {
 		if now.Before(due) {
 			continue
 		}
-		meta := l.machineMetadata(r)
+		meta := l.machineMetadata(machine)
 		// Most holds are taken up before this comes round: nothing to record.
-		if reflect.DeepEqual(meta, r.loggedMetadata) {
-			delete(l.metadata.due, r)
+		if reflect.DeepEqual(meta, machine.loggedMetadata) {
+			delete(l.metadata.due, machine)
 			continue
 		}
 		raw, _ := json.Marshal(meta) // plain fields always encode
 		if !l.metadata.budget.AllowN(now, min(len(raw), l.metadata.budget.Burst())) {
 			return // the rest has to wait
 		}
-		delete(l.metadata.due, r)
+		delete(l.metadata.due, machine)
 		l.counts.HintBytes += uint64(len(raw))
-		l.logMetadata(r, nil)
+		l.logMetadata(machine, nil)
 	}
 }
--- a/internal/leader/hints_test.go
+++ b/internal/leader/hints_test.go
@@ -26,11 +26,11 @@
 		l.metadata = newMetadataQueue(state, config.DefaultOperator().Budgets)
 		l.openLog(l.commits.log.Head(), 0)
 		for i := range machines {
-			r := addRig(l, fmt.Sprintf("m-%06d", i), "east", now)
+			machine := addRig(l, fmt.Sprintf("m-%06d", i), "east", now)
 			for k := range 6 {
-				r.useImage(fmt.Sprintf("img-%02d-%06d", k, i), 5, true, 0)
+				machine.useImage(fmt.Sprintf("img-%02d-%06d", k, i), 5, true, 0)
 			}
-			l.metadataChanged(r, now)
+			l.metadataChanged(machine, now)
 		}
 		l.logDueMetadata(now.Add(constants.MetadataDelay / 2))
 		if l.counts.HintBytes != 0 {
--- a/internal/leader/images.go
+++ b/internal/leader/images.go
@@ -14,7 +14,7 @@
 }
 
 // noteImage follows which images are on the machine.
-func (l *Leader) noteImage(r *machine, j *jobState, a *workers.Attempt, now time.Time) {
+func (l *Leader) noteImage(machine *machineState, j *jobState, a *workers.Attempt, now time.Time) {
 	if j == nil {
 		return
 	}
@@ -24,18 +24,18 @@
 		return
 	}
 	known := false
-	for _, im := range r.images {
+	for _, im := range machine.images {
 		known = known || im.name == j.spec.Image && im.have
 	}
-	r.useImage(j.spec.Image, j.spec.ImageGB, true, l.cacheOf(r))
+	machine.useImage(j.spec.Image, j.spec.ImageGB, true, l.cacheOf(machine))
 	if !known {
 		// The next leader must know too, or it fetches where it need not.
-		l.metadataChanged(r, now)
+		l.metadataChanged(machine, now)
 	}
 }
 
-func (l *Leader) cacheOf(r *machine) float64 {
-	t, ok := l.deps.Catalog().Type(r.agent.Type)
+func (l *Leader) cacheOf(machine *machineState) float64 {
+	t, ok := l.deps.Catalog().Type(machine.agent.Type)
 	if !ok {
 		return 0
 	}
@@ -43,20 +43,20 @@
 }
 
 // useImage marks an image as used last and drops what no longer fits.
-func (r *machine) useImage(name string, gb float64, have bool, cache float64) {
-	for i, im := range r.images {
+func (m *machineState) useImage(name string, gb float64, have bool, cache float64) {
+	for i, im := range m.images {
 		if im.name == name {
 			have = have || im.have
-			r.images = append(r.images[:i], r.images[i+1:]...)
+			m.images = append(m.images[:i], m.images[i+1:]...)
 			break
 		}
 	}
-	r.images = append(r.images, image{name, gb, have})
+	m.images = append(m.images, image{name, gb, have})
 	sum := 0.0
-	for i := len(r.images) - 1; i >= 0; i-- {
-		sum += r.images[i].gb
-		if cache > 0 && sum > cache && i < len(r.images)-1 {
-			r.images = append([]image(nil), r.images[i+1:]...)
+	for i := len(m.images) - 1; i >= 0; i-- {
+		sum += m.images[i].gb
+		if cache > 0 && sum > cache && i < len(m.images)-1 {
+			m.images = append([]image(nil), m.images[i+1:]...)
 			return
 		}
 	}
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -17,7 +17,7 @@
 
 // placedAttempt is an attempt with the machine that it is on.
 type placedAttempt struct {
-	machine *machine
+	machine *machineState
 	attempt *workers.Attempt
 }
 
@@ -34,7 +34,7 @@
 	doneCount    int
 	firstWaiting int // no task below it waits
 	// unrecordedExits are attempts reported done whose completion is not yet recorded.
-	unrecordedExits map[*workers.Attempt]*machine
+	unrecordedExits map[*workers.Attempt]*machineState
 	// stale is set when the view for placement must be made anew.
 	stale bool
 
@@ -120,7 +120,7 @@
 	j := &jobState{
 		spec: &spec, revision: stamp, servedAt: now,
 		doneTasks: make(bitset, (spec.Tasks+7)/8), recordedDone: make(bitset, (spec.Tasks+7)/8),
-		unrecordedExits: make(map[*workers.Attempt]*machine), stale: true, attempts: make(map[int][]placedAttempt), avoid: make(map[string]time.Time),
+		unrecordedExits: make(map[*workers.Attempt]*machineState), stale: true, attempts: make(map[int][]placedAttempt), avoid: make(map[string]time.Time),
 		restartedTasks: make(map[int]bool),
 	}
 	j.view = placement.Job{Spec: &spec, Priority: jobs.Priority(spec.PriorityClass), Order: stamp, Submitted: now, Targets: l.targets(&spec, 0)}
@@ -209,12 +209,12 @@
 }
 
 // stopAttempt stops one attempt.
-func (l *Leader) stopAttempt(r *machine, a *workers.Attempt, grace float64, now time.Time) {
-	if r.agent.RequestStop(a, grace, now) {
-		l.removeAttempt(r, a)
+func (l *Leader) stopAttempt(machine *machineState, a *workers.Attempt, grace float64, now time.Time) {
+	if machine.agent.RequestStop(a, grace, now) {
+		l.removeAttempt(machine, a)
 	}
-	l.markStale(r)
-	l.wakeReply(r)
+	l.markStale(machine)
+	l.wakeReply(machine)
 	l.passDueNow = true
 }
 
@@ -246,22 +246,22 @@
 }
 
 // addAttempt notes an attempt with its job.
-func (l *Leader) addAttempt(r *machine, a *workers.Attempt) {
-	l.markStale(r)
+func (l *Leader) addAttempt(machine *machineState, a *workers.Attempt) {
+	l.markStale(machine)
 	j := l.jobs[a.ID.Task.Job]
 	if j == nil || a.ID.Task.Index >= j.spec.Tasks {
 		return
 	}
 	j.stale = true
 	i := a.ID.Task.Index
-	j.attempts[i] = append(j.attempts[i], placedAttempt{r, a})
+	j.attempts[i] = append(j.attempts[i], placedAttempt{machine, a})
 	j.placed = true
 }
 
 // removeAttempt takes an attempt off its job once it is gone or has exited.
-func (l *Leader) removeAttempt(r *machine, a *workers.Attempt) {
-	l.markStale(r)
-	l.commits.log.AttemptGone(r.agent.Name, recordAttempt(a))
+func (l *Leader) removeAttempt(machine *machineState, a *workers.Attempt) {
+	l.markStale(machine)
+	l.commits.log.AttemptGone(machine.agent.Name, recordAttempt(a))
 	j := l.jobs[a.ID.Task.Job]
 	if j == nil {
 		if g := l.endedJobs[a.ID.Task.Job]; g != nil {
@@ -290,34 +290,34 @@
 }
 
 // applyEvents takes in what a report or the clock says of a machine's attempts.
-func (l *Leader) applyEvents(r *machine, list []workers.Event, now time.Time) {
+func (l *Leader) applyEvents(machine *machineState, list []workers.Event, now time.Time) {
 	if len(list) > 0 {
-		l.markStale(r)
+		l.markStale(machine)
 	}
 	for _, e := range list {
 		a := e.Attempt
 		j := l.jobs[a.ID.Task.Job]
-		l.noteImage(r, j, a, now)
+		l.noteImage(machine, j, a, now)
 		switch e.Kind {
 		case workers.EventUnrecorded:
 			if a.Status == workers.StatusExited {
 				break // an Ended event follows
 			}
-			l.deps.Log.Info("task in no record", "piece", a.ID.Task, "try", a.ID.Number, "rig", r.agent.Name)
-			l.addAttempt(r, a)
+			l.deps.Log.Info("task in no record", "piece", a.ID.Task, "try", a.ID.Number, "rig", machine.agent.Name)
+			l.addAttempt(machine, a)
 			if j == nil {
 				if g := l.endedJobs[a.ID.Task.Job]; g != nil {
 					g.attempts++
 				}
 			}
 			if j == nil || a.ID.Task.Index >= j.spec.Tasks {
-				l.stopAttempt(r, a, 0, now)
+				l.stopAttempt(machine, a, 0, now)
 			} else {
-				l.stopAttempt(r, a, j.spec.SaveS+constants.StopGrace.Seconds(), now)
+				l.stopAttempt(machine, a, j.spec.SaveS+constants.StopGrace.Seconds(), now)
 			}
-			l.logAttempt(r, a)
+			l.logAttempt(machine, a)
 		case workers.EventStatusChanged:
-			l.deps.Log.Debug("task seen", "piece", a.ID.Task, "try", a.ID.Number, "rig", r.agent.Name, "status", a.Status)
+			l.deps.Log.Debug("task seen", "piece", a.ID.Task, "try", a.ID.Number, "rig", machine.agent.Name, "status", a.Status)
 			if j != nil && a.Status == workers.StatusRunning && j.started.IsZero() {
 				j.started = now
 				l.countGangWait(j, now)
@@ -326,11 +326,11 @@
 			if j != nil {
 				j.restartedTasks[a.ID.Task.Index] = true
 			}
-			l.removeAttempt(r, a)
-			l.gangTaskLost(r, j, a, true, now)
+			l.removeAttempt(machine, a)
+			l.gangTaskLost(machine, j, a, true, now)
 		case workers.EventExited:
-			l.removeAttempt(r, a)
-			l.taskExited(r, j, a, now)
+			l.removeAttempt(machine, a)
+			l.taskExited(machine, j, a, now)
 		}
 	}
 	if len(list) > 0 {
@@ -341,14 +341,14 @@
 // gangTaskLost is called when a task of a gang is gone or has ended undone. While the
 // gang still waits for its start, a replacement with the same attempt number
 // completes it; else the others go too, and it starts anew.
-func (l *Leader) gangTaskLost(r *machine, j *jobState, a *workers.Attempt, replace bool, now time.Time) {
+func (l *Leader) gangTaskLost(machine *machineState, j *jobState, a *workers.Attempt, replace bool, now time.Time) {
 	if j == nil || j.spec.Kind != jobs.KindGang || j.complete {
 		return
 	}
 	if replace && l.mayReplace(j, a) {
 		j.replacingTask, j.stale = true, true
-		j.avoid[r.agent.Name] = now.Add(constants.AvoidFor)
-		l.deps.Log.Debug("task of a waiting gang to be replaced", "piece", a.ID.Task, "try", a.ID.Number, "rig", r.agent.Name)
+		j.avoid[machine.agent.Name] = now.Add(constants.AvoidFor)
+		l.deps.Log.Debug("task of a waiting gang to be replaced", "piece", a.ID.Task, "try", a.ID.Number, "rig", machine.agent.Name)
 		return
 	}
 	l.stopGang(j, 0, now)
@@ -382,19 +382,19 @@
 }
 
 // taskExited takes in a task's exit.
-func (l *Leader) taskExited(r *machine, j *jobState, a *workers.Attempt, now time.Time) {
-	l.deps.Log.Debug("task ended", "piece", a.ID.Task, "try", a.ID.Number, "rig", r.agent.Name, "cause", a.Cause, "saved", a.Saved)
+func (l *Leader) taskExited(machine *machineState, j *jobState, a *workers.Attempt, now time.Time) {
+	l.deps.Log.Debug("task ended", "piece", a.ID.Task, "try", a.ID.Number, "rig", machine.agent.Name, "cause", a.Cause, "saved", a.Saved)
 	if j == nil || a.ID.Task.Index >= j.spec.Tasks {
-		l.allowForget(r, a)
+		l.allowForget(machine, a)
 		return
 	}
 	replace := false
 	switch a.Cause {
 	case workers.CauseDone:
-		l.taskCompleted(r, j, a, now)
+		l.taskCompleted(machine, j, a, now)
 		return
 	case workers.CauseError:
-		l.taskFailed(r, j, a, now)
+		l.taskFailed(machine, j, a, now)
 	case "alone", "mates_gone", "halted":
 		j.restartedTasks[a.ID.Task.Index] = true
 	default:
@@ -402,16 +402,16 @@
 		j.notBefore = now.Add(constants.RetryBase)
 		replace = true
 	}
-	l.allowForget(r, a)
-	l.gangTaskLost(r, j, a, replace, now)
+	l.allowForget(machine, a)
+	l.gangTaskLost(machine, j, a, replace, now)
 }
 
 // taskCompleted records a task's completion. The worker may forget it only once the
 // record stands.
-func (l *Leader) taskCompleted(r *machine, j *jobState, a *workers.Attempt, now time.Time) {
+func (l *Leader) taskCompleted(machine *machineState, j *jobState, a *workers.Attempt, now time.Time) {
 	first := !j.doneTasks.has(a.ID.Task.Index)
-	j.unrecordedExits[a], j.stale = r, true
-	l.noteStragglerSignal(r, j, a, now)
+	j.unrecordedExits[a], j.stale = machine, true
+	l.noteStragglerSignal(machine, j, a, now)
 	if j.spec.Kind == jobs.KindGang {
 		// A gang's tasks complete together: one done, all done.
 		if first {
@@ -429,10 +429,10 @@
 	j.failures.succeeded = true
 	j.failures.reset()
 	l.attributeFailures(j, now) // now: the job may be over in a moment
-	r.failedJobs = nil          // it has carried a task to its end
+	machine.failedJobs = nil    // it has carried a task to its end
 	l.releaseRecordedExits(j)
 	if first || j.spec.Kind == jobs.KindGang {
-		l.reserve(r, j, a, now)
+		l.reserve(machine, j, a, now)
 	}
 	// Another attempt of a task that is done has no purpose.
 	if j.spec.Kind != jobs.KindGang {
@@ -459,10 +459,10 @@
 }
 
 // reserve applies the hold rule to the room that a finished task leaves.
-func (l *Leader) reserve(r *machine, j *jobState, a *workers.Attempt, now time.Time) {
+func (l *Leader) reserve(machine *machineState, j *jobState, a *workers.Attempt, now time.Time) {
 	f := reservations.TaskFinish{
-		Job: j.spec.ID, Tasks: j.spec.Tasks, UpstreamStartedAt: j.started, Machine: r.agent.Name, Downstreams: l.downstreams(j), Now: now,
-		Fits: func(d reservations.Downstream) bool { return r.schedulable(now) && l.canHold(r, d) },
+		Job: j.spec.ID, Tasks: j.spec.Tasks, UpstreamStartedAt: j.started, Machine: machine.agent.Name, Downstreams: l.downstreams(j), Now: now,
+		Fits: func(d reservations.Downstream) bool { return machine.schedulable(now) && l.canHold(machine, d) },
 	}
 	if f.UpstreamStartedAt.IsZero() {
 		f.UpstreamStartedAt = a.PlacedAt
@@ -471,26 +471,26 @@
 		f.Runtime = now.Sub(a.RunningSince)
 	}
 	if l.reservations.TaskFinished(f) {
-		l.metadataChanged(r, now)
+		l.metadataChanged(machine, now)
 		return
 	}
-	l.offerFreedResources(r, now)
+	l.offerFreedResources(machine, now)
 }
 
 // offerFreedResources gives freed room to stages that hold room from elsewhere.
-func (l *Leader) offerFreedResources(r *machine, now time.Time) {
-	if !r.schedulable(now) {
+func (l *Leader) offerFreedResources(machine *machineState, now time.Time) {
+	if !machine.schedulable(now) {
 		return
 	}
-	if l.reservations.OfferFreed(r.agent.Name, func(d reservations.Downstream) bool { return l.canHold(r, d) }, now) {
-		l.metadataChanged(r, now)
+	if l.reservations.OfferFreed(machine.agent.Name, func(d reservations.Downstream) bool { return l.canHold(machine, d) }, now) {
+		l.metadataChanged(machine, now)
 	}
 }
 
 // canHold tells whether a machine can and may take a task of a job.
-func (l *Leader) canHold(r *machine, d reservations.Downstream) bool {
+func (l *Leader) canHold(machine *machineState, d reservations.Downstream) bool {
 	j := l.jobs[d.Job]
-	return j != nil && placement.Allowed(&j.view, l.placementMachine(r)) && l.freeResources(r).Fits(d.TaskResources)
+	return j != nil && placement.Allowed(&j.view, l.placementMachine(machine)) && l.freeResources(machine).Fits(d.TaskResources)
 }
 
 // downstreams are the jobs that come after one in its pipeline and wait to start:
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -100,11 +100,11 @@
 	watchedUntil, certainUntil time.Time
 	jobs                       map[string]*jobState
 	pipelines                  map[placement.Pipeline][]*jobState
-	machines                   map[string]*machine
-	sortedCache                []*machine                     // all of machines by name; nil when it must be made anew
+	machines                   map[string]*machineState
+	sortedCache                []*machineState                // all of machines by name; nil when it must be made anew
 	teamUsage                  map[string]placement.Resources // what the teams' attempts and holds take, as the views show it
-	pendingReplies             map[*machine]bool              // machines whose report waits for its answer
-	repliesDue                 []*machine                     // of these, those that orders have come up for
+	pendingReplies             map[*machineState]bool         // machines whose report waits for its answer
+	repliesDue                 []*machineState                // of these, those that orders have come up for
 	metadata                   metadataQueue
 	nextFlush                  time.Time
 	lastPassDuration           time.Duration
@@ -152,7 +152,7 @@
 	l := &Leader{
 		deps: d, grant: g, lease: config.Seconds(w.LeaseS),
 		events: make(chan func(), 256), done: make(chan struct{}),
-		jobs: make(map[string]*jobState), machines: make(map[string]*machine), teams: d.Settings.Params.Teams,
+		jobs: make(map[string]*jobState), machines: make(map[string]*machineState), teams: d.Settings.Params.Teams,
 		reservations: reservations.NewManager(reservations.Options{
 			Enabled: d.Operator.Holds.Enabled, Alpha: d.Operator.Holds.Alpha,
 			P: d.Operator.Holds.P, Threshold: d.Operator.Holds.Threshold,
@@ -167,7 +167,7 @@
 		gangWaits:       make(map[string]*gangWaitStats),
 		pipelines:       make(map[placement.Pipeline][]*jobState),
 		teamUsage:       make(map[string]placement.Resources),
-		pendingReplies:  make(map[*machine]bool),
+		pendingReplies:  make(map[*machineState]bool),
 		metadata:        newMetadataQueue(d.Settings.Params.State, d.Operator.Budgets),
 	}
 	l.commits.init()
@@ -396,31 +396,31 @@
 	l.trackFailover(now)
 	l.fleet.Store(int64(len(l.machines)))
 	shown := 0
-	for _, r := range l.sortedMachines() {
+	for _, machine := range l.sortedMachines() {
 		// That nobody was answered for a lease is our own doing after we stood
 		// still: who leads now knows better, and if we do it is soon known.
 		if !l.termUnverified {
-			if ev := r.agent.ExpireLease(l.grant.Term, l.lease, now); len(ev) > 0 {
-				l.deps.Log.Info("machine lost", "rig", r.agent.Name, "tasks", len(ev))
-				l.applyEvents(r, ev, now)
+			if ev := machine.agent.ExpireLease(l.grant.Term, l.lease, now); len(ev) > 0 {
+				l.deps.Log.Info("machine lost", "rig", machine.agent.Name, "tasks", len(ev))
+				l.applyEvents(machine, ev, now)
 			}
 		}
-		l.sendStops(r, now)
-		r.startOverdue = r.agent.StartOverdue(now)
+		l.sendStops(machine, now)
+		machine.startOverdue = machine.agent.StartOverdue(now)
 		switch {
-		case r.agent.RepliesLost || r.agent.EpochUnconfirmed:
-			l.probeAgent(r, now)
-		case r.agent.Token < l.grant.Term && shown < constants.TokenPushesPerTick && !r.commandInFlight && now.Sub(r.lastCommandAt) >= l.lease/2:
+		case machine.agent.RepliesLost || machine.agent.EpochUnconfirmed:
+			l.probeAgent(machine, now)
+		case machine.agent.Token < l.grant.Term && shown < constants.TokenPushesPerTick && !machine.commandInFlight && now.Sub(machine.lastCommandAt) >= l.lease/2:
 			// Show the worker the new token, so that it turns to this node
 			// soon and an older leader's answers are dropped. A few at a time:
 			// all at once would take more sockets and time than there are.
 			shown++
-			l.sendCommand(r, nil, now)
+			l.sendCommand(machine, nil, now)
 		}
 	}
 	for _, name := range l.reservations.Expire(now, l.stillWaits) {
-		if r := l.machines[name]; r != nil {
-			l.metadataChanged(r, now)
+		if machine := l.machines[name]; machine != nil {
+			l.metadataChanged(machine, now)
 		}
 		l.passDueNow = true
 	}
@@ -441,11 +441,11 @@
 }
 
 // sortedMachines lists the machines by name. The list must not be changed.
-func (l *Leader) sortedMachines() []*machine {
+func (l *Leader) sortedMachines() []*machineState {
 	if l.sortedCache == nil {
-		l.sortedCache = make([]*machine, 0, len(l.machines))
-		for _, r := range l.machines {
-			l.sortedCache = append(l.sortedCache, r)
+		l.sortedCache = make([]*machineState, 0, len(l.machines))
+		for _, machine := range l.machines {
+			l.sortedCache = append(l.sortedCache, machine)
 		}
 		sort.Slice(l.sortedCache, func(i, j int) bool { return l.sortedCache[i].agent.Name < l.sortedCache[j].agent.Name })
 	}
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -9,8 +9,8 @@
 	"thornnotch/internal/workers"
 )
 
-// machine is one machine: the worker's session and what the leader keeps of it.
-type machine struct {
+// machineState is one machine: its agent and what the leader keeps of it.
+type machineState struct {
 	agent   *workers.Agent
 	addedAt time.Time
 
@@ -53,57 +53,57 @@
 }
 
 // machine finds a machine, or makes a new one.
-func (l *Leader) machine(name string, now time.Time) *machine {
-	r := l.machines[name]
-	if r == nil {
-		r = &machine{agent: workers.NewAgent(name), addedAt: now, idleSince: now}
-		l.machines[name] = r
+func (l *Leader) machine(name string, now time.Time) *machineState {
+	machine := l.machines[name]
+	if machine == nil {
+		machine = &machineState{agent: workers.NewAgent(name), addedAt: now, idleSince: now}
+		l.machines[name] = machine
 		l.sortedCache = nil
-		l.markStale(r)
+		l.markStale(machine)
 	}
-	return r
+	return machine
 }
 
 // removeMachine drops a machine that is no more.
-func (l *Leader) removeMachine(r *machine) {
-	delete(l.machines, r.agent.Name)
-	delete(l.metadata.due, r)
-	delete(l.pendingReplies, r)
+func (l *Leader) removeMachine(machine *machineState) {
+	delete(l.machines, machine.agent.Name)
+	delete(l.metadata.due, machine)
+	delete(l.pendingReplies, machine)
 	l.sortedCache = nil
-	l.setTeamUsage(r, nil)
+	l.setTeamUsage(machine, nil)
 }
 
 // markStale has the machine's view made anew for the next pass. Whatever changes
 // its attempts, holds or images must call it: the teams' use depends on it.
-func (l *Leader) markStale(r *machine) { r.stale = true }
+func (l *Leader) markStale(machine *machineState) { machine.stale = true }
 
 // pool is where the machine was rented from.
-func (r *machine) pool() autoscaling.InstancePool {
-	return autoscaling.InstancePool{Type: r.agent.Type, Zone: r.agent.Zone, Spot: r.agent.Spot}
+func (m *machineState) pool() autoscaling.InstancePool {
+	return autoscaling.InstancePool{Type: m.agent.Type, Zone: m.agent.Zone, Spot: m.agent.Spot}
 }
 
 // schedulable tells whether new tasks may be put on the machine.
-func (r *machine) schedulable(now time.Time) bool {
-	return r.agent.Registered && !r.leaving && !r.faulty && !now.Before(r.pausedUntil) && r.agent.ReclaimAt.IsZero() && r.agent.Epoch > r.agent.ExpiredEpoch && !r.slow(now) &&
-		!r.agent.RepliesLost && !r.agent.EpochUnconfirmed && !r.startOverdue
+func (m *machineState) schedulable(now time.Time) bool {
+	return m.agent.Registered && !m.leaving && !m.faulty && !now.Before(m.pausedUntil) && m.agent.ReclaimAt.IsZero() && m.agent.Epoch > m.agent.ExpiredEpoch && !m.slow(now) &&
+		!m.agent.RepliesLost && !m.agent.EpochUnconfirmed && !m.startOverdue
 }
 
 // freeResources is what is free on the machine beside its tasks and holds.
-func (l *Leader) freeResources(r *machine) placement.Resources {
-	t, ok := l.deps.Catalog().Type(r.agent.Type)
+func (l *Leader) freeResources(machine *machineState) placement.Resources {
+	t, ok := l.deps.Catalog().Type(machine.agent.Type)
 	if !ok {
 		return placement.Resources{}
 	}
-	f := placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}.Sub(l.usedResources(r))
-	for _, h := range l.reservations.On(r.agent.Name) {
+	f := placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}.Sub(l.usedResources(machine))
+	for _, h := range l.reservations.On(machine.agent.Name) {
 		f = f.Sub(h.Resources)
 	}
 	return f
 }
 
 // usedResources is what the machine's attempts take.
-func (l *Leader) usedResources(r *machine) (sum placement.Resources) {
-	for _, a := range r.agent.Attempts {
+func (l *Leader) usedResources(machine *machineState) (sum placement.Resources) {
+	for _, a := range machine.agent.Attempts {
 		if a.Live() {
 			sum = sum.Add(l.resourcesOf(a))
 		}
@@ -143,6 +143,6 @@
 }
 
 // placementMachine is the machine as the job rules see it.
-func (l *Leader) placementMachine(r *machine) *placement.Machine {
-	return &placement.Machine{Name: r.agent.Name, Type: r.agent.Type, Zone: r.agent.Zone, Spot: r.agent.Spot}
+func (l *Leader) placementMachine(machine *machineState) *placement.Machine {
+	return &placement.Machine{Name: machine.agent.Name, Type: machine.agent.Type, Zone: machine.agent.Zone, Spot: machine.agent.Spot}
 }
--- a/internal/leader/pace.go
+++ b/internal/leader/pace.go
@@ -64,40 +64,40 @@
 }
 
 // slow tells whether the machine is kept from new tasks for slowness.
-func (r *machine) slow(now time.Time) bool { return now.Before(r.slowUntil) }
+func (m *machineState) slow(now time.Time) bool { return now.Before(m.slowUntil) }
 
 // detectStragglers looks for slow machines and takes their tasks elsewhere.
 func (l *Leader) detectStragglers(now time.Time) {
-	for _, r := range l.sortedMachines() {
+	for _, machine := range l.sortedMachines() {
 		// Of a machine that can't be heard nothing is known: its tasks may be
 		// over, and a cut must not make all machines behind it slow.
-		if r.slow(now) || r.leaving || l.silentFor(r, now) > l.silenceTolerance() {
+		if machine.slow(now) || machine.leaving || l.silentFor(machine, now) > l.silenceTolerance() {
 			continue
 		}
-		marks := r.slowSignals[:0]
-		for _, at := range r.slowSignals {
+		marks := machine.slowSignals[:0]
+		for _, at := range machine.slowSignals {
 			if now.Sub(at) < constants.StragglerSignalWindow {
 				marks = append(marks, at)
 			}
 		}
-		r.slowSignals = marks
+		machine.slowSignals = marks
 		sum := len(marks)
-		for _, a := range r.agent.Attempts {
+		for _, a := range machine.agent.Attempts {
 			j := l.jobs[a.ID.Task.Job]
 			if j == nil || j.spec.Kind == jobs.KindGang || a.Status != workers.StatusRunning || a.RunningSince.IsZero() {
 				continue
 			}
-			sum += j.runtimes.slowness(r.agent.LastHeartbeat.Sub(a.RunningSince), j.spec.Tasks)
+			sum += j.runtimes.slowness(machine.agent.LastHeartbeat.Sub(a.RunningSince), j.spec.Tasks)
 		}
 		if sum < constants.StragglerSignals {
 			continue
 		}
-		r.slowCount++
-		pause := min(constants.StragglerPause<<min(r.slowCount-1, 4), constants.MaxStragglerPause)
-		r.slowUntil = now.Add(pause)
-		r.slowSignals = nil
-		l.deps.Log.Info("machine is slow", "rig", r.agent.Name, "zone", r.agent.Zone, "spared_s", pause.Seconds())
-		for _, a := range r.agent.SortedAttempts() {
+		machine.slowCount++
+		pause := min(constants.StragglerPause<<min(machine.slowCount-1, 4), constants.MaxStragglerPause)
+		machine.slowUntil = now.Add(pause)
+		machine.slowSignals = nil
+		l.deps.Log.Info("machine is slow", "rig", machine.agent.Name, "zone", machine.agent.Zone, "spared_s", pause.Seconds())
+		for _, a := range machine.agent.SortedAttempts() {
 			j := l.jobs[a.ID.Task.Job]
 			if j == nil || j.spec.Kind == jobs.KindGang || a.StopRequested || !a.Live() {
 				continue
@@ -106,22 +106,22 @@
 			if a.Status == workers.StatusRunning && j.spec.CheckpointIntervalS <= 0 {
 				continue
 			}
-			l.stopAttempt(r, a, j.spec.SaveS+constants.StopGrace.Seconds(), now)
+			l.stopAttempt(machine, a, j.spec.SaveS+constants.StopGrace.Seconds(), now)
 		}
-		l.sendStops(r, now)
+		l.sendStops(machine, now)
 		l.passDueNow = true
 	}
 }
 
 // noteStragglerSignal takes in a finished task.
-func (l *Leader) noteStragglerSignal(r *machine, j *jobState, a *workers.Attempt, now time.Time) {
+func (l *Leader) noteStragglerSignal(machine *machineState, j *jobState, a *workers.Attempt, now time.Time) {
 	// When a task ended on a machine that was not heard meanwhile is not known.
-	if r.heartbeatGap || a.RunningSince.IsZero() || j.spec.Kind == jobs.KindGang || j.fromEarlierTerm || j.restartedTasks[a.ID.Task.Index] {
+	if machine.heartbeatGap || a.RunningSince.IsZero() || j.spec.Kind == jobs.KindGang || j.fromEarlierTerm || j.restartedTasks[a.ID.Task.Index] {
 		return
 	}
 	ran := now.Sub(a.RunningSince)
 	for range j.runtimes.slowness(ran, j.spec.Tasks) {
-		r.slowSignals = append(r.slowSignals, now)
+		machine.slowSignals = append(machine.slowSignals, now)
 	}
 	j.runtimes.add(ran)
 	l.noteRuntime(j, ran)
--- a/internal/leader/pace_test.go
+++ b/internal/leader/pace_test.go
@@ -53,13 +53,13 @@
 func TestPaceNeedsWholeRuns(t *testing.T) {
 	t0 := time.Now()
 	l := testLeader(t)
-	r := addRig(l, "m-1", "east", t0)
+	machine := addRig(l, "m-1", "east", t0)
 	j := addJob(t, l, sweep("j-1", 4), t0)
 	j.fromEarlierTerm = true
 	old := addJob(t, l, sweep("j-2", 4), t0)
 	old.restartedTasks[0] = true
 	for _, x := range []*jobState{j, old} {
-		l.noteStragglerSignal(r, x, &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: x.spec.ID}}, RunningSince: t0}, t0.Add(time.Second))
+		l.noteStragglerSignal(machine, x, &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: x.spec.ID}}, RunningSince: t0}, t0.Add(time.Second))
 		if len(x.runtimes.runs) != 0 {
 			t.Errorf("%s: a part of a run is taken for a whole one", x.spec.ID)
 		}
--- a/internal/leader/provisioning.go
+++ b/internal/leader/provisioning.go
@@ -64,20 +64,20 @@
 func (m *scalingState) unmet(jobs []*placement.Job, _ time.Time) { m.unplacedJobs = jobs }
 
 // machineRegistered is called when a machine reports for the first time in this term.
-func (l *Leader) machineRegistered(r *machine, now time.Time) {
-	if b, ok := l.scaling.booting[r.agent.Name]; ok {
-		l.deps.Log.Info("machine up", "rig", r.agent.Name, "zone", r.agent.Zone, "spot", r.agent.Spot, "after_s", math.Round(now.Sub(b.since).Seconds()))
-		delete(l.scaling.booting, r.agent.Name)
+func (l *Leader) machineRegistered(machine *machineState, now time.Time) {
+	if b, ok := l.scaling.booting[machine.agent.Name]; ok {
+		l.deps.Log.Info("machine up", "rig", machine.agent.Name, "zone", machine.agent.Zone, "spot", machine.agent.Spot, "after_s", math.Round(now.Sub(b.since).Seconds()))
+		delete(l.scaling.booting, machine.agent.Name)
 	}
-	r.idleSince = now
+	machine.idleSince = now
 }
 
 // scale runs the dealings with the cloud: one call at a time.
 func (l *Leader) scale(now time.Time) {
 	m := &l.scaling
-	for _, r := range l.machines {
-		if len(r.agent.Attempts) > 0 {
-			r.idleSince = now
+	for _, machine := range l.machines {
+		if len(machine.agent.Attempts) > 0 {
+			machine.idleSince = now
 		}
 	}
 	for name, at := range m.terminated {
@@ -122,10 +122,10 @@
 
 // silentFor is how long nothing has been heard of the machine in this term, while
 // the leader itself could hear.
-func (l *Leader) silentFor(r *machine, now time.Time) time.Duration {
-	last := r.addedAt
-	if r.agent.Registered {
-		last = r.agent.LastHeartbeat
+func (l *Leader) silentFor(machine *machineState, now time.Time) time.Duration {
+	last := machine.addedAt
+	if machine.agent.Registered {
+		last = machine.agent.LastHeartbeat
 	}
 	if l.resumedAt.After(last) {
 		last = l.resumedAt
@@ -140,13 +140,13 @@
 // fetch anew, in a zone that can't be reached, is the worst answer to a cut.
 func (l *Leader) unreachableZones(now time.Time) map[string]bool {
 	all, silent := make(map[string]int), make(map[string]int)
-	for _, r := range l.machines {
-		if r.leaving {
+	for _, machine := range l.machines {
+		if machine.leaving {
 			continue
 		}
-		all[r.agent.Zone]++
-		if l.silentFor(r, now) > l.lease {
-			silent[r.agent.Zone]++
+		all[machine.agent.Zone]++
+		if l.silentFor(machine, now) > l.lease {
+			silent[machine.agent.Zone]++
 		}
 	}
 	dark := make(map[string]bool)
@@ -166,52 +166,52 @@
 // retireMachines marks machines that must be returned as leaving.
 func (l *Leader) retireMachines(now time.Time) {
 	dark := l.unreachableZones(now)
-	for _, r := range l.machines {
-		if r.leaving {
+	for _, machine := range l.machines {
+		if machine.leaving {
 			continue
 		}
 		why := ""
 		patience := constants.SilentReturnAfter
-		if dark[r.agent.Zone] {
+		if dark[machine.agent.Zone] {
 			patience = constants.UnreachableReturnAfter
 		}
 		switch {
-		case l.silentFor(r, now) > l.lease+patience:
+		case l.silentFor(machine, now) > l.lease+patience:
 			why = "silent"
-		case r.faulty && len(r.agent.Attempts) == 0:
+		case machine.faulty && len(machine.agent.Attempts) == 0:
 			why = "faulty"
 		}
 		if why != "" {
-			l.beginLeaving(r, why, now)
+			l.beginLeaving(machine, why, now)
 		}
 	}
 }
 
 // beginLeaving starts the return of a machine: first its record says so, then the
 // cloud is told.
-func (l *Leader) beginLeaving(r *machine, why string, now time.Time) {
-	l.deps.Log.Info("machine to be returned", "rig", r.agent.Name, "why", why)
-	r.leaving = true
-	r.leavingRecorded = false
-	l.reservations.RemoveMachine(r.agent.Name)
-	l.logMetadata(r, func() { r.leavingRecorded = r.leaving })
-	l.markStale(r)
-	l.drain(r, now)
+func (l *Leader) beginLeaving(machine *machineState, why string, now time.Time) {
+	l.deps.Log.Info("machine to be returned", "rig", machine.agent.Name, "why", why)
+	machine.leaving = true
+	machine.leavingRecorded = false
+	l.reservations.RemoveMachine(machine.agent.Name)
+	l.logMetadata(machine, func() { machine.leavingRecorded = machine.leaving })
+	l.markStale(machine)
+	l.drain(machine, now)
 	l.passDueNow = true
 }
 
 // machinesToReturn names the machines to give back now.
 func (l *Leader) machinesToReturn(now time.Time) (names []string) {
-	for _, r := range l.machines {
-		if !r.leaving || !r.leavingRecorded {
+	for _, machine := range l.machines {
+		if !machine.leaving || !machine.leavingRecorded {
 			continue
 		}
 		// Tasks that can still save get the time to.
-		silent := l.silentFor(r, now) > l.lease
-		if r.agent.Registered && !silent && l.inUse(r) {
+		silent := l.silentFor(machine, now) > l.lease
+		if machine.agent.Registered && !silent && l.inUse(machine) {
 			continue
 		}
-		names = append(names, r.agent.Name)
+		names = append(names, machine.agent.Name)
 	}
 	for name, b := range l.scaling.booting {
 		typ, _ := l.deps.Catalog().Type(b.pool.Type)
@@ -226,8 +226,8 @@
 	return names[:min(len(names), constants.ReturnBatch)]
 }
 
-func (l *Leader) inUse(r *machine) bool {
-	for _, a := range r.agent.Attempts {
+func (l *Leader) inUse(machine *machineState) bool {
+	for _, a := range machine.agent.Attempts {
 		if a.Live() {
 			return true
 		}
@@ -249,16 +249,16 @@
 			for _, name := range names {
 				delete(m.booting, name)
 				m.terminated[name] = now
-				r := l.machines[name]
-				if r == nil {
+				machine := l.machines[name]
+				if machine == nil {
 					continue
 				}
 				// The cloud's word is the strongest proof: all is gone.
-				l.applyEvents(r, r.agent.Terminated(), now)
-				if r.pending != nil {
-					r.pending.reply <- Reply{Status: 503}
+				l.applyEvents(machine, machine.agent.Terminated(), now)
+				if machine.pending != nil {
+					machine.pending.reply <- Reply{Status: 503}
 				}
-				l.removeMachine(r)
+				l.removeMachine(machine)
 				l.commits.log.MachineRemoved(name)
 			}
 			l.passDueNow = true
@@ -317,20 +317,20 @@
 		if _, gone := m.terminated[h.Name]; gone {
 			continue
 		}
-		r := l.machines[h.Name]
+		machine := l.machines[h.Name]
 		switch {
 		case h.Status == "failed":
-			if r == nil {
-				r = l.machine(h.Name, now)
-				r.agent.Type, r.agent.Zone, r.agent.Spot = h.MachineType, h.Zone, h.Spot
+			if machine == nil {
+				machine = l.machine(h.Name, now)
+				machine.agent.Type, machine.agent.Zone, machine.agent.Spot = h.MachineType, h.Zone, h.Spot
 			}
 			delete(m.booting, h.Name)
-			if !r.leaving {
-				l.beginLeaving(r, "failed", now)
+			if !machine.leaving {
+				l.beginLeaving(machine, "failed", now)
 			}
-		case r != nil:
-			if r.agent.Endpoint == "" {
-				r.agent.Endpoint = h.Endpoint
+		case machine != nil:
+			if machine.agent.Endpoint == "" {
+				machine.agent.Endpoint = h.Endpoint
 			}
 		default:
 			if _, known := m.booting[h.Name]; !known {
@@ -384,11 +384,11 @@
 // scalingView shows the present state to renting.
 func (l *Leader) scalingView(now time.Time) autoscaling.View {
 	v := autoscaling.View{Catalog: l.deps.Catalog(), Have: make(map[autoscaling.InstancePool]int), Refused: make(map[autoscaling.InstancePool]bool)}
-	for _, r := range l.machines {
+	for _, machine := range l.machines {
 		// A silent machine is not counted on: it is replaced before it is
 		// given up.
-		if !r.leaving && !r.faulty && r.agent.ReclaimAt.IsZero() && l.silentFor(r, now) <= l.lease {
-			v.Have[r.pool()]++
+		if !machine.leaving && !machine.faulty && machine.agent.ReclaimAt.IsZero() && l.silentFor(machine, now) <= l.lease {
+			v.Have[machine.pool()]++
 		}
 	}
 	for z, is := range l.unreachableZones(now) {
@@ -450,9 +450,9 @@
 	}
 	keep := m.memory.Add(now, want)
 	var idle []autoscaling.IdleMachine
-	for _, r := range l.machines {
-		if r.schedulable(now) && len(r.agent.Attempts) == 0 && len(l.reservations.On(r.agent.Name)) == 0 && now.Sub(r.idleSince) > constants.IdleReturnAfter {
-			idle = append(idle, autoscaling.IdleMachine{Name: r.agent.Name, Pool: r.pool(), Images: len(r.images)})
+	for _, machine := range l.machines {
+		if machine.schedulable(now) && len(machine.agent.Attempts) == 0 && len(l.reservations.On(machine.agent.Name)) == 0 && now.Sub(machine.idleSince) > constants.IdleReturnAfter {
+			idle = append(idle, autoscaling.IdleMachine{Name: machine.agent.Name, Pool: machine.pool(), Images: len(machine.images)})
 		}
 	}
 	for _, name := range autoscaling.ScaleIn(v, keep, idle) {
--- a/internal/leader/provisioning_test.go
+++ b/internal/leader/provisioning_test.go
@@ -107,9 +107,9 @@
 	}
 	l.machines["m-w0"].agent.LastHeartbeat = t0 // one machine of the other zone died
 	l.retireMachines(now)
-	for name, r := range l.machines {
-		if want := name == "m-w0"; r.leaving != want {
-			t.Errorf("%s: leaving %v, want %v", name, r.leaving, want)
+	for name, machine := range l.machines {
+		if want := name == "m-w0"; machine.leaving != want {
+			t.Errorf("%s: leaving %v, want %v", name, machine.leaving, want)
 		}
 	}
 	v := l.scalingView(now)
@@ -133,8 +133,8 @@
 		t.Errorf("one that does not come back with the others is never given up")
 	}
 	for i := range 4 {
-		r := l.machines[fmt.Sprint("m-e", i)]
-		r.agent.LastHeartbeat, r.leaving = t0, false
+		machine := l.machines[fmt.Sprint("m-e", i)]
+		machine.agent.LastHeartbeat, machine.leaving = t0, false
 	}
 	l.retireMachines(t0.Add(l.lease + constants.UnreachableReturnAfter + time.Second))
 	if !l.machines["m-e0"].leaving {
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -68,12 +68,12 @@
 }
 
 // machineMetadata is what is recorded of a machine beside its attempts.
-func (l *Leader) machineMetadata(r *machine) wal.Machine {
-	rec := wal.Machine{Type: r.agent.Type, Zone: r.agent.Zone, Spot: r.agent.Spot, Endpoint: r.agent.Endpoint, Epoch: r.agent.Epoch, Leaving: r.leaving}
-	for _, h := range l.reservations.On(r.agent.Name) {
+func (l *Leader) machineMetadata(machine *machineState) wal.Machine {
+	rec := wal.Machine{Type: machine.agent.Type, Zone: machine.agent.Zone, Spot: machine.agent.Spot, Endpoint: machine.agent.Endpoint, Epoch: machine.agent.Epoch, Leaving: machine.leaving}
+	for _, h := range l.reservations.On(machine.agent.Name) {
 		rec.Holds = append(rec.Holds, recordHold(h))
 	}
-	for _, im := range r.images {
+	for _, im := range machine.images {
 		if im.have {
 			rec.Images = append(rec.Images, wal.Image{Name: im.name, GB: im.gb})
 		}
@@ -84,9 +84,9 @@
 }
 
 // machineRecord is all that is recorded of a machine.
-func (l *Leader) machineRecord(r *machine) wal.Machine {
-	rec := l.machineMetadata(r)
-	for _, a := range r.agent.SortedAttempts() {
+func (l *Leader) machineRecord(machine *machineState) wal.Machine {
+	rec := l.machineMetadata(machine)
+	for _, a := range machine.agent.SortedAttempts() {
 		if !a.Live() {
 			continue
 		}
@@ -101,17 +101,17 @@
 
 // restoreMachine takes in what was recorded of a machine.
 func (l *Leader) restoreMachine(name string, rec *wal.Machine, now time.Time) error {
-	r := l.machine(name, now)
-	r.metadataLogged = true
-	r.leaving = rec.Leaving
-	r.leavingRecorded = rec.Leaving
-	r.agent.Type, r.agent.Zone, r.agent.Spot, r.agent.Endpoint, r.agent.Epoch = rec.Type, rec.Zone, rec.Spot, rec.Endpoint, rec.Epoch
+	machine := l.machine(name, now)
+	machine.metadataLogged = true
+	machine.leaving = rec.Leaving
+	machine.leavingRecorded = rec.Leaving
+	machine.agent.Type, machine.agent.Zone, machine.agent.Spot, machine.agent.Endpoint, machine.agent.Epoch = rec.Type, rec.Zone, rec.Spot, rec.Endpoint, rec.Epoch
 	for _, ar := range rec.Attempts {
 		a, err := attemptOf(ar, now)
 		if err != nil {
 			return fmt.Errorf("record of %s: %w", name, err)
 		}
-		r.agent.Attempts[a.ID] = a
+		machine.agent.Attempts[a.ID] = a
 		id := a.ID.Task.Job
 		if l.jobs[id] == nil {
 			g := l.endedJobs[id]
@@ -121,12 +121,12 @@
 				l.endedJobs[id] = g
 			}
 			g.attempts++
-			r.agent.RequestStop(a, 0, now)
+			machine.agent.RequestStop(a, 0, now)
 		}
-		l.addAttempt(r, a)
+		l.addAttempt(machine, a)
 	}
 	for _, im := range rec.Images {
-		r.images = append(r.images, image{name: im.Name, gb: im.GB, have: true})
+		machine.images = append(machine.images, image{name: im.Name, gb: im.GB, have: true})
 	}
 	for _, h := range rec.Holds {
 		l.reservations.Restore(holdOf(h, name))
--- a/internal/leader/records_test.go
+++ b/internal/leader/records_test.go
@@ -20,11 +20,11 @@
 	if err := l.restoreLegacy(machines, dids, now); err != nil {
 		t.Fatal(err)
 	}
-	r := l.machines["m-1"]
-	if len(j.attempts[3]) != 1 || j.doneCount != 2 || !j.recordedDone.has(2) || r.agent.Zone != "east" || len(r.images) != 1 || l.endedJobs["j-0"].need.GPUs != 2 {
-		t.Errorf("not all was read: seats %v, %d done, %+v", j.attempts, j.doneCount, r.agent)
+	machine := l.machines["m-1"]
+	if len(j.attempts[3]) != 1 || j.doneCount != 2 || !j.recordedDone.has(2) || machine.agent.Zone != "east" || len(machine.images) != 1 || l.endedJobs["j-0"].need.GPUs != 2 {
+		t.Errorf("not all was read: seats %v, %d done, %+v", j.attempts, j.doneCount, machine.agent)
 	}
-	r.agent.Endpoint = ""
+	machine.agent.Endpoint = ""
 	l.checkpoint()
 	settleAll(l, 100)
 	if len(l.commits.legacyKeys) != 0 || l.legacyKeys != nil {
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -17,50 +17,50 @@
 }
 
 // applyHeartbeat takes in a report, by whichever way it came.
-func (l *Leader) applyHeartbeat(r *machine, rep *workers.Heartbeat, direct bool, now time.Time) (fresh bool) {
+func (l *Leader) applyHeartbeat(machine *machineState, rep *workers.Heartbeat, direct bool, now time.Time) (fresh bool) {
 	if rep.Token > l.grant.Term {
 		l.endTerm(errDeposed)
 		return false
 	}
-	known := r.agent.Registered
-	r.heartbeatGap = known && now.Sub(r.agent.LastHeartbeat) > l.silenceTolerance()
-	before, deaf, doubt := r.agent.Epoch, r.agent.RepliesLost, r.agent.EpochUnconfirmed
-	ev, fresh := r.agent.Observe(rep, l.grant.Term, direct, now)
+	known := machine.agent.Registered
+	machine.heartbeatGap = known && now.Sub(machine.agent.LastHeartbeat) > l.silenceTolerance()
+	before, deaf, doubt := machine.agent.Epoch, machine.agent.RepliesLost, machine.agent.EpochUnconfirmed
+	ev, fresh := machine.agent.Observe(rep, l.grant.Term, direct, now)
 	if !fresh {
 		return false
 	}
-	r.startOverdue = r.agent.StartOverdue(now)
-	if r.agent.RepliesLost != deaf {
-		l.markStale(r)
-		l.deps.Log.Info("machine does not hear", "rig", r.agent.Name, "deaf", r.agent.RepliesLost)
+	machine.startOverdue = machine.agent.StartOverdue(now)
+	if machine.agent.RepliesLost != deaf {
+		l.markStale(machine)
+		l.deps.Log.Info("machine does not hear", "rig", machine.agent.Name, "deaf", machine.agent.RepliesLost)
 		l.passDueNow = true
 	}
-	r.agent.ConfirmEpoch(l.lease, now)
-	if r.agent.EpochUnconfirmed != doubt {
-		if r.agent.EpochUnconfirmed {
-			r.lastCommandAt = time.Time{} // ask it at once
+	machine.agent.ConfirmEpoch(l.lease, now)
+	if machine.agent.EpochUnconfirmed != doubt {
+		if machine.agent.EpochUnconfirmed {
+			machine.lastCommandAt = time.Time{} // ask it at once
 		}
 		l.passDueNow = true
 	}
-	if r.agent.RepliesLost || r.agent.EpochUnconfirmed {
-		l.probeAgent(r, now)
+	if machine.agent.RepliesLost || machine.agent.EpochUnconfirmed {
+		l.probeAgent(machine, now)
 	}
 	if !known {
 		l.passDueNow = true
-		l.markStale(r)
-		l.machineRegistered(r, now)
+		l.markStale(machine)
+		l.machineRegistered(machine, now)
 	}
-	if before != r.agent.Epoch {
+	if before != machine.agent.Epoch {
 		if before != 0 && len(ev) > 0 {
-			l.deps.Log.Info("machine began a new session", "rig", r.agent.Name, "shift", r.agent.Epoch, "lost", len(ev))
+			l.deps.Log.Info("machine began a new session", "rig", machine.agent.Name, "shift", machine.agent.Epoch, "lost", len(ev))
 		}
-		r.images = keepImages(r.images)
-		l.markStale(r)
+		machine.images = keepImages(machine.images)
+		l.markStale(machine)
 		l.passDueNow = true
 	}
-	l.applyEvents(r, ev, now)
-	if !r.agent.ReclaimAt.IsZero() {
-		l.drain(r, now)
+	l.applyEvents(machine, ev, now)
+	if !machine.agent.ReclaimAt.IsZero() {
+		l.drain(machine, now)
 	}
 	return true
 }
@@ -101,9 +101,9 @@
 		ch <- Reply{Status: 503}
 		return
 	}
-	r := l.machine(rep.Machine, now)
+	machine := l.machine(rep.Machine, now)
 	l.counts.Reports++
-	if r.agent.IsDuplicate(rep) {
+	if machine.agent.IsDuplicate(rep) {
 		l.counts.Copies++
 		// A late copy tells nothing new, and whoever sent it has given up
 		// waiting: it must not count as contact with the worker.
@@ -112,61 +112,61 @@
 	}
 	// A report that an answer to /commands has overtaken is not fresh, but
 	// its sender waits for the answer.
-	l.applyHeartbeat(r, rep, false, now)
+	l.applyHeartbeat(machine, rep, false, now)
 	if l.termErr != nil {
 		ch <- Reply{}
 		return
 	}
-	r.agent.HeartbeatSequence = max(r.agent.HeartbeatSequence, rep.Sequence)
-	if rep.Epoch <= r.agent.ExpiredEpoch || r.agent.RepliesLost {
+	machine.agent.HeartbeatSequence = max(machine.agent.HeartbeatSequence, rep.Sequence)
+	if rep.Epoch <= machine.agent.ExpiredEpoch || machine.agent.RepliesLost {
 		// It must come to the end of its lease: a 200 might always arrive.
 		ch <- Reply{Status: 503}
 		return
 	}
-	r.agent.LastAcknowledged = arrived
-	if r.pending != nil {
+	machine.agent.LastAcknowledged = arrived
+	if machine.pending != nil {
 		// The worker has given up the earlier report.
-		r.pending.reply <- Reply{Status: 503}
+		machine.pending.reply <- Reply{Status: 503}
 	}
 	hold := constants.ReplyHold
-	if len(r.agent.Attempts) == 0 {
+	if len(machine.agent.Attempts) == 0 {
 		hold = min(constants.IdleReplyHold, l.lease/4)
 	}
-	r.pending = &pendingReply{shift: rep.Epoch, arrived: arrived, until: arrived.Add(hold), reply: ch}
-	l.pendingReplies[r] = true
-	if r.agent.HasCommands() {
-		l.wakeReply(r)
+	machine.pending = &pendingReply{shift: rep.Epoch, arrived: arrived, until: arrived.Add(hold), reply: ch}
+	l.pendingReplies[machine] = true
+	if machine.agent.HasCommands() {
+		l.wakeReply(machine)
 	}
 }
 
 // wakeReply has a waiting report answered, as there are orders for it.
-func (l *Leader) wakeReply(r *machine) {
-	if r.pending != nil {
-		l.repliesDue = append(l.repliesDue, r)
+func (l *Leader) wakeReply(machine *machineState) {
+	if machine.pending != nil {
+		l.repliesDue = append(l.repliesDue, machine)
 	}
 }
 
 // flushReplies answers the reports that have waited long enough or that orders can
 // go with.
 func (l *Leader) flushReplies(now time.Time) {
-	for _, r := range l.repliesDue {
-		l.replyIfDue(r, now)
+	for _, machine := range l.repliesDue {
+		l.replyIfDue(machine, now)
 	}
 	l.repliesDue = l.repliesDue[:0]
 	if now.Before(l.nextFlush) {
 		return
 	}
 	l.nextFlush = now.Add(constants.ReplyFlushInterval)
-	for r := range l.pendingReplies {
-		l.replyIfDue(r, now)
+	for machine := range l.pendingReplies {
+		l.replyIfDue(machine, now)
 	}
 }
 
 // hasUnrecordedStart tells whether a start waits only for its record: its `run` can go
 // into the present answer, and would wait for the worker's next report else.
-func (r *machine) hasUnrecordedStart() bool {
-	for _, a := range r.agent.Attempts {
-		if !a.Sent && !a.StopRequested && a.Epoch == r.agent.Epoch {
+func (m *machineState) hasUnrecordedStart() bool {
+	for _, a := range m.agent.Attempts {
+		if !a.Sent && !a.StopRequested && a.Epoch == m.agent.Epoch {
 			return true
 		}
 	}
@@ -174,25 +174,25 @@
 }
 
 // replyIfDue answers a waiting report if it is time to.
-func (l *Leader) replyIfDue(r *machine, now time.Time) {
-	w := r.pending
+func (l *Leader) replyIfDue(machine *machineState, now time.Time) {
+	w := machine.pending
 	if w == nil {
-		delete(l.pendingReplies, r)
+		delete(l.pendingReplies, machine)
 		return
 	}
-	if w.shift != r.agent.Epoch || r.agent.RepliesLost {
+	if w.shift != machine.agent.Epoch || machine.agent.RepliesLost {
 		w.reply <- Reply{Status: 503}
 	} else {
-		if !r.agent.HasCommands() && (now.Before(w.until) || now.Before(w.arrived.Add(constants.PendingStartReplyHold)) && r.hasUnrecordedStart()) {
+		if !machine.agent.HasCommands() && (now.Before(w.until) || now.Before(w.arrived.Add(constants.PendingStartReplyHold)) && machine.hasUnrecordedStart()) {
 			return
 		}
-		orders := r.agent.Commands(true, now)
+		orders := machine.agent.Commands(true, now)
 		if orders == nil {
 			orders = []workers.Command{}
 		}
 		l.counts.Orders += uint64(len(orders))
 		w.reply <- Reply{Status: 200, Answer: workers.CommandBatch{Token: l.grant.Term, Commands: orders}}
 	}
-	r.pending = nil
-	delete(l.pendingReplies, r)
+	machine.pending = nil
+	delete(l.pendingReplies, machine)
 }
--- a/internal/leader/reports_test.go
+++ b/internal/leader/reports_test.go
@@ -14,16 +14,16 @@
 	now := time.Now()
 	l := testLeader(t)
 	l.certainUntil = now
-	r := addRig(l, "m-1", "east", now)
-	answered := r.agent.LastAcknowledged
-	copyOf := report(l, r, "", "")
+	machine := addRig(l, "m-1", "east", now)
+	answered := machine.agent.LastAcknowledged
+	copyOf := report(l, machine, "", "")
 	copyOf.Sequence = 1
 	ch := make(chan Reply, 1)
 	l.heartbeat(copyOf, now.Add(time.Second), ch)
 	select {
 	case a := <-ch:
-		if a.Status != 503 || !r.agent.LastAcknowledged.Equal(answered) || r.pending != nil {
-			t.Errorf("a copy got %d, answered %v", a.Status, r.agent.LastAcknowledged)
+		if a.Status != 503 || !machine.agent.LastAcknowledged.Equal(answered) || machine.pending != nil {
+			t.Errorf("a copy got %d, answered %v", a.Status, machine.agent.LastAcknowledged)
 		}
 	default:
 		t.Errorf("a copy is kept waiting")
@@ -56,22 +56,22 @@
 	now := time.Now()
 	l := testLeader(t)
 	l.certainUntil = now
-	r := addRig(l, "m-1", "east", now)
-	last := r.agent.LastAcknowledged
-	r.agent.RepliesLost = true
-	l.markStale(r)
+	machine := addRig(l, "m-1", "east", now)
+	last := machine.agent.LastAcknowledged
+	machine.agent.RepliesLost = true
+	l.markStale(machine)
 	ch := make(chan Reply, 1)
-	l.heartbeat(report(l, r, "", ""), now.Add(time.Second), ch)
+	l.heartbeat(report(l, machine, "", ""), now.Add(time.Second), ch)
 	l.flushReplies(now.Add(3 * time.Second))
-	if a := <-ch; a.Status != 503 || !r.agent.LastAcknowledged.Equal(last) {
-		t.Errorf("it got %d, its lease counts from %v", a.Status, r.agent.LastAcknowledged.Sub(last))
+	if a := <-ch; a.Status != 503 || !machine.agent.LastAcknowledged.Equal(last) {
+		t.Errorf("it got %d, its lease counts from %v", a.Status, machine.agent.LastAcknowledged.Sub(last))
 	}
 	j := addJob(t, l, sweep("j-1", 1), now)
 	l.runSchedulingPass(now)
 	if len(j.attempts) != 0 {
 		t.Errorf("it got work")
 	}
-	if ev := r.agent.ExpireLease(l.grant.Term, l.lease, last.Add(l.lease+2*time.Second)); r.agent.ExpiredEpoch != 1 {
+	if ev := machine.agent.ExpireLease(l.grant.Term, l.lease, last.Add(l.lease+2*time.Second)); machine.agent.ExpiredEpoch != 1 {
 		t.Errorf("its session never ends: %v", ev)
 	}
 }
--- a/internal/leader/scheduling.go
+++ b/internal/leader/scheduling.go
@@ -32,9 +32,9 @@
 		l.machines[e.Machine.Name].stale = true
 	}
 	for _, h := range plan.Released {
-		if r := l.machines[h.Machine.Name]; r != nil && l.reservations.Use(h.Machine.Name, func(p placement.Pipeline) bool { return p == h.Held.Pipeline }) {
+		if machine := l.machines[h.Machine.Name]; machine != nil && l.reservations.Use(h.Machine.Name, func(p placement.Pipeline) bool { return p == h.Held.Pipeline }) {
 			l.deps.Log.Debug("hold given up", "rig", h.Machine.Name, "class", h.Held.Pipeline.Class)
-			l.metadataChanged(r, now)
+			l.metadataChanged(machine, now)
 		}
 	}
 	for _, e := range plan.Preemptions {
@@ -154,14 +154,14 @@
 }
 
 // setTeamUsage replaces what a machine adds to the teams' use.
-func (l *Leader) setTeamUsage(r *machine, uses []teamUse) {
-	for _, u := range r.countedUsage {
+func (l *Leader) setTeamUsage(machine *machineState, uses []teamUse) {
+	for _, u := range machine.countedUsage {
 		l.teamUsage[u.team] = l.teamUsage[u.team].Sub(u.resources)
 	}
 	for _, u := range uses {
 		l.teamUsage[u.team] = l.teamUsage[u.team].Add(u.resources)
 	}
-	r.countedUsage = uses
+	machine.countedUsage = uses
 }
 
 // snapshotForPlacement shows the present state to placement. Machines and jobs that have not
@@ -180,20 +180,20 @@
 	w.Machines = make([]*placement.Machine, 0, len(machines))
 	ordinary := 0
 	oldest := now.Add(-viewAge(len(machines)))
-	for _, r := range machines {
-		if r.view == nil || r.stale || r.viewAt.Before(oldest) {
-			l.refreshMachineView(r, now)
+	for _, machine := range machines {
+		if machine.view == nil || machine.stale || machine.viewAt.Before(oldest) {
+			l.refreshMachineView(machine, now)
 		}
 		// Placement may put work only on machines that have shown our token:
 		// a report may be a late copy of one from a machine that is no more.
 		// One that has not been heard for a few reports may well be dead or cut
 		// off: what is put there would wait until its lease is over.
-		r.view.Schedulable = r.view.Total != (placement.Resources{}) && r.schedulable(now) && r.agent.Token == l.grant.Term &&
-			l.silentFor(r, now) <= l.silenceTolerance()+constants.IdleReplyHold
-		if r.view.Schedulable && !r.view.Spot {
+		machine.view.Schedulable = machine.view.Total != (placement.Resources{}) && machine.schedulable(now) && machine.agent.Token == l.grant.Term &&
+			l.silentFor(machine, now) <= l.silenceTolerance()+constants.IdleReplyHold
+		if machine.view.Schedulable && !machine.view.Spot {
 			ordinary++
 		}
-		w.Machines = append(w.Machines, r.view)
+		w.Machines = append(w.Machines, machine.view)
 	}
 	l.addReservationEdges(w)
 	w.ReservedMachines = min(l.reservedMachines(now), int(float64(ordinary)*constants.GangReserveMaxShare))
@@ -220,22 +220,22 @@
 }
 
 // refreshMachineView makes a machine's view anew.
-func (l *Leader) refreshMachineView(r *machine, now time.Time) {
-	r.stale, r.viewAt = false, now
+func (l *Leader) refreshMachineView(machine *machineState, now time.Time) {
+	machine.stale, machine.viewAt = false, now
 	l.counts.Views++
 	var uses []teamUse
-	typ, _ := l.deps.Catalog().Type(r.agent.Type)
-	pr := l.placementMachine(r)
-	pr.AttemptCapacity = int(l.deps.Settings.Params.State.ValueKB*1024)/constants.AttemptBytes - len(r.agent.Attempts)
+	typ, _ := l.deps.Catalog().Type(machine.agent.Type)
+	pr := l.placementMachine(machine)
+	pr.AttemptCapacity = int(l.deps.Settings.Params.State.ValueKB*1024)/constants.AttemptBytes - len(machine.agent.Attempts)
 	pr.Total = placement.Resources{CPUs: typ.CPUs, GPUs: typ.GPUs, MemoryGB: typ.MemoryGB}
 	pr.FetchGBPerS = typ.FetchGBPerS
-	pr.ImageWait = make(map[string]time.Duration, len(r.images))
-	for _, im := range r.images {
+	pr.ImageWait = make(map[string]time.Duration, len(machine.images))
+	for _, im := range machine.images {
 		if im.have {
 			pr.ImageWait[im.name] = 0
 		}
 	}
-	for _, a := range r.agent.Attempts {
+	for _, a := range machine.agent.Attempts {
 		if !a.Live() {
 			continue
 		}
@@ -253,12 +253,12 @@
 		}
 		pr.Slots = append(pr.Slots, s)
 	}
-	for _, h := range l.reservations.On(r.agent.Name) {
+	for _, h := range l.reservations.On(machine.agent.Name) {
 		pr.Held = append(pr.Held, placement.HeldSlot{Pipeline: h.Pipeline, Priority: h.Priority, Resources: h.Resources})
 		uses = append(uses, teamUse{h.Pipeline.Team, h.Resources})
 	}
-	l.setTeamUsage(r, uses)
-	r.view = pr
+	l.setTeamUsage(machine, uses)
+	machine.view = pr
 }
 
 // refreshJobView brings a job's view for placement up to date.
@@ -356,26 +356,26 @@
 
 // preempt stops a task to make room; a gang goes as a whole.
 func (l *Leader) preempt(e placement.Preemption, now time.Time) {
-	r := l.machines[e.Machine.Name]
-	if r == nil || e.Victim.Job == nil {
+	machine := l.machines[e.Machine.Name]
+	if machine == nil || e.Victim.Job == nil {
 		return
 	}
 	j := l.jobs[e.Victim.Job.Spec.ID]
 	if j == nil {
 		return
 	}
-	l.deps.Log.Debug("makes room", "piece", workers.TaskID{Job: j.spec.ID, Index: e.Victim.Index}, "rig", r.agent.Name, "for", e.For.Spec.ID)
+	l.deps.Log.Debug("makes room", "piece", workers.TaskID{Job: j.spec.ID, Index: e.Victim.Index}, "rig", machine.agent.Name, "for", e.For.Spec.ID)
 	grace := j.spec.SaveS + constants.StopGrace.Seconds()
 	if j.spec.Kind == jobs.KindGang {
 		l.stopGang(j, grace, now)
 		return
 	}
 	for _, s := range j.attempts[e.Victim.Index] {
-		if s.machine == r && s.attempt.ID.Number == e.Victim.Attempt {
-			l.stopAttempt(r, s.attempt, grace, now)
+		if s.machine == machine && s.attempt.ID.Number == e.Victim.Attempt {
+			l.stopAttempt(machine, s.attempt, grace, now)
 		}
 	}
-	l.sendStops(r, now)
+	l.sendStops(machine, now)
 }
 
 // startPlanned turns the starts of a plan into attempts. Their `run` leaves only once
@@ -384,8 +384,8 @@
 	gangTry := make(map[string]uint64)
 	for _, s := range plan.Starts {
 		j := states[s.Job.Spec.ID]
-		r := l.machines[s.Machine.Name]
-		if j == nil || r == nil {
+		machine := l.machines[s.Machine.Name]
+		if j == nil || machine == nil {
 			continue
 		}
 		try, ok := gangTry[j.spec.ID]
@@ -404,20 +404,20 @@
 		}
 		a := &workers.Attempt{
 			ID:    workers.AttemptID{Task: workers.TaskID{Job: j.spec.ID, Index: s.Index}, Number: try},
-			Epoch: r.agent.Epoch, PlacedAt: now,
+			Epoch: machine.agent.Epoch, PlacedAt: now,
 		}
-		r.agent.Attempts[a.ID] = a
+		machine.agent.Attempts[a.ID] = a
 		j.servedAt = now
 		l.placementRates.add(j.spec.Class)
-		l.addAttempt(r, a)
-		l.logAttempt(r, a)
-		if l.reservations.Use(r.agent.Name, j.view.Owns) {
-			l.deps.Log.Debug("hold used", "rig", r.agent.Name, "job", j.spec.ID)
-			l.metadataChanged(r, now)
-		}
-		l.reservations.ReleaseExcess(r.agent.Name, s.Machine.Total.Sub(l.usedResources(r)))
-		r.useImage(j.spec.Image, j.spec.ImageGB, false, l.cacheOf(r))
-		l.deps.Log.Debug("placed", "piece", a.ID.Task, "try", try, "rig", r.agent.Name)
+		l.addAttempt(machine, a)
+		l.logAttempt(machine, a)
+		if l.reservations.Use(machine.agent.Name, j.view.Owns) {
+			l.deps.Log.Debug("hold used", "rig", machine.agent.Name, "job", j.spec.ID)
+			l.metadataChanged(machine, now)
+		}
+		l.reservations.ReleaseExcess(machine.agent.Name, s.Machine.Total.Sub(l.usedResources(machine)))
+		machine.useImage(j.spec.Image, j.spec.ImageGB, false, l.cacheOf(machine))
+		l.deps.Log.Debug("placed", "piece", a.ID.Task, "try", try, "rig", machine.agent.Name)
 	}
 }
 
--- a/internal/leader/stall_test.go
+++ b/internal/leader/stall_test.go
@@ -79,8 +79,8 @@
 	still := l.lease + constants.SilentReturnAfter + time.Minute
 	l.noteRound()
 	l.lastRound = time.Now().Add(-still)
-	for _, r := range l.machines {
-		r.agent.LastHeartbeat = r.agent.LastHeartbeat.Add(-still)
+	for _, machine := range l.machines {
+		machine.agent.LastHeartbeat = machine.agent.LastHeartbeat.Add(-still)
 	}
 	b := l.scaling.booting["m-9"]
 	b.since, b.noted = b.since.Add(-still), b.noted.Add(-still)
@@ -99,8 +99,8 @@
 	if *cloud != (cloudCalls{}) {
 		t.Errorf("the cloud was called before the term was looked at: %+v", *cloud)
 	}
-	for name, r := range l.machines {
-		if r.leaving {
+	for name, machine := range l.machines {
+		if machine.leaving {
 			t.Errorf("%s is given up for silence that was ours", name)
 		}
 	}
@@ -144,9 +144,9 @@
 	hang := make(chan struct{})
 	l.deps.Workers = hanging(hang)
 	for i := range 400 {
-		r := addRig(l, fmt.Sprintf("m-%04d", i), "east", now)
-		r.agent.Endpoint = "x"
-		l.sendCommand(r, nil, now)
+		machine := addRig(l, fmt.Sprintf("m-%04d", i), "east", now)
+		machine.agent.Endpoint = "x"
+		l.sendCommand(machine, nil, now)
 	}
 	if l.commandsInFlight != constants.MaxCommandsInFlight/2 {
 		t.Errorf("%d orders under way that stop nothing", l.commandsInFlight)
@@ -154,8 +154,8 @@
 	addJob(t, l, sweep("j-1", 16), now)
 	l.runSchedulingPass(now)
 	settle(l, 100)
-	for _, r := range l.machines {
-		r.agent.Commands(true, now)
+	for _, machine := range l.machines {
+		machine.agent.Commands(true, now)
 	}
 	l.jobRecordDeleted("j-1", now)
 	stops := l.commandsInFlight - constants.MaxCommandsInFlight/2
@@ -189,8 +189,8 @@
 			l.runSchedulingPass(now)
 			settle(l, 100)
 		}
-		for _, r := range l.machines {
-			r.agent.Commands(true, now)
+		for _, machine := range l.machines {
+			machine.agent.Commands(true, now)
 		}
 		now = now.Add(l.silenceTolerance() + time.Second)
 		for i := range gang {
@@ -244,9 +244,9 @@
 			j := addJob(t, l, sweep("j-1", 8), now)
 			l.runSchedulingPass(now)
 			settle(l, 100)
-			for _, r := range []*machine{a, b} {
-				r.agent.Commands(true, now)
-				l.applyHeartbeat(r, report(l, r, workers.StatusRunning, ""), false, now)
+			for _, machine := range []*machineState{a, b} {
+				machine.agent.Commands(true, now)
+				l.applyHeartbeat(machine, report(l, machine, workers.StatusRunning, ""), false, now)
 			}
 			// One machine's tasks end after 10 s, the other's go on for 60.
 			for range 5 {
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -119,27 +119,27 @@
 	}
 	pools := make(map[pool]*PoolStatus)
 	use, held := make(map[string]placement.Resources), make(map[string]placement.Resources)
-	for _, r := range l.machines {
-		k := pool{r.agent.Type, r.agent.Zone, r.agent.Spot}
+	for _, machine := range l.machines {
+		k := pool{machine.agent.Type, machine.agent.Zone, machine.agent.Spot}
 		c := pools[k]
 		if c == nil {
 			c = &PoolStatus{Type: k.t, Zone: k.z, Spot: k.spot}
 			pools[k] = c
 		}
-		if r.leaving {
+		if machine.leaving {
 			st.Leaving++
-		} else if r.agent.Registered {
+		} else if machine.agent.Registered {
 			c.Up++
 		}
-		if l.inUse(r) {
+		if l.inUse(machine) {
 			c.Busy++
 		}
-		if r.faulty {
+		if machine.faulty {
 			c.Faulty++
 		}
-		typ, _ := l.deps.Catalog().Type(r.agent.Type)
-		c.Used += l.usedResources(r).DominantShare(placement.Resources{CPUs: typ.CPUs, GPUs: typ.GPUs, MemoryGB: typ.MemoryGB})
-		for _, a := range r.agent.Attempts {
+		typ, _ := l.deps.Catalog().Type(machine.agent.Type)
+		c.Used += l.usedResources(machine).DominantShare(placement.Resources{CPUs: typ.CPUs, GPUs: typ.GPUs, MemoryGB: typ.MemoryGB})
+		for _, a := range machine.agent.Attempts {
 			if a.Live() {
 				need, owner := l.resourcesOf(a), l.teamOf(a)
 				c.GPUs += need.GPUs
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -34,9 +34,9 @@
 		return
 	}
 	all, heard := 0, 0
-	for _, r := range l.machines {
+	for _, machine := range l.machines {
 		all++
-		if r.agent.Registered {
+		if machine.agent.Registered {
 			heard++
 		}
 	}
--- a/internal/leader/usage_test.go
+++ b/internal/leader/usage_test.go
@@ -21,7 +21,7 @@
 		l.certainUntil = now
 		l.teams = append(l.teams, config.Team{Name: "b", GPUs: 4, GPUsMax: 12})
 		epoch, jobCount, machines := uint64(100), 0, 0
-		pick := func() *machine {
+		pick := func() *machineState {
 			list := l.sortedMachines()
 			if len(list) == 0 {
 				rt.Skip()
@@ -50,18 +50,18 @@
 			"pass":   func(*rapid.T) { l.runSchedulingPass(now) },
 			"commit": func(*rapid.T) { epoch = settle(l, epoch) },
 			"report": func(*rapid.T) {
-				r := pick()
+				machine := pick()
 				status := rapid.SampledFrom([]string{workers.StatusFetching, workers.StatusRunning, workers.StatusExited}).Draw(rt, "status")
 				cause := ""
 				if status == workers.StatusExited {
 					cause = rapid.SampledFrom([]string{workers.CauseDone, "halted", workers.CauseError}).Draw(rt, "cause")
 				}
-				rep := report(l, r, status, cause)
+				rep := report(l, machine, status, cause)
 				if rapid.IntRange(0, 4).Draw(rt, "some") == 0 {
 					rep.Tasks = rep.Tasks[:len(rep.Tasks)/2]
 				}
-				r.agent.Commands(true, now)
-				l.applyHeartbeat(r, rep, false, now)
+				machine.agent.Commands(true, now)
+				l.applyHeartbeat(machine, rep, false, now)
 			},
 			"cancel": func(*rapid.T) {
 				if jobCount > 0 {
@@ -69,28 +69,28 @@
 				}
 			},
 			"session": func(*rapid.T) {
-				r := pick()
-				rep := report(l, r, workers.StatusRunning, "")
+				machine := pick()
+				rep := report(l, machine, workers.StatusRunning, "")
 				rep.Epoch, rep.Tasks = rep.Epoch+1, nil
-				l.applyHeartbeat(r, rep, false, now)
+				l.applyHeartbeat(machine, rep, false, now)
 			},
 			"returned": func(*rapid.T) {
-				r := pick()
-				l.applyEvents(r, r.agent.Terminated(), now)
-				l.removeMachine(r)
-				l.commits.log.MachineRemoved(r.agent.Name)
+				machine := pick()
+				l.applyEvents(machine, machine.agent.Terminated(), now)
+				l.removeMachine(machine)
+				l.commits.log.MachineRemoved(machine.agent.Name)
 			},
 			"time": func(*rapid.T) { now = now.Add(time.Duration(rapid.IntRange(1, 20).Draw(rt, "s")) * time.Second) },
 			"": func(*rapid.T) {
 				w, _ := l.snapshotForPlacement(now)
 				want := map[string]float64{}
-				for _, r := range l.machines {
-					for _, a := range r.agent.Attempts {
+				for _, machine := range l.machines {
+					for _, a := range machine.agent.Attempts {
 						if a.Live() {
 							want[l.teamOf(a)] += l.resourcesOf(a).GPUs
 						}
 					}
-					for _, h := range l.reservations.On(r.agent.Name) {
+					for _, h := range l.reservations.On(machine.agent.Name) {
 						want[h.Pipeline.Team] += h.Resources.GPUs
 					}
 				}
