--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -54,7 +54,7 @@
 	store   *statestore.Client
 	cloud   *autoscaling.Cloud
 	elector *election.Elector
-	peers   *peers.Peers
+	peers   *peers.Client
 	catalog atomic.Pointer[autoscaling.Catalog]
 	leading atomic.Pointer[leader.Leader]
 	// helpers are nodes that the state service answers while it does not
@@ -89,7 +89,7 @@
 	for _, k := range set.Known {
 		addrs[k.Label] = k.Addr
 	}
-	n.peers = peers.NewPeers(addrs, network.DialContext)
+	n.peers = peers.NewClient(addrs, network.DialContext)
 	return n
 }
 
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -8,60 +8,69 @@
 	"time"
 )
 
-type source struct{}
+// healthyNode is a node that the state service answers.
+type healthyNode struct{}
 
-func (source) AttestCancellations(time.Duration) ([]string, bool)       { return nil, true }
-func (source) Healthy() bool                                            { return true }
-func (source) Relay(context.Context, RelayArgs) RelayReply              { return RelayReply{} }
-func (source) Progress(context.Context, []string) map[string]TaskCounts { return nil }
-func (source) Status(context.Context) ([]byte, error)                   { return []byte("{}"), nil }
+func (healthyNode) AttestCancellations(time.Duration) ([]string, bool)       { return nil, true }
+func (healthyNode) Healthy() bool                                            { return true }
+func (healthyNode) Relay(context.Context, RelayArgs) RelayReply              { return RelayReply{} }
+func (healthyNode) Progress(context.Context, []string) map[string]TaskCounts { return nil }
+func (healthyNode) Status(context.Context) ([]byte, error)                   { return []byte("{}"), nil }
 
-// pipes is a listener for connections within the process.
-type pipes struct {
+// pipeListener is a listener for connections within the process.
+type pipeListener struct {
 	net.Listener
-	queue chan net.Conn
-	done  chan struct{}
+	pending chan net.Conn
+	closed  chan struct{}
 }
 
-func (p pipes) Accept() (net.Conn, error) {
+func (l pipeListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-p.queue:
-		return c, nil
-	case <-p.done:
+	case conn := <-l.pending:
+		return conn, nil
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (p pipes) Close() error { close(p.done); return nil }
+func (l pipeListener) Close() error { close(l.closed); return nil }
 
-// TestStaleConnectionsMakeRoom: connections left from before a cut, that nobody
-// will ever close, must not keep a node from being reached.
+// healthy tells whether the server answers on this connection.
+func healthy(client *rpc.Client) (bool, error) {
+	var reply HealthReply
+	err := client.Call("Mesh.Health", HealthArgs{}, &reply)
+	return reply.OK, err
+}
+
+// TestStaleConnectionsMakeRoom: connections left from before a network partition, that
+// nobody will ever close, must not keep a node from being reached.
 func TestStaleConnectionsMakeRoom(t *testing.T) {
-	l := pipes{queue: make(chan net.Conn), done: make(chan struct{})}
+	const limit, opened = 4, 12
+	listener := pipeListener{pending: make(chan net.Conn), closed: make(chan struct{})}
 	ctx, cancel := context.WithCancel(t.Context())
-	over := make(chan error, 1)
-	go func() { over <- Serve(ctx, l, source{}, 4) }()
+	served := make(chan error, 1)
+	go func() { served <- Serve(ctx, listener, healthyNode{}, limit) }()
+
 	var clients []*rpc.Client
-	for range 12 {
-		a, b := net.Pipe()
-		l.queue <- b
-		c := rpc.NewClient(a)
-		clients = append(clients, c)
-		var reply HealthReply
-		if err := c.Call("Mesh.Health", HealthArgs{}, &reply); err != nil || !reply.OK {
+	for range opened {
+		local, remote := net.Pipe()
+		listener.pending <- remote
+		client := rpc.NewClient(local)
+		clients = append(clients, client)
+		if ok, err := healthy(client); err != nil || !ok {
 			t.Fatalf("connection %d: %v", len(clients), err)
 		}
 	}
+
 	open := 0
-	for _, c := range clients {
-		var reply HealthReply
-		if c.Call("Mesh.Health", HealthArgs{}, &reply) == nil {
+	for _, client := range clients {
+		if _, err := healthy(client); err == nil {
 			open++
 		}
 	}
-	if open != 4 {
-		t.Errorf("%d connections are kept, want 4", open)
+	if open != limit {
+		t.Errorf("%d connections are kept, want %d", open, limit)
 	}
 	cancel()
-	<-over
+	<-served
 }
