--- a/internal/attestation/confirmations.go
+++ b/internal/attestation/confirmations.go
@@ -71,25 +71,25 @@
 	return time.Duration(float64(asked.Sub(watched))*(1+constants.ClockDrift)) + constants.AttestationMargin
 }
 
-// Stale tells whether answers come too long after the question: they may reach
+// AnsweredTooLate tells whether answers come too long after the question: they may reach
 // back less far than was asked for.
-func Stale(asked, now time.Time) bool { return now.Sub(asked) > constants.AttestationMaxAge }
+func AnsweredTooLate(asked, now time.Time) bool { return now.Sub(asked) > constants.AttestationMaxAge }
 
-// Attestation is what one node answers; not OK if it can't say, or does not answer.
+// Attestation is what one node answers; not Complete if it can't say, or does not answer.
 type Attestation struct {
 	Cancelled []string
-	OK        bool
+	Complete  bool
 }
 
-// Unanimous puts together what the nodes vouch for, if it is all of them: one that
+// Merge puts together what the nodes vouch for, if it is all of them: one that
 // is silent, or has begun anew meanwhile, may have told users of what nobody else
 // knows.
-func Unanimous(words []Attestation, nodes int) (cancelled []string, ok bool) {
+func Merge(words []Attestation, nodes int) (cancelled []string, ok bool) {
 	if len(words) < nodes {
 		return nil, false
 	}
 	for _, w := range words {
-		if !w.OK {
+		if !w.Complete {
 			return nil, false
 		}
 		cancelled = append(cancelled, w.Cancelled...)
--- a/internal/attestation/confirmations_test.go
+++ b/internal/attestation/confirmations_test.go
@@ -91,13 +91,13 @@
 						cancel()
 					}
 					w := Attestation{}
-					w.Cancelled, w.OK = at[i].memory.Since(span, at[i].clock(now))
+					w.Cancelled, w.Complete = at[i].memory.Since(span, at[i].clock(now))
 					if rapid.IntRange(0, 9).Draw(t, "answer") == 0 {
 						w = Attestation{} // lost
 					}
 					words = append(words, w)
 				}
-				if ids, ok := Unanimous(words, nodes); ok && !Stale(leader.clock(asked), leader.clock(now)) {
+				if ids, ok := Merge(words, nodes); ok && !AnsweredTooLate(leader.clock(asked), leader.clock(now)) {
 					for _, id := range ids {
 						known[id] = true
 					}
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -120,7 +120,7 @@
 	ReserveSubmit = 0.10
 	ReserveRecord = 0.15
 	ReservePoll   = 0.20
-	ReserveHold   = 0.40
+	ReserveOther  = 0.40
 )
 
 // Scheduling.
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -25,14 +25,14 @@
 
 // LeaderRecord is the value of the leader's key, which lives with its lease.
 type LeaderRecord struct {
-	Label string `json:"label"`
-	Term  uint64 `json:"term"`
+	Node string `json:"label"`
+	Term uint64 `json:"term"`
 }
 
 // TermRecord is the term record. Every write of a leader is conditioned on it.
 type TermRecord struct {
-	Term  uint64 `json:"term"`
-	Label string `json:"label"`
+	Term uint64 `json:"term"`
+	Node string `json:"label"`
 }
 
 // View is what a node knows of the election.
@@ -72,7 +72,7 @@
 
 // MayCampaign tells whether the node may try to lead: nobody does, or its own
 // earlier process did, which is gone.
-func (v View) MayCampaign(self string) bool { return v.LeaderRevision == 0 || v.Leader.Label == self }
+func (v View) MayCampaign(self string) bool { return v.LeaderRevision == 0 || v.Leader.Node == self }
 
 // Campaign is the transaction that takes the lead: it raises the term, and
 // fails if anybody else did anything meanwhile.
@@ -128,7 +128,7 @@
 	if e.view.LeaderRevision == 0 {
 		return "", e.view.Term
 	}
-	return e.view.Leader.Label, e.view.Term
+	return e.view.Leader.Node, e.view.Term
 }
 
 func (e *Elector) setView(v View) {
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -138,7 +138,7 @@
 
 func (s *lostStore) Txn(_ context.Context, _ statestore.Class, when []statestore.Condition, writes []statestore.Write) (uint64, error) {
 	if len(writes) == 1 && s.raised {
-		return 0, &statestore.ConflictError{Failed: []string{TermKey}}
+		return 0, &statestore.ConflictError{FailedKeys: []string{TermKey}}
 	}
 	return 2, nil
 }
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -110,7 +110,7 @@
 	}
 	c.inFlight, c.lastCommitAt = true, now
 	c.setMore(l.hasRemaining(), now)
-	when := append([]statestore.Condition{{Key: election.TermKey, Revision: l.grant.Revision}}, t.When...)
+	when := append([]statestore.Condition{{Key: election.TermKey, Revision: l.grant.Revision}}, t.Conditions...)
 	writes := t.Writes
 	l.background.Go(func() error {
 		epoch, err := l.deps.Store.Txn(l.ctx, statestore.ClassRecord, when, writes)
@@ -249,8 +249,8 @@
 	at := time.Now()
 	v, _ := json.Marshal(jobs.FinalRecord{Status: jobs.StatusDone, Tasks: j.spec.Tasks, AtMS: at.UnixMilli()}) // plain fields always encode
 	return wal.JobWrite{
-		When:   []statestore.Condition{{Key: jobs.OpenPrefix + name, Revision: j.revision}},
-		Writes: []statestore.Write{{Delete: jobs.OpenPrefix + name}, {Put: jobs.FinalPrefix + name, Value: v}},
+		Conditions: []statestore.Condition{{Key: jobs.OpenPrefix + name, Revision: j.revision}},
+		Writes:     []statestore.Write{{Delete: jobs.OpenPrefix + name}, {Put: jobs.FinalPrefix + name, Value: v}},
 		Committed: func(uint64) {
 			l.deps.Log.Debug("job done", "id", name)
 			l.removeJob(j, time.Now())
@@ -270,7 +270,7 @@
 	c := &l.commits
 	gone := func() { delete(c.legacyKeys, key) }
 	return wal.JobWrite{
-		When:       []statestore.Condition{{Key: key, Revision: stamp}},
+		Conditions: []statestore.Condition{{Key: key, Revision: stamp}},
 		Writes:     []statestore.Write{{Delete: key}},
 		Committed:  func(uint64) { gone() },
 		Conflicted: gone,
--- a/internal/leader/commit_test.go
+++ b/internal/leader/commit_test.go
@@ -86,15 +86,15 @@
 	if err := json.Unmarshal(first.Writes[0].Value, &head); err != nil || first.Writes[0].Put != wal.HeadKey {
 		t.Fatalf("%+v: %v", first.Writes, err)
 	}
-	clash := &statestore.ConflictError{Failed: []string{wal.HeadKey}}
+	clash := &statestore.ConflictError{FailedKeys: []string{wal.HeadKey}}
 	l.committed(commitResult{err: clash, failed: clash, head: &head, stamp: 55})
 	if l.termErr != nil || len(machine.agent.Commands(true, now)) != 1 {
 		t.Fatalf("the first try stands, but the start does not leave (%v)", l.termErr)
 	}
 	addJob(t, l, sweep("j-2", 1), now)
 	l.runSchedulingPass(now)
-	if next := l.nextTxn(); next.When[0].Revision != 55 {
-		t.Errorf("the next one builds on %+v", next.When)
+	if next := l.nextTxn(); next.Conditions[0].Revision != 55 {
+		t.Errorf("the next one builds on %+v", next.Conditions)
 	}
 	// A head that is not ours means that another node writes the log.
 	l.committed(commitResult{err: clash, failed: clash, head: &wal.Head{Term: 9}, stamp: 60})
--- a/internal/leader/confirmations.go
+++ b/internal/leader/confirmations.go
@@ -48,7 +48,7 @@
 // applyAttestation takes in what all nodes have vouched for: whatever users were told
 // before they were asked is known.
 func (l *Leader) applyAttestation(ids []string, asked, now time.Time) {
-	if attestation.Stale(asked, now) {
+	if attestation.AnsweredTooLate(asked, now) {
 		return
 	}
 	for _, id := range ids {
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -209,8 +209,8 @@
 	name := j.spec.ID
 	v, _ := json.Marshal(jobs.FinalRecord{Status: jobs.StatusCancelled}) // plain fields always encode
 	return wal.JobWrite{
-		When:   []statestore.Condition{{Key: jobs.OpenPrefix + name, Revision: j.revision}},
-		Writes: []statestore.Write{{Delete: jobs.OpenPrefix + name}, {Put: jobs.FinalPrefix + name, Value: v}},
-		Retry:  func() { l.commits.cancelled = append(l.commits.cancelled, j) },
+		Conditions: []statestore.Condition{{Key: jobs.OpenPrefix + name, Revision: j.revision}},
+		Writes:     []statestore.Write{{Delete: jobs.OpenPrefix + name}, {Put: jobs.FinalPrefix + name, Value: v}},
+		Retry:      func() { l.commits.cancelled = append(l.commits.cancelled, j) },
 	}
 }
--- a/internal/leader/gap_test.go
+++ b/internal/leader/gap_test.go
@@ -136,7 +136,7 @@
 func (s *raised) Txn(_ context.Context, _ statestore.Class, when []statestore.Condition, writes []statestore.Write) (uint64, error) {
 	for _, c := range when {
 		if c.Key == election.TermKey {
-			return 0, &statestore.ConflictError{Failed: []string{c.Key}} // its revision has changed
+			return 0, &statestore.ConflictError{FailedKeys: []string{c.Key}} // its revision has changed
 		}
 	}
 	s.wrote += len(writes)
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -256,7 +256,7 @@
 			drawn[class] = d
 			was := l.loggedUsage[class]
 			attrs = append(attrs, class.String(), fmt.Sprintf("%.1f requests, %.1f changes, %.2f waiting",
-				per(d.Requests, was.Requests), per(d.Writes, was.Writes), part(d.WaitS, was.WaitS)))
+				per(d.Requests, was.Requests), per(d.Writes, was.Writes), part(d.WaitSeconds, was.WaitSeconds)))
 		}
 		if !l.lastLoadLog.IsZero() {
 			l.deps.Log.Debug("state service, each second", attrs...)
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -141,7 +141,7 @@
 // openLog begins to write behind the head that was read.
 func (l *Leader) openLog(head wal.Head, stamp uint64) {
 	p := l.deps.Settings.Params.State
-	l.commits.log = wal.NewWriter(l.grant.Term, wal.Limits{ValueBytes: int(p.ValueKB * 1024), Ops: p.TxnOps}, head, stamp)
+	l.commits.log = wal.NewWriter(l.grant.Term, wal.Limits{ValueBytes: int(p.ValueKB * 1024), TxnOps: p.TxnOps}, head, stamp)
 	// In use it was found to be read by all nodes, and they do not go back unless the
 	// operators' setting has said so first.
 	l.commits.log.AllowLargeRing(head.Ring > 0 && l.deps.Operator.Log.LargeRing)
--- a/internal/leader/wal/checkpoint.go
+++ b/internal/leader/wal/checkpoint.go
@@ -93,7 +93,7 @@
 	entries := float64(max(2*w.checkpointAfter()-w.Backlog(), 0))
 	w.owed += float64(changes) * parts / (parts + entries)
 	share := min(int(w.owed), changes)
-	w.owed = min(w.owed-float64(share), float64(w.lim.Ops))
+	w.owed = min(w.owed-float64(share), float64(w.lim.TxnOps))
 	return share
 }
 
--- a/internal/leader/wal/wal_test.go
+++ b/internal/leader/wal/wal_test.go
@@ -133,7 +133,7 @@
 func TestReplayEqualsWhatWasCommitted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &store{rows: map[string]KeyValue{}, stamp: map[string]uint64{termKey: 1}, epoch: 1}
-		lim := Limits{ValueBytes: 600, Ops: 5}
+		lim := Limits{ValueBytes: 600, TxnOps: 5}
 		m := newModel()
 		// A ring so small that it wraps, and that any checkpoint is large enough for.
 		newWriter := func(term uint64, head Head, stamp uint64) *Writer {
@@ -175,7 +175,7 @@
 						stamp += 100
 					}
 					extras = append(extras, JobWrite{
-						When: []statestore.Condition{{Key: job, Revision: stamp}}, Writes: []statestore.Write{{Put: job, Value: json.RawMessage("1")}},
+						Conditions: []statestore.Condition{{Key: job, Revision: stamp}}, Writes: []statestore.Write{{Put: job, Value: json.RawMessage("1")}},
 						Committed: func(uint64) { ended[job] = true },
 					})
 				}
@@ -183,7 +183,7 @@
 				if x == nil {
 					return
 				}
-				if len(x.Writes) > lim.Ops+1 {
+				if len(x.Writes) > lim.TxnOps+1 {
 					t.Fatalf("%d changes at once", len(x.Writes))
 				}
 				for _, w := range x.Writes {
@@ -191,7 +191,7 @@
 						t.Fatalf("%s has %d bytes", w.Put, len(w.Value))
 					}
 				}
-				when := append([]statestore.Condition{{Key: termKey, Revision: m.term}}, x.When...)
+				when := append([]statestore.Condition{{Key: termKey, Revision: m.term}}, x.Conditions...)
 				finalKnown := rapid.IntRange(0, 5).Draw(t, "fate")
 				if finalKnown == 0 { // lost on the way, may arrive later
 					late = append(late, txn{when, x.Writes})
@@ -365,7 +365,7 @@
 func TestRingIsNeverOverrun(t *testing.T) {
 	s := &store{rows: map[string]KeyValue{}, stamp: map[string]uint64{}}
 	m := newModel()
-	m.w = NewWriter(1, Limits{ValueBytes: 2000, Ops: 8}, Head{}, 0)
+	m.w = NewWriter(1, Limits{ValueBytes: 2000, TxnOps: 8}, Head{}, 0)
 	for i := range 3 * constants.LogRingSize {
 		name := fmt.Sprint("m-", i%7)
 		if m.live[name] == nil {
@@ -383,7 +383,7 @@
 		if x == nil {
 			t.Fatalf("nothing is written any more after %d entries", i)
 		}
-		if failed := s.run(x.When, x.Writes); failed != nil {
+		if failed := s.run(x.Conditions, x.Writes); failed != nil {
 			t.Fatal(failed)
 		}
 		m.w.Committed(s.epoch)
@@ -424,7 +424,7 @@
 func checkpointUnderLoad(t *testing.T, machines int, ending bool) {
 	s := &store{rows: map[string]KeyValue{}, stamp: map[string]uint64{}}
 	m := newModel()
-	lim := Limits{ValueBytes: 2048, Ops: constants.MinTxnOps}
+	lim := Limits{ValueBytes: 2048, TxnOps: constants.MinTxnOps}
 	m.w = NewWriter(1, lim, Head{}, 0)
 	names := make([]string, machines)
 	for i := range names {
@@ -449,14 +449,14 @@
 		}
 		was := m.w.head.Next
 		x := m.w.Next(extras)
-		if failed := s.run(x.When, x.Writes); failed != nil {
+		if failed := s.run(x.Conditions, x.Writes); failed != nil {
 			t.Fatal(failed)
 		}
-		if len(x.Writes) > lim.Ops {
+		if len(x.Writes) > lim.TxnOps {
 			t.Fatalf("%d changes in a transaction", len(x.Writes))
 		}
 		m.w.Committed(s.epoch)
-		if full := constants.LogRingSize - constants.LogSlack - lim.Ops; m.w.Backlog() > full {
+		if full := constants.LogRingSize - constants.LogSlack - lim.TxnOps; m.w.Backlog() > full {
 			t.Fatalf("%d machines, jobs ending %v: the ring is full", machines, ending)
 		}
 		if m.w.head.Next > was {
@@ -481,7 +481,7 @@
 	const machines = 6000
 	s := &store{rows: map[string]KeyValue{}, stamp: map[string]uint64{}}
 	m := newModel()
-	m.w = NewWriter(1, Limits{ValueBytes: 2048, Ops: 10}, Head{}, 0)
+	m.w = NewWriter(1, Limits{ValueBytes: 2048, TxnOps: 10}, Head{}, 0)
 	names := make([]string, machines)
 	for i := range names {
 		names[i] = fmt.Sprintf("m-%06d", i)
@@ -500,7 +500,7 @@
 				m.w.Checkpoint(names, nil, m, nil)
 			}
 			x := m.w.Next(nil)
-			if failed := s.run(x.When, x.Writes); failed != nil {
+			if failed := s.run(x.Conditions, x.Writes); failed != nil {
 				t.Fatal(failed)
 			}
 			m.w.Committed(s.epoch)
@@ -553,10 +553,10 @@
 // is named; a foreign key is named and does no harm.
 func TestDamagedLog(t *testing.T) {
 	s := &store{rows: map[string]KeyValue{}, stamp: map[string]uint64{}}
-	w := NewWriter(1, Limits{ValueBytes: 2000, Ops: 8}, Head{}, 0)
+	w := NewWriter(1, Limits{ValueBytes: 2000, TxnOps: 8}, Head{}, 0)
 	w.AttemptPlaced("m-1", Attempt{Task: "j-1/0", Number: 1, Epoch: 1}, "j-1", JobUse{Team: "x"}, nil)
 	x := w.Next(nil)
-	s.run(x.When, x.Writes)
+	s.run(x.Conditions, x.Writes)
 	w.Committed(s.epoch)
 	s.rows[Prefix+"note"] = KeyValue{Prefix + "note", json.RawMessage(`"hello"`)}
 	if st, odd, err := Read(s.log()); err != nil || !slices.Equal(odd, []string{Prefix + "note"}) || len(st.Machines["m-1"].Attempts) != 1 {
@@ -586,7 +586,7 @@
 		names = append(names, fmt.Sprintf("m-%04d", i))
 		m.live[names[i]] = map[Attempt]bool{}
 	}
-	lim := Limits{ValueBytes: 600, Ops: 4}
+	lim := Limits{ValueBytes: 600, TxnOps: 4}
 	try, held := uint64(0), 0
 	stood := map[Attempt]string{}
 	lead := func(term uint64, txns int) {
@@ -618,7 +618,7 @@
 			if x == nil {
 				t.Fatalf("term %d: nothing is written any more", term)
 			}
-			if failed := s.run(x.When, x.Writes); failed != nil {
+			if failed := s.run(x.Conditions, x.Writes); failed != nil {
 				t.Fatal(failed)
 			}
 			m.w.Committed(s.epoch)
--- a/internal/leader/wal/writer.go
+++ b/internal/leader/wal/writer.go
@@ -11,7 +11,7 @@
 // Limits are the state service's.
 type Limits struct {
 	ValueBytes int
-	Ops        int
+	TxnOps     int
 }
 
 // Stats are running sums of what a term has put into transactions.
@@ -25,8 +25,8 @@
 
 // JobWrite is a change of other keys that goes with a transaction.
 type JobWrite struct {
-	When   []statestore.Condition
-	Writes []statestore.Write
+	Conditions []statestore.Condition
+	Writes     []statestore.Write
 	// Committed is called once the transaction is known to stand; Clash when it
 	// will never be carried out because of this part, Again when it will not
 	// because of another: this one must be asked for anew.
@@ -72,8 +72,8 @@
 // Txn is one transaction. It is sent with the same contents until its fate is
 // known.
 type Txn struct {
-	When   []statestore.Condition
-	Writes []statestore.Write
+	Conditions []statestore.Condition
+	Writes     []statestore.Write
 
 	extras []JobWrite
 	values []statestore.Write
@@ -199,10 +199,10 @@
 		}
 	}
 	w.chooseRing(&t.head)
-	partOps := w.partShare(w.lim.Ops - ops)
-	entryBytes := constants.TxnBytes - (constants.TxnBytes-size)*partOps/max(w.lim.Ops-ops, 1)
+	partOps := w.partShare(w.lim.TxnOps - ops)
+	entryBytes := constants.TxnBytes - (constants.TxnBytes-size)*partOps/max(w.lim.TxnOps-ops, 1)
 	// The ring must never run into the entries that still count.
-	for ops < w.lim.Ops-partOps && size < entryBytes && w.mayAdd(t.head, len(t.values)) {
+	for ops < w.lim.TxnOps-partOps && size < entryBytes && w.mayAdd(t.head, len(t.values)) {
 		v, stood := w.take(t.head.Next)
 		if v == nil {
 			break
@@ -216,7 +216,7 @@
 		size += len(v)
 	}
 	if c := w.check; c != nil {
-		for i := 0; i < max(partOps, 1) && ops < w.lim.Ops && size < constants.TxnBytes && !c.ready; i++ {
+		for i := 0; i < max(partOps, 1) && ops < w.lim.TxnOps && size < constants.TxnBytes && !c.ready; i++ {
 			v := c.next(w.lim.ValueBytes)
 			if v == nil {
 				c.ready = true
@@ -247,10 +247,10 @@
 
 func (w *Writer) seal(t *Txn) {
 	raw, _ := json.Marshal(t.head) // plain fields always encode
-	t.When = []statestore.Condition{{Key: HeadKey, Revision: w.stamp}}
+	t.Conditions = []statestore.Condition{{Key: HeadKey, Revision: w.stamp}}
 	t.Writes = []statestore.Write{{Put: HeadKey, Value: raw}}
 	for _, e := range t.extras {
-		t.When = append(t.When, e.When...)
+		t.Conditions = append(t.Conditions, e.Conditions...)
 		t.Writes = append(t.Writes, e.Writes...)
 	}
 	t.Writes = append(t.Writes, t.values...)
@@ -381,7 +381,7 @@
 	}
 	for _, e := range extras {
 		hit := false
-		for _, c := range e.When {
+		for _, c := range e.Conditions {
 			hit = hit || failed(c.Key)
 		}
 		switch {
--- a/internal/node/confirmations.go
+++ b/internal/node/confirmations.go
@@ -22,9 +22,9 @@
 	words := make([]attestation.Attestation, 1+len(n.set.Known))
 	var wait sync.WaitGroup
 	for i, k := range n.set.Known {
-		wait.Go(func() { words[1+i].Cancelled, words[1+i].OK = n.peers.AttestCancellations(ctx, k.Label, span) })
+		wait.Go(func() { words[1+i].Cancelled, words[1+i].Complete = n.peers.AttestCancellations(ctx, k.Label, span) })
 	}
-	words[0].Cancelled, words[0].OK = n.AttestCancellations(span)
+	words[0].Cancelled, words[0].Complete = n.AttestCancellations(span)
 	wait.Wait()
-	return attestation.Unanimous(words, n.set.Params.Count)
+	return attestation.Merge(words, n.set.Params.Count)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -80,7 +80,7 @@
 	n.store.OnRateLimited = func() {
 		if n.limits.refused(time.Now()) {
 			n.log.Info("the state service has lowered its rates")
-			n.store.Budget.SetShare(n.share(n.leading.Load() != nil))
+			n.store.Budget.SetRates(n.share(n.leading.Load() != nil))
 		}
 	}
 	n.cloud = autoscaling.NewCloud(set.Services.Cloud, set.Params.Cloud.RPS*op.Budgets.Use, network.DialContext)
@@ -207,11 +207,11 @@
 		Settings: &set, Operator: n.op, Store: n.store, Cloud: n.cloud, Workers: workers.NewCommandClient(n.net.DialContext),
 		Catalog: n.catalog.Load, Usage: n.store.Budget.Usage, Attest: n.collectAttestations, ReadsLargeRing: n.readsLargeRing, Log: n.log,
 	}, g)
-	n.store.Budget.SetShare(n.share(true))
+	n.store.Budget.SetRates(n.share(true))
 	n.leading.Store(l)
 	defer func() {
 		n.leading.Store(nil)
-		n.store.Budget.SetShare(n.share(false))
+		n.store.Budget.SetRates(n.share(false))
 	}()
 	err := l.Run(ctx)
 	if errors.Is(err, leader.ErrTxnTooLarge) {
@@ -339,7 +339,7 @@
 	if err != nil {
 		return
 	}
-	if _, err := n.store.Txn(ctx, statestore.ClassHold, nil, []statestore.Write{{Put: catalogKey, Value: raw}}); err != nil {
+	if _, err := n.store.Txn(ctx, statestore.ClassOther, nil, []statestore.Write{{Put: catalogKey, Value: raw}}); err != nil {
 		n.log.Debug("catalog not recorded", "err", err)
 	}
 }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -169,7 +169,7 @@
 		d := c.n.store.Budget.Usage(class)
 		count("state_requests_total", "Requests to the state service.", float64(d.Requests), class.String())
 		count("state_writes_total", "Changes asked of the state service.", float64(d.Writes), class.String())
-		count("state_wait_seconds_total", "Time that calls waited for tokens.", d.WaitS, class.String())
+		count("state_wait_seconds_total", "Time that calls waited for tokens.", d.WaitSeconds, class.String())
 	}
 	l := c.n.leading.Load()
 	if l == nil {
--- a/internal/statestore/budget.go
+++ b/internal/statestore/budget.go
@@ -21,7 +21,7 @@
 	ClassSubmit
 	ClassRecord
 	ClassPoll
-	ClassHold
+	ClassOther
 )
 
 func (c Class) reserve() float64 {
@@ -37,12 +37,12 @@
 	case ClassPoll:
 		return constants.ReservePoll
 	default:
-		return constants.ReserveHold
+		return constants.ReserveOther
 	}
 }
 
 // Classes lists all classes, most important first.
-var Classes = [...]Class{ClassLease, ClassCancel, ClassSubmit, ClassRecord, ClassPoll, ClassHold}
+var Classes = [...]Class{ClassLease, ClassCancel, ClassSubmit, ClassRecord, ClassPoll, ClassOther}
 
 // String names the class, as in metrics.
 func (c Class) String() string {
@@ -65,7 +65,7 @@
 // Usage is what the calls of one class have drawn so far.
 type Usage struct {
 	Requests, Writes uint64
-	WaitS            float64 // time that they waited for tokens
+	WaitSeconds      float64 // time that they waited for tokens
 }
 
 // Budget hands out tokens for requests and for changes. A call may draw only
@@ -92,8 +92,8 @@
 	}
 }
 
-// SetShare changes the rates, as when a node takes or loses the lead.
-func (b *Budget) SetShare(rps, writeRPS float64) {
+// SetRates changes the rates, as when a node takes or loses the lead.
+func (b *Budget) SetRates(rps, writeRPS float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.requests.SetLimit(rate.Limit(rps))
@@ -109,7 +109,7 @@
 		if !began.IsZero() {
 			b.mu.Lock()
 			defer b.mu.Unlock()
-			b.drawn[c].WaitS += time.Since(began).Seconds()
+			b.drawn[c].WaitSeconds += time.Since(began).Seconds()
 		}
 	}()
 	for {
--- a/internal/statestore/budget_test.go
+++ b/internal/statestore/budget_test.go
@@ -13,12 +13,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := NewBudget(10, 10)
 		drawn := map[Class]int{}
-		for _, c := range []Class{ClassHold, ClassPoll, ClassRecord, ClassSubmit, ClassCancel} {
+		for _, c := range []Class{ClassOther, ClassPoll, ClassRecord, ClassSubmit, ClassCancel} {
 			for b.try(c, 1) {
 				drawn[c]++
 			}
 		}
-		if drawn[ClassHold] == 0 || drawn[ClassPoll] == 0 {
+		if drawn[ClassOther] == 0 || drawn[ClassPoll] == 0 {
 			t.Errorf("a full bucket refuses: %v", drawn)
 		}
 		left, _ := b.Available()
@@ -31,7 +31,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
 		start := time.Now()
-		if err := b.Take(ctx, ClassHold, 1); err != nil || time.Since(start) > time.Second {
+		if err := b.Take(ctx, ClassOther, 1); err != nil || time.Since(start) > time.Second {
 			t.Errorf("tokens do not come back: %v after %v", err, time.Since(start))
 		}
 	})
@@ -70,7 +70,7 @@
 			t.Fatal(err)
 		}
 		r, p := b.Usage(ClassRecord), b.Usage(ClassPoll)
-		if r.Requests != 2 || r.Writes != 6 || r.WaitS <= 0 || p.Requests != 1 || p.Writes != 0 || p.WaitS != 0 {
+		if r.Requests != 2 || r.Writes != 6 || r.WaitSeconds <= 0 || p.Requests != 1 || p.Writes != 0 || p.WaitSeconds != 0 {
 			t.Errorf("record %+v, poll %+v", r, p)
 		}
 	})
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -65,13 +65,13 @@
 }
 
 // ConflictError reports the conditions that did not hold. Nothing was written.
-type ConflictError struct{ Failed []string }
+type ConflictError struct{ FailedKeys []string }
 
-func (c *ConflictError) Error() string { return fmt.Sprintf("conflict on %v", c.Failed) }
+func (c *ConflictError) Error() string { return fmt.Sprintf("conflict on %v", c.FailedKeys) }
 
 // HasKey tells whether the condition on key failed.
 func (c *ConflictError) HasKey(key string) bool {
-	for _, k := range c.Failed {
+	for _, k := range c.FailedKeys {
 		if k == key {
 			return true
 		}
@@ -322,7 +322,7 @@
 		if err := json.Unmarshal(raw, &f); err != nil || len(f.Failed) == 0 {
 			return 0, unexpected(http.MethodPost, "/multi", status, raw)
 		}
-		return 0, &ConflictError{Failed: f.Failed}
+		return 0, &ConflictError{FailedKeys: f.Failed}
 	case status == http.StatusBadRequest && bytes.Contains(raw, []byte("no such lease")):
 		return 0, ErrLeaseExpired
 	case status == http.StatusBadRequest:
--- a/internal/userapi/poll.go
+++ b/internal/userapi/poll.go
@@ -210,8 +210,8 @@
 // again, as only a transaction that holds proves anything. A clash that names none of
 // them may be any one's.
 func (c comparison) split(conflict *statestore.ConflictError) (clashed, others []ask) {
-	failed := make(map[string]bool, len(conflict.Failed))
-	for _, key := range conflict.Failed {
+	failed := make(map[string]bool, len(conflict.FailedKeys))
+	for _, key := range conflict.FailedKeys {
 		failed[key] = true
 	}
 	for _, a := range c.polls {
--- a/internal/userapi/server_test.go
+++ b/internal/userapi/server_test.go
@@ -57,10 +57,10 @@
 	c := &statestore.ConflictError{}
 	for _, w := range when {
 		if m.rows[w.Key].Revision != w.Revision {
-			c.Failed = append(c.Failed, w.Key)
+			c.FailedKeys = append(c.FailedKeys, w.Key)
 		}
 	}
-	if len(c.Failed) > 0 {
+	if len(c.FailedKeys) > 0 {
 		return 0, c
 	}
 	m.stamp++
