--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -20,7 +20,7 @@
 	}
 	due := false
 	for _, a := range machine.agent.Attempts {
-		if a.StopRequested && a.Status != workers.StatusExited && (a.Sent || a.FromEarlierTerm) && now.Sub(a.StopSentAt) >= again {
+		if a.StopRequested && a.Status != workers.StatusExited && (a.RunSent || a.FromEarlierTerm) && now.Sub(a.StopSentAt) >= again {
 			due = true
 		}
 	}
@@ -88,7 +88,7 @@
 	a := workers.CommandBatch{Token: l.grant.Term, Epoch: machine.agent.Epoch, Commands: orders}
 	endpoint := machine.agent.Endpoint
 	l.background.Go(func() error {
-		rep, err := l.deps.Workers.Command(l.ctx, endpoint, a)
+		rep, err := l.deps.Workers.Send(l.ctx, endpoint, a)
 		if err != nil || rep == nil {
 			l.deps.Log.Debug("direct order failed", "rig", machine.agent.Name, "err", err)
 			l.post(l.ctx, answered)
--- a/internal/leader/fixtures_test.go
+++ b/internal/leader/fixtures_test.go
@@ -64,7 +64,7 @@
 
 // report makes a worker's next report with these tasks in this state.
 func report(l *Leader, machine *machineState, status, cause string) *workers.Heartbeat {
-	rep := &workers.Heartbeat{Machine: machine.agent.Name, MachineType: machine.agent.Type, Zone: machine.agent.Zone, Epoch: machine.agent.Epoch, Sequence: machine.agent.Sequence + 1, Token: l.grant.Term}
+	rep := &workers.Heartbeat{Machine: machine.agent.Name, MachineType: machine.agent.MachineType, Zone: machine.agent.Zone, Epoch: machine.agent.Epoch, Sequence: machine.agent.Sequence + 1, Token: l.grant.Term}
 	for _, a := range machine.agent.SortedAttempts() {
 		rep.Tasks = append(rep.Tasks, workers.TaskReport{Task: a.ID.Task.String(), Attempt: a.ID.Number, Status: status, Cause: cause})
 	}
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -18,7 +18,7 @@
 	spec.Kind, spec.SameZone, spec.GPUs = jobs.KindGang, true, 4
 	j := addJob(t, l, spec, now)
 	machine := addRig(l, "m-1", "east", now)
-	a := &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: "j-1"}, Number: 9}, Epoch: 1, FromEarlierTerm: true, Sent: true, Committed: true}
+	a := &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: "j-1"}, Number: 9}, Epoch: 1, FromEarlierTerm: true, RunSent: true, Committed: true}
 	machine.agent.Attempts[a.ID] = a
 	l.addAttempt(machine, a)
 	l.stopIncompleteGang(j, now)
@@ -53,7 +53,7 @@
 			l.applyHeartbeat(s.machine, report(l, s.machine, status, ""), false, now)
 		}
 		lost := seats[1].machine
-		l.applyEvents(lost, lost.agent.Terminated(), now)
+		l.applyEvents(lost, lost.agent.MarkTerminated(), now)
 		lost.leaving = true
 		l.runSchedulingPass(now)
 		settle(l, epoch)
--- a/internal/leader/gap_test.go
+++ b/internal/leader/gap_test.go
@@ -169,7 +169,7 @@
 // direct is workers that note what goes straight to them.
 type direct struct{ orders chan []workers.Command }
 
-func (d direct) Command(_ context.Context, _ string, a workers.CommandBatch) (*workers.Heartbeat, error) {
+func (d direct) Send(_ context.Context, _ string, a workers.CommandBatch) (*workers.Heartbeat, error) {
 	d.orders <- a.Commands
 	return nil, context.Canceled
 }
--- a/internal/leader/images.go
+++ b/internal/leader/images.go
@@ -35,7 +35,7 @@
 }
 
 func (l *Leader) cacheOf(machine *machineState) float64 {
-	t, ok := l.deps.Catalog().Type(machine.agent.Type)
+	t, ok := l.deps.Catalog().Type(machine.agent.MachineType)
 	if !ok {
 		return 0
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -43,7 +43,7 @@
 
 // Workers sends orders straight to a worker; the answer is its report.
 type Workers interface {
-	Command(ctx context.Context, endpoint string, a workers.CommandBatch) (*workers.Heartbeat, error)
+	Send(ctx context.Context, endpoint string, a workers.CommandBatch) (*workers.Heartbeat, error)
 }
 
 // Deps are the parts of a leader.
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -79,7 +79,7 @@
 
 // pool is where the machine was rented from.
 func (m *machineState) pool() autoscaling.InstancePool {
-	return autoscaling.InstancePool{Type: m.agent.Type, Zone: m.agent.Zone, Spot: m.agent.Spot}
+	return autoscaling.InstancePool{Type: m.agent.MachineType, Zone: m.agent.Zone, Spot: m.agent.Spot}
 }
 
 // schedulable tells whether new tasks may be put on the machine.
@@ -90,7 +90,7 @@
 
 // freeResources is what is free on the machine beside its tasks and holds.
 func (l *Leader) freeResources(machine *machineState) placement.Resources {
-	t, ok := l.deps.Catalog().Type(machine.agent.Type)
+	t, ok := l.deps.Catalog().Type(machine.agent.MachineType)
 	if !ok {
 		return placement.Resources{}
 	}
@@ -144,5 +144,5 @@
 
 // placementMachine is the machine as the job rules see it.
 func (l *Leader) placementMachine(machine *machineState) *placement.Machine {
-	return &placement.Machine{Name: machine.agent.Name, Type: machine.agent.Type, Zone: machine.agent.Zone, Spot: machine.agent.Spot}
+	return &placement.Machine{Name: machine.agent.Name, Type: machine.agent.MachineType, Zone: machine.agent.Zone, Spot: machine.agent.Spot}
 }
--- a/internal/leader/pace_test.go
+++ b/internal/leader/pace_test.go
@@ -18,7 +18,7 @@
 	for i := range 2 {
 		a := &workers.Attempt{
 			ID: workers.AttemptID{Task: workers.TaskID{Job: "j-1", Index: i}, Number: uint64(i + 1)}, Epoch: 1,
-			Committed: true, StartAllowed: true, Sent: true, Status: workers.StatusRunning, RunningSince: t0,
+			Committed: true, StartAllowed: true, RunSent: true, Status: workers.StatusRunning, RunningSince: t0,
 		}
 		bad.agent.Attempts[a.ID] = a
 		l.addAttempt(bad, a)
--- a/internal/leader/provisioning.go
+++ b/internal/leader/provisioning.go
@@ -254,7 +254,7 @@
 					continue
 				}
 				// The cloud's word is the strongest proof: all is gone.
-				l.applyEvents(machine, machine.agent.Terminated(), now)
+				l.applyEvents(machine, machine.agent.MarkTerminated(), now)
 				if machine.pending != nil {
 					machine.pending.reply <- Reply{Status: 503}
 				}
@@ -322,7 +322,7 @@
 		case h.Status == "failed":
 			if machine == nil {
 				machine = l.machine(h.Name, now)
-				machine.agent.Type, machine.agent.Zone, machine.agent.Spot = h.MachineType, h.Zone, h.Spot
+				machine.agent.MachineType, machine.agent.Zone, machine.agent.Spot = h.MachineType, h.Zone, h.Spot
 			}
 			delete(m.booting, h.Name)
 			if !machine.leaving {
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -63,13 +63,13 @@
 	}
 	return &workers.Attempt{
 		ID: workers.AttemptID{Task: task, Number: r.Number}, Epoch: r.Epoch,
-		Committed: true, StartAllowed: true, FromEarlierTerm: true, Sent: true, PlacedAt: now,
+		Committed: true, StartAllowed: true, FromEarlierTerm: true, RunSent: true, PlacedAt: now,
 	}, nil
 }
 
 // machineMetadata is what is recorded of a machine beside its attempts.
 func (l *Leader) machineMetadata(machine *machineState) wal.Machine {
-	rec := wal.Machine{Type: machine.agent.Type, Zone: machine.agent.Zone, Spot: machine.agent.Spot, Endpoint: machine.agent.Endpoint, Epoch: machine.agent.Epoch, Leaving: machine.leaving}
+	rec := wal.Machine{Type: machine.agent.MachineType, Zone: machine.agent.Zone, Spot: machine.agent.Spot, Endpoint: machine.agent.Endpoint, Epoch: machine.agent.Epoch, Leaving: machine.leaving}
 	for _, h := range l.reservations.On(machine.agent.Name) {
 		rec.Holds = append(rec.Holds, recordHold(h))
 	}
@@ -105,7 +105,7 @@
 	machine.metadataLogged = true
 	machine.leaving = rec.Leaving
 	machine.leavingRecorded = rec.Leaving
-	machine.agent.Type, machine.agent.Zone, machine.agent.Spot, machine.agent.Endpoint, machine.agent.Epoch = rec.Type, rec.Zone, rec.Spot, rec.Endpoint, rec.Epoch
+	machine.agent.MachineType, machine.agent.Zone, machine.agent.Spot, machine.agent.Endpoint, machine.agent.Epoch = rec.Type, rec.Zone, rec.Spot, rec.Endpoint, rec.Epoch
 	for _, ar := range rec.Attempts {
 		a, err := attemptOf(ar, now)
 		if err != nil {
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -166,7 +166,7 @@
 // into the present answer, and would wait for the worker's next report else.
 func (m *machineState) hasUnrecordedStart() bool {
 	for _, a := range m.agent.Attempts {
-		if !a.Sent && !a.StopRequested && a.Epoch == m.agent.Epoch {
+		if !a.RunSent && !a.StopRequested && a.Epoch == m.agent.Epoch {
 			return true
 		}
 	}
--- a/internal/leader/scheduling.go
+++ b/internal/leader/scheduling.go
@@ -224,7 +224,7 @@
 	machine.stale, machine.viewAt = false, now
 	l.counts.Views++
 	var uses []teamUse
-	typ, _ := l.deps.Catalog().Type(machine.agent.Type)
+	typ, _ := l.deps.Catalog().Type(machine.agent.MachineType)
 	pr := l.placementMachine(machine)
 	pr.AttemptCapacity = int(l.deps.Settings.Params.State.ValueKB*1024)/constants.AttemptBytes - len(machine.agent.Attempts)
 	pr.Total = placement.Resources{CPUs: typ.CPUs, GPUs: typ.GPUs, MemoryGB: typ.MemoryGB}
--- a/internal/leader/stall_test.go
+++ b/internal/leader/stall_test.go
@@ -225,7 +225,7 @@
 
 type hanging chan struct{}
 
-func (h hanging) Command(context.Context, string, workers.CommandBatch) (*workers.Heartbeat, error) {
+func (h hanging) Send(context.Context, string, workers.CommandBatch) (*workers.Heartbeat, error) {
 	<-h
 	return nil, statestore.ErrOutcomeUnknown
 }
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -120,7 +120,7 @@
 	pools := make(map[pool]*PoolStatus)
 	use, held := make(map[string]placement.Resources), make(map[string]placement.Resources)
 	for _, machine := range l.machines {
-		k := pool{machine.agent.Type, machine.agent.Zone, machine.agent.Spot}
+		k := pool{machine.agent.MachineType, machine.agent.Zone, machine.agent.Spot}
 		c := pools[k]
 		if c == nil {
 			c = &PoolStatus{Type: k.t, Zone: k.z, Spot: k.spot}
@@ -137,7 +137,7 @@
 		if machine.faulty {
 			c.Faulty++
 		}
-		typ, _ := l.deps.Catalog().Type(machine.agent.Type)
+		typ, _ := l.deps.Catalog().Type(machine.agent.MachineType)
 		c.Used += l.usedResources(machine).DominantShare(placement.Resources{CPUs: typ.CPUs, GPUs: typ.GPUs, MemoryGB: typ.MemoryGB})
 		for _, a := range machine.agent.Attempts {
 			if a.Live() {
--- a/internal/leader/usage_test.go
+++ b/internal/leader/usage_test.go
@@ -76,7 +76,7 @@
 			},
 			"returned": func(*rapid.T) {
 				machine := pick()
-				l.applyEvents(machine, machine.agent.Terminated(), now)
+				l.applyEvents(machine, machine.agent.MarkTerminated(), now)
 				l.removeMachine(machine)
 				l.commits.log.MachineRemoved(machine.agent.Name)
 			},
--- a/internal/workers/courier.go
+++ b/internal/workers/courier.go
@@ -25,7 +25,7 @@
 
 // Command sends orders; the answer, also to refused ones, is the worker's
 // report.
-func (c *CommandClient) Command(ctx context.Context, endpoint string, a CommandBatch) (*Heartbeat, error) {
+func (c *CommandClient) Send(ctx context.Context, endpoint string, a CommandBatch) (*Heartbeat, error) {
 	ctx, cancel := context.WithTimeout(ctx, constants.CommandTimeout)
 	defer cancel()
 	raw, err := json.Marshal(a)
--- a/internal/workers/machine.go
+++ b/internal/workers/machine.go
@@ -28,11 +28,11 @@
 	// answer with `run` still under way.
 	FromEarlierTerm bool
 	// Sent tells that a `run` went out, last in the answer to report SentTick.
-	Sent         bool
-	SentSequence uint64
+	RunSent         bool
+	RunSentSequence uint64
 	// SentAt is when the first `run` went out; Unheard counts the later
 	// reports that did not list the task.
-	SentAt           time.Time
+	RunSentAt           time.Time
 	MissedHeartbeats int
 	// Status is what the worker said last; empty until it is first seen.
 	Status string
@@ -58,7 +58,7 @@
 // Agent is the leader's view of one worker: its newest session and the
 // attempts that are not proven gone.
 type Agent struct {
-	Name, Endpoint, Type, Zone string
+	Name, Endpoint, MachineType, Zone string
 	Spot                       bool
 
 	Epoch, Sequence uint64
@@ -156,7 +156,7 @@
 	if agent.Token == term && agent.TokenConfirmedAt.IsZero() {
 		agent.TokenConfirmedAt = now
 	}
-	agent.Endpoint, agent.Type, agent.Zone, agent.Spot = r.Endpoint, r.MachineType, r.Zone, r.Spot
+	agent.Endpoint, agent.MachineType, agent.Zone, agent.Spot = r.Endpoint, r.MachineType, r.Zone, r.Spot
 	if r.ReclaimInS != nil {
 		agent.ReclaimAt = now.Add(time.Duration(max(*r.ReclaimInS, 0) * float64(time.Second)))
 	} else {
@@ -175,7 +175,7 @@
 		if !ok {
 			// Not in any record: it occupies the machine all the same, so it
 			// is kept in view until it is proven gone.
-			a = &Attempt{ID: id, Epoch: r.Epoch, Committed: true, StartAllowed: true, FromEarlierTerm: true, Sent: true, PlacedAt: now}
+			a = &Attempt{ID: id, Epoch: r.Epoch, Committed: true, StartAllowed: true, FromEarlierTerm: true, RunSent: true, PlacedAt: now}
 			agent.Attempts[id] = a
 			events = append(events, Event{EventUnrecorded, a})
 		}
@@ -235,7 +235,7 @@
 		case listed[id] && a.StopRequested && !a.StopRequestedAt.IsZero() && now.Sub(a.StopRequestedAt) > constants.StopIgnoredAfter &&
 			(a.Status == StatusRunning || a.Status == StatusFetching || a.Status == StatusWaiting):
 			ignored = true
-		case !listed[id] && a.Sent && !a.FromEarlierTerm && a.Status == "" && r.Sequence > a.SentSequence:
+		case !listed[id] && a.RunSent && !a.FromEarlierTerm && a.Status == "" && r.Sequence > a.RunSentSequence:
 			a.MissedHeartbeats++
 			if a.MissedHeartbeats >= constants.LostReplyHeartbeats {
 				agent.RepliesLost = true
@@ -254,7 +254,7 @@
 		return
 	}
 	for id, a := range agent.Attempts {
-		if !listed[id] && a.Sent && !a.FromEarlierTerm && a.Status == "" && !a.StopRequested {
+		if !listed[id] && a.RunSent && !a.FromEarlierTerm && a.Status == "" && !a.StopRequested {
 			a.StopRequested, a.StopRequestedAt = true, now
 		}
 	}
@@ -264,7 +264,7 @@
 // reported it, and has not.
 func (agent *Agent) StartOverdue(now time.Time) bool {
 	for _, a := range agent.Attempts {
-		if a.Sent && a.Status == "" && !a.SentAt.IsZero() && now.Sub(a.SentAt) > constants.StartOverdueAfter {
+		if a.RunSent && a.Status == "" && !a.RunSentAt.IsZero() && now.Sub(a.RunSentAt) > constants.StartOverdueAfter {
 			return true
 		}
 	}
@@ -288,7 +288,7 @@
 		// An older leader's answer may be under way until the worker has
 		// seen our token, from when on it drops that answer.
 		return r.Token >= term
-	case !a.Sent:
+	case !a.RunSent:
 		return a.StopRequested
 	case a.Status != "":
 		// It was there, and only a `forget` or the session's end removes a
@@ -298,7 +298,7 @@
 	// The worker has one report under way at a time, so a later report shows
 	// that the answer with `run` was dropped. An attempt that is still wanted
 	// stays: the next answer carries its `run` again.
-	return a.StopRequested && r.Sequence > a.SentSequence
+	return a.StopRequested && r.Sequence > a.RunSentSequence
 }
 
 func (agent *Agent) drop(a *Attempt) []Event {
@@ -347,7 +347,7 @@
 }
 
 // Terminated takes everything off a machine that the cloud has confirmed gone.
-func (agent *Agent) Terminated() (events []Event) {
+func (agent *Agent) MarkTerminated() (events []Event) {
 	for _, a := range agent.Attempts {
 		events = append(events, agent.drop(a)...)
 	}
@@ -361,7 +361,7 @@
 	if a.Status == StatusExited {
 		return false
 	}
-	if !a.Sent && !a.FromEarlierTerm {
+	if !a.RunSent && !a.FromEarlierTerm {
 		delete(agent.Attempts, a.ID)
 		return true
 	}
@@ -388,16 +388,16 @@
 			}
 			o.Verb = VerbForget
 		case a.StopRequested:
-			if a.Status == "" && !a.Sent && !a.FromEarlierTerm {
+			if a.Status == "" && !a.RunSent && !a.FromEarlierTerm {
 				continue
 			}
 			grace := a.GraceS
 			o.Verb, o.GraceS = VerbStop, &grace
 		case a.Status == "" && answering && a.Committed && a.StartAllowed && a.Epoch == agent.Epoch && !a.FromEarlierTerm:
-			if !a.Sent {
-				a.SentAt = now
+			if !a.RunSent {
+				a.RunSentAt = now
 			}
-			a.Sent, a.SentSequence = true, agent.Sequence
+			a.RunSent, a.RunSentSequence = true, agent.Sequence
 			o.Verb = VerbRun
 		default:
 			continue
@@ -411,7 +411,7 @@
 func (agent *Agent) HasCommands() bool {
 	for _, a := range agent.Attempts {
 		switch {
-		case a.Status == StatusExited && a.ExitRecorded, a.Status != StatusExited && a.StopRequested && (a.Sent || a.FromEarlierTerm),
+		case a.Status == StatusExited && a.ExitRecorded, a.Status != StatusExited && a.StopRequested && (a.RunSent || a.FromEarlierTerm),
 			a.Status == "" && !a.StopRequested && a.Committed && a.StartAllowed && a.Epoch == agent.Epoch && !a.FromEarlierTerm:
 			return true
 		}
--- a/internal/workers/machine_test.go
+++ b/internal/workers/machine_test.go
@@ -99,7 +99,7 @@
 		// An attempt of the earlier term, in the record we have taken over.
 		old := AttemptID{TaskID{"j-1", 0}, oldTerm<<20 | 1}
 		m.Epoch = 1
-		m.Attempts[old] = &Attempt{ID: old, Epoch: 1, Committed: true, StartAllowed: true, FromEarlierTerm: true, Sent: true}
+		m.Attempts[old] = &Attempt{ID: old, Epoch: 1, Committed: true, StartAllowed: true, FromEarlierTerm: true, RunSent: true}
 		take := func(i int) message {
 			msg := net[i]
 			net = append(net[:i:i], net[i+1:]...)
@@ -290,7 +290,7 @@
 	m, rep := hear(now)
 	p := TaskReport{Task: "j-1/0", Attempt: 7, Status: StatusRunning}
 	id := AttemptID{TaskID{"j-1", 0}, 7}
-	m.Attempts[id] = &Attempt{ID: id, Epoch: 1, Sent: true}
+	m.Attempts[id] = &Attempt{ID: id, Epoch: 1, RunSent: true}
 	m.Observe(rep(2, p), simTerm, false, now)
 	m.RequestStop(m.Attempts[id], 0, now)
 	for i := uint64(0); i < 3; i++ {
@@ -322,7 +322,7 @@
 		},
 		func(m *Agent, rep func(uint64, ...TaskReport) *Heartbeat) {
 			id := AttemptID{TaskID{"j-1", 0}, 7}
-			m.Attempts[id] = &Attempt{ID: id, Epoch: 2, Sent: true}
+			m.Attempts[id] = &Attempt{ID: id, Epoch: 2, RunSent: true}
 			r := rep(30, TaskReport{Task: "j-1/0", Attempt: 7, Status: StatusFetching})
 			r.Epoch = 2
 			m.Observe(r, simTerm, false, now)
@@ -380,7 +380,7 @@
 	now := time.Unix(1000, 0)
 	m := NewAgent("m-1")
 	id := AttemptID{TaskID{"j-1", 0}, 1}
-	m.Attempts[id] = &Attempt{ID: id, Epoch: 1, FromEarlierTerm: true, Sent: true}
+	m.Attempts[id] = &Attempt{ID: id, Epoch: 1, FromEarlierTerm: true, RunSent: true}
 	r := &Heartbeat{
 		Machine: "m-1", MachineType: "t", Zone: "z", Epoch: 1, Sequence: 1, Token: oldTerm,
 		Tasks: []TaskReport{{Task: "j-1/0", Attempt: 1, Status: StatusRunning}},
