--- a/internal/autoscaling/cloud.go
+++ b/internal/autoscaling/cloud.go
@@ -97,17 +97,17 @@
 	ErrOutcomeUnknown = errors.New("cloud gave no answer")
 )
 
-// Cloud calls the cloud's interface within its rate.
-type Cloud struct {
+// CloudClient calls the cloud's interface within its rate.
+type CloudClient struct {
 	base   string
 	http   *http.Client
 	tokens *rate.Limiter
 }
 
-// NewCloud makes a client of the cloud at addr, reached through dial, for rps
+// NewCloudClient makes a client of the cloud at addr, reached through dial, for rps
 // calls a second.
-func NewCloud(addr string, rps float64, dial func(ctx context.Context, network, addr string) (net.Conn, error)) *Cloud {
-	return &Cloud{
+func NewCloudClient(addr string, rps float64, dial func(ctx context.Context, network, addr string) (net.Conn, error)) *CloudClient {
+	return &CloudClient{
 		base: "http://" + addr,
 		http: &http.Client{Transport: &http.Transport{
 			DialContext: dial, MaxConnsPerHost: constants.CloudConns, MaxIdleConnsPerHost: constants.CloudIdleConns, DisableCompression: true,
@@ -117,12 +117,12 @@
 }
 
 // Tokens tells how many calls may be made at once now.
-func (c *Cloud) Tokens() float64 { return c.tokens.Tokens() }
+func (c *CloudClient) Tokens() float64 { return c.tokens.Tokens() }
 
 // SetRate changes the allowed rate, as when the lead is taken or lost.
-func (c *Cloud) SetRate(rps float64) { c.tokens.SetLimit(rate.Limit(rps)) }
+func (c *CloudClient) SetRate(rps float64) { c.tokens.SetLimit(rate.Limit(rps)) }
 
-func (c *Cloud) call(ctx context.Context, method, path string, in, out any) error {
+func (c *CloudClient) call(ctx context.Context, method, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, constants.CloudTimeout)
 	defer cancel()
 	if err := c.tokens.Wait(ctx); err != nil {
@@ -167,7 +167,7 @@
 }
 
 // Catalog reads the machine types and the current prices.
-func (c *Cloud) Catalog(ctx context.Context) (*Catalog, error) {
+func (c *CloudClient) Catalog(ctx context.Context) (*Catalog, error) {
 	var cat Catalog
 	if err := c.call(ctx, http.MethodGet, "/catalog", nil, &cat); err != nil {
 		return nil, err
@@ -178,7 +178,7 @@
 	return &cat, nil
 }
 
-// RentRequest asks for machines. Hire must never have been used for another one.
+// RentRequest asks for machines. ID must never have been used for another one.
 type RentRequest struct {
 	ID          string `json:"hire"`
 	MachineType string `json:"rigType"`
@@ -188,7 +188,7 @@
 }
 
 // Rent asks for machines and returns the names of those rented.
-func (c *Cloud) Rent(ctx context.Context, r RentRequest) ([]string, error) {
+func (c *CloudClient) Rent(ctx context.Context, r RentRequest) ([]string, error) {
 	var out struct {
 		Machines []string `json:"rigs"`
 	}
@@ -200,7 +200,7 @@
 
 // Return gives machines back. Once it succeeds, they and all that was on
 // them are gone.
-func (c *Cloud) Return(ctx context.Context, names []string) error {
+func (c *CloudClient) Return(ctx context.Context, names []string) error {
 	in := struct {
 		Machines []string `json:"rigs"`
 	}{names}
@@ -210,7 +210,7 @@
 // List reads one page of the rented machines, those after from by name; next is
 // where the following page begins, empty after the last one. The list lags, and may
 // be older than the last.
-func (c *Cloud) List(ctx context.Context, from string) (hosts []Instance, next string, err error) {
+func (c *CloudClient) List(ctx context.Context, from string) (hosts []Instance, next string, err error) {
 	q := url.Values{"limit": {strconv.Itoa(constants.InstanceListPage)}}
 	if from != "" {
 		q.Set("from", from)
--- a/internal/autoscaling/plan.go
+++ b/internal/autoscaling/plan.go
@@ -20,8 +20,8 @@
 	Team          string
 	Tasks         int
 	TaskResources placement.Resources
-	Spot          bool     // may use spot machines
-	Types         []string // nil: any
+	AllowSpot     bool     // may use spot machines
+	MachineTypes  []string // nil: any
 	Zone          string   // empty: any
 	// SameZone: all at the same time and in the same zone, whichever it is.
 	SameZone bool
@@ -29,32 +29,32 @@
 
 // TeamLimit is a team's largest use; more machines than it allows are no help.
 type TeamLimit struct {
-	Team string
-	Max  placement.Resources
+	Team  string
+	Limit placement.Resources
 }
 
-// View is what renting looks at.
-type View struct {
-	Catalog *Catalog
-	Have    map[InstancePool]int // up or on their way
-	Refused map[InstancePool]bool
-	Demand  []Demand
-	Limits  []TeamLimit
+// Snapshot is what renting looks at.
+type Snapshot struct {
+	Catalog  *Catalog
+	Machines map[InstancePool]int // up or on their way
+	Refused  map[InstancePool]bool
+	Demand   []Demand
+	Limits   []TeamLimit
 	// Recent are the jobs that came within the last Window, whether done or
 	// not: as much is to be expected of the time to come.
 	Recent []Demand
 	Window time.Duration
 }
 
-// Targets tells how many machines are wanted of each kind: ordinary ones for
+// demandedMachines tells how many machines are wanted of each kind: ordinary ones for
 // what can't run elsewhere, spot ones for the rest.
-func Targets(v View, t MachineType) (ordinary, spot float64) { return v.fill(v.Demand, t) }
+func demandedMachines(v Snapshot, t MachineType) (ordinary, spot float64) { return v.fill(v.Demand, t) }
 
 // fill tells how many machines the demand would fill, at most as much as the
 // teams' limits let run.
-func (v View) fill(demand []Demand, t MachineType) (ordinary, spot float64) {
+func (v Snapshot) fill(demand []Demand, t MachineType) (ordinary, spot float64) {
 	v.runnable(demand, t, func(d Demand, n, per int) {
-		if f := float64(n) / float64(per); d.Spot {
+		if f := float64(n) / float64(per); d.AllowSpot {
 			spot += f
 		} else {
 			ordinary += f
@@ -65,14 +65,14 @@
 
 // runnable tells, for each demand, how many of its tasks the team's limit lets run
 // at once beside those before it, and how many a machine of the type takes.
-func (v View) runnable(demand []Demand, t MachineType, tell func(d Demand, n, per int)) {
+func (v Snapshot) runnable(demand []Demand, t MachineType, tell func(d Demand, n, per int)) {
 	used := make(map[string]placement.Resources)
 	max := make(map[string]placement.Resources)
 	for _, l := range v.Limits {
-		max[l.Team] = l.Max
+		max[l.Team] = l.Limit
 	}
 	for _, d := range demand {
-		if !allows(d.Types, t.Name) {
+		if !allows(d.MachineTypes, t.Name) {
 			continue
 		}
 		n := d.Tasks
@@ -110,7 +110,7 @@
 // DesiredCapacity is how many machines of one type are wanted: ordinary ones for what
 // can't run elsewhere, all together, and how many of these may be ordinary
 // ones that only stand in for spot machines.
-type DesiredCapacity struct{ Ordinary, All, Overflow float64 }
+type DesiredCapacity struct{ OnDemand, Total, OverflowShare float64 }
 
 // DesiredFor adds spare machines to the present demand: for what may come before
 // another machine could be up. Jobs come at random, so how far that strays
@@ -118,8 +118,8 @@
 // for a while nothing need stand ready. Work that spot machines could do is worth
 // an ordinary one only in part: the dearer it is, the longer that work had
 // better wait for its turn.
-func DesiredFor(v View, t MachineType, spare float64) DesiredCapacity {
-	ordinary, spot := Targets(v, t)
+func DesiredFor(v Snapshot, t MachineType, spare float64) DesiredCapacity {
+	ordinary, spot := demandedMachines(v, t)
 	part := 1.0
 	if t.OnDemandPrice > 0 && t.SpotPrice > 0 {
 		part = min(1, constants.OverflowPriceFactor*t.SpotPrice/t.OnDemandPrice)
@@ -129,20 +129,20 @@
 	if v.Window > 0 {
 		ahead = t.BootS / v.Window.Seconds()
 	}
-	w := DesiredCapacity{Ordinary: math.Ceil(ordinary + spare*part*math.Sqrt(newOrdinary*ahead)), Overflow: part}
-	w.All = w.Ordinary + math.Ceil(spot+spare*math.Sqrt(newSpot*ahead))
+	w := DesiredCapacity{OnDemand: math.Ceil(ordinary + spare*part*math.Sqrt(newOrdinary*ahead)), OverflowShare: part}
+	w.Total = w.OnDemand + math.Ceil(spot+spare*math.Sqrt(newSpot*ahead))
 	return w
 }
 
 // overflow is how many ordinary machines are wanted in place of spot ones, of
 // which there are this many.
 func (w DesiredCapacity) overflow(spot int) int {
-	return int(math.Ceil(max(0, w.All-w.Ordinary-float64(spot)) * w.Overflow))
+	return int(math.Ceil(max(0, w.Total-w.OnDemand-float64(spot)) * w.OverflowShare))
 }
 
 // have counts the machines of a type, by kind.
-func (v View) have(sku string) (ordinary, spot int) {
-	for p, n := range v.Have {
+func (v Snapshot) have(sku string) (ordinary, spot int) {
+	for p, n := range v.Machines {
 		switch {
 		case p.Type != sku:
 		case p.Spot:
@@ -161,7 +161,7 @@
 // floors tells them by zone: for jobs that may run nowhere else, and for gangs
 // that must be in one zone, whichever it is. Without this a job that is bound to
 // a zone waits for ever once there are enough machines in the others.
-func (v View) floors(t MachineType) map[string]floor {
+func (v Snapshot) floors(t MachineType) map[string]floor {
 	out := make(map[string]floor, len(t.Zones))
 	type part struct{ ordinary, spot float64 }
 	bound := make(map[string]part)
@@ -170,7 +170,7 @@
 		switch {
 		case d.Zone != "":
 			b := bound[d.Zone]
-			if f := float64(n) / float64(per); d.Spot {
+			if f := float64(n) / float64(per); d.AllowSpot {
 				b.spot += f
 			} else {
 				b.ordinary += f
@@ -179,7 +179,7 @@
 		case d.SameZone && n == d.Tasks:
 			need := (n + per - 1) / per
 			all = max(all, need)
-			if !d.Spot {
+			if !d.AllowSpot {
 				ordinary = max(ordinary, need)
 			}
 		}
@@ -204,20 +204,20 @@
 		}
 	}
 	pool := func(z string, spot bool) InstancePool { return InstancePool{t.Name, z, spot} }
-	raise(ordinary, func(z string) int { return max(v.Have[pool(z, false)], out[z].ordinary) }, func(z string) bool { return v.Refused[pool(z, false)] },
+	raise(ordinary, func(z string) int { return max(v.Machines[pool(z, false)], out[z].ordinary) }, func(z string) bool { return v.Refused[pool(z, false)] },
 		func(f *floor) { f.ordinary, f.all = max(f.ordinary, ordinary), max(f.all, ordinary) })
-	raise(all, func(z string) int { return max(v.Have[pool(z, false)]+v.Have[pool(z, true)], out[z].all) },
+	raise(all, func(z string) int { return max(v.Machines[pool(z, false)]+v.Machines[pool(z, true)], out[z].all) },
 		func(z string) bool { return v.Refused[pool(z, false)] && v.Refused[pool(z, true)] },
 		func(f *floor) { f.all = max(f.all, all) })
 	return out
 }
 
 // below picks a request for a zone that has less than its floor.
-func (v View) below(t MachineType) (RentRequest, bool) {
+func (v Snapshot) below(t MachineType) (RentRequest, bool) {
 	floors := v.floors(t)
 	for _, z := range t.Zones {
 		f := floors[z]
-		ordinary, spot := v.Have[InstancePool{t.Name, z, false}], v.Have[InstancePool{t.Name, z, true}]
+		ordinary, spot := v.Machines[InstancePool{t.Name, z, false}], v.Machines[InstancePool{t.Name, z, true}]
 		canOrdinary, canSpot := !v.Refused[InstancePool{t.Name, z, false}], !v.Refused[InstancePool{t.Name, z, true}]
 		if n := f.ordinary - ordinary; n > 0 && canOrdinary {
 			return RentRequest{MachineType: t.Name, Zone: z, Count: min(n, constants.RentBatch)}, true
@@ -231,7 +231,7 @@
 
 // ScaleOut picks the next request, if more machines are wanted than there are.
 // What spot machines can't be had for is rented as ordinary ones.
-func ScaleOut(v View, spare float64) (RentRequest, bool) {
+func ScaleOut(v Snapshot, spare float64) (RentRequest, bool) {
 	types := append([]MachineType(nil), v.Catalog.MachineTypes...)
 	sort.Slice(types, func(i, j int) bool { return types[i].Name < types[j].Name })
 	for _, t := range types {
@@ -240,17 +240,17 @@
 		}
 		w := DesiredFor(v, t, spare)
 		ordinary, spot := v.have(t.Name)
-		if n := int(w.Ordinary) - ordinary; n > 0 {
+		if n := int(w.OnDemand) - ordinary; n > 0 {
 			if zone, ok := pickZone(v, t, false); ok {
 				return RentRequest{MachineType: t.Name, Zone: zone, Count: min(n, constants.RentBatch)}, true
 			}
 		}
-		if n := int(w.All) - max(ordinary, int(w.Ordinary)) - spot; n > 0 {
+		if n := int(w.Total) - max(ordinary, int(w.OnDemand)) - spot; n > 0 {
 			if zone, ok := pickZone(v, t, true); ok {
 				return RentRequest{MachineType: t.Name, Zone: zone, Spot: true, Count: min(n, constants.RentBatch)}, true
 			}
 		}
-		if n := int(w.Ordinary) + w.overflow(spot) - ordinary; n > 0 {
+		if n := int(w.OnDemand) + w.overflow(spot) - ordinary; n > 0 {
 			if zone, ok := pickZone(v, t, false); ok {
 				return RentRequest{MachineType: t.Name, Zone: zone, Count: min(n, constants.RentBatch)}, true
 			}
@@ -268,7 +268,7 @@
 
 // ScaleIn names the idle machines that are not wanted any more: the dear ones
 // first, and of those the ones with the least in their cache.
-func ScaleIn(v View, keep map[string]DesiredCapacity, idle []IdleMachine) (names []string) {
+func ScaleIn(v Snapshot, keep map[string]DesiredCapacity, idle []IdleMachine) (names []string) {
 	price := func(p InstancePool) float64 {
 		t, _ := v.Catalog.Type(p.Type)
 		if p.Spot {
@@ -292,8 +292,8 @@
 		floors         map[string]floor
 	}
 	have := make(map[string]*count)
-	in := make(map[InstancePool]int, len(v.Have))
-	for p, n := range v.Have {
+	in := make(map[InstancePool]int, len(v.Machines))
+	for p, n := range v.Machines {
 		in[p] = n
 	}
 	for _, m := range idle {
@@ -314,12 +314,12 @@
 			continue
 		}
 		if m.Pool.Spot {
-			if c.ordinary+c.spot <= int(w.All) {
+			if c.ordinary+c.spot <= int(w.Total) {
 				continue
 			}
 			c.spot--
 		} else {
-			if c.ordinary <= int(w.Ordinary)+w.overflow(c.spot) {
+			if c.ordinary <= int(w.OnDemand)+w.overflow(c.spot) {
 				continue
 			}
 			c.ordinary--
@@ -354,7 +354,7 @@
 	most := make(map[string]DesiredCapacity)
 	for _, s := range m.samples {
 		for sku, w := range s.want {
-			most[sku] = DesiredCapacity{max(most[sku].Ordinary, w.Ordinary), max(most[sku].All, w.All), w.Overflow}
+			most[sku] = DesiredCapacity{max(most[sku].OnDemand, w.OnDemand), max(most[sku].Total, w.Total), w.OverflowShare}
 		}
 	}
 	return most
@@ -362,13 +362,13 @@
 
 // pickZone takes the zone with the fewest machines of the type, so that the
 // loss of one hurts least.
-func pickZone(v View, t MachineType, spot bool) (string, bool) {
+func pickZone(v Snapshot, t MachineType, spot bool) (string, bool) {
 	best, found, least := "", false, 0
 	for _, z := range t.Zones {
 		if v.Refused[InstancePool{t.Name, z, spot}] {
 			continue
 		}
-		n := v.Have[InstancePool{t.Name, z, true}] + v.Have[InstancePool{t.Name, z, false}]
+		n := v.Machines[InstancePool{t.Name, z, true}] + v.Machines[InstancePool{t.Name, z, false}]
 		if !found || n < least {
 			best, found, least = z, true, n
 		}
--- a/internal/autoscaling/plan_test.go
+++ b/internal/autoscaling/plan_test.go
@@ -18,14 +18,14 @@
 // back at once, and requests end.
 func TestRentingAndReturningAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		v := View{
-			Catalog: testCatalog(), Have: map[InstancePool]int{}, Refused: map[InstancePool]bool{},
+		v := Snapshot{
+			Catalog: testCatalog(), Machines: map[InstancePool]int{}, Refused: map[InstancePool]bool{},
 			Limits: []TeamLimit{{"a", placement.Resources{GPUs: 40}}},
 		}
 		for range rapid.IntRange(0, 6).Draw(t, "jobs") {
 			v.Demand = append(v.Demand, Demand{
 				Team: "a", Tasks: rapid.IntRange(1, 30).Draw(t, "pieces"),
-				TaskResources: placement.Resources{CPUs: 1, GPUs: float64(rapid.IntRange(1, 4).Draw(t, "gpus")), MemoryGB: 1}, Spot: rapid.Bool().Draw(t, "spot"),
+				TaskResources: placement.Resources{CPUs: 1, GPUs: float64(rapid.IntRange(1, 4).Draw(t, "gpus")), MemoryGB: 1}, AllowSpot: rapid.Bool().Draw(t, "spot"),
 				Zone: rapid.SampledFrom([]string{"", "", "a", "b"}).Draw(t, "zone"), SameZone: rapid.Bool().Draw(t, "together"),
 			})
 		}
@@ -39,14 +39,14 @@
 			if v.Refused[InstancePool{r.MachineType, r.Zone, r.Spot}] || r.Count < 1 {
 				t.Fatalf("asked for %+v", r)
 			}
-			v.Have[InstancePool{r.MachineType, r.Zone, r.Spot}] += r.Count
+			v.Machines[InstancePool{r.MachineType, r.Zone, r.Spot}] += r.Count
 			if steps++; steps > 20 {
 				t.Fatal("asks for ever")
 			}
 		}
 		total := 0
 		var idle []IdleMachine
-		for p, n := range v.Have {
+		for p, n := range v.Machines {
 			total += n
 			for i := range n {
 				idle = append(idle, IdleMachine{Name: p.Zone + string(rune('a'+i)), Pool: p})
@@ -73,11 +73,11 @@
 func TestMemoryForgets(t *testing.T) {
 	m := NewDemandWindow(40 * time.Second)
 	t0 := time.Unix(1000, 0)
-	m.Add(t0, map[string]DesiredCapacity{"g4": {All: 9}})
-	if got := m.Add(t0.Add(30*time.Second), map[string]DesiredCapacity{"g4": {All: 2}}); got["g4"].All != 9 {
+	m.Add(t0, map[string]DesiredCapacity{"g4": {Total: 9}})
+	if got := m.Add(t0.Add(30*time.Second), map[string]DesiredCapacity{"g4": {Total: 2}}); got["g4"].Total != 9 {
 		t.Errorf("forgot early: %v", got)
 	}
-	if got := m.Add(t0.Add(60*time.Second), map[string]DesiredCapacity{"g4": {All: 1}}); got["g4"].All != 2 {
+	if got := m.Add(t0.Add(60*time.Second), map[string]DesiredCapacity{"g4": {Total: 1}}); got["g4"].Total != 2 {
 		t.Errorf("remembers for ever: %v", got)
 	}
 }
@@ -91,18 +91,18 @@
 		pieces := rapid.IntRange(1, 12).Draw(t, "pieces")
 		zone := rapid.SampledFrom([]string{"", "b"}).Draw(t, "zone")
 		gpus := rapid.IntRange(1, 4).Draw(t, "gpus")
-		v := View{
-			Catalog: testCatalog(), Have: map[InstancePool]int{}, Refused: map[InstancePool]bool{},
-			Demand: []Demand{{Team: "a", Tasks: pieces, TaskResources: placement.Resources{CPUs: 1, GPUs: float64(gpus), MemoryGB: 1}, Spot: spot, Zone: zone, SameZone: true}},
+		v := Snapshot{
+			Catalog: testCatalog(), Machines: map[InstancePool]int{}, Refused: map[InstancePool]bool{},
+			Demand: []Demand{{Team: "a", Tasks: pieces, TaskResources: placement.Resources{CPUs: 1, GPUs: float64(gpus), MemoryGB: 1}, AllowSpot: spot, Zone: zone, SameZone: true}},
 			Limits: []TeamLimit{{"a", placement.Resources{GPUs: 48}}},
 		}
 		per := 4 / gpus
 		need := (pieces + per - 1) / per
 		// As many as all demand asks for, but not where it can be met.
-		v.Have[InstancePool{"g4", "a", false}] = rapid.IntRange(0, 20).Draw(t, "elsewhere")
+		v.Machines[InstancePool{"g4", "a", false}] = rapid.IntRange(0, 20).Draw(t, "elsewhere")
 		if zone == "" {
-			v.Have[InstancePool{"g4", "a", false}] = need / 2
-			v.Have[InstancePool{"g4", "b", false}] = need - need/2
+			v.Machines[InstancePool{"g4", "a", false}] = need / 2
+			v.Machines[InstancePool{"g4", "b", false}] = need - need/2
 		}
 		v.Refused[InstancePool{"g4", "b", true}] = rapid.Bool().Draw(t, "refused")
 		for steps := 0; ; steps++ {
@@ -110,23 +110,23 @@
 			if !ok {
 				break
 			}
-			v.Have[InstancePool{r.MachineType, r.Zone, r.Spot}] += r.Count
+			v.Machines[InstancePool{r.MachineType, r.Zone, r.Spot}] += r.Count
 			if steps > 20 {
 				t.Fatal("asks for ever")
 			}
 		}
 		in := func(z string) int {
-			n := v.Have[InstancePool{"g4", z, false}]
+			n := v.Machines[InstancePool{"g4", z, false}]
 			if spot {
-				n += v.Have[InstancePool{"g4", z, true}]
+				n += v.Machines[InstancePool{"g4", z, true}]
 			}
 			return n
 		}
 		if in("b") < need && (zone == "b" || in("a") < need) {
-			t.Fatalf("%d machines of %d: %v", in("b"), need, v.Have)
+			t.Fatalf("%d machines of %d: %v", in("b"), need, v.Machines)
 		}
 		var idle []IdleMachine
-		for p, n := range v.Have {
+		for p, n := range v.Machines {
 			for i := range n {
 				idle = append(idle, IdleMachine{Name: p.Zone + strconv.FormatBool(p.Spot) + strconv.Itoa(i), Pool: p})
 			}
@@ -136,10 +136,10 @@
 			pools[m.Name] = m.Pool
 		}
 		for _, name := range ScaleIn(v, map[string]DesiredCapacity{"g4": DesiredFor(v, v.Catalog.MachineTypes[0], 0)}, idle) {
-			v.Have[pools[name]]--
+			v.Machines[pools[name]]--
 		}
 		if in("b") < need && (zone == "b" || in("a") < need) {
-			t.Fatalf("given back: %d machines of %d: %v", in("b"), need, v.Have)
+			t.Fatalf("given back: %d machines of %d: %v", in("b"), need, v.Machines)
 		}
 	})
 }
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -124,7 +124,7 @@
 			l.stopAttempt(machine, a, grace, now)
 		}
 	}
-	if len(l.reservations.On(machine.agent.Name)) > 0 {
+	if len(l.reservations.OnMachine(machine.agent.Name)) > 0 {
 		l.reservations.RemoveMachine(machine.agent.Name)
 		l.metadataChanged(machine, now)
 	}
--- a/internal/leader/edges.go
+++ b/internal/leader/edges.go
@@ -58,13 +58,13 @@
 	l.dependencies.fed = l.dependencies.fed[:0]
 	walked := make(map[string]bool)
 	for _, r := range w.Machines {
-		for i, h := range r.Held {
+		for i, h := range r.Reserved {
 			name := h.Pipeline.Downstream
 			if name == "" {
 				continue
 			}
 			down := l.jobs[name]
-			r.Held[i].Blocked = down != nil && down.blockedByUpstream()
+			r.Reserved[i].Blocked = down != nil && down.blockedByUpstream()
 			if down != nil && !walked[name] {
 				walked[name] = true
 				l.feeds(down)
--- a/internal/leader/edges_test.go
+++ b/internal/leader/edges_test.go
@@ -50,7 +50,7 @@
 	l, machine, down, other := edgeScene(t, 4, now)
 	now = now.Add(10 * time.Second)
 	endAll(l, machine, now)
-	holds := l.reservations.On("m-1")
+	holds := l.reservations.OnMachine("m-1")
 	if len(holds) != 4 {
 		t.Fatalf("%d holds, want 4", len(holds))
 	}
@@ -78,7 +78,7 @@
 	endAll(l, machine, now.Add(10*time.Second))
 	shown := func() (out []bool) {
 		w, _ := l.snapshotForPlacement(now)
-		for _, h := range w.Machines[0].Held {
+		for _, h := range w.Machines[0].Reserved {
 			out = append(out, h.Blocked)
 		}
 		return out
@@ -129,7 +129,7 @@
 			l.jobRecordDeleted("j-2", now)
 		} else {
 			o := l.deps.Operator.Holds
-			lapse := start.Add(reservations.Options{Alpha: o.Alpha, P: o.P}.HoldDuration(10*time.Second, 4))
+			lapse := start.Add(reservations.Options{Alpha: o.Alpha, P: o.P}.Deadline(10*time.Second, 4))
 			l.reservations.Expire(lapse.Add(-time.Second), l.stillWaits)
 			if len(l.reservations.All()) != 4 {
 				t.Errorf("lapsed early")
@@ -166,11 +166,11 @@
 	if err := next.restoreMachine("m-1", &rec, now); err != nil {
 		t.Fatal(err)
 	}
-	if got, want := fmt.Sprint(next.reservations.On("m-1")), 4; len(next.reservations.On("m-1")) != want {
+	if got, want := fmt.Sprint(next.reservations.OnMachine("m-1")), 4; len(next.reservations.OnMachine("m-1")) != want {
 		t.Fatalf("%s", got)
 	}
-	for i, h := range next.reservations.On("m-1") {
-		was := l.reservations.On("m-1")[i]
+	for i, h := range next.reservations.OnMachine("m-1") {
+		was := l.reservations.OnMachine("m-1")[i]
 		if h.Pipeline != was.Pipeline || h.Downstream != was.Downstream || h.Priority != was.Priority || h.Resources != was.Resources {
 			t.Errorf("read as %+v, was %+v", h, was)
 		}
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -95,7 +95,7 @@
 		return placement.Resources{}
 	}
 	f := placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}.Sub(l.usedResources(machine))
-	for _, h := range l.reservations.On(machine.agent.Name) {
+	for _, h := range l.reservations.OnMachine(machine.agent.Name) {
 		f = f.Sub(h.Resources)
 	}
 	return f
--- a/internal/leader/provisioning.go
+++ b/internal/leader/provisioning.go
@@ -382,13 +382,13 @@
 }
 
 // scalingView shows the present state to renting.
-func (l *Leader) scalingView(now time.Time) autoscaling.View {
-	v := autoscaling.View{Catalog: l.deps.Catalog(), Have: make(map[autoscaling.InstancePool]int), Refused: make(map[autoscaling.InstancePool]bool)}
+func (l *Leader) scalingView(now time.Time) autoscaling.Snapshot {
+	v := autoscaling.Snapshot{Catalog: l.deps.Catalog(), Machines: make(map[autoscaling.InstancePool]int), Refused: make(map[autoscaling.InstancePool]bool)}
 	for _, machine := range l.machines {
 		// A silent machine is not counted on: it is replaced before it is
 		// given up.
 		if !machine.leaving && !machine.faulty && machine.agent.ReclaimAt.IsZero() && l.silentFor(machine, now) <= l.lease {
-			v.Have[machine.pool()]++
+			v.Machines[machine.pool()]++
 		}
 	}
 	for z, is := range l.unreachableZones(now) {
@@ -400,7 +400,7 @@
 		}
 	}
 	for _, b := range l.scaling.booting {
-		v.Have[b.pool]++
+		v.Machines[b.pool]++
 	}
 	for p, until := range l.scaling.refused {
 		if now.Before(until) {
@@ -419,7 +419,7 @@
 		v.Recent = append(v.Recent, n.demand)
 	}
 	for _, t := range l.teams {
-		v.Limits = append(v.Limits, autoscaling.TeamLimit{Team: t.Name, Max: placement.Resources{CPUs: t.MaxCPUs, GPUs: t.MaxGPUs}})
+		v.Limits = append(v.Limits, autoscaling.TeamLimit{Team: t.Name, Limit: placement.Resources{CPUs: t.MaxCPUs, GPUs: t.MaxGPUs}})
 	}
 	return v
 }
@@ -428,7 +428,7 @@
 func demandOf(j *jobState, pieces int) autoscaling.Demand {
 	return autoscaling.Demand{
 		Team: j.spec.Team, Tasks: pieces, TaskResources: placement.TaskResources(j.spec),
-		Spot: j.spec.AllowSpot, Types: j.spec.MachineTypes, Zone: j.spec.Zone,
+		AllowSpot: j.spec.AllowSpot, MachineTypes: j.spec.MachineTypes, Zone: j.spec.Zone,
 		SameZone: j.spec.Kind == jobs.KindGang && j.spec.SameZone,
 	}
 }
@@ -451,7 +451,7 @@
 	keep := m.memory.Add(now, want)
 	var idle []autoscaling.IdleMachine
 	for _, machine := range l.machines {
-		if machine.schedulable(now) && len(machine.agent.Attempts) == 0 && len(l.reservations.On(machine.agent.Name)) == 0 && now.Sub(machine.idleSince) > constants.IdleReturnAfter {
+		if machine.schedulable(now) && len(machine.agent.Attempts) == 0 && len(l.reservations.OnMachine(machine.agent.Name)) == 0 && now.Sub(machine.idleSince) > constants.IdleReturnAfter {
 			idle = append(idle, autoscaling.IdleMachine{Name: machine.agent.Name, Pool: machine.pool(), Images: len(machine.images)})
 		}
 	}
--- a/internal/leader/provisioning_test.go
+++ b/internal/leader/provisioning_test.go
@@ -116,7 +116,7 @@
 	if !v.Refused[autoscaling.InstancePool{Type: "g4", Zone: "east"}] || v.Refused[autoscaling.InstancePool{Type: "g4", Zone: "west"}] {
 		t.Errorf("renting in a zone that can't be reached: %v", v.Refused)
 	}
-	if n := v.Have[autoscaling.InstancePool{Type: "g4", Zone: "east"}]; n != 0 {
+	if n := v.Machines[autoscaling.InstancePool{Type: "g4", Zone: "east"}]; n != 0 {
 		t.Errorf("%d silent machines are counted on", n)
 	}
 	// The cut heals: three of the four are back a few seconds before the last.
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -33,19 +33,19 @@
 	return wal.Resources{r.CPUs, r.GPUs, r.MemoryGB}
 }
 
-func holdOf(h wal.Hold, machine string) reservations.Hold {
+func holdOf(h wal.Hold, machine string) reservations.Reservation {
 	p := placement.Pipeline{Team: h.Team, Class: h.Class}
 	if h.Edge {
 		p.Downstream = h.Downstream
 	}
-	return reservations.Hold{
+	return reservations.Reservation{
 		Machine: machine, Pipeline: p,
 		Upstream: h.Upstream, Downstream: h.Downstream, Priority: h.Priority,
 		Resources: roomOf(h.Resources), ExpiresAt: time.UnixMilli(h.Expires),
 	}
 }
 
-func recordHold(h reservations.Hold) wal.Hold {
+func recordHold(h reservations.Reservation) wal.Hold {
 	return wal.Hold{
 		Team: h.Pipeline.Team, Class: h.Pipeline.Class, Upstream: h.Upstream, Downstream: h.Downstream, Edge: h.Pipeline.Downstream != "",
 		Priority: h.Priority, Resources: recordRoom(h.Resources), Expires: h.ExpiresAt.UnixMilli(),
@@ -70,7 +70,7 @@
 // machineMetadata is what is recorded of a machine beside its attempts.
 func (l *Leader) machineMetadata(machine *machineState) wal.Machine {
 	rec := wal.Machine{Type: machine.agent.MachineType, Zone: machine.agent.Zone, Spot: machine.agent.Spot, Endpoint: machine.agent.Endpoint, Epoch: machine.agent.Epoch, Leaving: machine.leaving}
-	for _, h := range l.reservations.On(machine.agent.Name) {
+	for _, h := range l.reservations.OnMachine(machine.agent.Name) {
 		rec.Holds = append(rec.Holds, recordHold(h))
 	}
 	for _, im := range machine.images {
--- a/internal/leader/scheduling.go
+++ b/internal/leader/scheduling.go
@@ -32,8 +32,8 @@
 		l.machines[e.Machine.Name].stale = true
 	}
 	for _, h := range plan.Released {
-		if machine := l.machines[h.Machine.Name]; machine != nil && l.reservations.Use(h.Machine.Name, func(p placement.Pipeline) bool { return p == h.Held.Pipeline }) {
-			l.deps.Log.Debug("hold given up", "rig", h.Machine.Name, "class", h.Held.Pipeline.Class)
+		if machine := l.machines[h.Machine.Name]; machine != nil && l.reservations.Consume(h.Machine.Name, func(p placement.Pipeline) bool { return p == h.Slot.Pipeline }) {
+			l.deps.Log.Debug("hold given up", "rig", h.Machine.Name, "class", h.Slot.Pipeline.Class)
 			l.metadataChanged(machine, now)
 		}
 	}
@@ -79,24 +79,24 @@
 			continue
 		}
 		total++
-		if len(r.Slots) == 0 && len(r.Held) == 0 {
+		if len(r.RunningTasks) == 0 && len(r.Reserved) == 0 {
 			empty++
 		}
 		var u, e, h placement.Resources
-		for _, s := range r.Slots {
+		for _, s := range r.RunningTasks {
 			u = u.Add(s.Resources)
 			if s.Stopping {
 				e = e.Add(s.Resources)
 			}
 		}
-		for _, k := range r.Held {
+		for _, k := range r.Reserved {
 			h = h.Add(k.Resources)
 		}
 		used, ending, held = used+u.DominantShare(r.Total), ending+e.DominantShare(r.Total), held+h.DominantShare(r.Total)
 	}
 	waits, lifted := make(map[string]int), 0
 	for _, j := range w.Jobs {
-		waits[j.Spec.Class] += len(j.Waiting)
+		waits[j.Spec.Class] += len(j.WaitingTasks)
 		if j.Boost != placement.NoBoost {
 			lifted++
 		}
@@ -206,7 +206,7 @@
 	placement.MarkGuaranteed(all, w.Teams)
 	placement.MarkStarving(all, l.boostedClasses(), now)
 	for _, v := range all {
-		if len(v.Waiting) > 0 {
+		if len(v.WaitingTasks) > 0 {
 			w.Jobs = append(w.Jobs, v)
 		}
 	}
@@ -241,20 +241,20 @@
 		}
 		room := l.resourcesOf(a)
 		uses = append(uses, teamUse{l.teamOf(a), room})
-		s := placement.Slot{Index: a.ID.Task.Index, Attempt: a.ID.Number, Resources: room, Stopping: a.StopRequested}
+		s := placement.RunningTask{Index: a.ID.Task.Index, Attempt: a.ID.Number, Resources: room, Stopping: a.StopRequested}
 		if j := l.jobs[a.ID.Task.Job]; j != nil {
 			s.Job = &j.view
 			s.Remaining, s.StopCost = l.estimateStopCost(j, a, now)
 			if _, have := pr.ImageWait[j.spec.Image]; !have && (a.Status == "" || a.Status == workers.StatusFetching) && typ.FetchGBPerS > 0 {
-				pr.Fetches++
-				full := j.spec.ImageGB / typ.FetchGBPerS * float64(pr.Fetches)
+				pr.ActiveFetches++
+				full := j.spec.ImageGB / typ.FetchGBPerS * float64(pr.ActiveFetches)
 				pr.ImageWait[j.spec.Image] = max(time.Second, time.Duration(full*float64(time.Second))-now.Sub(a.PlacedAt))
 			}
 		}
-		pr.Slots = append(pr.Slots, s)
+		pr.RunningTasks = append(pr.RunningTasks, s)
 	}
-	for _, h := range l.reservations.On(machine.agent.Name) {
-		pr.Held = append(pr.Held, placement.HeldSlot{Pipeline: h.Pipeline, Priority: h.Priority, Resources: h.Resources})
+	for _, h := range l.reservations.OnMachine(machine.agent.Name) {
+		pr.Reserved = append(pr.Reserved, placement.ReservedSlot{Pipeline: h.Pipeline, Priority: h.Priority, Resources: h.Resources})
 		uses = append(uses, teamUse{h.Pipeline.Team, h.Resources})
 	}
 	l.setTeamUsage(machine, uses)
@@ -271,23 +271,23 @@
 		return
 	}
 	j.stale = false
-	v.Waiting = v.Waiting[:0]
-	v.Zones = make(map[string]int)
+	v.WaitingTasks = v.WaitingTasks[:0]
+	v.TasksByZone = make(map[string]int)
 	for _, seats := range j.attempts {
 		for _, s := range seats {
-			v.Zones[s.machine.agent.Zone]++
+			v.TasksByZone[s.machine.agent.Zone]++
 		}
 	}
-	v.Avoid = nil
+	v.AvoidMachines = nil
 	for name, until := range j.avoid {
 		if now.After(until) {
 			delete(j.avoid, name)
 			continue
 		}
-		if v.Avoid == nil {
-			v.Avoid = make(map[string]bool)
+		if v.AvoidMachines == nil {
+			v.AvoidMachines = make(map[string]bool)
 		}
-		v.Avoid[name] = true
+		v.AvoidMachines[name] = true
 	}
 	if j.spec.Kind == jobs.KindGang {
 		// A gang starts as a whole, and not before the last task of an
@@ -298,7 +298,7 @@
 		if len(j.attempts) == 0 && j.doneCount < j.spec.Tasks || j.replacingTask {
 			for i := 0; i < j.spec.Tasks; i++ {
 				if len(j.attempts[i]) == 0 {
-					v.Waiting = append(v.Waiting, i)
+					v.WaitingTasks = append(v.WaitingTasks, i)
 				}
 			}
 		}
@@ -317,11 +317,11 @@
 		if first {
 			j.firstWaiting, first = i, false
 		}
-		if len(v.Waiting) >= shown {
+		if len(v.WaitingTasks) >= shown {
 			break
 		}
 		if !j.heldBack(i, now) {
-			v.Waiting = append(v.Waiting, i)
+			v.WaitingTasks = append(v.WaitingTasks, i)
 		}
 	}
 	if first {
@@ -411,7 +411,7 @@
 		l.placementRates.add(j.spec.Class)
 		l.addAttempt(machine, a)
 		l.logAttempt(machine, a)
-		if l.reservations.Use(machine.agent.Name, j.view.Owns) {
+		if l.reservations.Consume(machine.agent.Name, j.view.Owns) {
 			l.deps.Log.Debug("hold used", "rig", machine.agent.Name, "job", j.spec.ID)
 			l.metadataChanged(machine, now)
 		}
--- a/internal/leader/stall_test.go
+++ b/internal/leader/stall_test.go
@@ -104,8 +104,8 @@
 			t.Errorf("%s is given up for silence that was ours", name)
 		}
 	}
-	if v := l.scalingView(now); v.Have[autoscaling.InstancePool{Type: "g4", Zone: "east"}] != 4 {
-		t.Errorf("machines are to be replaced for silence that was ours: %v", v.Have)
+	if v := l.scalingView(now); v.Machines[autoscaling.InstancePool{Type: "g4", Zone: "east"}] != 4 {
+		t.Errorf("machines are to be replaced for silence that was ours: %v", v.Machines)
 	}
 	store.err, store.stamp = nil, l.grant.Revision
 	if deposed {
--- a/internal/leader/usage_test.go
+++ b/internal/leader/usage_test.go
@@ -90,7 +90,7 @@
 							want[l.teamOf(a)] += l.resourcesOf(a).GPUs
 						}
 					}
-					for _, h := range l.reservations.On(machine.agent.Name) {
+					for _, h := range l.reservations.OnMachine(machine.agent.Name) {
 						want[h.Pipeline.Team] += h.Resources.GPUs
 					}
 				}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -52,7 +52,7 @@
 	op      config.Operator
 	log     *slog.Logger
 	store   *statestore.Client
-	cloud   *autoscaling.Cloud
+	cloud   *autoscaling.CloudClient
 	elector *election.Elector
 	peers   *peers.Client
 	catalog atomic.Pointer[autoscaling.Catalog]
@@ -83,7 +83,7 @@
 			n.store.Budget.SetRates(n.share(n.leading.Load() != nil))
 		}
 	}
-	n.cloud = autoscaling.NewCloud(set.Services.Cloud, set.Params.Cloud.RPS*op.Budgets.Use, network.DialContext)
+	n.cloud = autoscaling.NewCloudClient(set.Services.Cloud, set.Params.Cloud.RPS*op.Budgets.Use, network.DialContext)
 	n.elector = election.New(set.NodeName, n.store, log)
 	addrs := make(map[string]string)
 	for _, k := range set.Peers {
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -10,7 +10,7 @@
 	p.unpromise(j)
 	if machines != nil {
 		for i, r := range machines {
-			p.put(j, j.Waiting[i], r)
+			p.put(j, j.WaitingTasks[i], r)
 		}
 		return
 	}
@@ -21,11 +21,11 @@
 		}
 		return
 	}
-	p.makeRoom(j, len(j.Waiting))
+	p.makeRoom(j, len(j.WaitingTasks))
 }
 
 func (p *pass) gangWithinLimit(j *Job) bool {
-	return p.allows(j, TaskResources(j.Spec).Times(len(j.Waiting)))
+	return p.allows(j, TaskResources(j.Spec).Times(len(j.WaitingTasks)))
 }
 
 // gangMachines finds machines for all waiting tasks, or none.
@@ -45,7 +45,7 @@
 		if !p.usable(j, r) {
 			continue
 		}
-		n := r.free(j).Count(need, min(len(j.Waiting), r.AttemptCapacity))
+		n := r.free(j).Count(need, min(len(j.WaitingTasks), r.AttemptCapacity))
 		if n == 0 {
 			continue
 		}
@@ -65,13 +65,13 @@
 		// Tasks that already have their place count too: a gang that lost one
 		// while it waited gets a replacement.
 		per := make(map[string]int)
-		for z, n := range j.Zones {
+		for z, n := range j.TasksByZone {
 			per[z] = n
 		}
 		var out []*Machine
 		worst := 0.0
 		for _, s := range seats {
-			if len(out) == len(j.Waiting) {
+			if len(out) == len(j.WaitingTasks) {
 				break
 			}
 			if per[s.machine.Zone] >= cap {
@@ -81,7 +81,7 @@
 			out = append(out, s.machine)
 			worst = s.score
 		}
-		if len(out) < len(j.Waiting) {
+		if len(out) < len(j.WaitingTasks) {
 			return nil, 0
 		}
 		return out, worst
--- a/internal/placement/limit.go
+++ b/internal/placement/limit.go
@@ -12,7 +12,7 @@
 // heldOn is a hold with its machine.
 type heldOn struct {
 	machine *Machine
-	held    HeldSlot
+	held    ReservedSlot
 }
 
 // givesWay tells whether a hold gives way to the job: its pipeline's own, and
@@ -22,7 +22,7 @@
 // Without this, holds for work that may not start, as the team's limit is kept
 // for a lifted gang, stand until they lapse, while the gang waits for the limit
 // that they take: both wait for the other for a quarter of an hour.
-func givesWay(h HeldSlot, j *Job) bool {
+func givesWay(h ReservedSlot, j *Job) bool {
 	switch {
 	case j.Owns(h.Pipeline), j.Boost == BoostAboveAll:
 		return true
@@ -35,7 +35,7 @@
 // leavesLimit tells whether a hold gives way to the job in their team's limit. Held
 // room counts toward it, yet a job that waits for others holds no part of it: so
 // what is held for one that may not start yet gives way to whatever of its team may.
-func leavesLimit(h HeldSlot, j *Job) bool { return h.Blocked || givesWay(h, j) }
+func leavesLimit(h ReservedSlot, j *Job) bool { return h.Blocked || givesWay(h, j) }
 
 // promise is a part of a team's limit that a gang will need in a moment.
 type promise struct {
@@ -46,7 +46,7 @@
 // promise adds a promise, or renews it.
 func (p *pass) promise(j *Job) {
 	p.unpromise(j)
-	p.promises[j.Spec.Team] = append(p.promises[j.Spec.Team], promise{j, TaskResources(j.Spec).Times(len(j.Waiting))})
+	p.promises[j.Spec.Team] = append(p.promises[j.Spec.Team], promise{j, TaskResources(j.Spec).Times(len(j.WaitingTasks))})
 }
 
 func (p *pass) unpromise(j *Job) {
@@ -61,7 +61,7 @@
 // Peakdale's day with a partition.
 func (p *pass) keepPromises() {
 	for _, j := range p.Jobs {
-		if j.Draining && len(j.Waiting) > 0 && !j.Blocked && p.Teams[j.Spec.Team] != nil {
+		if j.Draining && len(j.WaitingTasks) > 0 && !j.Blocked && p.Teams[j.Spec.Team] != nil {
 			p.promise(j)
 		}
 	}
@@ -106,9 +106,9 @@
 func (p *pass) unhold(h heldOn) {
 	p.yieldsTo = nil
 	r, of := h.machine, h.held.Pipeline
-	for i, k := range r.Held {
+	for i, k := range r.Reserved {
 		if k == h.held {
-			r.Held = append(append([]HeldSlot(nil), r.Held[:i]...), r.Held[i+1:]...)
+			r.Reserved = append(append([]ReservedSlot(nil), r.Reserved[:i]...), r.Reserved[i+1:]...)
 			break
 		}
 	}
@@ -138,7 +138,7 @@
 	waits, usable, without := make(map[Pipeline]bool), make(map[Pipeline]bool), make(map[string]Resources)
 	for _, j := range p.Jobs {
 		t := p.Teams[j.Spec.Team]
-		if len(j.Waiting) == 0 || len(p.holds[j.Spec.Team]) == 0 || t == nil {
+		if len(j.WaitingTasks) == 0 || len(p.holds[j.Spec.Team]) == 0 || t == nil {
 			continue
 		}
 		use, known := without[j.Spec.Team]
@@ -149,7 +149,7 @@
 			}
 			without[j.Spec.Team] = use
 		}
-		fits := j.Spec.Kind != "gang" || t.within(use.Add(TaskResources(j.Spec).Times(len(j.Waiting))))
+		fits := j.Spec.Kind != "gang" || t.within(use.Add(TaskResources(j.Spec).Times(len(j.WaitingTasks))))
 		for _, pipe := range [2]Pipeline{j.Pipeline(), j.EdgePipeline()} {
 			waits[pipe] = true
 			usable[pipe] = usable[pipe] || fits
@@ -205,7 +205,7 @@
 // A gang that is not lifted waits, and smaller work goes on meanwhile.
 func (p *pass) makeLimit(j *Job) {
 	t := p.Teams[j.Spec.Team]
-	extra := TaskResources(j.Spec).Times(len(j.Waiting))
+	extra := TaskResources(j.Spec).Times(len(j.WaitingTasks))
 	if t.Promised != (Resources{}) || !(&Team{Limit: t.Limit}).Allows(extra) {
 		return // kept for another already, or of no use
 	}
@@ -224,7 +224,7 @@
 	t := p.Teams[j.Spec.Team]
 	type victim struct {
 		machine *Machine
-		slot    Slot
+		slot    RunningTask
 		cost    float64
 	}
 	var list []victim
@@ -233,7 +233,7 @@
 		if !r.stoppable || r.lowest >= j.Priority {
 			continue
 		}
-		for _, s := range r.Slots {
+		for _, s := range r.RunningTasks {
 			if s.Job != nil && !s.Stopping && s.Job.Spec.Team == j.Spec.Team && s.Job.Priority < j.Priority {
 				list = append(list, victim{r, s, s.StopCost.Seconds()})
 				sum = sum.Add(s.Resources)
@@ -261,11 +261,11 @@
 }
 
 // stop has a task stopped for a job.
-func (p *pass) stop(j *Job, r *Machine, s Slot) {
+func (p *pass) stop(j *Job, r *Machine, s RunningTask) {
 	p.plan.Preemptions = append(p.plan.Preemptions, Preemption{r, s, j})
-	for i := range r.Slots {
-		if r.Slots[i].Attempt == s.Attempt && r.Slots[i].Index == s.Index && r.Slots[i].Job == s.Job {
-			r.Slots[i].Stopping = true
+	for i := range r.RunningTasks {
+		if r.RunningTasks[i].Attempt == s.Attempt && r.RunningTasks[i].Index == s.Index && r.RunningTasks[i].Job == s.Job {
+			r.RunningTasks[i].Stopping = true
 		}
 	}
 	r.ending = r.ending.Add(s.Resources)
@@ -293,7 +293,7 @@
 	}
 	for owner, at := range places {
 		size := func(j *Job) float64 {
-			return TaskResources(j.Spec).Times(len(j.Waiting)).DominantShare(p.Teams[owner].Limit)
+			return TaskResources(j.Spec).Times(len(j.WaitingTasks)).DominantShare(p.Teams[owner].Limit)
 		}
 		gangs := make([]*Job, len(at))
 		for i, k := range at {
@@ -331,7 +331,7 @@
 	if !known {
 		for _, o := range p.Jobs {
 			if o.Spec.Team == k.owner && o.Priority < k.priority && !o.Blocked && !o.Late {
-				sum = sum.Add(TaskResources(o.Spec).Times(len(o.Waiting)))
+				sum = sum.Add(TaskResources(o.Spec).Times(len(o.WaitingTasks)))
 			}
 		}
 		p.inTime[k] = sum
@@ -353,7 +353,7 @@
 			sum := Resources{}
 			for _, j := range p.Jobs {
 				if j.Spec.Team == owner && !j.Blocked {
-					sum = sum.Add(TaskResources(j.Spec).Times(len(j.Waiting)))
+					sum = sum.Add(TaskResources(j.Spec).Times(len(j.WaitingTasks)))
 				}
 			}
 			is = !t.Allows(sum)
--- a/internal/placement/limit_test.go
+++ b/internal/placement/limit_test.go
@@ -31,12 +31,12 @@
 		{"lower", 0, 1, NoBoost, false, true},
 	} {
 		gang := sweepJob("j-1", "a", c.gang)
-		gang.Spec.Kind, gang.Spec.Class, gang.Spec.Tasks, gang.Waiting, gang.Order, gang.Boost = "gang", "big", 2, []int{0, 1}, 1, c.lift
+		gang.Spec.Kind, gang.Spec.Class, gang.Spec.Tasks, gang.WaitingTasks, gang.Order, gang.Boost = "gang", "big", 2, []int{0, 1}, 1, c.lift
 		sweep := sweepJob("j-2", "a", c.sweep)
-		sweep.Order, sweep.Spec.GPUs, sweep.Waiting, sweep.Spec.Tasks = 2, 1, []int{0, 1, 2, 3, 4, 5, 6, 7}, 8
+		sweep.Order, sweep.Spec.GPUs, sweep.WaitingTasks, sweep.Spec.Tasks = 2, 1, []int{0, 1, 2, 3, 4, 5, 6, 7}, 8
 		w := &Snapshot{Jobs: []*Job{gang, sweep}, Teams: map[string]*Team{"a": {Limit: Resources{GPUs: 8}, Used: Resources{GPUs: 8}}}}
 		for i := range 4 {
-			hold := HeldSlot{Pipeline: sweep.Pipeline(), Priority: c.sweep, Resources: Resources{1, 1, 1}}
+			hold := ReservedSlot{Pipeline: sweep.Pipeline(), Priority: c.sweep, Resources: Resources{1, 1, 1}}
 			r := oneRig(hold, hold)
 			r.Name = fmt.Sprint("m-", i)
 			w.Machines = append(w.Machines, r)
@@ -74,12 +74,12 @@
 		{"not lifted", 0, NoBoost, 0, true},
 	} {
 		gang := sweepJob("j-1", "a", 1)
-		gang.Spec.Kind, gang.Spec.Tasks, gang.Waiting, gang.Order, gang.Boost = "gang", 2, []int{0, 1}, 1, c.lift
+		gang.Spec.Kind, gang.Spec.Tasks, gang.WaitingTasks, gang.Order, gang.Boost = "gang", 2, []int{0, 1}, 1, c.lift
 		runs, next, other := sweepJob("j-2", "a", c.running), sweepJob("j-3", "a", 0), sweepJob("j-4", "b", 0)
 		for i, j := range []*Job{runs, next, other} {
 			j.Spec.GPUs, j.Order = 1, uint64(2+i)
 		}
-		runs.Waiting = nil
+		runs.WaitingTasks = nil
 		w := &Snapshot{Jobs: []*Job{gang, next, other}, Teams: map[string]*Team{
 			"a": {Limit: Resources{GPUs: 16}, Used: Resources{GPUs: 12}}, "b": {Limit: Resources{GPUs: 16}},
 		}}
@@ -88,7 +88,7 @@
 			r.Name = fmt.Sprint("m-", i)
 			if i < 3 {
 				for k := range 4 {
-					r.Slots = append(r.Slots, Slot{Job: runs, Index: 4*i + k, Attempt: 1, Resources: Resources{1, 1, 1}, StopCost: time.Duration(1+k) * time.Second})
+					r.RunningTasks = append(r.RunningTasks, RunningTask{Job: runs, Index: 4*i + k, Attempt: 1, Resources: Resources{1, 1, 1}, StopCost: time.Duration(1+k) * time.Second})
 				}
 			}
 			w.Machines = append(w.Machines, r)
@@ -129,9 +129,9 @@
 		large, small, other := sweepJob("j-1", "a", 1), sweepJob("j-2", "a", 1), sweepJob("j-3", "a", 1)
 		w := &Snapshot{Jobs: []*Job{large, small, other}, Teams: map[string]*Team{"a": {Limit: Resources{GPUs: c.max}}}}
 		for i, j := range w.Jobs {
-			j.Spec.Kind, j.Spec.Tasks, j.Waiting, j.Order, j.Slack = "gang", 1, []int{0}, uint64(i), time.Duration(i)*time.Second
+			j.Spec.Kind, j.Spec.Tasks, j.WaitingTasks, j.Order, j.Slack = "gang", 1, []int{0}, uint64(i), time.Duration(i)*time.Second
 		}
-		large.Spec.Tasks, large.Waiting, large.Boost = 4, []int{0, 1, 2, 3}, c.lift
+		large.Spec.Tasks, large.WaitingTasks, large.Boost = 4, []int{0, 1, 2, 3}, c.lift
 		for i := range 8 {
 			r := oneRig()
 			r.Name = fmt.Sprint("m-", i)
@@ -159,14 +159,14 @@
 		begins  bool
 	}{{"lower", 0, true}, {"equal", 1, true}, {"higher", 2, false}} {
 		gang := sweepJob("j-1", "a", 1)
-		gang.Spec.Kind, gang.Spec.Tasks, gang.Waiting, gang.Order = "gang", 2, []int{0, 1}, 1
+		gang.Spec.Kind, gang.Spec.Tasks, gang.WaitingTasks, gang.Order = "gang", 2, []int{0, 1}, 1
 		low := sweepJob("j-2", "b", 0)
-		low.Waiting = nil
+		low.WaitingTasks = nil
 		w := &Snapshot{Jobs: []*Job{gang}, Teams: map[string]*Team{"a": {Limit: Resources{GPUs: 8}}, "b": {Limit: Resources{GPUs: 16}, Used: Resources{GPUs: 8}}}}
 		for i := range 2 {
 			r := oneRig()
 			r.Name = fmt.Sprint("m-", i)
-			r.Slots = []Slot{{Job: low, Index: i, Attempt: 1, Resources: TaskResources(low.Spec), StopCost: time.Second}}
+			r.RunningTasks = []RunningTask{{Job: low, Index: i, Attempt: 1, Resources: TaskResources(low.Spec), StopCost: time.Second}}
 			w.Machines = append(w.Machines, r)
 		}
 		w.Machines = append(w.Machines, oneRig())
@@ -209,7 +209,7 @@
 		{"limit is enough", true, false, 64, "j-1 j-2"},
 	} {
 		gang, sweep, other := sweepJob("j-1", "a", 1), sweepJob("j-2", "a", 0), sweepJob("j-3", "b", 0)
-		gang.Spec.Kind, gang.Spec.Tasks, gang.Waiting = "gang", 2, []int{0, 1}
+		gang.Spec.Kind, gang.Spec.Tasks, gang.WaitingTasks = "gang", 2, []int{0, 1}
 		w := &Snapshot{Jobs: []*Job{gang, sweep, other}, Teams: map[string]*Team{"a": {Limit: Resources{GPUs: c.max}}, "b": {Limit: Resources{GPUs: 8}}}}
 		for i, j := range w.Jobs {
 			j.Order, j.Targets = uint64(i), []time.Duration{time.Minute}
@@ -266,12 +266,12 @@
 func TestOwnHoldsNeverKeepItOut(t *testing.T) {
 	for _, shape := range []string{"gang", "sweep"} {
 		j := sweepJob("j-1", "a", 1)
-		j.Spec.Kind, j.Spec.Tasks, j.Waiting = shape, 2, []int{0, 1}
+		j.Spec.Kind, j.Spec.Tasks, j.WaitingTasks = shape, 2, []int{0, 1}
 		w := &Snapshot{Jobs: []*Job{j}, Teams: map[string]*Team{"a": {Limit: Resources{GPUs: 8}, Used: Resources{GPUs: 20}}}}
 		for i := range 7 {
 			r := oneRig()
 			if i < 5 {
-				r.Held = []HeldSlot{{Pipeline: j.Pipeline(), Priority: 1, Resources: TaskResources(j.Spec)}}
+				r.Reserved = []ReservedSlot{{Pipeline: j.Pipeline(), Priority: 1, Resources: TaskResources(j.Spec)}}
 				r.Spot = true // held long ago, for another of the pipeline
 			}
 			r.Name = fmt.Sprint("m-", i)
@@ -304,17 +304,17 @@
 		{"by edges, room", 24, "sweep", true, 0},
 	} {
 		gang, other := sweepJob("j-1", "a", 1), sweepJob("j-2", "a", 1)
-		gang.Spec.Kind, gang.Spec.Tasks, gang.Waiting = "gang", 3, []int{0, 1, 2}
+		gang.Spec.Kind, gang.Spec.Tasks, gang.WaitingTasks = "gang", 3, []int{0, 1, 2}
 		w := &Snapshot{Jobs: []*Job{gang}, Teams: map[string]*Team{"a": {Limit: Resources{GPUs: c.max}, Used: Resources{GPUs: 16}}}}
 		if c.shape != "" {
 			other.Spec.Kind = c.shape
 			w.Jobs = append(w.Jobs, other)
 		}
 		for _, j := range w.Jobs {
-			j.Avoid = map[string]bool{"m-0": true, "m-1": true} // nothing starts
+			j.AvoidMachines = map[string]bool{"m-0": true, "m-1": true} // nothing starts
 		}
 		for i := range 2 {
-			hold := HeldSlot{Pipeline: gang.Pipeline(), Priority: 1, Resources: TaskResources(gang.Spec)}
+			hold := ReservedSlot{Pipeline: gang.Pipeline(), Priority: 1, Resources: TaskResources(gang.Spec)}
 			if c.edges {
 				hold.Pipeline = gang.EdgePipeline()
 			}
--- a/internal/placement/overload.go
+++ b/internal/placement/overload.go
@@ -44,7 +44,7 @@
 	spared := make(map[*Job]bool)
 	sum := 0.0
 	for _, j := range jobs {
-		w := float64(len(j.Waiting)) / rate
+		w := float64(len(j.WaitingTasks)) / rate
 		heap.Push(&in, sized{j, w})
 		sum += w
 		if sum > j.TimeToTarget.Seconds() {
@@ -62,7 +62,7 @@
 func (p *pass) spareInTime(jobs []*Job) {
 	places := make(map[string][]int)
 	for i, j := range jobs {
-		if j.Spec.Kind != "gang" && !j.Late && !j.Blocked && len(j.Waiting) > 0 && p.StartRate[j.Spec.Class] > 0 {
+		if j.Spec.Kind != "gang" && !j.Late && !j.Blocked && len(j.WaitingTasks) > 0 && p.StartRate[j.Spec.Class] > 0 {
 			places[j.Spec.Class] = append(places[j.Spec.Class], i)
 		}
 	}
--- a/internal/placement/overload_test.go
+++ b/internal/placement/overload_test.go
@@ -18,7 +18,7 @@
 		for i := range rapid.IntRange(1, 9).Draw(t, "jobs") {
 			j := sweepJob(fmt.Sprint("j-", i), "a", 1)
 			j.TimeToTarget = time.Duration(rapid.IntRange(1, 60).Draw(t, "left")) * time.Second
-			j.Waiting = make([]int, rapid.IntRange(1, 200).Draw(t, "waiting"))
+			j.WaitingTasks = make([]int, rapid.IntRange(1, 200).Draw(t, "waiting"))
 			jobs = append(jobs, j)
 		}
 		slices.SortStableFunc(jobs, func(a, b *Job) int { return int(a.TimeToTarget - b.TimeToTarget) })
@@ -29,7 +29,7 @@
 					continue
 				}
 				n++
-				if sum += float64(len(j.Waiting)) / rate; sum > j.TimeToTarget.Seconds()+1e-9 {
+				if sum += float64(len(j.WaitingTasks)) / rate; sum > j.TimeToTarget.Seconds()+1e-9 {
 					return n, false
 				}
 			}
@@ -55,13 +55,13 @@
 func TestLargeSweepsGiveWay(t *testing.T) {
 	large, small, other := sweepJob("j-1", "a", 1), sweepJob("j-2", "a", 1), sweepJob("j-3", "a", 1)
 	other.Spec.Class = "y"
-	large.Waiting, small.Waiting = []int{0, 1, 2, 3, 4, 5}, []int{0, 1}
+	large.WaitingTasks, small.WaitingTasks = []int{0, 1, 2, 3, 4, 5}, []int{0, 1}
 	w := &Snapshot{
 		Jobs: []*Job{large, small, other}, StartRate: map[string]float64{"x": 1, "y": 1},
 		Teams: map[string]*Team{"a": {Limit: Resources{GPUs: 100}}},
 	}
 	for i, j := range w.Jobs {
-		j.Order, j.Spec.Tasks = uint64(i), len(j.Waiting)
+		j.Order, j.Spec.Tasks = uint64(i), len(j.WaitingTasks)
 		j.Slack = time.Duration(4+i) * time.Second
 		j.TimeToTarget = j.Slack
 	}
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -25,13 +25,13 @@
 	for i, r := range w.Machines {
 		r.rank, r.claimed, r.roomy, r.standings = i, nil, false, 0
 		r.sum()
-		if r.Schedulable && !r.Spot && len(r.Slots) == 0 {
+		if r.Schedulable && !r.Spot && len(r.RunningTasks) == 0 {
 			p.whole++
 		}
 		if r.Schedulable && r.AttemptCapacity > 0 && r.Total.Sub(r.used).Fits(leanest) {
 			p.roomy, r.roomy = append(p.roomy, r), true
 		}
-		for _, s := range r.Slots {
+		for _, s := range r.RunningTasks {
 			switch {
 			case s.Job == nil:
 			case s.Stopping:
@@ -46,7 +46,7 @@
 				r.standings |= s.Job.bit
 			}
 		}
-		for _, h := range r.Held {
+		for _, h := range r.Reserved {
 			p.holds[h.Pipeline.Team] = append(p.holds[h.Pipeline.Team], heldOn{r, h})
 		}
 	}
@@ -98,20 +98,20 @@
 		p.spareInTime(jobs)
 	}
 	for _, j := range jobs {
-		if j.Blocked || len(j.Waiting) == 0 || p.Teams[j.Spec.Team] == nil {
+		if j.Blocked || len(j.WaitingTasks) == 0 || p.Teams[j.Spec.Team] == nil {
 			continue
 		}
 		if j.Spec.Kind == "gang" {
 			p.gang(j)
-		} else if done := p.sweep(j, 0, j.SinceLastStart.Seconds()+constants.LocalImageMaxWaitS); done < len(j.Waiting) {
+		} else if done := p.sweep(j, 0, j.SinceLastStart.Seconds()+constants.LocalImageMaxWaitS); done < len(j.WaitingTasks) {
 			again = append(again, rest{j, done})
 		}
 	}
 	for _, r := range again {
 		done := p.sweep(r.job, r.from, math.Inf(1))
-		if done < len(r.job.Waiting) {
+		if done < len(r.job.WaitingTasks) {
 			p.plan.Unplaced = append(p.plan.Unplaced, r.job)
-			p.makeRoom(r.job, len(r.job.Waiting)-done)
+			p.makeRoom(r.job, len(r.job.WaitingTasks)-done)
 		}
 	}
 }
@@ -163,7 +163,7 @@
 	// outside are the teams that use more than their guarantee, as far as room
 	// has been sought for the present job; victims is room to list tasks in.
 	outside map[string]bool
-	victims []Slot
+	victims []RunningTask
 	// tries counts the jobs that room was sought for.
 	tries int
 	// draining counts the machines that are kept for gangs until what runs on
@@ -189,7 +189,7 @@
 // blocks tells whether held room is closed to a job: it is open to its own
 // pipeline and to higher priority, and it never keeps another team from its
 // guarantee.
-func (h HeldSlot) blocks(j *Job) bool {
+func (h ReservedSlot) blocks(j *Job) bool {
 	switch {
 	case givesWay(h, j):
 		return false
@@ -202,7 +202,7 @@
 // free is the room that the job may use on the machine.
 func (m *Machine) free(j *Job) Resources {
 	f := m.Total.Sub(m.used)
-	for _, h := range m.Held {
+	for _, h := range m.Reserved {
 		if h.blocks(j) {
 			f = f.Sub(h.Resources)
 		}
@@ -212,7 +212,7 @@
 
 // heldFor is the room that is kept on the machine for the job's pipeline.
 func (m *Machine) heldFor(j *Job) (sum Resources, n int) {
-	for _, h := range m.Held {
+	for _, h := range m.Reserved {
 		if j.Owns(h.Pipeline) {
 			sum = sum.Add(h.Resources)
 			n++
@@ -239,7 +239,7 @@
 }
 
 func (p *pass) usable(j *Job, r *Machine) bool {
-	return r.Schedulable && r.AttemptCapacity > 0 && Allowed(j, r) && !j.Avoid[r.Name] && (r.claimed == nil || r.claimed == j || outranks(j, r.claimed))
+	return r.Schedulable && r.AttemptCapacity > 0 && Allowed(j, r) && !j.AvoidMachines[r.Name] && (r.claimed == nil || r.claimed == j || outranks(j, r.claimed))
 }
 
 // outranks tells whether a job stands above another whatever the time.
@@ -266,7 +266,7 @@
 		return p.Machines[at]
 	}
 	for _, j := range p.Jobs {
-		if j.Spec.Kind != "gang" || len(j.Waiting) == 0 || j.Blocked {
+		if j.Spec.Kind != "gang" || len(j.WaitingTasks) == 0 || j.Blocked {
 			continue
 		}
 		for name := range j.ClaimedMachines {
@@ -286,7 +286,7 @@
 	if m.FetchGBPerS <= 0 {
 		return 0
 	}
-	return j.Spec.ImageGB / m.FetchGBPerS * float64(1+m.Fetches)
+	return j.Spec.ImageGB / m.FetchGBPerS * float64(1+m.ActiveFetches)
 }
 
 // score ranks machines for a task; lower is better.
@@ -323,7 +323,7 @@
 	r.used = r.used.Add(need)
 	r.AttemptCapacity--
 	p.Teams[j.Spec.Team].Used = p.Teams[j.Spec.Team].Used.Add(need)
-	for _, h := range r.Held {
+	for _, h := range r.Reserved {
 		if j.Owns(h.Pipeline) {
 			// The task takes the place of its hold, which counted already.
 			p.unhold(heldOn{r, h})
@@ -333,17 +333,17 @@
 	if t := p.Teams[j.Spec.Team]; !t.Allows(Resources{}) {
 		p.giveWay(j, Resources{})
 	}
-	if j.Zones == nil {
-		j.Zones = make(map[string]int)
+	if j.TasksByZone == nil {
+		j.TasksByZone = make(map[string]int)
 	}
-	j.Zones[r.Zone]++
+	j.TasksByZone[r.Zone]++
 	if _, ok := r.ImageWait[j.Spec.Image]; !ok {
 		left := time.Duration(r.delay(j) * float64(time.Second))
 		if r.ImageWait == nil {
 			r.ImageWait = make(map[string]time.Duration)
 		}
 		r.ImageWait[j.Spec.Image] = left
-		r.Fetches++
+		r.ActiveFetches++
 	}
 	p.plan.Starts = append(p.plan.Starts, Start{j, index, r})
 }
@@ -351,11 +351,11 @@
 // zoneAllows keeps samePlace and apart with the job's tasks as they stand.
 func zoneAllows(j *Job, zone string) bool {
 	if j.Spec.SameZone {
-		for z, n := range j.Zones {
+		for z, n := range j.TasksByZone {
 			if n > 0 && z != zone {
 				return false
 			}
 		}
 	}
-	return !j.Spec.SpreadZones || j.Zones[zone] < ZoneCap(j.Spec)
+	return !j.Spec.SpreadZones || j.TasksByZone[zone] < ZoneCap(j.Spec)
 }
--- a/internal/placement/pass_test.go
+++ b/internal/placement/pass_test.go
@@ -30,7 +30,7 @@
 			SameZone: rapid.Bool().Draw(t, "samePlace"), SpreadZones: rapid.Bool().Draw(t, "apart"), AllowSpot: rapid.Bool().Draw(t, "loaners"),
 			Zone: rapid.SampledFrom([]string{"", "", "z1"}).Draw(t, "hall"),
 		}
-		return &Job{Spec: s, Priority: rapid.IntRange(0, 3).Draw(t, "priority"), Order: uint64(id), Zones: map[string]int{}}
+		return &Job{Spec: s, Priority: rapid.IntRange(0, 3).Draw(t, "priority"), Order: uint64(id), TasksByZone: map[string]int{}}
 	}
 	var all []*Job
 	for i := range rapid.IntRange(1, 7).Draw(t, "rigs") {
@@ -47,19 +47,19 @@
 			if !Allowed(j, r) || !w.Teams[j.Spec.Team].Allows(Resources{GPUs: 1}) {
 				continue
 			}
-			j.Zones[r.Zone]++
+			j.TasksByZone[r.Zone]++
 			w.Teams[j.Spec.Team].Used = w.Teams[j.Spec.Team].Used.Add(TaskResources(j.Spec))
-			r.Slots = append(r.Slots, Slot{Job: j, Attempt: 1, Resources: TaskResources(j.Spec), Stopping: rapid.Bool().Draw(t, "ending"), StopCost: time.Second})
+			r.RunningTasks = append(r.RunningTasks, RunningTask{Job: j, Attempt: 1, Resources: TaskResources(j.Spec), Stopping: rapid.Bool().Draw(t, "ending"), StopCost: time.Second})
 			all = append(all, j)
 		}
-		if rapid.IntRange(0, 3).Draw(t, "hold") == 0 && len(r.Slots) == 0 {
+		if rapid.IntRange(0, 3).Draw(t, "hold") == 0 && len(r.RunningTasks) == 0 {
 			p := Pipeline{Team: rapid.SampledFrom(teams).Draw(t, "holder"), Class: "x"}
-			h := HeldSlot{Pipeline: p, Priority: rapid.IntRange(0, 3).Draw(t, "held at"), Resources: Resources{CPUs: 1, GPUs: 1, MemoryGB: 1}}
+			h := ReservedSlot{Pipeline: p, Priority: rapid.IntRange(0, 3).Draw(t, "held at"), Resources: Resources{CPUs: 1, GPUs: 1, MemoryGB: 1}}
 			if rapid.Bool().Draw(t, "edge") {
 				h.Pipeline.Downstream = fmt.Sprint("j-", rapid.IntRange(1, 9).Draw(t, "downstream"))
 				h.Blocked = rapid.Bool().Draw(t, "barred")
 			}
-			r.Held = append(r.Held, h)
+			r.Reserved = append(r.Reserved, h)
 			w.Teams[p.Team].Used = w.Teams[p.Team].Used.Add(h.Resources)
 		}
 		w.Machines = append(w.Machines, r)
@@ -70,14 +70,14 @@
 		if z := "z1"; j.Spec.Kind == jobs.KindGang && j.Spec.Tasks > 1 && rapid.IntRange(0, 3).Draw(t, "replaced") == 0 {
 			// One task of a gang that waits has been lost; the others stand.
 			if first = j.Spec.Tasks - 1; !j.Spec.SpreadZones {
-				j.Zones[z] = first
+				j.TasksByZone[z] = first
 			} else {
 				first = 1
-				j.Zones[z] = 1
+				j.TasksByZone[z] = 1
 			}
 		}
 		for i := first; i < j.Spec.Tasks; i++ {
-			j.Waiting = append(j.Waiting, i)
+			j.WaitingTasks = append(j.WaitingTasks, i)
 		}
 		w.Jobs = append(w.Jobs, j)
 		all = append(all, j)
@@ -103,14 +103,14 @@
 			zones[j][zone]++
 		}
 		for _, r := range w.Machines {
-			for _, s := range r.Slots {
+			for _, s := range r.RunningTasks {
 				used[s.Job.Spec.Team] = used[s.Job.Spec.Team].Add(s.Resources)
 				rooms[r.Name] = rooms[r.Name].Add(s.Resources)
 				note(s.Job, r.Zone)
 			}
 		}
 		for _, j := range w.Jobs {
-			for z, n := range j.Zones {
+			for z, n := range j.TasksByZone {
 				for range n {
 					note(j, z)
 				}
@@ -154,8 +154,8 @@
 			}
 		}
 		for j, n := range count {
-			if j.Spec.Kind == jobs.KindGang && n != len(j.Waiting) {
-				t.Fatalf("%s starts %d of %d", j.Spec.ID, n, len(j.Waiting))
+			if j.Spec.Kind == jobs.KindGang && n != len(j.WaitingTasks) {
+				t.Fatalf("%s starts %d of %d", j.Spec.ID, n, len(j.WaitingTasks))
 			}
 		}
 		for _, e := range p.Preemptions {
@@ -172,14 +172,14 @@
 	})
 }
 
-func oneRig(held ...HeldSlot) *Machine {
-	return &Machine{Name: "m-0", Type: "g", Zone: "z", Schedulable: true, AttemptCapacity: 9, Total: Resources{8, 4, 16}, Held: held}
+func oneRig(held ...ReservedSlot) *Machine {
+	return &Machine{Name: "m-0", Type: "g", Zone: "z", Schedulable: true, AttemptCapacity: 9, Total: Resources{8, 4, 16}, Reserved: held}
 }
 
 func sweepJob(id, owner string, prio int) *Job {
 	return &Job{
 		Spec:     &jobs.Spec{ID: id, Class: "x", Team: owner, Kind: jobs.KindArray, Tasks: 1, CPUs: 1, GPUs: 4, MemoryGB: 1},
-		Priority: prio, Waiting: []int{0},
+		Priority: prio, WaitingTasks: []int{0},
 	}
 }
 
@@ -187,7 +187,7 @@
 // work skips it, higher work takes it, and it never keeps another team from
 // its guarantee.
 func TestHoldsKeepPriority(t *testing.T) {
-	hold := HeldSlot{Pipeline: Pipeline{Team: "a", Class: "x"}, Priority: 1, Resources: Resources{1, 4, 1}}
+	hold := ReservedSlot{Pipeline: Pipeline{Team: "a", Class: "x"}, Priority: 1, Resources: Resources{1, 4, 1}}
 	for _, c := range []struct {
 		name      string
 		job       *Job
@@ -216,7 +216,7 @@
 func TestEdgeHoldsKeepPriority(t *testing.T) {
 	before := sweepJob("j-7", "b", 0)
 	before.ReservedDownstreams = map[string]bool{"j-1": true}
-	hold := HeldSlot{Pipeline: Pipeline{"a", "x", "j-1"}, Priority: 1, Resources: Resources{1, 4, 1}}
+	hold := ReservedSlot{Pipeline: Pipeline{"a", "x", "j-1"}, Priority: 1, Resources: Resources{1, 4, 1}}
 	for _, c := range []struct {
 		name      string
 		job       *Job
@@ -251,9 +251,9 @@
 		barred          bool
 		started, ending int
 	}{{8, true, 1, 1}, {8, false, 0, 0}, {12, true, 1, 0}, {4, true, 0, 0}} {
-		held := oneRig(HeldSlot{Pipeline: Pipeline{"a", "y", "j-1"}, Priority: 1, Resources: Resources{1, 4, 1}, Blocked: c.barred})
+		held := oneRig(ReservedSlot{Pipeline: Pipeline{"a", "y", "j-1"}, Priority: 1, Resources: Resources{1, 4, 1}, Blocked: c.barred})
 		room, busy := oneRig(), oneRig()
-		room.Name, busy.Name, busy.Slots = "m-1", "m-2", []Slot{{Job: sweepJob("j-9", "a", 1), Resources: Resources{1, 4, 1}}}
+		room.Name, busy.Name, busy.RunningTasks = "m-1", "m-2", []RunningTask{{Job: sweepJob("j-9", "a", 1), Resources: Resources{1, 4, 1}}}
 		w := &Snapshot{Machines: []*Machine{held, room, busy}, Jobs: []*Job{sweepJob("j-2", "a", 0)}, Teams: map[string]*Team{"a": {Limit: Resources{GPUs: c.max}, Used: Resources{GPUs: 8}}}}
 		p := Schedule(w)
 		if len(p.Starts) != c.started || len(p.Released) != c.ending {
@@ -271,7 +271,7 @@
 	victim := sweepJob("j-1", "a", 0)
 	r1, r2 := oneRig(), oneRig()
 	r1.Name, r2.Name, r2.Spot = "m-1", "m-2", true
-	r1.Slots = []Slot{{Job: victim, Resources: Resources{1, 4, 1}, StopCost: time.Second}}
+	r1.RunningTasks = []RunningTask{{Job: victim, Resources: Resources{1, 4, 1}, StopCost: time.Second}}
 	urgent, next := sweepJob("j-2", "b", 2), sweepJob("j-3", "a", 1)
 	next.Spec.AllowSpot = true
 	w := &Snapshot{Machines: []*Machine{r1, r2}, Jobs: []*Job{urgent, next}, Teams: map[string]*Team{
@@ -302,14 +302,14 @@
 		}
 		var above func(x, y *Job, depth int) bool
 		above = func(x, y *Job, depth int) bool {
-			if p.mayEvict(x, Slot{Job: y}) {
+			if p.mayEvict(x, RunningTask{Job: y}) {
 				return true
 			}
 			if depth == 0 {
 				return false
 			}
 			for _, z := range queue {
-				if p.mayEvict(x, Slot{Job: z}) && above(z, y, depth-1) {
+				if p.mayEvict(x, RunningTask{Job: z}) && above(z, y, depth-1) {
 					return true
 				}
 			}
@@ -363,7 +363,7 @@
 		}
 		j := &Job{Spec: s, Priority: jobs.Priority(urgency), Order: uint64(len(began) + len(queue) + 1), Submitted: now}
 		for i := range pieces {
-			j.Waiting = append(j.Waiting, i)
+			j.WaitingTasks = append(j.WaitingTasks, i)
 		}
 		queue = append(queue, j)
 	}
@@ -396,14 +396,14 @@
 			}
 			for _, x := range tasks {
 				if x.machine == i {
-					r.Slots = append(r.Slots, Slot{Job: x.job, Resources: TaskResources(x.job.Spec), Remaining: x.end.Sub(now), StopCost: time.Minute})
+					r.RunningTasks = append(r.RunningTasks, RunningTask{Job: x.job, Resources: TaskResources(x.job.Spec), Remaining: x.end.Sub(now), StopCost: time.Minute})
 				}
 			}
 			w.Machines = append(w.Machines, r)
 		}
 		var open []*Job
 		for _, j := range queue {
-			if len(j.Waiting) > 0 {
+			if len(j.WaitingTasks) > 0 {
 				j.UpdateSlack(now, 1)
 				open = append(open, j)
 			}
@@ -428,13 +428,13 @@
 			}
 			at, _ := strconv.Atoi(s.Machine.Name[2:])
 			tasks = append(tasks, running{s.Job, at, now.Add(time.Duration(ran) * time.Second)})
-			left := s.Job.Waiting[:0:0]
-			for _, i := range s.Job.Waiting {
+			left := s.Job.WaitingTasks[:0:0]
+			for _, i := range s.Job.WaitingTasks {
 				if i != s.Index {
 					left = append(left, i)
 				}
 			}
-			s.Job.Waiting = left
+			s.Job.WaitingTasks = left
 			if _, ok := began[s.Job.Spec.ID]; !ok {
 				began[s.Job.Spec.ID] = now.Sub(s.Job.Submitted)
 			}
@@ -474,7 +474,7 @@
 			Targets: []time.Duration{30 * time.Second, 90 * time.Second},
 		}
 		for i := range pieces {
-			j.Waiting = append(j.Waiting, i)
+			j.WaitingTasks = append(j.WaitingTasks, i)
 		}
 		queue, all = append(queue, j), append(all, j)
 	}
@@ -513,14 +513,14 @@
 			}
 			for _, x := range tasks {
 				if x.machine == i {
-					r.Slots = append(r.Slots, Slot{Job: x.job, Resources: TaskResources(x.job.Spec), Remaining: x.end.Sub(now), StopCost: time.Minute})
+					r.RunningTasks = append(r.RunningTasks, RunningTask{Job: x.job, Resources: TaskResources(x.job.Spec), Remaining: x.end.Sub(now), StopCost: time.Minute})
 				}
 			}
 			w.Machines = append(w.Machines, r)
 		}
 		var open []*Job
 		for _, j := range queue {
-			if len(j.Waiting) > 0 {
+			if len(j.WaitingTasks) > 0 {
 				j.UpdateSlack(now, map[string]float64{"sweep": 1, "gang": 0.25}[j.Spec.Kind])
 				open = append(open, j)
 			}
@@ -543,7 +543,7 @@
 			for i, x := range tasks {
 				if x.job == e.Victim.Job && fmt.Sprintf("m-%02d", x.machine) == e.Machine.Name {
 					tasks[i].end = now
-					x.job.Waiting = append(x.job.Waiting, 0)
+					x.job.WaitingTasks = append(x.job.WaitingTasks, 0)
 					break
 				}
 			}
@@ -551,13 +551,13 @@
 		for _, s := range plan.Starts {
 			at, _ := strconv.Atoi(s.Machine.Name[2:])
 			tasks = append(tasks, running{s.Job, at, now.Add(time.Duration(30+rnd.IntN(60)) * time.Second)})
-			left := s.Job.Waiting[:0:0]
-			for _, i := range s.Job.Waiting {
+			left := s.Job.WaitingTasks[:0:0]
+			for _, i := range s.Job.WaitingTasks {
 				if i != s.Index {
 					left = append(left, i)
 				}
 			}
-			s.Job.Waiting = left
+			s.Job.WaitingTasks = left
 			if _, ok := began[s.Job]; !ok {
 				began[s.Job] = now.Sub(s.Job.Submitted)
 			}
--- a/internal/placement/room.go
+++ b/internal/placement/room.go
@@ -16,7 +16,7 @@
 // other for ever. So stopping follows the queue's own order, priority first
 // and guarantee second: what is stopped also stands behind in the queue and
 // can't take the room back.
-func (p *pass) mayEvict(j *Job, s Slot) bool {
+func (p *pass) mayEvict(j *Job, s RunningTask) bool {
 	if s.Stopping || s.Job == nil {
 		return false
 	}
@@ -54,7 +54,7 @@
 // option is a machine whose room could be made or kept for a job.
 type option struct {
 	machine *Machine
-	victim  []Slot
+	victim  []RunningTask
 	cost    float64
 	coming  int // tasks that fit once what ends has ended
 }
@@ -203,7 +203,7 @@
 	}
 	if mayStop && r.stoppable && r.standings&stops != 0 && (r.lowest < j.Priority || j.Guaranteed) {
 		able, all := p.victims[:0], f
-		for _, s := range r.Slots {
+		for _, s := range r.RunningTasks {
 			if p.mayEvict(j, s) {
 				able = append(able, s)
 				all = all.Add(s.Resources)
@@ -211,7 +211,7 @@
 		}
 		p.victims = able[:0]
 		if all.Fits(need) {
-			slices.SortStableFunc(able, func(a, b Slot) int {
+			slices.SortStableFunc(able, func(a, b RunningTask) int {
 				if a.Job.Priority != b.Job.Priority {
 					return cmp.Compare(a.Job.Priority, b.Job.Priority)
 				}
@@ -260,7 +260,7 @@
 	if gang || len(o.victim) > 0 {
 		o.machine.claimed = j
 		// What is held here for lower work can't be used by it any more.
-		for _, h := range slices.Clone(o.machine.Held) {
+		for _, h := range slices.Clone(o.machine.Reserved) {
 			if !j.Owns(h.Pipeline) && !h.blocks(j) {
 				p.release(heldOn{o.machine, h})
 			}
--- a/internal/placement/room_test.go
+++ b/internal/placement/room_test.go
@@ -18,11 +18,11 @@
 		Schedule(w) // sums and counts, as a pass leaves them
 		p := &pass{Snapshot: w, plan: &Plan{}, ending: map[string]Resources{}, outside: map[string]bool{}}
 		for _, j := range w.Jobs {
-			if p.Teams[j.Spec.Team] == nil || len(j.Waiting) == 0 {
+			if p.Teams[j.Spec.Team] == nil || len(j.WaitingTasks) == 0 {
 				continue
 			}
 			for _, r := range w.Machines {
-				n := len(j.Waiting)
+				n := len(j.WaitingTasks)
 				free, ok := p.option(j, r, TaskResources(j.Spec), n, true, ^uint64(0), math.Inf(1))
 				worst := rapid.SampledFrom([]float64{0, free.cost / 2, free.cost, math.Nextafter(free.cost, math.Inf(1)), 2*free.cost + 1}).Draw(t, "worst")
 				bound, within := p.option(j, r, TaskResources(j.Spec), n, true, ^uint64(0), worst)
@@ -79,7 +79,7 @@
 func TestLimitIsKeptForLiftedGang(t *testing.T) {
 	for _, lift := range []Boost{NoBoost, BoostWithinPriority, BoostAboveAll} {
 		gang := sweepJob("j-2", "a", 1)
-		gang.Spec.Kind, gang.Spec.Tasks, gang.Waiting, gang.Order, gang.Boost = "gang", 2, []int{0, 1}, 2, lift
+		gang.Spec.Kind, gang.Spec.Tasks, gang.WaitingTasks, gang.Order, gang.Boost = "gang", 2, []int{0, 1}, 2, lift
 		before, behind, other := sweepJob("j-1", "a", 2), sweepJob("j-3", "a", 1), sweepJob("j-4", "b", 1)
 		before.Order, behind.Order, other.Order = 1, 3, 4
 		for _, j := range []*Job{before, behind, other} {
--- a/internal/placement/roomy_test.go
+++ b/internal/placement/roomy_test.go
@@ -19,14 +19,14 @@
 			r := oneRig()
 			r.Name = fmt.Sprintf("m-%06d", i)
 			if i >= empty {
-				r.Slots = []Slot{{Job: busy, Resources: Resources{CPUs: r.Total.CPUs / 2, GPUs: r.Total.GPUs, MemoryGB: 1}}}
+				r.RunningTasks = []RunningTask{{Job: busy, Resources: Resources{CPUs: r.Total.CPUs / 2, GPUs: r.Total.GPUs, MemoryGB: 1}}}
 			}
 			w.Machines = append(w.Machines, r)
 		}
 		for i := range gangs {
 			j := sweepJob(fmt.Sprintf("j-1%03d", i), "a", 1)
 			j.Spec.Kind, j.Spec.Tasks, j.Spec.GPUs, j.Order = "gang", 20, w.Machines[0].Total.GPUs, uint64(i)
-			j.Waiting = make([]int, 20)
+			j.WaitingTasks = make([]int, 20)
 			w.Jobs = append(w.Jobs, j)
 		}
 		small := sweepJob("j-2000", "a", 1)
--- a/internal/placement/sweep.go
+++ b/internal/placement/sweep.go
@@ -58,7 +58,7 @@
 	}
 	heap.Init(&c)
 	defer func() { p.cands = c[:0] }()
-	for i := from; i < len(j.Waiting); i++ {
+	for i := from; i < len(j.WaitingTasks); i++ {
 		if !p.allows(j, need) {
 			return i
 		}
@@ -79,9 +79,9 @@
 		if len(c) == 0 {
 			return i
 		}
-		p.put(j, j.Waiting[i], c[0].machine)
+		p.put(j, j.WaitingTasks[i], c[0].machine)
 		c[0].score = p.score(c[0].machine, j)
 		heap.Fix(&c, 0)
 	}
-	return len(j.Waiting)
+	return len(j.WaitingTasks)
 }
--- a/internal/placement/world.go
+++ b/internal/placement/world.go
@@ -93,8 +93,8 @@
 		(t.Guarantee.GPUs <= 0 || use.GPUs <= t.Guarantee.GPUs+constants.ResourceTolerance)
 }
 
-// Slot is a task that occupies a machine.
-type Slot struct {
+// RunningTask is a task that occupies a machine.
+type RunningTask struct {
 	Job       *Job
 	Index     int
 	Attempt   uint64
@@ -105,8 +105,8 @@
 	Remaining, StopCost time.Duration
 }
 
-// HeldSlot is room on a machine that is kept for a pipeline.
-type HeldSlot struct {
+// ReservedSlot is room on a machine that is kept for a pipeline.
+type ReservedSlot struct {
 	Pipeline  Pipeline
 	Priority  int
 	Resources Resources
@@ -131,17 +131,17 @@
 	Schedulable     bool
 	AttemptCapacity int
 	Total           Resources
-	Slots           []Slot
-	Held            []HeldSlot
+	RunningTasks    []RunningTask
+	Reserved        []ReservedSlot
 	// ImageWait tells for how long an image has still to be fetched; an image
 	// not named is not there.
 	ImageWait map[string]time.Duration
-	// FetchGBPerS is the image fetch rate in GB a second, Fetching the number of
+	// FetchGBPerS is the image fetch rate in GB a second, ActiveFetches the number of
 	// fetches under way.
-	FetchGBPerS float64
-	Fetches     int
+	FetchGBPerS   float64
+	ActiveFetches int
 
-	// What follows from Slots, summed once: a view is shown again in later
+	// What follows from RunningTasks, summed once: a view is shown again in later
 	// passes as long as nothing on the machine has changed.
 	summed    bool
 	used      Resources
@@ -162,7 +162,7 @@
 	}
 	m.summed = true
 	m.used, m.ending, m.left, m.lowest, m.stoppable = Resources{}, Resources{}, 0, 0, false
-	for _, s := range m.Slots {
+	for _, s := range m.RunningTasks {
 		m.used = m.used.Add(s.Resources)
 		m.left = max(m.left, s.Remaining)
 		switch {
@@ -186,14 +186,14 @@
 
 // Job is a job with tasks to start.
 type Job struct {
-	Spec       *jobs.Spec
-	Priority   int
-	Order      uint64 // revision of its submission
-	Submitted  time.Time
-	Guaranteed bool // fits the guarantee with its team's earlier jobs
-	Waiting    []int
-	Zones      map[string]int // tasks that may be on machines, by zone
-	Avoid      map[string]bool
+	Spec          *jobs.Spec
+	Priority      int
+	Order         uint64 // revision of its submission
+	Submitted     time.Time
+	Guaranteed    bool // fits the guarantee with its team's earlier jobs
+	WaitingTasks  []int
+	TasksByZone   map[string]int // tasks that may be on machines, by zone
+	AvoidMachines map[string]bool
 	// ReservedDownstreams are the jobs with room held for them that wait for this one, directly or
 	// through others.
 	ReservedDownstreams map[string]bool
@@ -299,7 +299,7 @@
 // Preemption stops a task to make room.
 type Preemption struct {
 	Machine *Machine
-	Victim  Slot
+	Victim  RunningTask
 	For     *Job
 }
 
@@ -312,7 +312,7 @@
 // Release ends one hold on a machine.
 type Release struct {
 	Machine *Machine
-	Held    HeldSlot
+	Slot    ReservedSlot
 }
 
 // Plan is what a pass decided. The starts of a gang are all there or none.
@@ -385,7 +385,7 @@
 	for _, j := range unfinished {
 		j.Boost = NoBoost
 		g := largest[j.Spec.Class]
-		if g.Size > 0 && j.Spec.Tasks >= g.Size && j.Spec.Kind == jobs.KindGang && len(j.Waiting) > 0 && now.Sub(j.Submitted) > constants.BoostAfter {
+		if g.Size > 0 && j.Spec.Tasks >= g.Size && j.Spec.Kind == jobs.KindGang && len(j.WaitingTasks) > 0 && now.Sub(j.Submitted) > constants.BoostAfter {
 			late = append(late, j)
 		}
 	}
--- a/internal/reservations/book.go
+++ b/internal/reservations/book.go
@@ -17,8 +17,8 @@
 	Alpha, P, Threshold float64
 }
 
-// Hold is room on one machine kept for a pipeline.
-type Hold struct {
+// Reservation is room on one machine kept for a pipeline.
+type Reservation struct {
 	Machine    string
 	Pipeline   placement.Pipeline
 	Upstream   string
@@ -67,19 +67,19 @@
 // Manager keeps the holds in memory.
 type Manager struct {
 	opt    Options
-	holds  map[string][]Hold // by machine
-	stages map[string]*stage // by upstream job
-	counts map[string]int    // holds, by downstream job
+	holds  map[string][]Reservation // by machine
+	stages map[string]*stage        // by upstream job
+	counts map[string]int           // holds, by downstream job
 }
 
-// NewManager makes an empty book.
+// NewManager returns a manager without reservations.
 func NewManager(opt Options) *Manager {
-	return &Manager{opt: opt, holds: make(map[string][]Hold), stages: make(map[string]*stage), counts: make(map[string]int)}
+	return &Manager{opt: opt, holds: make(map[string][]Reservation), stages: make(map[string]*stage), counts: make(map[string]int)}
 }
 
-// HoldDuration is D of the paper's section IV: how long after the upstream's start
+// Deadline is D of the paper's section IV: how long after the upstream's start
 // its holds last, for a first finisher after tm and n tasks.
-func (o Options) HoldDuration(tm time.Duration, n int) time.Duration {
+func (o Options) Deadline(tm time.Duration, n int) time.Duration {
 	if n < 1 {
 		n = 1
 	}
@@ -92,44 +92,44 @@
 
 // TaskFinished takes in the end of an upstream task and reports whether its room
 // is now held.
-func (manager *Manager) TaskFinished(f TaskFinish) bool {
-	if !manager.opt.Enabled {
+func (m *Manager) TaskFinished(f TaskFinish) bool {
+	if !m.opt.Enabled {
 		return false
 	}
-	s := manager.stages[f.Job]
+	s := m.stages[f.Job]
 	if s == nil {
 		s = &stage{first: f.Runtime}
-		manager.stages[f.Job] = s
+		m.stages[f.Job] = s
 	}
 	s.finished++
-	s.expires = f.UpstreamStartedAt.Add(manager.opt.HoldDuration(s.first, f.Tasks))
+	s.expires = f.UpstreamStartedAt.Add(m.opt.Deadline(s.first, f.Tasks))
 	held := false
 	if len(f.Downstreams) > 0 {
-		m, n := f.Tasks, 0
+		upstreamTasks, downstreamTasks := f.Tasks, 0
 		for _, d := range f.Downstreams {
-			n += d.tasks(m)
+			downstreamTasks += d.tasks(upstreamTasks)
 		}
 		s.next = f.Downstreams
 		switch {
-		case m > n && s.released < m-n:
+		case upstreamTasks > downstreamTasks && s.released < upstreamTasks-downstreamTasks:
 			s.released++
 		case s.expires.After(f.Now):
-			held = manager.holdFor(s, f.Job, f.Machine, m, f.Fits)
+			held = m.holdFor(s, f.Job, f.Machine, upstreamTasks, f.Fits)
 		}
-		if m < n && !s.asked && float64(s.finished) > manager.opt.Threshold*float64(m) {
-			s.asked, s.extra = true, n-m
+		if upstreamTasks < downstreamTasks && !s.asked && float64(s.finished) > m.opt.Threshold*float64(upstreamTasks) {
+			s.asked, s.extra = true, downstreamTasks-upstreamTasks
 		}
 	}
 	if s.finished >= f.Tasks && s.extra == 0 {
-		delete(manager.stages, f.Job)
+		delete(m.stages, f.Job)
 	}
 	return held
 }
 
 // tasks is n of a job; unknown, it counts as the upstream's m.
-func (d Downstream) tasks(m int) int {
+func (d Downstream) tasks(upstreamTasks int) int {
 	if d.Tasks == 0 {
-		return m
+		return upstreamTasks
 	}
 	return d.Tasks
 }
@@ -141,10 +141,10 @@
 // own tasks take; all else would only stand empty and use up the team's limit, as on
 // Peakdale, where one gang of 24 had 237 machines held for it and could not start for
 // that.
-func (manager *Manager) holdFor(s *stage, upstream, machine string, m int, fits func(Downstream) bool) bool {
+func (m *Manager) holdFor(s *stage, upstream, machine string, upstreamTasks int, fits func(Downstream) bool) bool {
 	for _, d := range s.next {
-		if manager.counts[d.Job] < d.tasks(m) && fits(d) {
-			manager.add(Hold{machine, d.Pipeline, upstream, d.Job, d.Priority, d.TaskResources, s.expires})
+		if m.counts[d.Job] < d.tasks(upstreamTasks) && fits(d) {
+			m.add(Reservation{machine, d.Pipeline, upstream, d.Job, d.Priority, d.TaskResources, s.expires})
 			return true
 		}
 	}
@@ -154,9 +154,9 @@
 // OfferFreed offers room that came free elsewhere to the stages that hold more
 // than their own; fits tells whether a task of the job can use it. The highest
 // priority goes first.
-func (manager *Manager) OfferFreed(machine string, fits func(Downstream) bool, now time.Time) bool {
+func (m *Manager) OfferFreed(machine string, fits func(Downstream) bool, now time.Time) bool {
 	var names []string
-	for name, s := range manager.stages {
+	for name, s := range m.stages {
 		if s.extra > 0 {
 			if !s.expires.After(now) {
 				s.extra = 0
@@ -166,7 +166,7 @@
 		}
 	}
 	sort.Slice(names, func(i, j int) bool {
-		a, c := manager.stages[names[i]], manager.stages[names[j]]
+		a, c := m.stages[names[i]], m.stages[names[j]]
 		if a.next[0].Priority != c.next[0].Priority {
 			return a.next[0].Priority > c.next[0].Priority
 		}
@@ -174,7 +174,7 @@
 	})
 	for _, name := range names {
 		// An unknown n counts as m, and then nothing more is held from elsewhere.
-		if s := manager.stages[name]; manager.holdFor(s, name, machine, 0, fits) {
+		if s := m.stages[name]; m.holdFor(s, name, machine, 0, fits) {
 			s.extra--
 			return true
 		}
@@ -182,43 +182,43 @@
 	return false
 }
 
-func (manager *Manager) add(h Hold) {
-	manager.holds[h.Machine] = append(manager.holds[h.Machine], h)
-	manager.counts[h.Downstream]++
+func (m *Manager) add(h Reservation) {
+	m.holds[h.Machine] = append(m.holds[h.Machine], h)
+	m.counts[h.Downstream]++
 }
 
 // uncount takes a hold that ends out of the counts.
-func (manager *Manager) uncount(h Hold) {
-	if manager.counts[h.Downstream]--; manager.counts[h.Downstream] <= 0 {
-		delete(manager.counts, h.Downstream)
+func (m *Manager) uncount(h Reservation) {
+	if m.counts[h.Downstream]--; m.counts[h.Downstream] <= 0 {
+		delete(m.counts, h.Downstream)
 	}
 }
 
 // Restore puts back a hold read from a machine's record.
-func (manager *Manager) Restore(h Hold) {
-	if manager.opt.Enabled {
-		manager.add(h)
+func (m *Manager) Restore(h Reservation) {
+	if m.opt.Enabled {
+		m.add(h)
 	}
 }
 
-// On lists the holds on a machine.
-func (manager *Manager) On(machine string) []Hold { return manager.holds[machine] }
+// OnMachine lists the holds on a machine.
+func (m *Manager) OnMachine(machine string) []Reservation { return m.holds[machine] }
 
 // All lists every hold, by machine.
-func (manager *Manager) All() []Hold {
-	var out []Hold
-	for _, hs := range manager.holds {
+func (m *Manager) All() []Reservation {
+	var out []Reservation
+	for _, hs := range m.holds {
 		out = append(out, hs...)
 	}
 	sort.SliceStable(out, func(i, j int) bool { return out[i].Machine < out[j].Machine })
 	return out
 }
 
-// Use takes up one hold on the machine for a task that is its pipeline's own.
-func (manager *Manager) Use(machine string, owns func(placement.Pipeline) bool) bool {
-	for i, h := range manager.holds[machine] {
+// Consume takes up one hold on the machine for a task that is its pipeline's own.
+func (m *Manager) Consume(machine string, owns func(placement.Pipeline) bool) bool {
+	for i, h := range m.holds[machine] {
 		if owns(h.Pipeline) {
-			manager.remove(machine, i)
+			m.remove(machine, i)
 			return true
 		}
 	}
@@ -227,46 +227,46 @@
 
 // ReleaseExcess removes holds on a machine, lowest priority first, until the room
 // kept there is no more than fits.
-func (manager *Manager) ReleaseExcess(machine string, fits placement.Resources) (changed bool) {
-	for len(manager.holds[machine]) > 0 {
+func (m *Manager) ReleaseExcess(machine string, fits placement.Resources) (changed bool) {
+	for len(m.holds[machine]) > 0 {
 		var sum placement.Resources
 		low := 0
-		for i, h := range manager.holds[machine] {
+		for i, h := range m.holds[machine] {
 			sum = sum.Add(h.Resources)
-			if h.Priority <= manager.holds[machine][low].Priority {
+			if h.Priority <= m.holds[machine][low].Priority {
 				low = i
 			}
 		}
 		if fits.Fits(sum) {
 			break
 		}
-		manager.remove(machine, low)
+		m.remove(machine, low)
 		changed = true
 	}
 	return changed
 }
 
-func (manager *Manager) remove(machine string, i int) {
-	hs := manager.holds[machine]
-	manager.uncount(hs[i])
-	hs = append(append([]Hold(nil), hs[:i]...), hs[i+1:]...)
+func (m *Manager) remove(machine string, i int) {
+	hs := m.holds[machine]
+	m.uncount(hs[i])
+	hs = append(append([]Reservation(nil), hs[:i]...), hs[i+1:]...)
 	if len(hs) == 0 {
-		delete(manager.holds, machine)
+		delete(m.holds, machine)
 		return
 	}
-	manager.holds[machine] = hs
+	m.holds[machine] = hs
 }
 
 // Expire removes what has expired or whose downstream job no longer waits, and
 // names the machines that changed.
-func (manager *Manager) Expire(now time.Time, waits func(job string) bool) (changed []string) {
-	for machine, hs := range manager.holds {
+func (m *Manager) Expire(now time.Time, waits func(job string) bool) (changed []string) {
+	for machine, hs := range m.holds {
 		kept := hs[:0:0]
 		for _, h := range hs {
 			if h.ExpiresAt.After(now) && waits(h.Downstream) {
 				kept = append(kept, h)
 			} else {
-				manager.uncount(h)
+				m.uncount(h)
 			}
 		}
 		if len(kept) == len(hs) {
@@ -274,14 +274,14 @@
 		}
 		changed = append(changed, machine)
 		if len(kept) == 0 {
-			delete(manager.holds, machine)
+			delete(m.holds, machine)
 		} else {
-			manager.holds[machine] = kept
+			m.holds[machine] = kept
 		}
 	}
-	for name, s := range manager.stages {
+	for name, s := range m.stages {
 		if s.expires.Before(now.Add(-time.Hour)) || s.extra > 0 && !slices.ContainsFunc(s.next, func(d Downstream) bool { return waits(d.Job) }) {
-			delete(manager.stages, name)
+			delete(m.stages, name)
 		}
 	}
 	sort.Strings(changed)
@@ -289,9 +289,9 @@
 }
 
 // RemoveMachine forgets the holds of a machine that is leaving.
-func (manager *Manager) RemoveMachine(machine string) {
-	for _, h := range manager.holds[machine] {
-		manager.uncount(h)
+func (m *Manager) RemoveMachine(machine string) {
+	for _, h := range m.holds[machine] {
+		m.uncount(h)
 	}
-	delete(manager.holds, machine)
+	delete(m.holds, machine)
 }
--- a/internal/reservations/book_test.go
+++ b/internal/reservations/book_test.go
@@ -132,7 +132,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		o := Options{Alpha: rapid.Float64Range(1.05, 4).Draw(t, "alpha"), P: rapid.Float64Range(0.05, 0.95).Draw(t, "p")}
 		n := rapid.IntRange(1, 500).Draw(t, "n")
-		d := o.HoldDuration(time.Second, n)
+		d := o.Deadline(time.Second, n)
 		if d >= 24*time.Hour {
 			return
 		}
@@ -156,17 +156,17 @@
 	if ch := b.Expire(t0.Add(11*time.Second), always); len(ch) != 0 {
 		t.Errorf("lapsed early: %v", ch)
 	}
-	if !b.Use("m-0", owned) || b.Use("m-0", owned) {
+	if !b.Consume("m-0", owned) || b.Consume("m-0", owned) {
 		t.Errorf("a hold is used other than once")
 	}
-	if !b.ReleaseExcess("m-1", placement.Resources{}) || len(b.On("m-1")) != 0 {
+	if !b.ReleaseExcess("m-1", placement.Resources{}) || len(b.OnMachine("m-1")) != 0 {
 		t.Errorf("a hold stands in room that is taken")
 	}
 	if ch := b.Expire(t0.Add(11*time.Second), func(string) bool { return false }); len(ch) != 1 {
 		t.Errorf("holds outlive their job: %v", ch)
 	}
 	finishAll(b, 3, next)
-	if ch := b.Expire(t0.Add(opt.HoldDuration(10*time.Second, 3)+time.Second), always); len(ch) != 3 {
+	if ch := b.Expire(t0.Add(opt.Deadline(10*time.Second, 3)+time.Second), always); len(ch) != 3 {
 		t.Errorf("holds do not lapse: %v", ch)
 	}
 	if off := NewManager(Options{}); finishAll(off, 1, next)[0] {
@@ -192,7 +192,7 @@
 			case 0:
 				b.RemoveMachine(machine)
 			case 1:
-				b.Use(machine, owned)
+				b.Consume(machine, owned)
 			case 2:
 				b.ReleaseExcess(machine, unit)
 			case 3:
