--- /dev/null
+++ b/internal/leader/scheduling_pass.go
@@ -0,0 +1,129 @@
+package leader
+
+import (
+	"time"
+
+	"thornnotch/internal/constants"
+	"thornnotch/internal/jobs"
+	"thornnotch/internal/placement"
+	"thornnotch/internal/workers"
+)
+
+// runSchedulingPass runs placement over the present state and books what it decides.
+func (l *Leader) runSchedulingPass(now time.Time) {
+	l.passDueNow = false
+	l.lastPass = now
+	if !l.loaded || l.deps.Catalog() == nil || l.commits.backoff > 0 || l.termUnverified {
+		// Without records no decision that needs one is made, and none on a
+		// world that may be half a minute old.
+		return
+	}
+	w, states := l.snapshotForPlacement(now)
+	plan := placement.Schedule(w)
+	for _, s := range plan.Starts {
+		l.machines[s.Machine.Name].stale = true
+		states[s.Job.Spec.ID].stale = true
+	}
+	for _, e := range plan.Preemptions {
+		l.machines[e.Machine.Name].stale = true
+	}
+	for _, h := range plan.Released {
+		if machine := l.machines[h.Machine.Name]; machine != nil && l.reservations.Consume(h.Machine.Name, func(p placement.Pipeline) bool { return p == h.Slot.Pipeline }) {
+			l.deps.Log.Debug("hold given up", "rig", h.Machine.Name, "class", h.Slot.Pipeline.Class)
+			l.metadataChanged(machine, now)
+		}
+	}
+	for _, e := range plan.Preemptions {
+		l.preempt(e, now)
+	}
+	l.startPlanned(plan, states, now)
+	for _, s := range plan.Starts {
+		if j := states[s.Job.Spec.ID]; j != nil && len(j.attempts) == j.spec.Tasks {
+			j.replacingTask = false
+		}
+	}
+	for _, v := range w.Jobs {
+		v.ClaimedMachines, v.Draining = nil, false
+	}
+	for _, v := range plan.Draining {
+		v.Draining = true
+	}
+	for _, c := range plan.Claims {
+		if c.Job.ClaimedMachines == nil {
+			c.Job.ClaimedMachines = make(map[string]bool)
+		}
+		c.Job.ClaimedMachines[c.Machine.Name] = true
+	}
+	l.scaling.unmet(plan.Unplaced, now)
+	l.summary(w, now)
+	l.lastPassDuration = time.Since(now)
+	l.counts.Passes++
+	l.counts.PassS += l.lastPassDuration.Seconds()
+}
+
+// preempt stops a task to make room; a gang goes as a whole.
+func (l *Leader) preempt(e placement.Preemption, now time.Time) {
+	machine := l.machines[e.Machine.Name]
+	if machine == nil || e.Victim.Job == nil {
+		return
+	}
+	j := l.jobs[e.Victim.Job.Spec.ID]
+	if j == nil {
+		return
+	}
+	l.deps.Log.Debug("makes room", "piece", workers.TaskID{Job: j.spec.ID, Index: e.Victim.Index}, "rig", machine.agent.Name, "for", e.For.Spec.ID)
+	grace := j.spec.SaveS + constants.StopGrace.Seconds()
+	if j.spec.Kind == jobs.KindGang {
+		l.stopGang(j, grace, now)
+		return
+	}
+	for _, s := range j.attempts[e.Victim.Index] {
+		if s.machine == machine && s.attempt.ID.Number == e.Victim.Attempt {
+			l.stopAttempt(machine, s.attempt, grace, now)
+		}
+	}
+	l.sendStops(machine, now)
+}
+
+// startPlanned turns the starts of a plan into attempts. Their `run` leaves only once
+// the machines' records with them stand.
+func (l *Leader) startPlanned(plan *placement.Plan, states map[string]*jobState, now time.Time) {
+	gangTry := make(map[string]uint64)
+	for _, s := range plan.Starts {
+		j := states[s.Job.Spec.ID]
+		machine := l.machines[s.Machine.Name]
+		if j == nil || machine == nil {
+			continue
+		}
+		try, ok := gangTry[j.spec.ID]
+		if !ok && j.replacingTask {
+			try, ok = j.gangAttempt, true
+		}
+		if !ok {
+			if try, ok = l.attemptNumbers.next(); !ok {
+				l.endTerm(errAttemptNumbersExhausted)
+				return
+			}
+			if j.spec.Kind == jobs.KindGang {
+				gangTry[j.spec.ID] = try
+				j.gangAttempt = try
+			}
+		}
+		a := &workers.Attempt{
+			ID:    workers.AttemptID{Task: workers.TaskID{Job: j.spec.ID, Index: s.Index}, Number: try},
+			Epoch: machine.agent.Epoch, PlacedAt: now,
+		}
+		machine.agent.Attempts[a.ID] = a
+		j.servedAt = now
+		l.placementRates.add(j.spec.Class)
+		l.addAttempt(machine, a)
+		l.logAttempt(machine, a)
+		if l.reservations.Consume(machine.agent.Name, j.view.Owns) {
+			l.deps.Log.Debug("hold used", "rig", machine.agent.Name, "job", j.spec.ID)
+			l.metadataChanged(machine, now)
+		}
+		l.reservations.ReleaseExcess(machine.agent.Name, s.Machine.Total.Sub(l.usedResources(machine)))
+		machine.useImage(j.spec.Image, j.spec.ImageGB, false, l.cacheOf(machine))
+		l.deps.Log.Debug("placed", "piece", a.ID.Task, "try", try, "rig", machine.agent.Name)
+	}
+}
