--- /dev/null
+++ b/internal/leader/failures.go
@@ -0,0 +1,113 @@
+package leader
+
+import (
+	"time"
+
+	"thornnotch/internal/constants"
+	"thornnotch/internal/jobs"
+	"thornnotch/internal/workers"
+)
+
+// taskFailed takes in a task's failure.
+func (l *Leader) taskFailed(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
+	ran := time.Duration(0)
+	if !attempt.RunningSince.IsZero() {
+		ran = now.Sub(attempt.RunningSince)
+	}
+	job.avoid[machine.agent.Name] = now.Add(constants.AvoidFor)
+	job.stale = true
+	task := attempt.ID.Task.Index
+	pause, taskOnly := job.failures.Record(machine.agent.Name, task, ran, now.Before(job.notBefore), now)
+	if taskOnly {
+		job.delayedTasks.Add(task, now.Add(pause))
+		return
+	}
+	job.notBefore = later(job.notBefore, now.Add(pause))
+	if job.failures.JobIsFaulty() {
+		l.clearMachineSuspicion(job)
+		return
+	}
+	if machine.health.Suspect(job.spec.ID, now) {
+		l.quarantine(machine, "several jobs failed on it", now)
+	}
+	l.attributeFailures(job, now)
+}
+
+func later(a, b time.Time) time.Time {
+	if a.After(b) {
+		return a
+	}
+	return b
+}
+
+// attributeFailures finds out whose fault a job's failures were.
+func (l *Leader) attributeFailures(job *jobState, now time.Time) {
+	if !job.failures.Unattributed() {
+		return
+	}
+	for _, name := range job.failures.TakeFaultyMachines(job.longestRuns(), now) {
+		job.failures.ClearJob()
+		if machine := l.machines[name]; machine != nil {
+			l.quarantine(machine, "a job that does well elsewhere failed on it", now)
+		}
+	}
+}
+
+// longestRuns is for how long the job's tasks have been seen to run, by machine.
+func (j *jobState) longestRuns() map[string]time.Duration {
+	runs := make(map[string]time.Duration)
+	for _, placed := range j.attempts {
+		for _, p := range placed {
+			if p.attempt.Status == workers.StatusRunning && !p.attempt.RunningSince.IsZero() {
+				agent := p.machine.agent
+				runs[agent.Name] = max(runs[agent.Name], agent.LastHeartbeat.Sub(p.attempt.RunningSince))
+			}
+		}
+	}
+	return runs
+}
+
+// attributeAllFailures does that for all jobs that have failed somewhere.
+func (l *Leader) attributeAllFailures(now time.Time) {
+	for _, job := range l.jobs {
+		l.attributeFailures(job, now)
+	}
+}
+
+// clearMachineSuspicion takes back what a faulty job has said against machines.
+func (l *Leader) clearMachineSuspicion(job *jobState) {
+	for _, name := range job.failures.SuspectMachines() {
+		if machine := l.machines[name]; machine != nil {
+			machine.health.ClearSuspicion(job.spec.ID)
+		}
+	}
+	l.passDueNow = true
+}
+
+// quarantine takes a machine for faulty: it gets no more tasks, and goes back once
+// it has none. What has not begun to run there would only fail too.
+func (l *Leader) quarantine(machine *machineState, reason string, now time.Time) {
+	if !machine.health.Quarantine() {
+		return
+	}
+	l.deps.Log.Warn("machine quarantined", "machine", machine.agent.Name, "zone", machine.agent.Zone, "reason", reason)
+	for _, attempt := range machine.agent.SortedAttempts() {
+		job := l.jobs[attempt.ID.Task.Job]
+		if job == nil || attempt.StopRequested || !attempt.Live() || hasBegun(attempt) {
+			continue
+		}
+		if job.spec.Kind != jobs.KindGang {
+			l.stopAttempt(machine, attempt, 0, now)
+		} else {
+			l.stopGang(job, 0, now)
+		}
+	}
+	l.markStale(machine)
+	l.sendStops(machine, now)
+	l.passDueNow = true
+}
+
+// hasBegun tells whether an attempt was seen to run and has not ended.
+func hasBegun(attempt *workers.Attempt) bool {
+	return attempt.Status == workers.StatusRunning || attempt.Status == workers.StatusSaving
+}
--- a/internal/leader/faults_test.go
+++ b/internal/leader/failures_test.go
@@ -7,7 +7,6 @@
 
 	"pgregory.net/rapid"
 
-	"thornnotch/internal/constants"
 	"thornnotch/internal/jobs"
 	"thornnotch/internal/workers"
 )
@@ -114,10 +113,10 @@
 			w.step(now)
 		}
 		for name, machine := range w.l.machines {
-			if machine.faulty && !w.faulty[name] {
+			if machine.health.Faulty() && !w.faulty[name] {
 				rt.Fatalf("%s is taken for faulty and is not", name)
 			}
-			if w.caught[name] && !machine.faulty {
+			if w.caught[name] && !machine.health.Faulty() {
 				rt.Fatalf("%s failed a sound job's tasks and is not taken for faulty", name)
 			}
 			if w.bad[name] > 16 {
@@ -136,21 +135,3 @@
 		}
 	})
 }
-
-// TestOneTaskThatFailsEverywhere: a task with a mistake in a job that does well
-// otherwise must not have machine after machine given back.
-func TestOneTaskThatFailsEverywhere(t *testing.T) {
-	b := failureHistory{succeeded: true}
-	now := time.Unix(1000, 0)
-	guilty := 0
-	for i := range 20 {
-		if pause, alone := b.note(fmt.Sprint("m-", i), 7, time.Second, false, now); alone != (i >= constants.FaultyTaskMachines) || alone && pause != constants.RetryMax {
-			t.Fatalf("failure %d: pause %v, alone %v", i, pause, alone)
-		}
-		guilty += len(b.faultyMachines(nil, now))
-		now = now.Add(time.Second)
-	}
-	if guilty != constants.FaultyTaskMachines {
-		t.Errorf("%d machines are held guilty of one task's failures", guilty)
-	}
-}
--- a/internal/leader/job_state.go
+++ b/internal/leader/job_state.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"thornnotch/internal/jobs"
+	"thornnotch/internal/leader/health"
 	"thornnotch/internal/placement"
 	"thornnotch/internal/workers"
 )
@@ -38,7 +39,7 @@
 	// to start.
 	placed bool
 
-	runtimes runtimeStats
+	runtimes health.Runtimes
 	// restartedTasks are the tasks that have run in part already, whose last run tells
 	// nothing of the whole.
 	restartedTasks map[int]bool
@@ -53,8 +54,8 @@
 
 	// failures is what its failures tell; retry are tasks that must wait after
 	// failing again and again while the others do well.
-	failures     failureHistory
-	delayedTasks []delayedTask
+	failures     health.FailureHistory
+	delayedTasks health.TaskDelays
 	notBefore    time.Time
 	avoid        map[string]time.Time
 	waitCounted  bool // how it fared among the largest of its class is known
--- a/internal/leader/job_view.go
+++ b/internal/leader/job_view.go
@@ -13,7 +13,7 @@
 	v.UpdateSlack(now, l.classShare(j.spec.Class))
 	v.Blocked = now.Before(j.notBefore)
 	v.SinceLastStart = now.Sub(j.servedAt)
-	if !j.stale && len(j.avoid) == 0 && len(j.delayedTasks) == 0 {
+	if !j.stale && len(j.avoid) == 0 && j.delayedTasks.Empty() {
 		return
 	}
 	j.stale = false
@@ -51,7 +51,7 @@
 		return
 	}
 	shown := constants.MaxWaitingTasks
-	if j.failures.faultyJob() {
+	if j.failures.JobIsFaulty() {
 		// One task tells whether it still fails, and takes no room of others.
 		shown = max(0, 1-len(j.attempts))
 	}
@@ -66,7 +66,7 @@
 		if len(v.WaitingTasks) >= shown {
 			break
 		}
-		if !j.heldBack(i, now) {
+		if !j.delayedTasks.Waiting(i, now) {
 			v.WaitingTasks = append(v.WaitingTasks, i)
 		}
 	}
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"thornnotch/internal/autoscaling"
+	"thornnotch/internal/leader/health"
 	"thornnotch/internal/leader/wal"
 	"thornnotch/internal/placement"
 	"thornnotch/internal/workers"
@@ -25,15 +26,10 @@
 	stale        bool
 	countedUsage []teamUse
 
-	images []image // least recently used first
-	// faulty is set once it is taken for faulty. accusers are the jobs that failed
-	// on it of which it is not known yet whether they fail elsewhere too;
-	// pausedUntil is until when it gets no tasks for that.
-	faulty      bool
-	failedJobs  map[string]bool
-	pausedUntil time.Time
-	pending     *pendingReply
-	leaving     bool // being returned; it gets no more tasks
+	images  []image // least recently used first
+	health  health.Machine
+	pending *pendingReply
+	leaving bool // being returned; it gets no more tasks
 	// leavingRecorded is set once the record says so, or none exists.
 	leavingRecorded bool
 	idleSince       time.Time
@@ -41,11 +37,6 @@
 	// last one was sent.
 	commandInFlight bool
 	lastCommandAt   time.Time
-	// slowUntil is until when it gets no tasks for slowness; slowMarks are the
-	// recent signs of it, slowTimes how often it was found slow.
-	slowUntil   time.Time
-	slowSignals []time.Time
-	slowCount   int
 	// startOverdue is set while a start it was sent is missing from its reports.
 	startOverdue bool
 	// heartbeatGap is set while a report is taken in that came after a long silence.
@@ -84,8 +75,12 @@
 
 // schedulable tells whether new tasks may be put on the machine.
 func (m *machineState) schedulable(now time.Time) bool {
-	return m.agent.Registered && !m.leaving && !m.faulty && !now.Before(m.pausedUntil) && m.agent.ReclaimAt.IsZero() && m.agent.Epoch > m.agent.ExpiredEpoch && !m.slow(now) &&
-		!m.agent.RepliesLost && !m.agent.EpochUnconfirmed && !m.startOverdue
+	if m.leaving || !m.health.AcceptsTasks(now) || m.startOverdue {
+		return false
+	}
+	agent := m.agent
+	return agent.Registered && agent.ReclaimAt.IsZero() && agent.Epoch > agent.ExpiredEpoch &&
+		!agent.RepliesLost && !agent.EpochUnconfirmed
 }
 
 // freeResources is what is free on the machine beside its tasks and holds.
--- a/internal/leader/provisioning.go
+++ b/internal/leader/provisioning.go
@@ -178,7 +178,7 @@
 		switch {
 		case l.silentFor(machine, now) > l.lease+patience:
 			why = "silent"
-		case machine.faulty && len(machine.agent.Attempts) == 0:
+		case machine.health.Faulty() && len(machine.agent.Attempts) == 0:
 			why = "faulty"
 		}
 		if why != "" {
@@ -387,7 +387,7 @@
 	for _, machine := range l.machines {
 		// A silent machine is not counted on: it is replaced before it is
 		// given up.
-		if !machine.leaving && !machine.faulty && machine.agent.ReclaimAt.IsZero() && l.silentFor(machine, now) <= l.lease {
+		if !machine.leaving && !machine.health.Faulty() && machine.agent.ReclaimAt.IsZero() && l.silentFor(machine, now) <= l.lease {
 			v.Machines[machine.pool()]++
 		}
 	}
--- a/internal/leader/stall_test.go
+++ b/internal/leader/stall_test.go
@@ -255,7 +255,7 @@
 				l.applyHeartbeat(b, report(l, b, workers.StatusRunning, ""), false, now)
 			}
 			l.applyHeartbeat(a, report(l, a, workers.StatusExited, workers.CauseDone), false, now)
-			if _, ok := j.runtimes.typical(8); !ok {
+			if _, ok := j.runtimes.Typical(8); !ok {
 				t.Fatal("no run times to compare with")
 			}
 			for range 50 {
@@ -267,7 +267,7 @@
 			}
 			l.applyHeartbeat(b, report(l, b, workers.StatusExited, workers.CauseDone), false, now)
 			l.detectStragglers(now)
-			if slow := b.slow(now); slow == cut {
+			if slow := b.health.Slow(now); slow == cut {
 				t.Errorf("slow: %v", slow)
 			}
 		})
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -134,7 +134,7 @@
 		if l.inUse(machine) {
 			c.Busy++
 		}
-		if machine.faulty {
+		if machine.health.Faulty() {
 			c.Faulty++
 		}
 		typ, _ := l.deps.Catalog().Type(machine.agent.MachineType)
--- a/internal/leader/pace_test.go
+++ b/internal/leader/stragglers_test.go
@@ -24,17 +24,17 @@
 		l.addAttempt(bad, a)
 	}
 	for _, s := range []int{24, 30, 35} {
-		j.runtimes.add(time.Duration(s) * time.Second)
+		j.runtimes.Add(time.Duration(s) * time.Second)
 	}
 	bad.agent.LastHeartbeat = t0.Add(45 * time.Second)
 	l.detectStragglers(t0.Add(45 * time.Second))
-	if bad.slow(t0.Add(45 * time.Second)) {
+	if bad.health.Slow(t0.Add(45 * time.Second)) {
 		t.Fatalf("half as long again is taken for slow")
 	}
 	now := t0.Add(55 * time.Second)
 	bad.agent.LastHeartbeat = now
 	l.detectStragglers(now)
-	if !bad.slow(now) || bad.schedulable(now) {
+	if !bad.health.Slow(now) || bad.schedulable(now) {
 		t.Fatalf("a slow machine is not found")
 	}
 	for _, a := range bad.agent.SortedAttempts() {
@@ -60,7 +60,7 @@
 	old.restartedTasks[0] = true
 	for _, x := range []*jobState{j, old} {
 		l.noteStragglerSignal(machine, x, &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: x.spec.ID}}, RunningSince: t0}, t0.Add(time.Second))
-		if len(x.runtimes.runs) != 0 {
+		if x.runtimes.Samples() != 0 {
 			t.Errorf("%s: a part of a run is taken for a whole one", x.spec.ID)
 		}
 	}
--- a/internal/leader/task_events.go
+++ b/internal/leader/task_events.go
@@ -103,10 +103,9 @@
 		j.doneCount++
 		l.logDone(j, a.ID.Task.Index)
 	}
-	j.failures.succeeded = true
-	j.failures.reset()
+	j.failures.RecordSuccess()
 	l.attributeFailures(j, now) // now: the job may be over in a moment
-	machine.failedJobs = nil    // it has carried a task to its end
+	machine.health.RecordSuccess()
 	l.releaseRecordedExits(j)
 	if first || j.spec.Kind == jobs.KindGang {
 		l.reserve(machine, j, a, now)
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -84,9 +84,9 @@
 func (p placements) Enabled(context.Context, slog.Level) bool { return true }
 
 func (p placements) Handle(ctx context.Context, r slog.Record) error {
-	if faulty := r.Message == "machine taken for faulty"; faulty || r.Message == "placed" {
+	if faulty := r.Message == "machine quarantined"; faulty || r.Message == "placed" {
 		r.Attrs(func(a slog.Attr) bool {
-			if a.Key == "rig" {
+			if a.Key == "machine" || a.Key == "rig" {
 				p.mu.Lock()
 				if faulty {
 					p.bad[a.Value.String()] = true
