--- a/internal/leader/class_stats.go
+++ b/internal/leader/class_stats.go
@@ -10,8 +10,8 @@
 // classShare is how many jobs of a class come, against the most frequent class.
 func (l *Leader) classShare(class string) float64 {
 	most := 0.0
-	for _, n := range l.arrivals {
-		most = max(most, n)
+	for _, count := range l.arrivals {
+		most = max(most, count)
 	}
 	if most <= 0 {
 		return 1
@@ -33,23 +33,23 @@
 
 // expectedRuntime is how long a job's tasks are expected to run: as its owner says, by how
 // the class has kept to that lately.
-func (l *Leader) expectedRuntime(j *jobState) time.Duration {
+func (l *Leader) expectedRuntime(job *jobState) time.Duration {
 	ratio := 1.0
-	if r, ok := l.runtimeRatios[j.spec.Class]; ok {
-		ratio = min(max(r, 1/constants.MaxRuntimeRatio), constants.MaxRuntimeRatio)
+	if observed, ok := l.runtimeRatios[job.spec.Class]; ok {
+		ratio = min(max(observed, 1/constants.MaxRuntimeRatio), constants.MaxRuntimeRatio)
 	}
-	return config.Seconds(j.spec.ExpectedS * ratio)
+	return config.Seconds(job.spec.ExpectedS * ratio)
 }
 
 // noteRuntime notes how long a task ran against what its owner expected.
-func (l *Leader) noteRuntime(j *jobState, ran time.Duration) {
-	if j.spec.ExpectedS <= 0 {
+func (l *Leader) noteRuntime(job *jobState, ran time.Duration) {
+	if job.spec.ExpectedS <= 0 {
 		return
 	}
-	ratio := ran.Seconds() / j.spec.ExpectedS
-	was, ok := l.runtimeRatios[j.spec.Class]
+	ratio := ran.Seconds() / job.spec.ExpectedS
+	was, ok := l.runtimeRatios[job.spec.Class]
 	if !ok {
 		was = ratio
 	}
-	l.runtimeRatios[j.spec.Class] = was + (ratio-was)*constants.RuntimeRatioWeight
+	l.runtimeRatios[job.spec.Class] = was + (ratio-was)*constants.RuntimeRatioWeight
 }
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -157,7 +157,7 @@
 	c.finalizing = kept
 	for len(c.cancelled) > 0 && len(extras) < constants.JobWritesPerTxn && room >= 2 {
 		room -= 2
-		extras = append(extras, l.cancelledExtra(c.cancelled[0]))
+		extras = append(extras, l.cancelledJobWrite(c.cancelled[0]))
 		c.cancelled = c.cancelled[1:]
 	}
 	for key, stamp := range c.legacyKeys {
--- a/internal/leader/commit_test.go
+++ b/internal/leader/commit_test.go
@@ -119,7 +119,7 @@
 	for i := range spec.Tasks - 300 {
 		j.doneTasks.set(i)
 	}
-	j.recount()
+	j.recountDone()
 	j.stale = true
 	l.runSchedulingPass(now)
 	check := func() (n int) {
@@ -145,7 +145,7 @@
 	for i := range spec.Tasks {
 		j.doneTasks.set(i)
 	}
-	j.recount()
+	j.recountDone()
 	l.checkComplete(j)
 	check()
 	if l.jobs[spec.ID] != nil {
--- a/internal/leader/demand_propagation.go
+++ b/internal/leader/demand_propagation.go
@@ -14,37 +14,37 @@
 
 // demand is what the jobs that need a job ask of it.
 type demand struct {
-	priority int
-	start    time.Time // the latest; zero if nothing is due
+	priority    int
+	latestStart time.Time // the latest; zero if nothing is due
 }
 
 // propagateDemand reckons anew what the jobs of these names are needed for, and those before
 // them as far as that changes anything.
 func (l *Leader) propagateDemand(names []string) {
 	for queue := names; len(queue) > 0; queue = queue[1:] {
-		p := l.jobs[queue[0]]
-		if p == nil {
+		upstream := l.jobs[queue[0]]
+		if upstream == nil {
 			continue
 		}
-		var d demand
-		for _, c := range l.dependencies.after[p.spec.ID] {
-			if c.removed {
+		var asked demand
+		for _, downstream := range l.dependencies.downstreams[upstream.spec.ID] {
+			if downstream.removed {
 				continue
 			}
-			d.priority = max(d.priority, c.view.Priority)
-			if at := l.latestStart(c); !at.IsZero() {
-				if at = at.Add(-l.expectedRuntime(p) - constants.ChainStep); d.start.IsZero() || at.Before(d.start) {
-					d.start = at
+			asked.priority = max(asked.priority, downstream.view.Priority)
+			if latest := l.latestStart(downstream); !latest.IsZero() {
+				if latest = latest.Add(-l.expectedRuntime(upstream) - constants.ChainStep); asked.latestStart.IsZero() || latest.Before(asked.latestStart) {
+					asked.latestStart = latest
 				}
 			}
 		}
-		if d.priority == p.downstreamDemand.priority && d.start.Equal(p.downstreamDemand.start) {
+		if asked.priority == upstream.downstreamDemand.priority && asked.latestStart.Equal(upstream.downstreamDemand.latestStart) {
 			continue
 		}
-		p.downstreamDemand = d
-		p.view.Priority = max(jobs.Priority(p.spec.PriorityClass), d.priority)
-		l.updateTargets(p)
-		for name := range p.pendingUpstreams {
+		upstream.downstreamDemand = asked
+		upstream.view.Priority = max(jobs.Priority(upstream.spec.PriorityClass), asked.priority)
+		l.updateTargets(upstream)
+		for name := range upstream.pendingUpstreams {
 			queue = append(queue, name)
 		}
 	}
--- a/internal/leader/demand_propagation_test.go
+++ b/internal/leader/demand_propagation_test.go
@@ -80,8 +80,8 @@
 					}
 				}
 			}
-			if a.j.view.Priority != prio || !a.j.downstreamDemand.start.Equal(start) {
-				t.Fatalf("job %d: priority %d and start %v, want %d and %v", i, a.j.view.Priority, a.j.downstreamDemand.start, prio, start)
+			if a.j.view.Priority != prio || !a.j.downstreamDemand.latestStart.Equal(start) {
+				t.Fatalf("job %d: priority %d and start %v, want %d and %v", i, a.j.view.Priority, a.j.downstreamDemand.latestStart, prio, start)
 			}
 		}
 	})
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -15,103 +15,103 @@
 // dependencyTracker is what they wait for.
 type dependencyTracker struct {
 	// after are the jobs that wait for one, by its name.
-	after map[string][]*jobState
+	downstreams map[string][]*jobState
 	// wanted are the names whose final record is to be read, asking those whose
 	// reading is under way.
-	wanted map[string]bool
-	asking map[string]bool
+	finalsWanted map[string]bool
+	reading      map[string]bool
 	// unnamed are the jobs whose list of names is to be read.
-	unnamed map[*jobState]jobs.Dependencies
-	retryAt time.Time
+	unlinked map[*jobState]jobs.Dependencies
+	retryAt  time.Time
 	// fed are the jobs that were shown as feeding ones with room held for them.
-	fed []*jobState
+	reservedUpstreams []*jobState
 }
 
-func (w *dependencyTracker) init() {
-	w.after = make(map[string][]*jobState)
-	w.wanted = make(map[string]bool)
-	w.asking = make(map[string]bool)
-	w.unnamed = make(map[*jobState]jobs.Dependencies)
+func (d *dependencyTracker) init() {
+	d.downstreams = make(map[string][]*jobState)
+	d.finalsWanted = make(map[string]bool)
+	d.reading = make(map[string]bool)
+	d.unlinked = make(map[*jobState]jobs.Dependencies)
 }
 
 // blockedByUpstream tells whether a job before this one is not known to be done.
 func (j *jobState) blockedByUpstream() bool { return j.upstreamsUnknown || len(j.pendingUpstreams) > 0 }
 
 // addDependencies takes in what a job waits for.
-func (l *Leader) addDependencies(j *jobState, needs jobs.Dependencies) {
-	j.upstreamsUnknown, j.hasDependencies = true, true
-	if needs.Split != nil || !l.loaded {
+func (l *Leader) addDependencies(job *jobState, dependencies jobs.Dependencies) {
+	job.upstreamsUnknown, job.hasDependencies = true, true
+	if dependencies.Split != nil || !l.loaded {
 		// Not all names are known, or not all open jobs.
-		l.dependencies.unnamed[j] = needs
+		l.dependencies.unlinked[job] = dependencies
 		return
 	}
-	l.linkUpstreams(j, needs.DependsOn)
+	l.linkUpstreams(job, dependencies.DependsOn)
 }
 
 // linkLoadedJobs links the jobs that were read at the takeover, once all are known.
 func (l *Leader) linkLoadedJobs(now time.Time) {
-	for j, needs := range l.dependencies.unnamed {
-		if needs.Split == nil {
-			delete(l.dependencies.unnamed, j)
-			l.linkUpstreams(j, needs.DependsOn)
+	for job, dependencies := range l.dependencies.unlinked {
+		if dependencies.Split == nil {
+			delete(l.dependencies.unlinked, job)
+			l.linkUpstreams(job, dependencies.DependsOn)
 		}
 	}
 	l.readFinalRecords(now)
 }
 
 // linkUpstreams has a job wait for the jobs that are named.
-func (l *Leader) linkUpstreams(j *jobState, names []string) {
-	j.upstreamsUnknown = false
-	j.pendingUpstreams = make(map[string]bool, len(names))
-	for _, name := range names {
-		if j.pendingUpstreams[name] {
+func (l *Leader) linkUpstreams(job *jobState, upstreams []string) {
+	job.upstreamsUnknown = false
+	job.pendingUpstreams = make(map[string]bool, len(upstreams))
+	for _, name := range upstreams {
+		if job.pendingUpstreams[name] {
 			continue
 		}
-		j.pendingUpstreams[name] = true
-		l.dependencies.after[name] = append(l.dependencies.after[name], j)
+		job.pendingUpstreams[name] = true
+		l.dependencies.downstreams[name] = append(l.dependencies.downstreams[name], job)
 		if l.jobs[name] == nil {
-			l.dependencies.wanted[name] = true // not open: it must be final
+			l.dependencies.finalsWanted[name] = true // not open: it must be final
 		}
 	}
-	l.propagateDemand(names)
+	l.propagateDemand(upstreams)
 }
 
 // upstreamEnded takes in how a job ended, by its final record: those that wait for it have one
 // less to wait for, or are cancelled with it, and so are those that wait for them.
 // No call goes deeper than this, however long the chain.
-func (l *Leader) upstreamEnded(name string, f jobs.FinalRecord, now time.Time) {
-	w := &l.dependencies
+func (l *Leader) upstreamEnded(name string, final jobs.FinalRecord, now time.Time) {
+	tracker := &l.dependencies
 	type end struct {
 		name string
 		f    jobs.FinalRecord
 	}
-	for queue := []end{{name, f}}; len(queue) > 0; queue = queue[1:] {
-		e := queue[0]
-		after := w.after[e.name]
-		delete(w.after, e.name)
-		delete(w.wanted, e.name)
-		for _, j := range after {
-			if j.removed {
+	for queue := []end{{name, final}}; len(queue) > 0; queue = queue[1:] {
+		ended := queue[0]
+		downstreams := tracker.downstreams[ended.name]
+		delete(tracker.downstreams, ended.name)
+		delete(tracker.finalsWanted, ended.name)
+		for _, job := range downstreams {
+			if job.removed {
 				continue
 			}
-			if e.f.Status != jobs.StatusDone {
-				l.deps.Log.Debug("job cancelled with one before it", "id", j.spec.ID, "before", e.name)
-				l.removeJob(j, now)
-				l.commits.cancelled = append(l.commits.cancelled, j)
-				queue = append(queue, end{j.spec.ID, jobs.FinalRecord{Status: jobs.StatusCancelled}})
+			if ended.f.Status != jobs.StatusDone {
+				l.deps.Log.Debug("job cancelled with one before it", "id", job.spec.ID, "before", ended.name)
+				l.removeJob(job, now)
+				l.commits.cancelled = append(l.commits.cancelled, job)
+				queue = append(queue, end{job.spec.ID, jobs.FinalRecord{Status: jobs.StatusCancelled}})
 				continue
 			}
-			delete(j.pendingUpstreams, e.name)
+			delete(job.pendingUpstreams, ended.name)
 			// By an earlier leader's clock, which may be ahead of ours: it has
 			// happened all the same, and long after the submission for all we know.
-			if at := time.UnixMilli(e.f.FinishedAtMS); e.f.FinishedAtMS > 0 && at.After(j.view.Submitted) {
-				j.view.Submitted = at
-				if at.After(now) {
-					j.view.Submitted = now
+			if endedAt := time.UnixMilli(ended.f.FinishedAtMS); ended.f.FinishedAtMS > 0 && endedAt.After(job.view.Submitted) {
+				job.view.Submitted = endedAt
+				if endedAt.After(now) {
+					job.view.Submitted = now
 				}
 			}
-			if !j.blockedByUpstream() {
-				l.becomeStartable(j, now)
+			if !job.blockedByUpstream() {
+				l.becomeStartable(job, now)
 			}
 		}
 	}
@@ -119,9 +119,9 @@
 
 // becomeStartable is called when all jobs before this one are done. Its times count from
 // when the last was, by its record; its due time from its submission.
-func (l *Leader) becomeStartable(j *jobState, now time.Time) {
-	l.updateTargets(j)
-	j.servedAt = now
-	l.noteArrival(j, now)
-	l.deps.Log.Debug("nothing is left to wait for", "id", j.spec.ID, "waited_s", now.Sub(j.acceptedAt).Seconds())
+func (l *Leader) becomeStartable(job *jobState, now time.Time) {
+	l.updateTargets(job)
+	job.servedAt = now
+	l.noteArrival(job, now)
+	l.deps.Log.Debug("nothing is left to wait for", "id", job.spec.ID, "waited_s", now.Sub(job.acceptedAt).Seconds())
 }
--- a/internal/leader/final_records.go
+++ b/internal/leader/final_records.go
@@ -12,70 +12,70 @@
 
 // requestFinalRecord has a job's final record read if others wait for it.
 func (l *Leader) requestFinalRecord(name string) {
-	if len(l.dependencies.after[name]) > 0 {
-		l.dependencies.wanted[name] = true
+	if len(l.dependencies.downstreams[name]) > 0 {
+		l.dependencies.finalsWanted[name] = true
 	}
 }
 
 // readFinalRecords reads what decides over the jobs that wait, some at a time.
 func (l *Leader) readFinalRecords(now time.Time) {
-	w := &l.dependencies
-	if len(w.wanted) == 0 && len(w.unnamed) == 0 || now.Before(w.retryAt) {
+	tracker := &l.dependencies
+	if len(tracker.finalsWanted) == 0 && len(tracker.unlinked) == 0 || now.Before(tracker.retryAt) {
 		return
 	}
-	for name := range w.wanted {
-		if len(w.asking) >= constants.MaxFinalReads {
+	for name := range tracker.finalsWanted {
+		if len(tracker.reading) >= constants.MaxFinalReads {
 			break
 		}
-		if w.asking[name] {
+		if tracker.reading[name] {
 			continue
 		}
-		if l.jobs[name] != nil || len(w.after[name]) == 0 {
-			delete(w.wanted, name) // it is open after all, or nobody waits
+		if l.jobs[name] != nil || len(tracker.downstreams[name]) == 0 {
+			delete(tracker.finalsWanted, name) // it is open after all, or nobody waits
 			continue
 		}
-		w.asking[name] = true
+		tracker.reading[name] = true
 		l.background.Go(func() error {
 			row, found, err := l.deps.Store.Get(l.ctx, statestore.ClassRecord, jobs.FinalPrefix+name)
 			l.post(l.ctx, func() {
-				delete(w.asking, name)
-				var f jobs.FinalRecord
+				delete(tracker.reading, name)
+				var final jobs.FinalRecord
 				if err == nil && found {
-					err = json.Unmarshal(row.Value, &f)
+					err = json.Unmarshal(row.Value, &final)
 				}
 				if err != nil || !found {
 					// Not readable now; or not final: then the watch brings it.
-					w.retryAt = time.Now().Add(constants.FinalReadRetry)
+					tracker.retryAt = time.Now().Add(constants.FinalReadRetry)
 					return
 				}
-				l.upstreamEnded(name, f, time.Now())
+				l.upstreamEnded(name, final, time.Now())
 				l.readFinalRecords(time.Now())
 			})
 			return nil
 		})
 	}
-	for j, needs := range w.unnamed {
-		name := j.spec.ID
-		if j.removed {
-			delete(w.unnamed, j)
+	for job, dependencies := range tracker.unlinked {
+		name := job.spec.ID
+		if job.removed {
+			delete(tracker.unlinked, job)
 			continue
 		}
-		if len(w.asking) >= constants.MaxFinalReads || w.asking["list of "+name] {
+		if len(tracker.reading) >= constants.MaxFinalReads || tracker.reading["list of "+name] {
 			continue
 		}
-		w.asking["list of "+name] = true
+		tracker.reading["list of "+name] = true
 		l.background.Go(func() error {
-			names, err := needs.Load(l.ctx, l.deps.Store, statestore.ClassRecord, name)
+			names, err := dependencies.Load(l.ctx, l.deps.Store, statestore.ClassRecord, name)
 			l.post(l.ctx, func() {
-				delete(w.asking, "list of "+name)
+				delete(tracker.reading, "list of "+name)
 				if err != nil {
 					l.deps.Log.Info("a list of jobs can't be read", "id", name, "err", err)
-					w.retryAt = time.Now().Add(constants.FinalReadRetry)
+					tracker.retryAt = time.Now().Add(constants.FinalReadRetry)
 					return
 				}
-				if _, still := w.unnamed[j]; still {
-					delete(w.unnamed, j)
-					l.linkUpstreams(j, names)
+				if _, still := tracker.unlinked[job]; still {
+					delete(tracker.unlinked, job)
+					l.linkUpstreams(job, names)
 					l.readFinalRecords(time.Now())
 				}
 			})
@@ -84,13 +84,13 @@
 	}
 }
 
-// cancelledExtra writes the final record of a job that is cancelled with one before it.
-func (l *Leader) cancelledExtra(j *jobState) wal.JobWrite {
-	name := j.spec.ID
-	v, _ := json.Marshal(jobs.FinalRecord{Status: jobs.StatusCancelled}) // plain fields always encode
+// cancelledJobWrite writes the final record of a job that is cancelled with one before it.
+func (l *Leader) cancelledJobWrite(job *jobState) wal.JobWrite {
+	name := job.spec.ID
+	value, _ := json.Marshal(jobs.FinalRecord{Status: jobs.StatusCancelled}) // plain fields always encode
 	return wal.JobWrite{
-		Conditions: []statestore.Condition{{Key: jobs.OpenPrefix + name, Revision: j.revision}},
-		Writes:     []statestore.Write{{Delete: jobs.OpenPrefix + name}, {Put: jobs.FinalPrefix + name, Value: v}},
-		Retry:      func() { l.commits.cancelled = append(l.commits.cancelled, j) },
+		Conditions: []statestore.Condition{{Key: jobs.OpenPrefix + name, Revision: job.revision}},
+		Writes:     []statestore.Write{{Delete: jobs.OpenPrefix + name}, {Put: jobs.FinalPrefix + name, Value: value}},
+		Retry:      func() { l.commits.cancelled = append(l.commits.cancelled, job) },
 	}
 }
--- a/internal/leader/gang_reserve.go
+++ b/internal/leader/gang_reserve.go
@@ -31,8 +31,8 @@
 	return int(math.Ceil(sum * constants.GangReserveHorizon.Seconds() / constants.ArrivalRateWindow.Seconds()))
 }
 
-// wantsWhole tells whether whole machines are kept for jobs like this one.
-func (l *Leader) wantsWhole(spec *jobs.Spec) bool {
+// reservesWholeMachines tells whether whole machines are kept for jobs like this one.
+func (l *Leader) reservesWholeMachines(spec *jobs.Spec) bool {
 	if spec.Kind != jobs.KindGang || spec.AllowSpot || jobs.Priority(spec.PriorityClass) > jobs.Priority("standard") {
 		return false
 	}
--- a/internal/leader/gang_starvation.go
+++ b/internal/leader/gang_starvation.go
@@ -22,27 +22,27 @@
 }
 
 // note takes in how one of them fared.
-func (g *gangWaitStats) note(late bool) {
-	g.good *= constants.LargeGangWaitDecay
-	g.late *= constants.LargeGangWaitDecay
+func (s *gangWaitStats) note(late bool) {
+	s.good *= constants.LargeGangWaitDecay
+	s.late *= constants.LargeGangWaitDecay
 	if late {
-		g.late++
+		s.late++
 	} else {
-		g.good++
+		s.good++
 	}
 }
 
-// lift tells how far they must be lifted: over others of their priority when
+// boost tells how far they must be lifted: over others of their priority when
 // too many begin late, over all others when the users' bound is near.
-func (g *gangWaitStats) lift() placement.Boost {
-	part := 0.0
-	if g.late > 0 {
-		part = g.late / (g.good + g.late)
+func (s *gangWaitStats) boost() placement.Boost {
+	lateShare := 0.0
+	if s.late > 0 {
+		lateShare = s.late / (s.good + s.late)
 	}
 	switch {
-	case part > constants.LargeGangCriticalShare:
+	case lateShare > constants.LargeGangCriticalShare:
 		return placement.BoostAboveAll
-	case part > constants.LargeGangLateShare:
+	case lateShare > constants.LargeGangLateShare:
 		return placement.BoostWithinPriority
 	}
 	return placement.NoBoost
@@ -53,39 +53,39 @@
 	if spec.Kind != jobs.KindGang {
 		return
 	}
-	g := l.gangWaits[spec.Class]
-	if g == nil {
-		g = &gangWaitStats{}
-		l.gangWaits[spec.Class] = g
+	stats := l.gangWaits[spec.Class]
+	if stats == nil {
+		stats = &gangWaitStats{}
+		l.gangWaits[spec.Class] = stats
 	}
-	if spec.Tasks > g.size {
+	if spec.Tasks > stats.size {
 		// A few are taken to have begun in time, so that one late one does not
 		// decide.
-		*g = gangWaitStats{size: spec.Tasks, good: constants.LargeGangPriorOnTime}
+		*stats = gangWaitStats{size: spec.Tasks, good: constants.LargeGangPriorOnTime}
 	}
 }
 
 // countGangWait notes once how a job fared, if it is one of the largest: when it begins,
 // or when it has waited too long.
-func (l *Leader) countGangWait(j *jobState, now time.Time) {
-	g := l.gangWaits[j.spec.Class]
-	if j.waitCounted || j.blockedByUpstream() || j.fromEarlierTerm && !j.started.IsZero() || g == nil || j.spec.Kind != jobs.KindGang || j.spec.Tasks < g.size {
+func (l *Leader) countGangWait(job *jobState, now time.Time) {
+	stats := l.gangWaits[job.spec.Class]
+	if job.waitCounted || job.blockedByUpstream() || job.fromEarlierTerm && !job.started.IsZero() || stats == nil || job.spec.Kind != jobs.KindGang || job.spec.Tasks < stats.size {
 		return
 	}
-	late := now.Sub(j.view.Submitted) > constants.LargeGangLateAfter
-	if !late && j.started.IsZero() {
+	late := now.Sub(job.view.Submitted) > constants.LargeGangLateAfter
+	if !late && job.started.IsZero() {
 		return
 	}
-	j.waitCounted = true
-	g.note(late)
+	job.waitCounted = true
+	stats.note(late)
 }
 
 // boostedClasses names the classes whose largest jobs are to be lifted.
 func (l *Leader) boostedClasses() map[string]placement.StarvingClass {
 	out := make(map[string]placement.StarvingClass)
-	for class, g := range l.gangWaits {
-		if lift := g.lift(); lift != placement.NoBoost {
-			out[class] = placement.StarvingClass{Size: g.size, Boost: lift}
+	for class, stats := range l.gangWaits {
+		if boost := stats.boost(); boost != placement.NoBoost {
+			out[class] = placement.StarvingClass{Size: stats.size, Boost: boost}
 		}
 	}
 	return out
--- a/internal/leader/image_cache.go
+++ b/internal/leader/image_cache.go
@@ -13,28 +13,28 @@
 	have bool
 }
 
-// noteImage follows which images are on the machine.
-func (l *Leader) noteImage(machine *machineState, j *jobState, a *workers.Attempt, now time.Time) {
-	if j == nil {
+// noteCachedImage follows which images are on the machine.
+func (l *Leader) noteCachedImage(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
+	if job == nil {
 		return
 	}
-	have := a.Status == workers.StatusWaiting || a.Status == workers.StatusRunning || a.Status == workers.StatusSaving ||
-		a.Status == workers.StatusExited && a.Cause == workers.CauseDone
+	have := attempt.Status == workers.StatusWaiting || attempt.Status == workers.StatusRunning || attempt.Status == workers.StatusSaving ||
+		attempt.Status == workers.StatusExited && attempt.Cause == workers.CauseDone
 	if !have {
 		return
 	}
 	known := false
 	for _, im := range machine.images {
-		known = known || im.name == j.spec.Image && im.have
+		known = known || im.name == job.spec.Image && im.have
 	}
-	machine.useImage(j.spec.Image, j.spec.ImageGB, true, l.cacheOf(machine))
+	machine.useImage(job.spec.Image, job.spec.ImageGB, true, l.imageCacheGB(machine))
 	if !known {
 		// The next leader must know too, or it fetches where it need not.
 		l.metadataChanged(machine, now)
 	}
 }
 
-func (l *Leader) cacheOf(machine *machineState) float64 {
+func (l *Leader) imageCacheGB(machine *machineState) float64 {
 	t, ok := l.deps.Catalog().Type(machine.agent.MachineType)
 	if !ok {
 		return 0
--- a/internal/leader/job_attempts.go
+++ b/internal/leader/job_attempts.go
@@ -8,9 +8,9 @@
 )
 
 // stopAttempt stops one attempt.
-func (l *Leader) stopAttempt(machine *machineState, a *workers.Attempt, grace float64, now time.Time) {
-	if machine.agent.RequestStop(a, grace, now) {
-		l.removeAttempt(machine, a)
+func (l *Leader) stopAttempt(machine *machineState, attempt *workers.Attempt, grace float64, now time.Time) {
+	if machine.agent.RequestStop(attempt, grace, now) {
+		l.removeAttempt(machine, attempt)
 	}
 	l.markStale(machine)
 	l.wakeReply(machine)
@@ -18,9 +18,9 @@
 }
 
 // stopGang stops all attempts of a gang together.
-func (l *Leader) stopGang(j *jobState, grace float64, now time.Time) {
-	j.replacingTask, j.stale = false, true
-	seats := sortedAttempts(j)
+func (l *Leader) stopGang(job *jobState, grace float64, now time.Time) {
+	job.replacingTask, job.stale = false, true
+	seats := sortedAttempts(job)
 	for _, s := range seats {
 		l.stopAttempt(s.machine, s.attempt, grace, now)
 	}
@@ -29,9 +29,9 @@
 	}
 }
 
-func sortedAttempts(j *jobState) []placedAttempt {
+func sortedAttempts(job *jobState) []placedAttempt {
 	var out []placedAttempt
-	for _, ss := range j.attempts {
+	for _, ss := range job.attempts {
 		out = append(out, ss...)
 	}
 	sort.Slice(out, func(a, b int) bool {
@@ -45,45 +45,45 @@
 }
 
 // addAttempt notes an attempt with its job.
-func (l *Leader) addAttempt(machine *machineState, a *workers.Attempt) {
+func (l *Leader) addAttempt(machine *machineState, attempt *workers.Attempt) {
 	l.markStale(machine)
-	j := l.jobs[a.ID.Task.Job]
-	if j == nil || a.ID.Task.Index >= j.spec.Tasks {
+	job := l.jobs[attempt.ID.Task.Job]
+	if job == nil || attempt.ID.Task.Index >= job.spec.Tasks {
 		return
 	}
-	j.stale = true
-	i := a.ID.Task.Index
-	j.attempts[i] = append(j.attempts[i], placedAttempt{machine, a})
-	j.placed = true
+	job.stale = true
+	i := attempt.ID.Task.Index
+	job.attempts[i] = append(job.attempts[i], placedAttempt{machine, attempt})
+	job.placed = true
 }
 
 // removeAttempt takes an attempt off its job once it is gone or has exited.
-func (l *Leader) removeAttempt(machine *machineState, a *workers.Attempt) {
+func (l *Leader) removeAttempt(machine *machineState, attempt *workers.Attempt) {
 	l.markStale(machine)
-	l.commits.log.AttemptGone(machine.agent.Name, recordAttempt(a))
-	j := l.jobs[a.ID.Task.Job]
-	if j == nil {
-		if g := l.endedJobs[a.ID.Task.Job]; g != nil {
+	l.commits.log.AttemptGone(machine.agent.Name, recordAttempt(attempt))
+	job := l.jobs[attempt.ID.Task.Job]
+	if job == nil {
+		if g := l.endedJobs[attempt.ID.Task.Job]; g != nil {
 			if g.attempts--; g.attempts <= 0 {
-				delete(l.endedJobs, a.ID.Task.Job)
+				delete(l.endedJobs, attempt.ID.Task.Job)
 			}
 		}
 		return
 	}
-	j.stale = true
-	i := a.ID.Task.Index
-	kept := j.attempts[i][:0:0]
-	for _, s := range j.attempts[i] {
-		if s.attempt != a {
+	job.stale = true
+	i := attempt.ID.Task.Index
+	kept := job.attempts[i][:0:0]
+	for _, s := range job.attempts[i] {
+		if s.attempt != attempt {
 			kept = append(kept, s)
 		}
 	}
 	if len(kept) == 0 {
-		delete(j.attempts, i)
+		delete(job.attempts, i)
 	} else {
-		j.attempts[i] = kept
+		job.attempts[i] = kept
 	}
-	if i < j.firstWaiting {
-		j.firstWaiting = i
+	if i < job.firstWaiting {
+		job.firstWaiting = i
 	}
 }
--- a/internal/leader/job_view.go
+++ b/internal/leader/job_view.go
@@ -8,26 +8,26 @@
 )
 
 // refreshJobView brings a job's view for placement up to date.
-func (l *Leader) refreshJobView(j *jobState, now time.Time) {
-	v := &j.view
-	v.UpdateSlack(now, l.classShare(j.spec.Class))
-	v.Blocked = now.Before(j.notBefore)
-	v.SinceLastStart = now.Sub(j.servedAt)
-	if !j.stale && len(j.avoid) == 0 && j.delayedTasks.Empty() {
+func (l *Leader) refreshJobView(job *jobState, now time.Time) {
+	v := &job.view
+	v.UpdateSlack(now, l.classShare(job.spec.Class))
+	v.Blocked = now.Before(job.notBefore)
+	v.SinceLastStart = now.Sub(job.servedAt)
+	if !job.stale && len(job.avoid) == 0 && job.delayedTasks.Empty() {
 		return
 	}
-	j.stale = false
+	job.stale = false
 	v.WaitingTasks = v.WaitingTasks[:0]
 	v.TasksByZone = make(map[string]int)
-	for _, seats := range j.attempts {
+	for _, seats := range job.attempts {
 		for _, s := range seats {
 			v.TasksByZone[s.machine.agent.Zone]++
 		}
 	}
 	v.AvoidMachines = nil
-	for name, until := range j.avoid {
+	for name, until := range job.avoid {
 		if now.After(until) {
-			delete(j.avoid, name)
+			delete(job.avoid, name)
 			continue
 		}
 		if v.AvoidMachines == nil {
@@ -35,15 +35,15 @@
 		}
 		v.AvoidMachines[name] = true
 	}
-	if j.spec.Kind == jobs.KindGang {
+	if job.spec.Kind == jobs.KindGang {
 		// A gang starts as a whole, and not before the last task of an
 		// earlier attempt is proven gone.
-		if len(j.attempts) == 0 {
-			j.replacingTask = false
+		if len(job.attempts) == 0 {
+			job.replacingTask = false
 		}
-		if len(j.attempts) == 0 && j.doneCount < j.spec.Tasks || j.replacingTask {
-			for i := 0; i < j.spec.Tasks; i++ {
-				if len(j.attempts[i]) == 0 {
+		if len(job.attempts) == 0 && job.doneCount < job.spec.Tasks || job.replacingTask {
+			for i := 0; i < job.spec.Tasks; i++ {
+				if len(job.attempts[i]) == 0 {
 					v.WaitingTasks = append(v.WaitingTasks, i)
 				}
 			}
@@ -51,26 +51,26 @@
 		return
 	}
 	shown := constants.MaxWaitingTasks
-	if j.failures.JobIsFaulty() {
+	if job.failures.JobIsFaulty() {
 		// One task tells whether it still fails, and takes no room of others.
-		shown = max(0, 1-len(j.attempts))
+		shown = max(0, 1-len(job.attempts))
 	}
 	first := true
-	for i := j.firstWaiting; i < j.spec.Tasks; i++ {
-		if j.doneTasks.has(i) || len(j.attempts[i]) > 0 {
+	for i := job.firstWaiting; i < job.spec.Tasks; i++ {
+		if job.doneTasks.has(i) || len(job.attempts[i]) > 0 {
 			continue
 		}
 		if first {
-			j.firstWaiting, first = i, false
+			job.firstWaiting, first = i, false
 		}
 		if len(v.WaitingTasks) >= shown {
 			break
 		}
-		if !j.delayedTasks.Waiting(i, now) {
+		if !job.delayedTasks.Waiting(i, now) {
 			v.WaitingTasks = append(v.WaitingTasks, i)
 		}
 	}
 	if first {
-		j.firstWaiting = j.spec.Tasks
+		job.firstWaiting = job.spec.Tasks
 	}
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -463,7 +463,7 @@
 		out := make(map[string]Progress, len(ids))
 		for _, id := range ids {
 			if j := l.jobs[id]; j != nil {
-				out[id] = Progress{j.doneCount, j.running()}
+				out[id] = Progress{j.doneCount, j.runningTasks()}
 			}
 		}
 		ch <- out
--- a/internal/leader/machine_view.go
+++ b/internal/leader/machine_view.go
@@ -24,20 +24,20 @@
 			pr.ImageWait[im.name] = 0
 		}
 	}
-	for _, a := range machine.agent.Attempts {
-		if !a.Live() {
+	for _, attempt := range machine.agent.Attempts {
+		if !attempt.Live() {
 			continue
 		}
-		room := l.resourcesOf(a)
-		uses = append(uses, teamUse{l.teamOf(a), room})
-		s := placement.RunningTask{Index: a.ID.Task.Index, Attempt: a.ID.Number, Resources: room, Stopping: a.StopRequested}
-		if j := l.jobs[a.ID.Task.Job]; j != nil {
-			s.Job = &j.view
-			s.Remaining, s.StopCost = l.estimateStopCost(j, a, now)
-			if _, have := pr.ImageWait[j.spec.Image]; !have && (a.Status == "" || a.Status == workers.StatusFetching) && typ.FetchGBPerS > 0 {
+		room := l.resourcesOf(attempt)
+		uses = append(uses, teamUse{l.teamOf(attempt), room})
+		s := placement.RunningTask{Index: attempt.ID.Task.Index, Attempt: attempt.ID.Number, Resources: room, Stopping: attempt.StopRequested}
+		if job := l.jobs[attempt.ID.Task.Job]; job != nil {
+			s.Job = &job.view
+			s.Remaining, s.StopCost = l.estimateStopCost(job, attempt, now)
+			if _, have := pr.ImageWait[job.spec.Image]; !have && (attempt.Status == "" || attempt.Status == workers.StatusFetching) && typ.FetchGBPerS > 0 {
 				pr.ActiveFetches++
-				full := j.spec.ImageGB / typ.FetchGBPerS * float64(pr.ActiveFetches)
-				pr.ImageWait[j.spec.Image] = max(time.Second, time.Duration(full*float64(time.Second))-now.Sub(a.PlacedAt))
+				full := job.spec.ImageGB / typ.FetchGBPerS * float64(pr.ActiveFetches)
+				pr.ImageWait[job.spec.Image] = max(time.Second, time.Duration(full*float64(time.Second))-now.Sub(attempt.PlacedAt))
 			}
 		}
 		pr.RunningTasks = append(pr.RunningTasks, s)
--- a/internal/leader/placement_snapshot.go
+++ b/internal/leader/placement_snapshot.go
@@ -12,12 +12,12 @@
 func (l *Leader) snapshotForPlacement(now time.Time) (*placement.Snapshot, map[string]*jobState) {
 	w := &placement.Snapshot{Now: now, Teams: make(map[string]*placement.Team), StartRate: l.placementRates}
 	all := make([]*placement.Job, 0, len(l.jobs))
-	for _, j := range l.jobs {
-		if j.complete || j.blockedByUpstream() {
+	for _, job := range l.jobs {
+		if job.complete || job.blockedByUpstream() {
 			continue
 		}
-		l.refreshJobView(j, now)
-		all = append(all, &j.view)
+		l.refreshJobView(job, now)
+		all = append(all, &job.view)
 	}
 	machines := l.sortedMachines()
 	w.Machines = make([]*placement.Machine, 0, len(machines))
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -152,7 +152,7 @@
 			j.recordedDone.set(i)
 		}
 	}
-	j.recount()
+	j.recountDone()
 	j.stale = true
 }
 
--- a/internal/leader/reservation_edges.go
+++ b/internal/leader/reservation_edges.go
@@ -19,12 +19,12 @@
 // how soon they must start, then in the order that they came.
 func (l *Leader) downstreamEdges(up *jobState) (out []reservations.Downstream) {
 	var jobs []*jobState
-	for _, j := range l.dependencies.after[up.spec.ID] {
+	for _, job := range l.dependencies.downstreams[up.spec.ID] {
 		if len(jobs) == constants.MaxDownstreams {
 			break
 		}
-		if !j.removed && !j.placed {
-			jobs = append(jobs, j)
+		if !job.removed && !job.placed {
+			jobs = append(jobs, job)
 		}
 	}
 	slices.SortStableFunc(jobs, func(a, b *jobState) int {
@@ -43,8 +43,8 @@
 		}
 		return cmp.Compare(a.revision, b.revision)
 	})
-	for _, j := range jobs {
-		out = append(out, heldFor(j, j.view.EdgePipeline()))
+	for _, job := range jobs {
+		out = append(out, newDownstream(job, job.view.EdgePipeline()))
 	}
 	return out
 }
@@ -52,10 +52,10 @@
 // addReservationEdges shows placement which held rooms are for jobs that may not start yet, and
 // which jobs such a job waits for.
 func (l *Leader) addReservationEdges(w *placement.Snapshot) {
-	for _, j := range l.dependencies.fed {
-		j.view.ReservedDownstreams = nil
+	for _, job := range l.dependencies.reservedUpstreams {
+		job.view.ReservedDownstreams = nil
 	}
-	l.dependencies.fed = l.dependencies.fed[:0]
+	l.dependencies.reservedUpstreams = l.dependencies.reservedUpstreams[:0]
 	walked := make(map[string]bool)
 	for _, r := range w.Machines {
 		for i, h := range r.Reserved {
@@ -67,27 +67,27 @@
 			r.Reserved[i].Blocked = down != nil && down.blockedByUpstream()
 			if down != nil && !walked[name] {
 				walked[name] = true
-				l.feeds(down)
+				l.markReservedUpstreams(down)
 			}
 		}
 	}
 }
 
-// feeds marks all open jobs before one that has room held for it.
-func (l *Leader) feeds(down *jobState) {
+// markReservedUpstreams marks all open jobs before one that has room held for it.
+func (l *Leader) markReservedUpstreams(down *jobState) {
 	name := down.spec.ID
 	for queue := []*jobState{down}; len(queue) > 0; queue = queue[1:] {
 		for before := range queue[0].pendingUpstreams {
-			j := l.jobs[before]
-			if j == nil || j.view.ReservedDownstreams[name] {
+			job := l.jobs[before]
+			if job == nil || job.view.ReservedDownstreams[name] {
 				continue
 			}
-			if j.view.ReservedDownstreams == nil {
-				j.view.ReservedDownstreams = make(map[string]bool)
-				l.dependencies.fed = append(l.dependencies.fed, j)
+			if job.view.ReservedDownstreams == nil {
+				job.view.ReservedDownstreams = make(map[string]bool)
+				l.dependencies.reservedUpstreams = append(l.dependencies.reservedUpstreams, job)
 			}
-			j.view.ReservedDownstreams[name] = true
-			queue = append(queue, j)
+			job.view.ReservedDownstreams[name] = true
+			queue = append(queue, job)
 		}
 	}
 }
--- a/internal/leader/scheduling_log.go
+++ b/internal/leader/scheduling_log.go
@@ -10,8 +10,8 @@
 	"thornnotch/internal/placement"
 )
 
-// summary logs once in a while what the machines do and what waits.
-func (l *Leader) summary(w *placement.Snapshot, now time.Time) {
+// logSummary logs once in a while what the machines do and what waits.
+func (l *Leader) logSummary(w *placement.Snapshot, now time.Time) {
 	if now.Sub(l.lastSummary) < constants.SummaryLogInterval || !l.deps.Log.Enabled(l.ctx, slog.LevelDebug) {
 		return
 	}
@@ -40,9 +40,9 @@
 		used, ending, held = used+u.DominantShare(r.Total), ending+e.DominantShare(r.Total), held+h.DominantShare(r.Total)
 	}
 	waits, lifted := make(map[string]int), 0
-	for _, j := range w.Jobs {
-		waits[j.Spec.Class] += len(j.WaitingTasks)
-		if j.Boost != placement.NoBoost {
+	for _, job := range w.Jobs {
+		waits[job.Spec.Class] += len(job.WaitingTasks)
+		if job.Boost != placement.NoBoost {
 			lifted++
 		}
 	}
--- a/internal/leader/scheduling_pass.go
+++ b/internal/leader/scheduling_pass.go
@@ -38,8 +38,8 @@
 	}
 	l.startPlanned(plan, states, now)
 	for _, s := range plan.Starts {
-		if j := states[s.Job.Spec.ID]; j != nil && len(j.attempts) == j.spec.Tasks {
-			j.replacingTask = false
+		if job := states[s.Job.Spec.ID]; job != nil && len(job.attempts) == job.spec.Tasks {
+			job.replacingTask = false
 		}
 	}
 	for _, v := range w.Jobs {
@@ -55,7 +55,7 @@
 		c.Job.ClaimedMachines[c.Machine.Name] = true
 	}
 	l.scaling.unmet(plan.Unplaced, now)
-	l.summary(w, now)
+	l.logSummary(w, now)
 	l.lastPassDuration = time.Since(now)
 	l.counts.Passes++
 	l.counts.PassS += l.lastPassDuration.Seconds()
@@ -67,17 +67,17 @@
 	if machine == nil || e.Victim.Job == nil {
 		return
 	}
-	j := l.jobs[e.Victim.Job.Spec.ID]
-	if j == nil {
+	job := l.jobs[e.Victim.Job.Spec.ID]
+	if job == nil {
 		return
 	}
-	l.deps.Log.Debug("makes room", "piece", workers.TaskID{Job: j.spec.ID, Index: e.Victim.Index}, "rig", machine.agent.Name, "for", e.For.Spec.ID)
-	grace := j.spec.SaveS + constants.StopGrace.Seconds()
-	if j.spec.Kind == jobs.KindGang {
-		l.stopGang(j, grace, now)
+	l.deps.Log.Debug("makes room", "piece", workers.TaskID{Job: job.spec.ID, Index: e.Victim.Index}, "rig", machine.agent.Name, "for", e.For.Spec.ID)
+	grace := job.spec.SaveS + constants.StopGrace.Seconds()
+	if job.spec.Kind == jobs.KindGang {
+		l.stopGang(job, grace, now)
 		return
 	}
-	for _, s := range j.attempts[e.Victim.Index] {
+	for _, s := range job.attempts[e.Victim.Index] {
 		if s.machine == machine && s.attempt.ID.Number == e.Victim.Attempt {
 			l.stopAttempt(machine, s.attempt, grace, now)
 		}
@@ -90,40 +90,40 @@
 func (l *Leader) startPlanned(plan *placement.Plan, states map[string]*jobState, now time.Time) {
 	gangTry := make(map[string]uint64)
 	for _, s := range plan.Starts {
-		j := states[s.Job.Spec.ID]
+		job := states[s.Job.Spec.ID]
 		machine := l.machines[s.Machine.Name]
-		if j == nil || machine == nil {
+		if job == nil || machine == nil {
 			continue
 		}
-		try, ok := gangTry[j.spec.ID]
-		if !ok && j.replacingTask {
-			try, ok = j.gangAttempt, true
+		try, ok := gangTry[job.spec.ID]
+		if !ok && job.replacingTask {
+			try, ok = job.gangAttempt, true
 		}
 		if !ok {
 			if try, ok = l.attemptNumbers.next(); !ok {
 				l.endTerm(errAttemptNumbersExhausted)
 				return
 			}
-			if j.spec.Kind == jobs.KindGang {
-				gangTry[j.spec.ID] = try
-				j.gangAttempt = try
+			if job.spec.Kind == jobs.KindGang {
+				gangTry[job.spec.ID] = try
+				job.gangAttempt = try
 			}
 		}
-		a := &workers.Attempt{
-			ID:    workers.AttemptID{Task: workers.TaskID{Job: j.spec.ID, Index: s.Index}, Number: try},
+		attempt := &workers.Attempt{
+			ID:    workers.AttemptID{Task: workers.TaskID{Job: job.spec.ID, Index: s.Index}, Number: try},
 			Epoch: machine.agent.Epoch, PlacedAt: now,
 		}
-		machine.agent.Attempts[a.ID] = a
-		j.servedAt = now
-		l.placementRates.add(j.spec.Class)
-		l.addAttempt(machine, a)
-		l.logAttempt(machine, a)
-		if l.reservations.Consume(machine.agent.Name, j.view.Owns) {
-			l.deps.Log.Debug("hold used", "rig", machine.agent.Name, "job", j.spec.ID)
+		machine.agent.Attempts[attempt.ID] = attempt
+		job.servedAt = now
+		l.placementRates.add(job.spec.Class)
+		l.addAttempt(machine, attempt)
+		l.logAttempt(machine, attempt)
+		if l.reservations.Consume(machine.agent.Name, job.view.Owns) {
+			l.deps.Log.Debug("hold used", "rig", machine.agent.Name, "job", job.spec.ID)
 			l.metadataChanged(machine, now)
 		}
 		l.reservations.ReleaseExcess(machine.agent.Name, s.Machine.Total.Sub(l.usedResources(machine)))
-		machine.useImage(j.spec.Image, j.spec.ImageGB, false, l.cacheOf(machine))
-		l.deps.Log.Debug("placed", "piece", a.ID.Task, "try", try, "rig", machine.agent.Name)
+		machine.useImage(job.spec.Image, job.spec.ImageGB, false, l.imageCacheGB(machine))
+		l.deps.Log.Debug("placed", "piece", attempt.ID.Task, "try", try, "rig", machine.agent.Name)
 	}
 }
--- a/internal/leader/start_targets.go
+++ b/internal/leader/start_targets.go
@@ -9,32 +9,32 @@
 	"thornnotch/internal/jobs"
 )
 
-// targets are the latest starts at which a job still meets its users' aims, of
+// startTargets are the latest starts at which a job still meets its users' aims, of
 // whichever kind: by a time, or by its due time and some times that. A class
 // without aims goes by the job's own due time. The image may have to be fetched
 // first. They count from when the job could start; its due time counts from its
 // submission, and it has waited for so long.
-func (l *Leader) targets(spec *jobs.Spec, waited time.Duration) (out []time.Duration) {
+func (l *Leader) startTargets(spec *jobs.Spec, waited time.Duration) (out []time.Duration) {
 	fetch := 0.0
-	if cat := l.deps.Catalog(); cat != nil {
-		for _, t := range cat.MachineTypes {
-			if t.FetchGBPerS > 0 {
-				fetch = max(fetch, spec.ImageGB/t.FetchGBPerS)
+	if catalog := l.deps.Catalog(); catalog != nil {
+		for _, machineType := range catalog.MachineTypes {
+			if machineType.FetchGBPerS > 0 {
+				fetch = max(fetch, spec.ImageGB/machineType.FetchGBPerS)
 			}
 		}
 	}
-	for _, o := range l.deps.Settings.Params.SLOs {
-		if o.Class != spec.Class {
+	for _, objective := range l.deps.Settings.Params.SLOs {
+		if objective.Class != spec.Class {
 			continue
 		}
-		switch o.Kind {
+		switch objective.Kind {
 		case config.SLOWait:
-			out = append(out, config.Seconds(o.WithinS-fetch))
+			out = append(out, config.Seconds(objective.WithinS-fetch))
 		case config.SLOCompletion:
-			out = append(out, config.Seconds(o.WithinS-spec.ExpectedS-fetch))
+			out = append(out, config.Seconds(objective.WithinS-spec.ExpectedS-fetch))
 		case config.SLODeadline:
 			if spec.DueS != nil {
-				out = append(out, config.Seconds(*spec.DueS*o.DueFactor()-spec.ExpectedS-fetch)-waited)
+				out = append(out, config.Seconds(*spec.DueS*objective.DueFactor()-spec.ExpectedS-fetch)-waited)
 			}
 		}
 	}
@@ -47,11 +47,11 @@
 
 // latestStart is when a job must start at the latest for itself and those that need it to
 // be in time; zero if nothing is due.
-func (l *Leader) latestStart(j *jobState) (at time.Time) {
-	if j.spec.DueS != nil {
-		at = j.acceptedAt.Add(config.Seconds(*j.spec.DueS) - l.expectedRuntime(j))
+func (l *Leader) latestStart(job *jobState) (at time.Time) {
+	if job.spec.DueS != nil {
+		at = job.acceptedAt.Add(config.Seconds(*job.spec.DueS) - l.expectedRuntime(job))
 	}
-	if s := j.downstreamDemand.start; !s.IsZero() && (at.IsZero() || s.Before(at)) {
+	if s := job.downstreamDemand.latestStart; !s.IsZero() && (at.IsZero() || s.Before(at)) {
 		at = s
 	}
 	return at
@@ -59,12 +59,12 @@
 
 // updateTargets sets the latest starts that a job has to meet: its users', and that of those
 // that need it.
-func (l *Leader) updateTargets(j *jobState) {
-	j.view.Targets = l.targets(j.spec, j.view.Submitted.Sub(j.acceptedAt))
-	if s := j.downstreamDemand.start; !s.IsZero() {
-		j.view.Targets = append(j.view.Targets, s.Sub(j.view.Submitted))
-		slices.Sort(j.view.Targets)
+func (l *Leader) updateTargets(job *jobState) {
+	job.view.Targets = l.startTargets(job.spec, job.view.Submitted.Sub(job.acceptedAt))
+	if latestStart := job.downstreamDemand.latestStart; !latestStart.IsZero() {
+		job.view.Targets = append(job.view.Targets, latestStart.Sub(job.view.Submitted))
+		slices.Sort(job.view.Targets)
 	}
-	j.stale = true
+	job.stale = true
 	l.passDueNow = true
 }
--- a/internal/leader/stop_cost.go
+++ b/internal/leader/stop_cost.go
@@ -10,20 +10,20 @@
 
 // estimateStopCost estimates how long an attempt goes on, and what stopping it throws
 // away, in seconds of the room that it takes.
-func (l *Leader) estimateStopCost(j *jobState, a *workers.Attempt, now time.Time) (left, loss time.Duration) {
-	expect := time.Duration(j.spec.ExpectedS * float64(time.Second))
+func (l *Leader) estimateStopCost(job *jobState, attempt *workers.Attempt, now time.Time) (left, loss time.Duration) {
+	expect := time.Duration(job.spec.ExpectedS * float64(time.Second))
 	again := constants.RestartCost
-	if j.spec.Kind == jobs.KindGang {
+	if job.spec.Kind == jobs.KindGang {
 		// The whole gang goes, and finds whole machines again less easily.
-		again *= constants.GangRestartFactor * time.Duration(j.spec.Tasks)
+		again *= constants.GangRestartFactor * time.Duration(job.spec.Tasks)
 	}
-	if a.RunningSince.IsZero() {
+	if attempt.RunningSince.IsZero() {
 		return expect, again
 	}
-	ran := now.Sub(a.RunningSince)
+	ran := now.Sub(attempt.RunningSince)
 	left = max(expect-ran, 5*time.Second)
-	if j.spec.CheckpointIntervalS > 0 {
-		loss = time.Duration(j.spec.SaveS*float64(time.Second)) + constants.StopGrace
+	if job.spec.CheckpointIntervalS > 0 {
+		loss = time.Duration(job.spec.SaveS*float64(time.Second)) + constants.StopGrace
 	} else {
 		loss = ran
 	}
--- a/internal/leader/targets_test.go
+++ b/internal/leader/targets_test.go
@@ -51,7 +51,7 @@
 	} {
 		spec := sweep("j-1", 1)
 		spec.Class, spec.DueS = c.class, c.due
-		if got := fmt.Sprint(l.targets(&spec, 0)); got != c.want {
+		if got := fmt.Sprint(l.startTargets(&spec, 0)); got != c.want {
 			t.Errorf("%s, due %v: %s, want %s", c.class, c.due != nil, got, c.want)
 		}
 	}
--- a/internal/leader/task_events.go
+++ b/internal/leader/task_events.go
@@ -10,134 +10,134 @@
 )
 
 // applyEvents takes in what a report or the clock says of a machine's attempts.
-func (l *Leader) applyEvents(machine *machineState, list []workers.Event, now time.Time) {
-	if len(list) > 0 {
+func (l *Leader) applyEvents(machine *machineState, events []workers.Event, now time.Time) {
+	if len(events) > 0 {
 		l.markStale(machine)
 	}
-	for _, e := range list {
-		a := e.Attempt
-		j := l.jobs[a.ID.Task.Job]
-		l.noteImage(machine, j, a, now)
-		switch e.Kind {
+	for _, event := range events {
+		attempt := event.Attempt
+		job := l.jobs[attempt.ID.Task.Job]
+		l.noteCachedImage(machine, job, attempt, now)
+		switch event.Kind {
 		case workers.EventUnrecorded:
-			if a.Status == workers.StatusExited {
+			if attempt.Status == workers.StatusExited {
 				break // an Ended event follows
 			}
-			l.deps.Log.Info("task in no record", "piece", a.ID.Task, "try", a.ID.Number, "rig", machine.agent.Name)
-			l.addAttempt(machine, a)
-			if j == nil {
-				if g := l.endedJobs[a.ID.Task.Job]; g != nil {
+			l.deps.Log.Info("task in no record", "piece", attempt.ID.Task, "try", attempt.ID.Number, "rig", machine.agent.Name)
+			l.addAttempt(machine, attempt)
+			if job == nil {
+				if g := l.endedJobs[attempt.ID.Task.Job]; g != nil {
 					g.attempts++
 				}
 			}
-			if j == nil || a.ID.Task.Index >= j.spec.Tasks {
-				l.stopAttempt(machine, a, 0, now)
+			if job == nil || attempt.ID.Task.Index >= job.spec.Tasks {
+				l.stopAttempt(machine, attempt, 0, now)
 			} else {
-				l.stopAttempt(machine, a, j.spec.SaveS+constants.StopGrace.Seconds(), now)
+				l.stopAttempt(machine, attempt, job.spec.SaveS+constants.StopGrace.Seconds(), now)
 			}
-			l.logAttempt(machine, a)
+			l.logAttempt(machine, attempt)
 		case workers.EventStatusChanged:
-			l.deps.Log.Debug("task seen", "piece", a.ID.Task, "try", a.ID.Number, "rig", machine.agent.Name, "status", a.Status)
-			if j != nil && a.Status == workers.StatusRunning && j.started.IsZero() {
-				j.started = now
-				l.countGangWait(j, now)
+			l.deps.Log.Debug("task seen", "piece", attempt.ID.Task, "try", attempt.ID.Number, "rig", machine.agent.Name, "status", attempt.Status)
+			if job != nil && attempt.Status == workers.StatusRunning && job.started.IsZero() {
+				job.started = now
+				l.countGangWait(job, now)
 			}
 		case workers.EventGone:
-			if j != nil {
-				j.restartedTasks[a.ID.Task.Index] = true
+			if job != nil {
+				job.restartedTasks[attempt.ID.Task.Index] = true
 			}
-			l.removeAttempt(machine, a)
-			l.gangTaskLost(machine, j, a, true, now)
+			l.removeAttempt(machine, attempt)
+			l.gangTaskLost(machine, job, attempt, true, now)
 		case workers.EventExited:
-			l.removeAttempt(machine, a)
-			l.taskExited(machine, j, a, now)
+			l.removeAttempt(machine, attempt)
+			l.taskExited(machine, job, attempt, now)
 		}
 	}
-	if len(list) > 0 {
+	if len(events) > 0 {
 		l.passDueNow = true
 	}
 }
 
 // taskExited takes in a task's exit.
-func (l *Leader) taskExited(machine *machineState, j *jobState, a *workers.Attempt, now time.Time) {
-	l.deps.Log.Debug("task ended", "piece", a.ID.Task, "try", a.ID.Number, "rig", machine.agent.Name, "cause", a.Cause, "saved", a.Saved)
-	if j == nil || a.ID.Task.Index >= j.spec.Tasks {
-		l.allowForget(machine, a)
+func (l *Leader) taskExited(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
+	l.deps.Log.Debug("task ended", "piece", attempt.ID.Task, "try", attempt.ID.Number, "rig", machine.agent.Name, "cause", attempt.Cause, "saved", attempt.Saved)
+	if job == nil || attempt.ID.Task.Index >= job.spec.Tasks {
+		l.allowForget(machine, attempt)
 		return
 	}
 	replace := false
-	switch a.Cause {
+	switch attempt.Cause {
 	case workers.CauseDone:
-		l.taskCompleted(machine, j, a, now)
+		l.taskCompleted(machine, job, attempt, now)
 		return
 	case workers.CauseError:
-		l.taskFailed(machine, j, a, now)
+		l.taskFailed(machine, job, attempt, now)
 	case "alone", "mates_gone", "halted":
-		j.restartedTasks[a.ID.Task.Index] = true
+		job.restartedTasks[attempt.ID.Task.Index] = true
 	default:
 		// Refused: the worker knows better than our books; look again soon.
-		j.notBefore = now.Add(constants.RetryBase)
+		job.notBefore = now.Add(constants.RetryBase)
 		replace = true
 	}
-	l.allowForget(machine, a)
-	l.gangTaskLost(machine, j, a, replace, now)
+	l.allowForget(machine, attempt)
+	l.gangTaskLost(machine, job, attempt, replace, now)
 }
 
 // taskCompleted records a task's completion. The worker may forget it only once the
 // record stands.
-func (l *Leader) taskCompleted(machine *machineState, j *jobState, a *workers.Attempt, now time.Time) {
-	first := !j.doneTasks.has(a.ID.Task.Index)
-	j.unrecordedExits[a], j.stale = machine, true
-	l.noteStragglerSignal(machine, j, a, now)
-	if j.spec.Kind == jobs.KindGang {
+func (l *Leader) taskCompleted(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
+	first := !job.doneTasks.has(attempt.ID.Task.Index)
+	job.unrecordedExits[attempt], job.stale = machine, true
+	l.noteStragglerSignal(machine, job, attempt, now)
+	if job.spec.Kind == jobs.KindGang {
 		// A gang's tasks complete together: one done, all done.
 		if first {
-			for i := range j.spec.Tasks {
-				j.doneTasks.set(i)
+			for i := range job.spec.Tasks {
+				job.doneTasks.set(i)
 			}
-			j.doneCount = j.spec.Tasks
-			l.logDone(j, wal.AllTasks)
+			job.doneCount = job.spec.Tasks
+			l.logDone(job, wal.AllTasks)
 		}
 	} else if first {
-		j.doneTasks.set(a.ID.Task.Index)
-		j.doneCount++
-		l.logDone(j, a.ID.Task.Index)
+		job.doneTasks.set(attempt.ID.Task.Index)
+		job.doneCount++
+		l.logDone(job, attempt.ID.Task.Index)
 	}
-	j.failures.RecordSuccess()
-	l.attributeFailures(j, now) // now: the job may be over in a moment
+	job.failures.RecordSuccess()
+	l.attributeFailures(job, now) // now: the job may be over in a moment
 	machine.health.RecordSuccess()
-	l.releaseRecordedExits(j)
-	if first || j.spec.Kind == jobs.KindGang {
-		l.reserve(machine, j, a, now)
+	l.releaseRecordedExits(job)
+	if first || job.spec.Kind == jobs.KindGang {
+		l.reserveFreed(machine, job, attempt, now)
 	}
 	// Another attempt of a task that is done has no purpose.
-	if j.spec.Kind != jobs.KindGang {
-		for _, s := range j.attempts[a.ID.Task.Index] {
+	if job.spec.Kind != jobs.KindGang {
+		for _, s := range job.attempts[attempt.ID.Task.Index] {
 			l.stopAttempt(s.machine, s.attempt, 0, now)
 		}
 	}
-	l.checkComplete(j)
+	l.checkComplete(job)
 }
 
 // logDone has a task's completion recorded, before its worker may forget it.
-func (l *Leader) logDone(j *jobState, task int) {
-	l.commits.log.TasksDone(j.spec.ID, []int{task}, func() {
-		if j.removed {
+func (l *Leader) logDone(job *jobState, task int) {
+	l.commits.log.TasksDone(job.spec.ID, []int{task}, func() {
+		if job.removed {
 			return
 		}
 		if task == wal.AllTasks {
-			copy(j.recordedDone, j.doneTasks)
+			copy(job.recordedDone, job.doneTasks)
 		} else {
-			j.recordedDone.set(task)
+			job.recordedDone.set(task)
 		}
-		l.releaseRecordedExits(j)
+		l.releaseRecordedExits(job)
 	})
 }
 
 // checkComplete starts the last record of a job whose tasks are all done.
-func (l *Leader) checkComplete(j *jobState) {
-	if j.doneCount == j.spec.Tasks && !j.complete && !j.removed {
-		j.complete = true
-		l.commits.finalizing = append(l.commits.finalizing, j)
+func (l *Leader) checkComplete(job *jobState) {
+	if job.doneCount == job.spec.Tasks && !job.complete && !job.removed {
+		job.complete = true
+		l.commits.finalizing = append(l.commits.finalizing, job)
 	}
 }
