--- a/internal/constants/users.go
+++ b/internal/constants/users.go
@@ -6,6 +6,9 @@
 const (
 	// MaxBodyBytes is the largest request body (bytes; protocol: 64 KiB).
 	MaxBodyBytes = 64 << 10
+	// MaxTextBytes is the longest text field of a job (bytes): a longer one is taken for a
+	// mistake, as every record and message of the job would carry it.
+	MaxTextBytes = 200
 	// MaxTasks is the largest number of tasks of a job (protocol).
 	MaxTasks = 100000
 	// MaxAmount is the largest amount (in its unit) or duration (seconds) that is accepted.
--- /dev/null
+++ b/internal/jobs/decode_test.go
@@ -0,0 +1,68 @@
+package jobs
+
+import (
+	"encoding/json"
+	"errors"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"thornnotch/internal/jobs/jobstest"
+)
+
+// requiredFields are those that a submission must name.
+var requiredFields = []string{
+	"nameId", "workload", "owner", "shape", "urgency", "pieces", "vcpus", "accelerators", "ramGb", "bundle",
+	"imageGb", "samePlace", "apart", "loaners", "expectS", "snapshotS", "stashS",
+}
+
+// TestBadFields: whatever field is missing, mistyped or absurd, the error
+// names it.
+func TestBadFields(t *testing.T) {
+	if _, err := DecodeSpec([]byte(jobstest.Submission)); err != nil {
+		t.Fatalf("good job: %v", err)
+	}
+	rapid.Check(t, func(t *rapid.T) {
+		field := rapid.SampledFrom(requiredFields).Draw(t, "field")
+		bad := rapid.SampledFrom([]any{nil, []any{}, map[string]any{}, "", -1.0, 1e300}).Draw(t, "value")
+		body := jobstest.Edit(t, func(fields map[string]any) { fields[field] = bad })
+		_, err := DecodeSpec(body)
+		var fieldError *FieldError
+		if !errors.As(err, &fieldError) || fieldError.Field != field {
+			t.Fatalf("%s = %v: %v", field, bad, err)
+		}
+	})
+	for _, body := range []string{"", "null", "[]", `"x"`, "{", `{"nameId":1}`, `{}`} {
+		if _, err := DecodeSpec([]byte(body)); err == nil {
+			t.Errorf("accepted %q", body)
+		}
+	}
+	for _, id := range []string{"j-", "k-1", "j-1a", "j-1/2", " j-1", "j--1"} {
+		if _, err := DecodeSpec(jobstest.Edit(t, func(fields map[string]any) { fields["nameId"] = id })); err == nil {
+			t.Errorf("accepted id %q", id)
+		}
+	}
+}
+
+// TestNullEqualsOmitted holds for the fields that may be null.
+func TestNullEqualsOmitted(t *testing.T) {
+	for _, field := range []string{"rigTypes", "hall", "dueS"} {
+		null, nullErr := DecodeSpec(jobstest.Edit(t, func(fields map[string]any) { fields[field] = nil }))
+		omitted, omittedErr := DecodeSpec(jobstest.Edit(t, func(fields map[string]any) { delete(fields, field) }))
+		if nullErr != nil || omittedErr != nil {
+			t.Fatalf("%s: %v, %v", field, nullErr, omittedErr)
+		}
+		if fromNull, fromOmitted := encode(t, null), encode(t, omitted); fromNull != fromOmitted {
+			t.Errorf("%s: %s differs from %s", field, fromNull, fromOmitted)
+		}
+	}
+}
+
+func encode(t *testing.T, spec *Spec) string {
+	t.Helper()
+	raw, err := json.Marshal(spec)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(raw)
+}
--- /dev/null
+++ b/internal/jobs/records_test.go
@@ -0,0 +1,24 @@
+package jobs
+
+import (
+	"encoding/json"
+	"testing"
+
+	"thornnotch/internal/jobs/jobstest"
+)
+
+// TestJobSurvivesItsRecord: what is recorded reads back the same.
+func TestJobSurvivesItsRecord(t *testing.T) {
+	spec, err := DecodeSpec([]byte(jobstest.Submission))
+	if err != nil {
+		t.Fatal(err)
+	}
+	recorded := encode(t, spec)
+	var readBack Spec
+	if err := json.Unmarshal([]byte(recorded), &readBack); err != nil {
+		t.Fatal(err)
+	}
+	if again := encode(t, &readBack); recorded != again || readBack.Tasks != 16 || !readBack.SameZone {
+		t.Errorf("%s became %s", recorded, again)
+	}
+}
