--- a/internal/leader/confirmations.go
+++ b/internal/leader/attestations.go
@@ -23,7 +23,7 @@
 		case <-tick.C:
 		}
 		watched := make(chan time.Time, 1)
-		if !l.post(ctx, func() { watched <- l.watchedUntil }) {
+		if !l.post(ctx, watchedUntilRequested{watched}) {
 			continue
 		}
 		var since time.Time
@@ -40,7 +40,7 @@
 		}
 		ids, ok := l.deps.Attest(ctx, attestation.Window(asked, since))
 		if ok {
-			l.post(ctx, func() { l.applyAttestation(ids, asked, time.Now()) })
+			l.post(ctx, attested{ids, asked})
 		}
 	}
 }
@@ -57,10 +57,7 @@
 			l.removeJob(j, now)
 		}
 	}
-	if asked.After(l.certainUntil) {
-		if now.Sub(l.certainUntil) > l.certaintyWindow {
-			l.deps.Log.Info("all nodes vouch for their cancellations", "since_s", asked.Sub(l.watchedUntil).Seconds())
-		}
-		l.certainUntil = asked
+	if l.certainty.Attested(asked, now) {
+		l.deps.Log.Info("all nodes vouch for their cancellations", "since_s", asked.Sub(l.certainty.WatchedUntil()).Seconds())
 	}
 }
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -6,8 +6,6 @@
 	"testing"
 	"time"
 
-	"golang.org/x/sync/errgroup"
-
 	"thornnotch/internal/config"
 	"thornnotch/internal/constants"
 	"thornnotch/internal/jobs"
@@ -37,7 +35,7 @@
 	l.teams = []config.Team{{Name: "a", GuaranteedGPUs: 1000, MaxGPUs: 10 * float64(machines)}}
 	l.deps.Settings.Params.Teams = l.teams
 	offline(b, l)
-	l.certainUntil = now
+	l.certainty.Watched(now)
 	var list []*machineState
 	for i := range machines {
 		machine := addRig(l, fmt.Sprintf("m-%06d", i), []string{"east", "west"}[i%2], now)
@@ -91,7 +89,7 @@
 	}
 	l.deps.Settings.Params.Teams = l.teams
 	offline(b, l)
-	l.certainUntil = now
+	l.certainty.Watched(now)
 	var list []*machineState
 	for i := range machines {
 		machine := addRig(l, fmt.Sprintf("m-%06d", i), []string{"east", "west"}[i%2], now)
@@ -312,13 +310,10 @@
 	})
 }
 
-// offline starts the group of routines that the leader hands calls to, as Run
-// does, so that parts that talk to others can be driven without Run.
+// offline gives the leader a state service that doesn't answer.
 func offline(tb testing.TB, l *Leader) {
-	group, ctx := errgroup.WithContext(tb.Context())
-	l.background, l.ctx = group, ctx
+	tb.Helper()
 	l.deps.Store = noStore{}
-	tb.Cleanup(func() { _ = group.Wait() })
 }
 
 type noStore struct{ Store }
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -1,6 +1,7 @@
 package leader
 
 import (
+	"context"
 	"time"
 
 	"thornnotch/internal/config"
@@ -85,22 +86,20 @@
 	if orders == nil {
 		orders = []workers.Command{}
 	}
-	a := workers.CommandBatch{Token: l.grant.Term, Epoch: machine.agent.Epoch, Commands: orders}
+	a := workers.CommandBatch{Token: l.term.number(), Epoch: machine.agent.Epoch, Commands: orders}
 	endpoint := machine.agent.Endpoint
-	l.background.Go(func() error {
-		rep, err := l.deps.Workers.Send(l.ctx, endpoint, a)
+	l.calls.queue(func(ctx context.Context) func() {
+		rep, err := l.deps.Workers.Send(ctx, endpoint, a)
 		if err != nil || rep == nil {
 			l.deps.Log.Debug("direct order failed", "rig", machine.agent.Name, "err", err)
-			l.post(l.ctx, answered)
-			return nil
+			return answered
 		}
-		l.post(l.ctx, func() {
+		return func() {
 			answered()
 			if l.machines[machine.agent.Name] == machine && rep.Machine == machine.agent.Name {
 				l.applyHeartbeat(machine, rep, true, time.Now())
 			}
-		})
-		return nil
+		}
 	})
 	return true
 }
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -62,7 +62,7 @@
 // commitDue is when the next transaction should go out; zero if there is none.
 func (l *Leader) commitDue() time.Time {
 	c := &l.commits
-	if c.inFlight || l.termErr != nil || c.log == nil {
+	if c.inFlight || l.term.ended() || c.log == nil {
 		return time.Time{}
 	}
 	var at time.Time
@@ -110,17 +110,16 @@
 	}
 	c.inFlight, c.lastCommitAt = true, now
 	c.setMore(l.hasRemaining(), now)
-	when := append([]statestore.Condition{{Key: election.TermKey, Revision: l.grant.Revision}}, t.Conditions...)
+	when := append([]statestore.Condition{l.term.condition()}, t.Conditions...)
 	writes := t.Writes
-	l.background.Go(func() error {
-		epoch, err := l.deps.Store.Txn(l.ctx, statestore.ClassRecord, when, writes)
+	l.calls.queue(func(ctx context.Context) func() {
+		epoch, err := l.deps.Store.Txn(ctx, statestore.ClassRecord, when, writes)
 		res := commitResult{epoch: epoch, err: err}
 		var conflict *statestore.ConflictError
 		if errors.As(err, &conflict) && !conflict.HasKey(election.TermKey) {
-			res = l.resolveConflict(l.ctx, conflict)
+			res = l.resolveConflict(ctx, conflict)
 		}
-		l.post(l.ctx, func() { l.committed(res) })
-		return nil
+		return func() { l.committed(res) }
 	})
 }
 
@@ -207,12 +206,12 @@
 	deposed := errors.As(o.err, &conflict) && conflict.HasKey(election.TermKey)
 	switch {
 	case deposed:
-		l.endTerm(errDeposed)
+		l.term.end(ErrDeposed)
 		return
 	case o.failed != nil && c.log.WroteHead(*o.head):
 		c.log.Committed(o.stamp)
 	case o.failed != nil && o.failed.HasKey(wal.HeadKey):
-		l.endTerm(errDeposed) // somebody else writes the log
+		l.term.end(ErrDeposed) // somebody else writes the log
 		return
 	case o.failed != nil:
 		// The extras that did not clash are asked for again.
@@ -221,7 +220,7 @@
 		return
 	case errors.Is(o.err, statestore.ErrRejected):
 		l.deps.Log.Error("records are refused", "err", o.err)
-		l.endTerm(ErrTxnTooLarge)
+		l.term.end(ErrTxnTooLarge)
 		return
 	case o.err == nil:
 		c.log.Committed(o.epoch)
--- a/internal/leader/commit_test.go
+++ b/internal/leader/commit_test.go
@@ -88,8 +88,8 @@
 	}
 	clash := &statestore.ConflictError{FailedKeys: []string{wal.HeadKey}}
 	l.committed(commitResult{err: clash, failed: clash, head: &head, stamp: 55})
-	if l.termErr != nil || len(machine.agent.Commands(true, now)) != 1 {
-		t.Fatalf("the first try stands, but the start does not leave (%v)", l.termErr)
+	if l.term.err() != nil || len(machine.agent.Commands(true, now)) != 1 {
+		t.Fatalf("the first try stands, but the start does not leave (%v)", l.term.err())
 	}
 	addJob(t, l, sweep("j-2", 1), now)
 	l.runSchedulingPass(now)
@@ -98,7 +98,7 @@
 	}
 	// A head that is not ours means that another node writes the log.
 	l.committed(commitResult{err: clash, failed: clash, head: &wal.Head{Term: 9}, stamp: 60})
-	if l.termErr == nil {
+	if l.term.err() == nil {
 		t.Errorf("the leader goes on although another writes")
 	}
 }
--- a/internal/leader/demand_propagation_test.go
+++ b/internal/leader/demand_propagation_test.go
@@ -21,7 +21,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
 		l := testLeader(outer)
-		l.certainUntil, l.watchedUntil = now, now
+		l.certainty.Watched(now)
 		type node struct {
 			j    *jobState
 			need []int
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -54,7 +54,7 @@
 				delete(here, id)
 			}
 		}
-		rep := &workers.Heartbeat{Machine: machine.agent.Name, MachineType: machine.agent.MachineType, Zone: machine.agent.Zone, Epoch: 1, Sequence: machine.agent.Sequence + 1, Token: w.l.grant.Term}
+		rep := &workers.Heartbeat{Machine: machine.agent.Name, MachineType: machine.agent.MachineType, Zone: machine.agent.Zone, Epoch: 1, Sequence: machine.agent.Sequence + 1, Token: w.l.term.number()}
 		for id, k := range here {
 			switch ran := now.Sub(k.since); {
 			case k.status != workers.StatusRunning:
--- a/internal/leader/final_records.go
+++ b/internal/leader/final_records.go
@@ -1,6 +1,7 @@
 package leader
 
 import (
+	"context"
 	"encoding/json"
 	"time"
 
@@ -35,9 +36,9 @@
 			continue
 		}
 		tracker.reading[name] = true
-		l.background.Go(func() error {
-			row, found, err := l.deps.Store.Get(l.ctx, statestore.ClassRecord, jobs.FinalPrefix+name)
-			l.post(l.ctx, func() {
+		l.calls.queue(func(ctx context.Context) func() {
+			row, found, err := l.deps.Store.Get(ctx, statestore.ClassRecord, jobs.FinalPrefix+name)
+			return func() {
 				delete(tracker.reading, name)
 				var final jobs.FinalRecord
 				if err == nil && found {
@@ -50,8 +51,7 @@
 				}
 				l.upstreamEnded(name, final, time.Now())
 				l.readFinalRecords(time.Now())
-			})
-			return nil
+			}
 		})
 	}
 	for job, dependencies := range tracker.unlinked {
@@ -64,9 +64,9 @@
 			continue
 		}
 		tracker.reading["list of "+name] = true
-		l.background.Go(func() error {
-			names, err := dependencies.Load(l.ctx, l.deps.Store, statestore.ClassRecord, name)
-			l.post(l.ctx, func() {
+		l.calls.queue(func(ctx context.Context) func() {
+			names, err := dependencies.Load(ctx, l.deps.Store, statestore.ClassRecord, name)
+			return func() {
 				delete(tracker.reading, "list of "+name)
 				if err != nil {
 					l.deps.Log.Info("a list of jobs can't be read", "id", name, "err", err)
@@ -78,8 +78,7 @@
 					l.linkUpstreams(job, names)
 					l.readFinalRecords(time.Now())
 				}
-			})
-			return nil
+			}
 		})
 	}
 }
--- a/internal/leader/fixtures_test.go
+++ b/internal/leader/fixtures_test.go
@@ -7,6 +7,8 @@
 	"testing"
 	"time"
 
+	"golang.org/x/sync/errgroup"
+
 	"thornnotch/internal/autoscaling"
 	"thornnotch/internal/config"
 	"thornnotch/internal/election"
@@ -39,7 +41,7 @@
 // addRig gives the leader a machine that has just reported.
 func addRig(l *Leader, name, zone string, now time.Time) *machineState {
 	machine := l.machine(name, now)
-	machine.agent.Observe(&workers.Heartbeat{Machine: name, MachineType: "g4", Zone: zone, Epoch: 1, Sequence: 1, Token: l.grant.Term}, l.grant.Term, false, now)
+	machine.agent.Observe(&workers.Heartbeat{Machine: name, MachineType: "g4", Zone: zone, Epoch: 1, Sequence: 1, Token: l.term.number()}, l.term.number(), false, now)
 	machine.agent.LastAcknowledged = now
 	return machine
 }
@@ -64,7 +66,7 @@
 
 // report makes a worker's next report with these tasks in this state.
 func report(l *Leader, machine *machineState, status, cause string) *workers.Heartbeat {
-	rep := &workers.Heartbeat{Machine: machine.agent.Name, MachineType: machine.agent.MachineType, Zone: machine.agent.Zone, Epoch: machine.agent.Epoch, Sequence: machine.agent.Sequence + 1, Token: l.grant.Term}
+	rep := &workers.Heartbeat{Machine: machine.agent.Name, MachineType: machine.agent.MachineType, Zone: machine.agent.Zone, Epoch: machine.agent.Epoch, Sequence: machine.agent.Sequence + 1, Token: l.term.number()}
 	for _, a := range machine.agent.SortedAttempts() {
 		rep.Tasks = append(rep.Tasks, workers.TaskReport{Task: a.ID.Task.String(), Attempt: a.ID.Number, Status: status, Cause: cause})
 	}
@@ -91,3 +93,30 @@
 		l.committed(commitResult{epoch: epoch})
 	}
 }
+
+// run starts the calls that the leader wants to make and applies what they and others hand
+// to the loop, until nothing comes any more. Within a synctest bubble its wait ends only
+// when nothing else is under way.
+func run(tb testing.TB, l *Leader) {
+	tb.Helper()
+	group, ctx := errgroup.WithContext(tb.Context())
+	defer func() { _ = group.Wait() }()
+	for {
+		l.startCalls(ctx, group)
+		select {
+		case e := <-l.events:
+			e.apply(l)
+		case <-time.After(20 * time.Millisecond):
+			return
+		}
+	}
+}
+
+// runOne starts the calls that the leader wants to make and applies the first result.
+func runOne(tb testing.TB, l *Leader) {
+	tb.Helper()
+	group, ctx := errgroup.WithContext(tb.Context())
+	l.startCalls(ctx, group)
+	(<-l.events).apply(l)
+	_ = group.Wait()
+}
--- a/internal/leader/gang_recovery.go
+++ b/internal/leader/gang_recovery.go
@@ -37,7 +37,7 @@
 // task, and that stops the replacement too. Attempts of earlier terms are not
 // completed: what their leader sent last is not known.
 func (l *Leader) mayReplaceTask(job *jobState, attempt *workers.Attempt) bool {
-	if attempt.StopRequested || attempt.FromEarlierTerm || attempt.ID.Number != job.gangAttempt || !l.attemptNumbers.owns(attempt.ID.Number) || len(job.attempts) == 0 {
+	if attempt.StopRequested || attempt.FromEarlierTerm || attempt.ID.Number != job.gangAttempt || !l.term.ownsAttempt(attempt.ID.Number) || len(job.attempts) == 0 {
 		return false
 	}
 	for _, s := range sortedAttempts(job) {
--- a/internal/leader/gap_test.go
+++ b/internal/leader/gap_test.go
@@ -9,11 +9,10 @@
 	"testing/synctest"
 	"time"
 
-	"golang.org/x/sync/errgroup"
-
 	"thornnotch/internal/config"
 	"thornnotch/internal/constants"
 	"thornnotch/internal/election"
+	"thornnotch/internal/leader/certainty"
 	"thornnotch/internal/statestore"
 	"thornnotch/internal/workers"
 )
@@ -22,7 +21,7 @@
 // node confirms cancellations. Whatever the reports' ways take, however late the
 // leader gets to look at them, and by whichever clocks, the tasks are off the last
 // machine within cancel_s of the first confirmation. Leaving out any term of
-// certaintyOf makes this fail.
+// certainty.Window makes this fail.
 func TestGapBound(t *testing.T) {
 	for seed := range uint64(60) {
 		synctest.Test(t, func(t *testing.T) {
@@ -31,13 +30,13 @@
 			w := l.deps.Settings.Params.Workers
 			lease, cancel := config.Seconds(w.LeaseS), config.Seconds(w.CancelWithinS)
 			start := time.Now()
-			l.watchedUntil, l.certainUntil = start, start
+			l.certainty.Watched(start)
 			told := start.Add(time.Duration(rng.IntN(2)) * time.Duration(rng.Int64N(int64(2*time.Second))))
 			renewed, answers := start, 0
 			for tick := uint64(1); time.Since(start) < cancel; tick++ {
 				pause := time.Duration(rng.Int64N(int64(config.Seconds(w.HeartbeatS) * 5 / 4)))
 				// Just before the bound reports come thick and fast.
-				if left := l.certaintyWindow - time.Since(start); left > 0 && left < 3*time.Second {
+				if left := certainty.Window(w) - time.Since(start); left > 0 && left < 3*time.Second {
 					pause = min(pause, max(left/2, time.Millisecond))
 				}
 				time.Sleep(pause)
@@ -46,7 +45,7 @@
 					time.Sleep(time.Duration(rng.Int64N(int64(3 * time.Second))))
 				}
 				ch := make(chan Reply, 1)
-				l.heartbeat(&workers.Heartbeat{Machine: "m-1", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: tick, Token: l.grant.Term}, time.Now(), ch)
+				l.heartbeat(&workers.Heartbeat{Machine: "m-1", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: tick, Token: l.term.number()}, time.Now(), ch)
 				if rng.IntN(3) == 0 { // the answer is held back, too
 					time.Sleep(time.Duration(rng.Int64N(int64(2 * time.Second))))
 				}
@@ -94,9 +93,9 @@
 		go func() { _ = l.watchJobs(ctx, 1) }()
 		for range 3 {
 			first := <-asked
-			(<-l.events)()
-			if !l.watchedUntil.Equal(first) || !l.certainUntil.Equal(first) {
-				t.Errorf("asked at %v, sure up to %v", first, l.certainUntil)
+			(<-l.events).apply(l)
+			if !l.certainty.WatchedUntil().Equal(first) || l.certainty.SinceProof(first) != 0 {
+				t.Errorf("asked at %v, certain up to %v before", first, l.certainty.SinceProof(first))
 			}
 		}
 		stop()
@@ -109,16 +108,16 @@
 func TestVouchedCancellations(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	l.watchedUntil, l.certainUntil = now.Add(-time.Minute), now.Add(-time.Minute)
+	l.certainty.Watched(now.Add(-time.Minute))
 	j := addJob(t, l, sweep("j-1", 1), now)
 	l.applyAttestation([]string{"j-1"}, now.Add(-constants.AttestationMaxAge-time.Second), now)
-	if j.removed || l.certainUntil.After(now.Add(-time.Minute)) {
-		t.Errorf("late words are taken: gone %v, sure %v", j.removed, now.Sub(l.certainUntil))
+	if j.removed || l.certainty.SinceProof(now) < time.Minute {
+		t.Errorf("late words are taken: gone %v, sure %v", j.removed, l.certainty.SinceProof(now))
 	}
 	asked := now.Add(-constants.AttestationMaxAge / 2)
 	l.applyAttestation([]string{"j-1", "j-2"}, asked, now)
-	if !j.removed || !l.certainUntil.Equal(asked) {
-		t.Errorf("gone %v, sure %v", j.removed, now.Sub(l.certainUntil))
+	if !j.removed || l.certainty.SinceProof(asked) != 0 {
+		t.Errorf("gone %v, sure %v", j.removed, l.certainty.SinceProof(now))
 	}
 	l.jobRecordDeleted("j-1", now) // the watch tells it too, later
 	if len(l.removedJobs) != 0 {
@@ -152,17 +151,14 @@
 		l := testLeader(t)
 		store := &raised{}
 		l.deps.Store = store
-		group, ctx := errgroup.WithContext(t.Context())
-		l.ctx, l.background = ctx, group
 		addRig(l, "m-1", "east", now)
 		addJob(t, l, sweep("j-1", 1), now)
 		l.runSchedulingPass(now)
 		l.commit(now.Add(time.Second))
-		(<-l.events)()
-		if store.wrote != 0 || !errors.Is(l.termErr, errDeposed) {
-			t.Errorf("%d writes, ended %v", store.wrote, l.termErr)
+		runOne(t, l)
+		if store.wrote != 0 || !errors.Is(l.term.err(), ErrDeposed) {
+			t.Errorf("%d writes, ended %v", store.wrote, l.term.err())
 		}
-		_ = group.Wait()
 	})
 }
 
@@ -182,8 +178,6 @@
 		l := testLeader(t)
 		d := direct{make(chan []workers.Command, 1)}
 		l.deps.Workers = d
-		group, ctx := errgroup.WithContext(t.Context())
-		l.ctx, l.background = ctx, group
 		machine := addRig(l, "m-1", "east", now)
 		machine.agent.Endpoint = "m-1:1"
 		j := addJob(t, l, sweep("j-1", 3), now)
@@ -198,11 +192,10 @@
 		seats[0].attempt.StopRequested, seats[0].attempt.StopRequestedAt = true, now // to be stopped
 		seats[1].attempt.Status, seats[1].attempt.ExitRecorded = workers.StatusExited, true
 		l.sendStops(machine, now)
-		(<-l.events)()
+		runOne(t, l)
 		if got := <-d.orders; len(got) != 1 || got[0].Verb != workers.VerbStop {
 			t.Errorf("straight to the worker went %+v", got)
 		}
-		_ = group.Wait()
 	})
 }
 
@@ -219,7 +212,7 @@
 		t.Fatal("nothing to write")
 	}
 	l.committed(commitResult{err: fmt.Errorf("multi: %w", statestore.ErrRejected)})
-	if !errors.Is(l.termErr, ErrTxnTooLarge) {
-		t.Errorf("ended: %v", l.termErr)
+	if !errors.Is(l.term.err(), ErrTxnTooLarge) {
+		t.Errorf("ended: %v", l.term.err())
 	}
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -19,6 +19,7 @@
 	"thornnotch/internal/constants"
 	"thornnotch/internal/election"
 	"thornnotch/internal/jobs"
+	"thornnotch/internal/leader/certainty"
 	"thornnotch/internal/leader/wal"
 	"thornnotch/internal/placement"
 	"thornnotch/internal/reservations"
@@ -65,58 +66,41 @@
 	Log   *slog.Logger
 }
 
-// errDeposed ends a term: another node leads.
-var errDeposed = errors.New("deposed: another node has raised the term")
-
-// ErrTxnTooLarge ends a term whose transactions are larger than the state service
-// takes. The next one writes smaller ones; whatever of this one is still under way
-// can't be carried out any more.
-var ErrTxnTooLarge = errors.New("the state service refuses transactions of this size")
-
-// errAttemptsUsed ends a term whose attempt numbers are used up; the next one has
-// new ones.
-var errAttemptNumbersExhausted = errors.New("attempt numbers of this term are used up")
-
 // Leader is one term's scheduling state. All fields below calls belong to the
 // routine that runs it.
 type Leader struct {
-	deps       Deps
-	grant      election.Grant
-	lease      time.Duration
-	events     chan func()
-	done       chan struct{}
-	ctx        context.Context
-	background *errgroup.Group
+	deps      Deps
+	lease     time.Duration
+	events    chan event
+	done      chan struct{}
+	calls     outboundCalls
+	term      term
+	certainty certainty.Tracker
 
 	// failoverProgress is how far the takeover has come, for operators; empty once it
 	// is over. It is read by others.
 	failoverProgress atomic.Pointer[string]
 	// fleet is how many machines are known; it is read by others.
-	fleet   atomic.Int64
-	termErr error
-	loaded  bool
-	// watched is the latest moment up to which the state service has told of all
-	// cancellations; sure is the same, or later by what all nodes vouch for.
-	watchedUntil, certainUntil time.Time
-	jobs                       map[string]*jobState
-	pipelines                  map[placement.Pipeline][]*jobState
-	machines                   map[string]*machineState
-	sortedCache                []*machineState                // all of machines by name; nil when it must be made anew
-	teamUsage                  map[string]placement.Resources // what the teams' attempts and holds take, as the views show it
-	pendingReplies             map[*machineState]bool         // machines whose report waits for its answer
-	repliesDue                 []*machineState                // of these, those that orders have come up for
-	metadata                   metadataQueue
-	nextFlush                  time.Time
-	lastPassDuration           time.Duration
-	legacyKeys                 map[string]uint64 // keys of the earlier format, with their revision
-	counts                     counts
-	loggedCounts               counts // as they were logged last
-	lastLoadLog                time.Time
-	loggedUsage                map[statestore.Class]statestore.Usage // as it was logged last
-	teams                      []config.Team
-	reservations               *reservations.Manager
-	attemptNumbers             attemptNumbers
-	commandsInFlight           int // direct orders under way
+	fleet            atomic.Int64
+	loaded           bool
+	jobs             map[string]*jobState
+	pipelines        map[placement.Pipeline][]*jobState
+	machines         map[string]*machineState
+	sortedCache      []*machineState                // all of machines by name; nil when it must be made anew
+	teamUsage        map[string]placement.Resources // what the teams' attempts and holds take, as the views show it
+	pendingReplies   map[*machineState]bool         // machines whose report waits for its answer
+	repliesDue       []*machineState                // of these, those that orders have come up for
+	metadata         metadataQueue
+	nextFlush        time.Time
+	lastPassDuration time.Duration
+	legacyKeys       map[string]uint64 // keys of the earlier format, with their revision
+	counts           counts
+	loggedCounts     counts // as they were logged last
+	lastLoadLog      time.Time
+	loggedUsage      map[statestore.Class]statestore.Usage // as it was logged last
+	teams            []config.Team
+	reservations     *reservations.Manager
+	commandsInFlight int // direct orders under way
 	// silentCommandsInFlight are those of them to workers that have not been heard lately.
 	silentCommandsInFlight int
 	passDueNow             bool // a placement pass is due
@@ -124,13 +108,6 @@
 	lastSummary            time.Time
 	commits                groupCommit
 	scaling                scalingState
-	certaintyWindow        time.Duration
-	// beat is when the routine last went round. wokeAt is when it last went on
-	// after it had stood still, and termUnverified is set from then on until the
-	// state service has said that the term still lasts.
-	lastRound, resumedAt          time.Time
-	termStartedAt                 time.Time // the term, here
-	termUnverified, verifyingTerm bool
 	// removedJobs are jobs that ended here before the watch has told so.
 	removedJobs map[string]bool
 	// endedJobs are jobs that are over while attempts of them may still run.
@@ -150,25 +127,23 @@
 func New(d Deps, g election.Grant) *Leader {
 	w := d.Settings.Params.Workers
 	l := &Leader{
-		deps: d, grant: g, lease: config.Seconds(w.LeaseS),
-		events: make(chan func(), 256), done: make(chan struct{}),
+		deps: d, term: newTerm(g), certainty: certainty.NewTracker(certainty.Window(w)), lease: config.Seconds(w.LeaseS),
+		events: make(chan event, 256), done: make(chan struct{}),
 		jobs: make(map[string]*jobState), machines: make(map[string]*machineState), teams: d.Settings.Params.Teams,
 		reservations: reservations.NewManager(reservations.Options{
 			Enabled: d.Operator.Holds.Enabled, Alpha: d.Operator.Holds.Alpha,
 			P: d.Operator.Holds.P, Threshold: d.Operator.Holds.Threshold,
 		}),
-		certaintyWindow: certaintyWindow(w),
-		attemptNumbers:  attemptNumbers{term: g.Term},
-		removedJobs:     make(map[string]bool),
-		endedJobs:       make(map[string]*endedJob),
-		arrivals:        make(map[string]float64),
-		runtimeRatios:   make(map[string]float64),
-		placementRates:  make(placementRates),
-		gangWaits:       make(map[string]*gangWaitStats),
-		pipelines:       make(map[placement.Pipeline][]*jobState),
-		teamUsage:       make(map[string]placement.Resources),
-		pendingReplies:  make(map[*machineState]bool),
-		metadata:        newMetadataQueue(d.Settings.Params.State, d.Operator.Budgets),
+		removedJobs:    make(map[string]bool),
+		endedJobs:      make(map[string]*endedJob),
+		arrivals:       make(map[string]float64),
+		runtimeRatios:  make(map[string]float64),
+		placementRates: make(placementRates),
+		gangWaits:      make(map[string]*gangWaitStats),
+		pipelines:      make(map[placement.Pipeline][]*jobState),
+		teamUsage:      make(map[string]placement.Resources),
+		pendingReplies: make(map[*machineState]bool),
+		metadata:       newMetadataQueue(d.Settings.Params.State, d.Operator.Budgets),
 	}
 	l.commits.init()
 	l.dependencies.init()
@@ -177,130 +152,76 @@
 	return l
 }
 
-// certaintyWindow is for how long after the last moment W up to which all cancellations
-// are known workers may be answered. A job whose user was told at C was recorded
-// after W, so C ≥ W. The last report answered 200 is looked at by W + certainty,
-// and its worker counts its lease from when it sent it, which was earlier. So its
-// tasks are gone by W + certainty + lease·(1+drift) + lag, however long the report
-// or the answer were on their way, and that must be no later than
-// W + cancel·(1−drift) (TestGapBound).
-func certaintyWindow(w config.WorkerTimings) time.Duration {
-	cancel, lease := config.Seconds(w.CancelWithinS), config.Seconds(w.LeaseS)
-	drift := time.Duration(float64(cancel+lease) * constants.ClockDrift)
-	return max(cancel-lease-drift-constants.WorkerKillDelay, time.Second)
-}
-
-// post runs f on the leader's routine. It reports false once the term is over.
-func (l *Leader) post(ctx context.Context, f func()) bool {
-	select {
-	case l.events <- f:
-		return true
-	case <-l.done:
-	case <-ctx.Done():
-	}
-	return false
-}
-
 // Run leads until ctx ends or the term does.
 func (l *Leader) Run(ctx context.Context) error {
 	defer close(l.done)
 	group, ctx := errgroup.WithContext(ctx)
-	l.ctx, l.background = ctx, group
 	epoch, err := l.loadRecords(ctx)
 	if err != nil {
 		return fmt.Errorf("load: %w", err)
 	}
 	// A process that was frozen while it read may have been deposed meanwhile.
-	l.resumedAt, l.termUnverified = time.Now(), true
+	l.term.resume(time.Now())
 	l.verifyTerm()
 	group.Go(func() error { return l.watchJobs(ctx, epoch) })
 	if l.deps.Attest != nil {
 		group.Go(func() error { return l.collectAttestations(ctx) })
 	}
-	group.Go(func() error { return l.loop(ctx) })
+	group.Go(func() error { return l.loop(ctx, group) })
 	return group.Wait()
 }
 
-func (l *Leader) loop(ctx context.Context) error {
+func (l *Leader) loop(ctx context.Context, group *errgroup.Group) error {
 	tick := time.NewTicker(constants.TickInterval)
 	defer tick.Stop()
 	alarm := time.NewTimer(0)
 	defer alarm.Stop()
-	for l.termErr == nil {
+	for !l.term.ended() {
 		var began time.Time
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case f := <-l.events:
-			began = l.noteRound()
+		case e := <-l.events:
+			began = l.beginRound()
 			l.counts.Calls += uint64(1 + len(l.events))
-			f()
+			e.apply(l)
 			// Take what else has come in before the costly part.
-			for n := len(l.events); n > 0 && l.termErr == nil; n-- {
-				(<-l.events)()
+			for n := len(l.events); n > 0 && !l.term.ended(); n-- {
+				(<-l.events).apply(l)
 			}
 		case <-tick.C:
-			began = l.noteRound()
+			began = l.beginRound()
 			l.tick(began)
 			l.logLoad(began)
 		case <-alarm.C:
-			began = l.noteRound()
+			began = l.beginRound()
 		}
+		l.startCalls(ctx, group)
 		now := time.Now()
 		if l.passDueNow && !now.Before(l.nextPassAt()) {
 			l.runSchedulingPass(now)
 			now = time.Now()
 		}
 		l.commit(now)
+		l.startCalls(ctx, group)
 		l.flushReplies(now)
 		l.counts.BusyS += time.Since(began).Seconds()
 		if next := l.nextAlarm(); !next.IsZero() {
 			alarm.Reset(max(next.Sub(now), 0))
 		}
 	}
-	return l.termErr
+	return l.term.err()
 }
 
-// noteRound notes that the routine is at work, and whether it has stood still
-// before: the process may be frozen for half a minute while its clocks run on.
-// Then all machines seem silent, as their reports wait in our own sockets, and
-// another node may lead. What is written is conditioned on the term; calls to
-// the cloud are not, so they wait until the term has been looked at.
-func (l *Leader) noteRound() time.Time {
+// beginRound notes that the loop is at work, and since when.
+func (l *Leader) beginRound() time.Time {
 	now := time.Now()
-	if gap := now.Sub(l.lastRound); !l.lastRound.IsZero() && gap > constants.StallAfter {
-		l.deps.Log.Info("stood still", "for_s", gap.Seconds(), "term", l.grant.Term)
-		l.resumedAt, l.termUnverified = now, true
+	if stall := l.term.beginRound(now); stall > 0 {
+		l.deps.Log.Info("stood still", "for_s", stall.Seconds(), "term", l.term.number())
 	}
-	l.lastRound = now
 	return now
 }
 
-// verifyTerm asks whether the term still lasts.
-func (l *Leader) verifyTerm() {
-	if l.verifyingTerm {
-		return
-	}
-	l.verifyingTerm = true
-	woke := l.resumedAt
-	l.background.Go(func() error {
-		row, found, err := l.deps.Store.Get(l.ctx, statestore.ClassLease, election.TermKey)
-		l.post(l.ctx, func() {
-			l.verifyingTerm = false
-			switch {
-			case err != nil:
-				// The next tick asks again.
-			case !found || row.Revision != l.grant.Revision:
-				l.endTerm(errDeposed)
-			case woke.Equal(l.resumedAt):
-				l.termUnverified = false
-				l.passDueNow = true
-			}
-		})
-		return nil
-	})
-}
-
 // nextPassAt is when the next placement pass may run. A pass that takes long is
 // followed by a longer pause: reports and records must not wait for passes.
 func (l *Leader) nextPassAt() time.Time {
@@ -327,13 +248,6 @@
 // Machines is how many machines are known.
 func (l *Leader) Machines() int { return int(l.fleet.Load()) }
 
-// endTerm stops the term.
-func (l *Leader) endTerm(err error) {
-	if l.termErr == nil {
-		l.termErr = err
-	}
-}
-
 // watchJobs learns of submissions and cancellations.
 func (l *Leader) watchJobs(ctx context.Context, epoch uint64) error {
 	block := constants.WatchBlock
@@ -355,21 +269,7 @@
 			continue
 		}
 		epoch = next
-		l.post(ctx, func() {
-			now := time.Now()
-			// The answer holds all changes up to a moment after the question.
-			l.watchedUntil = asked
-			if asked.After(l.certainUntil) {
-				l.certainUntil = asked
-			}
-			for _, c := range log {
-				if c.Delete != "" {
-					l.jobRecordDeleted(c.Delete[len(jobs.OpenPrefix):], now)
-					continue
-				}
-				l.addJob(c.Put, c.Value, c.Revision, now)
-			}
-		})
+		l.post(ctx, jobsChanged{asked, log})
 	}
 	return ctx.Err()
 }
@@ -399,8 +299,8 @@
 	for _, machine := range l.sortedMachines() {
 		// That nobody was answered for a lease is our own doing after we stood
 		// still: who leads now knows better, and if we do it is soon known.
-		if !l.termUnverified {
-			if ev := machine.agent.ExpireLease(l.grant.Term, l.lease, now); len(ev) > 0 {
+		if l.term.verified() {
+			if ev := machine.agent.ExpireLease(l.term.number(), l.lease, now); len(ev) > 0 {
 				l.deps.Log.Info("machine lost", "rig", machine.agent.Name, "tasks", len(ev))
 				l.applyEvents(machine, ev, now)
 			}
@@ -410,7 +310,7 @@
 		switch {
 		case machine.agent.RepliesLost || machine.agent.EpochUnconfirmed:
 			l.probeAgent(machine, now)
-		case machine.agent.Token < l.grant.Term && shown < constants.TokenPushesPerTick && !machine.commandInFlight && now.Sub(machine.lastCommandAt) >= l.lease/2:
+		case machine.agent.Token < l.term.number() && shown < constants.TokenPushesPerTick && !machine.commandInFlight && now.Sub(machine.lastCommandAt) >= l.lease/2:
 			// Show the worker the new token, so that it turns to this node
 			// soon and an older leader's answers are dropped. A few at a time:
 			// all at once would take more sockets and time than there are.
@@ -459,15 +359,7 @@
 // here are left out.
 func (l *Leader) Progress(ctx context.Context, ids []string) map[string]Progress {
 	ch := make(chan map[string]Progress, 1)
-	if !l.post(ctx, func() {
-		out := make(map[string]Progress, len(ids))
-		for _, id := range ids {
-			if j := l.jobs[id]; j != nil {
-				out[id] = Progress{j.doneCount, j.runningTasks()}
-			}
-		}
-		ch <- out
-	}) {
+	if !l.post(ctx, progressRequested{ids, ch}) {
 		return nil
 	}
 	select {
--- a/internal/leader/placement_snapshot.go
+++ b/internal/leader/placement_snapshot.go
@@ -31,7 +31,7 @@
 		// a report may be a late copy of one from a machine that is no more.
 		// One that has not been heard for a few reports may well be dead or cut
 		// off: what is put there would wait until its lease is over.
-		machine.view.Schedulable = machine.view.Total != (placement.Resources{}) && machine.schedulable(now) && machine.agent.Token == l.grant.Term &&
+		machine.view.Schedulable = machine.view.Total != (placement.Resources{}) && machine.schedulable(now) && machine.agent.Token == l.term.number() &&
 			l.silentFor(machine, now) <= l.silenceTolerance()+constants.IdleReplyHold
 		if machine.view.Schedulable && !machine.view.Spot {
 			ordinary++
--- a/internal/leader/provisioning.go
+++ b/internal/leader/provisioning.go
@@ -1,6 +1,7 @@
 package leader
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"math"
@@ -90,7 +91,7 @@
 	}
 	l.retireMachines(now)
 	l.releaseSurplus(now)
-	if l.termUnverified {
+	if !l.term.verified() {
 		l.verifyTerm()
 		return
 	}
@@ -127,8 +128,8 @@
 	if machine.agent.Registered {
 		last = machine.agent.LastHeartbeat
 	}
-	if l.resumedAt.After(last) {
-		last = l.resumedAt
+	if l.term.resumedAt().After(last) {
+		last = l.term.resumedAt()
 	}
 	return now.Sub(last)
 }
@@ -217,7 +218,7 @@
 		typ, _ := l.deps.Catalog().Type(b.pool.Type)
 		// A machine of an earlier term that has no record was idle: its worker
 		// needs a moment to turn to this node.
-		if limit := time.Duration(typ.BootS * constants.BootTimeoutFactor * float64(time.Second)); now.Sub(b.since) > limit && now.Sub(b.noted) > l.lease && now.Sub(l.resumedAt) > l.lease && l.machines[name] == nil {
+		if limit := time.Duration(typ.BootS * constants.BootTimeoutFactor * float64(time.Second)); now.Sub(b.since) > limit && now.Sub(b.noted) > l.lease && now.Sub(l.term.resumedAt()) > l.lease && l.machines[name] == nil {
 			l.deps.Log.Info("machine never came up", "rig", name)
 			names = append(names, name)
 		}
@@ -238,9 +239,9 @@
 func (l *Leader) returnMachines(names []string, now time.Time) {
 	m := &l.scaling
 	m.callInFlight = true
-	l.background.Go(func() error {
-		err := l.deps.Cloud.Return(l.ctx, names)
-		l.post(l.ctx, func() {
+	l.calls.queue(func(ctx context.Context) func() {
+		err := l.deps.Cloud.Return(ctx, names)
+		return func() {
 			now := time.Now()
 			m.callInFlight = false
 			if l.cloudFailed("return", err, now) {
@@ -262,8 +263,7 @@
 				l.commits.log.MachineRemoved(name)
 			}
 			l.passDueNow = true
-		})
-		return nil
+		}
 	})
 }
 
@@ -272,9 +272,9 @@
 	m := &l.scaling
 	m.callInFlight, m.listedLast = true, true
 	from := m.listFrom
-	l.background.Go(func() error {
-		hosts, next, err := l.deps.Cloud.List(l.ctx, from)
-		l.post(l.ctx, func() {
+	l.calls.queue(func(ctx context.Context) func() {
+		hosts, next, err := l.deps.Cloud.List(ctx, from)
+		return func() {
 			now := time.Now()
 			m.callInFlight = false
 			if l.cloudFailed("list", err, now) {
@@ -284,8 +284,7 @@
 				m.listedAt = now
 			}
 			l.machinesListed(hosts, now)
-		})
-		return nil
+		}
 	})
 }
 
@@ -345,10 +344,10 @@
 	m := &l.scaling
 	m.callInFlight, m.listedLast = true, false
 	m.requestCount++
-	req.ID = fmt.Sprintf("r-%d-%d", l.grant.Term, m.requestCount)
-	l.background.Go(func() error {
-		names, err := l.deps.Cloud.Rent(l.ctx, req)
-		l.post(l.ctx, func() {
+	req.ID = fmt.Sprintf("r-%d-%d", l.term.number(), m.requestCount)
+	l.calls.queue(func(ctx context.Context) func() {
+		names, err := l.deps.Cloud.Rent(ctx, req)
+		return func() {
 			now := time.Now()
 			m.callInFlight = false
 			switch {
@@ -367,8 +366,7 @@
 					m.refused[pool] = now.Add(constants.NoCapacityPause)
 				}
 			}
-		})
-		return nil
+		}
 	})
 }
 
--- a/internal/leader/provisioning_test.go
+++ b/internal/leader/provisioning_test.go
@@ -63,7 +63,7 @@
 		for step := range 40 {
 			cloud.failing = step == 5
 			l.scale(time.Now())
-			run(l)
+			run(t, l)
 			time.Sleep(time.Second)
 			clear(l.scaling.refused)
 			if !l.scaling.listedAt.IsZero() {
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -18,14 +18,14 @@
 
 // applyHeartbeat takes in a report, by whichever way it came.
 func (l *Leader) applyHeartbeat(machine *machineState, rep *workers.Heartbeat, direct bool, now time.Time) (fresh bool) {
-	if rep.Token > l.grant.Term {
-		l.endTerm(errDeposed)
+	if rep.Token > l.term.number() {
+		l.term.end(ErrDeposed)
 		return false
 	}
 	known := machine.agent.Registered
 	machine.heartbeatGap = known && now.Sub(machine.agent.LastHeartbeat) > l.silenceTolerance()
 	before, deaf, doubt := machine.agent.Epoch, machine.agent.RepliesLost, machine.agent.EpochUnconfirmed
-	ev, fresh := machine.agent.Observe(rep, l.grant.Term, direct, now)
+	ev, fresh := machine.agent.Observe(rep, l.term.number(), direct, now)
 	if !fresh {
 		return false
 	}
@@ -76,7 +76,7 @@
 func (l *Leader) Heartbeat(ctx context.Context, rep *workers.Heartbeat) (Reply, bool) {
 	ch := make(chan Reply, 1)
 	arrived := time.Now()
-	if !l.post(ctx, func() { l.heartbeat(rep, arrived, ch) }) {
+	if !l.post(ctx, heartbeatReceived{rep, arrived, ch}) {
 		return Reply{}, false
 	}
 	select {
@@ -90,7 +90,7 @@
 
 func (l *Leader) heartbeat(rep *workers.Heartbeat, arrived time.Time, ch chan<- Reply) {
 	now := time.Now()
-	if now.Sub(l.certainUntil) > l.certaintyWindow {
+	if !l.certainty.Holds(now) {
 		// Another node may have accepted a cancellation that we can't know
 		// of; the workers' leases must run out before its time is up.
 		ch <- Reply{Status: 503}
@@ -113,7 +113,7 @@
 	// A report that an answer to /commands has overtaken is not fresh, but
 	// its sender waits for the answer.
 	l.applyHeartbeat(machine, rep, false, now)
-	if l.termErr != nil {
+	if l.term.ended() {
 		ch <- Reply{}
 		return
 	}
@@ -191,7 +191,7 @@
 			orders = []workers.Command{}
 		}
 		l.counts.Orders += uint64(len(orders))
-		w.reply <- Reply{Status: 200, Answer: workers.CommandBatch{Token: l.grant.Term, Commands: orders}}
+		w.reply <- Reply{Status: 200, Answer: workers.CommandBatch{Token: l.term.number(), Commands: orders}}
 	}
 	machine.pending = nil
 	delete(l.pendingReplies, machine)
--- a/internal/leader/reports_test.go
+++ b/internal/leader/reports_test.go
@@ -13,7 +13,7 @@
 func TestLateCopyIsNoContact(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	l.certainUntil = now
+	l.certainty.Watched(now)
 	machine := addRig(l, "m-1", "east", now)
 	answered := machine.agent.LastAcknowledged
 	copyOf := report(l, machine, "", "")
@@ -36,13 +36,13 @@
 	delete(l.machines, "m-1")
 	l.sortedCache = nil
 	j := addJob(t, l, sweep("j-1", 1), now)
-	stale := &workers.Heartbeat{Machine: "m-2", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: 400, Token: l.grant.Term - 1}
+	stale := &workers.Heartbeat{Machine: "m-2", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: 400, Token: l.term.number() - 1}
 	l.heartbeat(stale, now, ch)
 	l.runSchedulingPass(now)
 	if len(j.attempts) != 0 {
 		t.Fatalf("work was put on a machine that may be no more")
 	}
-	stale.Sequence, stale.Token = 401, l.grant.Term
+	stale.Sequence, stale.Token = 401, l.term.number()
 	l.heartbeat(stale, now, ch)
 	l.runSchedulingPass(now)
 	if len(j.attempts) != 1 {
@@ -55,7 +55,7 @@
 func TestDeafMachineGetsNothing(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	l.certainUntil = now
+	l.certainty.Watched(now)
 	machine := addRig(l, "m-1", "east", now)
 	last := machine.agent.LastAcknowledged
 	machine.agent.RepliesLost = true
@@ -71,7 +71,7 @@
 	if len(j.attempts) != 0 {
 		t.Errorf("it got work")
 	}
-	if ev := machine.agent.ExpireLease(l.grant.Term, l.lease, last.Add(l.lease+2*time.Second)); machine.agent.ExpiredEpoch != 1 {
+	if ev := machine.agent.ExpireLease(l.term.number(), l.lease, last.Add(l.lease+2*time.Second)); machine.agent.ExpiredEpoch != 1 {
 		t.Errorf("its session never ends: %v", ev)
 	}
 }
--- a/internal/leader/reservation_edges_test.go
+++ b/internal/leader/reservation_edges_test.go
@@ -20,7 +20,7 @@
 func edgeScene(t *testing.T, n int, now time.Time) (l *Leader, machine *machineState, down, other *jobState) {
 	t.Helper()
 	l = testLeader(t)
-	l.certainUntil = now
+	l.certainty.Watched(now)
 	l.teams = append(l.teams, config.Team{Name: "b", GuaranteedGPUs: 0, MaxGPUs: 12})
 	l.teams[0].GuaranteedGPUs = 0 // nobody has a guarantee: it would go before any hold
 	machine = addRig(l, "m-1", "east", now)
@@ -140,7 +140,7 @@
 			l.metadataChanged(l.machines[name], now)
 		}
 		machine.agent.LastHeartbeat, machine.agent.LastAcknowledged = now, now
-		l.certainUntil = now
+		l.certainty.Watched(now)
 		l.runSchedulingPass(now)
 		if len(l.reservations.All()) != 0 || len(other.attempts) != 4 {
 			t.Errorf("cancelled %v: %d holds stand, %d tasks of the other are placed", cancelled, len(l.reservations.All()), len(other.attempts))
--- a/internal/leader/scheduling_log.go
+++ b/internal/leader/scheduling_log.go
@@ -1,6 +1,7 @@
 package leader
 
 import (
+	"context"
 	"fmt"
 	"log/slog"
 	"math"
@@ -12,7 +13,7 @@
 
 // logSummary logs once in a while what the machines do and what waits.
 func (l *Leader) logSummary(w *placement.Snapshot, now time.Time) {
-	if now.Sub(l.lastSummary) < constants.SummaryLogInterval || !l.deps.Log.Enabled(l.ctx, slog.LevelDebug) {
+	if now.Sub(l.lastSummary) < constants.SummaryLogInterval || !l.deps.Log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
 	l.lastSummary = now
--- a/internal/leader/scheduling_pass.go
+++ b/internal/leader/scheduling_pass.go
@@ -13,7 +13,7 @@
 func (l *Leader) runSchedulingPass(now time.Time) {
 	l.passDueNow = false
 	l.lastPass = now
-	if !l.loaded || l.deps.Catalog() == nil || l.commits.backoff > 0 || l.termUnverified {
+	if !l.loaded || l.deps.Catalog() == nil || l.commits.backoff > 0 || !l.term.verified() {
 		// Without records no decision that needs one is made, and none on a
 		// world that may be half a minute old.
 		return
@@ -100,8 +100,7 @@
 			try, ok = job.gangAttempt, true
 		}
 		if !ok {
-			if try, ok = l.attemptNumbers.next(); !ok {
-				l.endTerm(errAttemptNumbersExhausted)
+			if try, ok = l.term.nextAttempt(); !ok {
 				return
 			}
 			if job.spec.Kind == jobs.KindGang {
--- a/internal/leader/stall_test.go
+++ b/internal/leader/stall_test.go
@@ -40,19 +40,6 @@
 	return nil, "", nil
 }
 
-// run carries out what calls to others have handed back. Within a synctest
-// bubble its wait ends only when nothing else is under way.
-func run(l *Leader) {
-	for {
-		select {
-		case f := <-l.events:
-			f()
-		case <-time.After(20 * time.Millisecond):
-			return
-		}
-	}
-}
-
 // TestStoodStill: a leader whose process stood still for longer than a lease
 // takes its own silence for nobody else's, and deals with the cloud only once
 // the term record has shown that it still leads. Deposed, it ends.
@@ -77,22 +64,22 @@
 	addJob(t, l, sweep("j-1", 40), t0)
 	// It stood still from a while ago until now.
 	still := l.lease + constants.SilentReturnAfter + time.Minute
-	l.noteRound()
-	l.lastRound = time.Now().Add(-still)
+	l.beginRound()
+	l.term.lastRound = time.Now().Add(-still)
 	for _, machine := range l.machines {
 		machine.agent.LastHeartbeat = machine.agent.LastHeartbeat.Add(-still)
 	}
 	b := l.scaling.booting["m-9"]
 	b.since, b.noted = b.since.Add(-still), b.noted.Add(-still)
 	l.scaling.booting["m-9"] = b
-	now := l.noteRound()
-	if !l.termUnverified {
+	now := l.beginRound()
+	if !l.term.unverified {
 		t.Fatal("that it stood still was not seen")
 	}
 	l.tick(now)
 	l.passDueNow = true
 	l.runSchedulingPass(now)
-	run(l)
+	run(t, l)
 	if j := l.jobs["j-1"]; len(j.attempts) > 0 {
 		t.Errorf("%d tasks placed on an old world", len(j.attempts))
 	}
@@ -107,17 +94,17 @@
 	if v := l.scalingView(now); v.Machines[autoscaling.InstancePool{Type: "g4", Zone: "east"}] != 4 {
 		t.Errorf("machines are to be replaced for silence that was ours: %v", v.Machines)
 	}
-	store.err, store.stamp = nil, l.grant.Revision
+	store.err, store.stamp = nil, l.term.grant.Revision
 	if deposed {
 		store.stamp++
 	}
 	l.scale(now)
-	run(l)
-	if (l.termErr != nil) != deposed {
-		t.Fatalf("ended: %v", l.termErr)
+	run(t, l)
+	if (l.term.err() != nil) != deposed {
+		t.Fatalf("ended: %v", l.term.err())
 	}
-	if l.termUnverified != deposed {
-		t.Fatalf("unproven: %v", l.termUnverified)
+	if l.term.unverified != deposed {
+		t.Fatalf("unproven: %v", l.term.unverified)
 	}
 	if names := l.machinesToReturn(now); len(names) > 0 {
 		t.Errorf("%v returned as if they had had their time to come up", names)
@@ -126,7 +113,7 @@
 		return
 	}
 	l.scale(now)
-	run(l)
+	run(t, l)
 	if cloud.lists+cloud.rents == 0 {
 		t.Errorf("it never deals with the cloud again")
 	}
@@ -163,7 +150,7 @@
 		t.Errorf("%d stops found a place", stops)
 	}
 	close(hang)
-	run(l)
+	run(t, l)
 	if l.commandsInFlight != 0 {
 		t.Errorf("%d places never came free", l.commandsInFlight)
 	}
@@ -216,7 +203,7 @@
 			t.Errorf("%d of %d tasks of the gang are told at once", told, gang)
 		}
 		close(hang)
-		run(l)
+		run(t, l)
 		if l.commandsInFlight != 0 || l.silentCommandsInFlight != 0 {
 			t.Errorf("%d and %d places never came free", l.commandsInFlight, l.silentCommandsInFlight)
 		}
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -93,7 +93,7 @@
 // Status takes a snapshot; ok is false once the term is over.
 func (l *Leader) Status(ctx context.Context) (st Status, ok bool) {
 	ch := make(chan Status, 1)
-	if !l.post(ctx, func() { ch <- l.status(time.Now()) }) {
+	if !l.post(ctx, statusRequested{ch}) {
 		return Status{}, false
 	}
 	select {
@@ -107,8 +107,8 @@
 
 func (l *Leader) status(now time.Time) Status {
 	st := Status{
-		Term: l.grant.Term, Booting: len(l.scaling.booting),
-		State: RecordingStatus{Healthy: l.commits.backoff == 0, SureS: now.Sub(l.certainUntil).Seconds(), Backlog: l.commits.log.Backlog()}, Work: l.counts, Waiting: len(l.events),
+		Term: l.term.number(), Booting: len(l.scaling.booting),
+		State: RecordingStatus{Healthy: l.commits.backoff == 0, SureS: l.certainty.SinceProof(now).Seconds(), Backlog: l.commits.log.Backlog()}, Work: l.counts, Waiting: len(l.events),
 	}
 	if l.commits.log.InFlight() {
 		st.State.UnwrittenS = now.Sub(l.commits.sentAt).Seconds()
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -40,9 +40,9 @@
 			heard++
 		}
 	}
-	if took := now.Sub(l.termStartedAt); heard == all || took > l.lease {
+	if took := now.Sub(l.term.startedAt); heard == all || took > l.lease {
 		l.setProgress("")
-		l.deps.Log.Info("takeover complete", "term", l.grant.Term, "machines", all, "heard", heard, "took_s", math.Round(took.Seconds()*10)/10)
+		l.deps.Log.Info("takeover complete", "term", l.term.number(), "machines", all, "heard", heard, "took_s", math.Round(took.Seconds()*10)/10)
 		return
 	}
 	l.setProgress("%d of %d machines heard", heard, all)
@@ -52,7 +52,7 @@
 // was raised, so no older leader can change them any more.
 func (l *Leader) loadRecords(ctx context.Context) (epoch uint64, err error) {
 	start := time.Now()
-	l.termStartedAt = start
+	l.term.startedAt = start
 	l.setProgress("reading the jobs")
 	open, epoch, err := l.listRecords(ctx, jobs.OpenPrefix)
 	if err != nil {
@@ -102,7 +102,7 @@
 	l.passDueNow = true
 	l.loaded = true
 	l.linkLoadedJobs(now)
-	l.deps.Log.Info("records loaded", "term", l.grant.Term, "jobs", len(l.jobs), "machines", len(l.machines),
+	l.deps.Log.Info("records loaded", "term", l.term.number(), "jobs", len(l.jobs), "machines", len(l.machines),
 		"log", st.Head.Next-st.Head.From, "took_ms", time.Since(start).Milliseconds())
 	return epoch, nil
 }
@@ -141,7 +141,7 @@
 // openLog begins to write behind the head that was read.
 func (l *Leader) openLog(head wal.Head, stamp uint64) {
 	p := l.deps.Settings.Params.State
-	l.commits.log = wal.NewWriter(l.grant.Term, wal.Limits{ValueBytes: int(p.ValueKB * 1024), TxnOps: p.TxnOps}, head, stamp)
+	l.commits.log = wal.NewWriter(l.term.number(), wal.Limits{ValueBytes: int(p.ValueKB * 1024), TxnOps: p.TxnOps}, head, stamp)
 	// In use it was found to be read by all nodes, and they do not go back unless the
 	// operators' setting has said so first.
 	l.commits.log.AllowLargeRing(head.Ring > 0 && l.deps.Operator.Log.LargeRing)
@@ -155,14 +155,14 @@
 		return
 	}
 	c.ringsAsked = now
-	l.background.Go(func() error {
-		if l.deps.ReadsLargeRing(l.ctx) {
-			l.post(l.ctx, func() {
-				l.deps.Log.Info("the log moves to the large ring: all nodes read it", "parts", c.log.Head().Parts)
-				c.log.AllowLargeRing(true)
-			})
+	l.calls.queue(func(ctx context.Context) func() {
+		if !l.deps.ReadsLargeRing(ctx) {
+			return nil
+		}
+		return func() {
+			l.deps.Log.Info("the log moves to the large ring: all nodes read it", "parts", c.log.Head().Parts)
+			c.log.AllowLargeRing(true)
 		}
-		return nil
 	})
 }
 
@@ -185,7 +185,7 @@
 		asked := time.Now()
 		rows, epoch, err := l.deps.Store.List(ctx, statestore.ClassLease, prefix)
 		if prefix == jobs.OpenPrefix {
-			l.watchedUntil, l.certainUntil = asked, asked
+			l.certainty.Watched(asked)
 		}
 		if err == nil || ctx.Err() != nil {
 			return rows, epoch, err
--- a/internal/leader/team_usage_test.go
+++ b/internal/leader/team_usage_test.go
@@ -18,7 +18,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.Now()
 		l := testLeader(t)
-		l.certainUntil = now
+		l.certainty.Watched(now)
 		l.teams = append(l.teams, config.Team{Name: "b", GuaranteedGPUs: 4, MaxGPUs: 12})
 		epoch, jobCount, machines := uint64(100), 0, 0
 		pick := func() *machineState {
