--- a/internal/leader/attestations.go
+++ b/internal/leader/attestations.go
@@ -52,7 +52,7 @@
 		return
 	}
 	for _, id := range ids {
-		if j := l.jobs[id]; j != nil {
+		if j := l.jobs.get(id); j != nil {
 			l.deps.Log.Debug("job cancelled, as nodes vouch", "id", id)
 			l.removeJob(j, now)
 		}
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -127,7 +127,7 @@
 		l, list := crowded(b, machines)
 		now := time.Now()
 		waiting := 0
-		for _, j := range l.jobs {
+		for j := range l.jobs.all() {
 			if len(j.attempts) < j.spec.Tasks {
 				waiting++
 			}
@@ -160,13 +160,13 @@
 				machine := list[(i*20+k*101)%len(list)]
 				rep := report(l, machine, workers.StatusRunning, "")
 				for n := range rep.Tasks {
-					if a := machine.agent.Attempts[attemptID(b, rep.Tasks[n])]; n%3 == 0 && a.ID.Task.Index%50 != 0 && l.jobs[a.ID.Task.Job] != nil && l.jobs[a.ID.Task.Job].spec.Kind != jobs.KindGang {
+					if a := machine.agent.Attempts[attemptID(b, rep.Tasks[n])]; n%3 == 0 && a.ID.Task.Index%50 != 0 && l.jobs.get(a.ID.Task.Job) != nil && l.jobs.get(a.ID.Task.Job).spec.Kind != jobs.KindGang {
 						rep.Tasks[n].Status, rep.Tasks[n].Cause = workers.StatusExited, workers.CauseError
 					}
 				}
 				l.applyHeartbeat(machine, rep, false, now)
 			}
-			for _, j := range l.jobs {
+			for j := range l.jobs.all() {
 				j.notBefore = time.Time{}
 				clear(j.avoid)
 			}
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -111,7 +111,7 @@
 		if a.StopRequested || !a.Live() {
 			continue
 		}
-		j := l.jobs[a.ID.Task.Job]
+		j := l.jobs.get(a.ID.Task.Job)
 		if j == nil {
 			l.stopAttempt(machine, a, 0, now)
 			continue
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -4,7 +4,6 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"maps"
 	"slices"
 	"time"
 
@@ -12,7 +11,6 @@
 	"thornnotch/internal/election"
 	"thornnotch/internal/jobs"
 	"thornnotch/internal/leader/wal"
-	"thornnotch/internal/placement"
 	"thornnotch/internal/statestore"
 	"thornnotch/internal/workers"
 )
@@ -284,7 +282,8 @@
 	}
 	slices.Sort(machines)
 	var jobs []string
-	for name, j := range l.jobs {
+	for j := range l.jobs.all() {
+		name := j.spec.ID
 		if j.doneCount > 0 {
 			jobs = append(jobs, name)
 		}
@@ -310,7 +309,7 @@
 
 // DoneTasks gives a checkpoint a job's completed tasks.
 func (l *Leader) DoneTasks(name string) (out []wal.DoneTasks) {
-	j := l.jobs[name]
+	j := l.jobs.get(name)
 	if j == nil {
 		return nil
 	}
@@ -321,38 +320,6 @@
 	return out
 }
 
-// removeJob takes a job that is over out of memory. What of it may still be on
-// machines is stopped, and remembered by size until it is proven gone.
-func (l *Leader) removeJob(j *jobState, now time.Time) {
-	if j.removed {
-		return
-	}
-	name := j.spec.ID
-	j.removed = true
-	l.removedJobs[name] = true
-	seats := sortedAttempts(j)
-	if len(seats) > 0 {
-		l.endedJobs[name] = &endedJob{team: j.spec.Team, need: placement.TaskResources(j.spec), attempts: len(seats)}
-	}
-	delete(l.jobs, name)
-	l.requestFinalRecord(name)
-	if len(j.pendingUpstreams) > 0 {
-		l.propagateDemand(slices.Collect(maps.Keys(j.pendingUpstreams))) // they are needed less
-	}
-	for a, machine := range j.unrecordedExits {
-		l.allowForget(machine, a)
-	}
-	j.unrecordedExits = nil
-	for _, s := range seats {
-		l.markStale(s.machine)
-		l.stopAttempt(s.machine, s.attempt, 0, now)
-	}
-	for _, s := range seats {
-		l.sendStops(s.machine, now)
-	}
-	l.passDueNow = true
-}
-
 // allowForget lets a worker forget an exit that is recorded, or of no interest.
 func (l *Leader) allowForget(machine *machineState, a *workers.Attempt) {
 	if !a.ExitRecorded {
@@ -376,7 +343,7 @@
 	if !machine.metadataLogged {
 		l.logMetadata(machine, nil)
 	}
-	l.commits.log.AttemptPlaced(machine.agent.Name, recordAttempt(a), a.ID.Task.Job, wal.JobUse{Team: l.teamOf(a), Resources: recordRoom(l.resourcesOf(a))}, func() {
+	l.commits.log.AttemptPlaced(machine.agent.Name, recordAttempt(a), a.ID.Task.Job, wal.JobUse{Team: l.jobs.teamOf(a), Resources: recordRoom(l.jobs.resourcesOf(a))}, func() {
 		if !a.Committed {
 			a.Committed = true
 			l.allowStart(machine, a)
@@ -393,7 +360,7 @@
 // allowStart lets a committed attempt start. A gang waits until the records of all
 // its tasks stand.
 func (l *Leader) allowStart(machine *machineState, a *workers.Attempt) {
-	j := l.jobs[a.ID.Task.Job]
+	j := l.jobs.get(a.ID.Task.Job)
 	if j == nil {
 		return
 	}
--- a/internal/leader/commit_test.go
+++ b/internal/leader/commit_test.go
@@ -148,7 +148,7 @@
 	j.recountDone()
 	l.checkComplete(j)
 	check()
-	if l.jobs[spec.ID] != nil {
+	if l.jobs.get(spec.ID) != nil {
 		t.Errorf("the job is not closed")
 	}
 }
--- a/internal/leader/demand_propagation.go
+++ b/internal/leader/demand_propagation.go
@@ -22,7 +22,7 @@
 // them as far as that changes anything.
 func (l *Leader) propagateDemand(names []string) {
 	for queue := names; len(queue) > 0; queue = queue[1:] {
-		upstream := l.jobs[queue[0]]
+		upstream := l.jobs.get(queue[0])
 		if upstream == nil {
 			continue
 		}
--- a/internal/leader/demand_propagation_test.go
+++ b/internal/leader/demand_propagation_test.go
@@ -49,7 +49,7 @@
 				t.Fatal(err)
 			}
 			l.addJob(jobs.OpenPrefix+spec.ID, raw, uint64(100+n), now)
-			nd.j = l.jobs[spec.ID]
+			nd.j = l.jobs.get(spec.ID)
 			all = append(all, nd)
 			if rapid.IntRange(0, 5).Draw(t, "cancel") == 0 {
 				if last := all[rapid.IntRange(0, n).Draw(t, "which")]; !last.j.removed {
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -69,7 +69,7 @@
 		}
 		job.pendingUpstreams[name] = true
 		l.dependencies.downstreams[name] = append(l.dependencies.downstreams[name], job)
-		if l.jobs[name] == nil {
+		if l.jobs.get(name) == nil {
 			l.dependencies.finalsWanted[name] = true // not open: it must be final
 		}
 	}
--- a/internal/leader/events.go
+++ b/internal/leader/events.go
@@ -56,7 +56,7 @@
 func (e progressRequested) apply(l *Leader) {
 	progress := make(map[string]Progress, len(e.ids))
 	for _, id := range e.ids {
-		if j := l.jobs[id]; j != nil {
+		if j := l.jobs.get(id); j != nil {
 			progress[id] = Progress{j.doneCount, j.runningTasks()}
 		}
 	}
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -69,7 +69,7 @@
 
 // attributeAllFailures does that for all jobs that have failed somewhere.
 func (l *Leader) attributeAllFailures(now time.Time) {
-	for _, job := range l.jobs {
+	for job := range l.jobs.all() {
 		l.attributeFailures(job, now)
 	}
 }
@@ -92,7 +92,7 @@
 	}
 	l.deps.Log.Warn("machine quarantined", "machine", machine.agent.Name, "zone", machine.agent.Zone, "reason", reason)
 	for _, attempt := range machine.agent.SortedAttempts() {
-		job := l.jobs[attempt.ID.Task.Job]
+		job := l.jobs.get(attempt.ID.Task.Job)
 		if job == nil || attempt.StopRequested || !attempt.Live() || hasBegun(attempt) {
 			continue
 		}
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -123,7 +123,8 @@
 				rt.Fatalf("%s was given %d tasks to fail", name, w.bad[name])
 			}
 		}
-		for name, j := range w.l.jobs {
+		for j := range w.l.jobs.all() {
+			name := j.spec.ID
 			if !w.mistaken[name] {
 				rt.Fatalf("%s has %d of %d tasks done after 45 s", name, j.doneCount, j.spec.Tasks)
 			}
--- a/internal/leader/final_records.go
+++ b/internal/leader/final_records.go
@@ -31,7 +31,7 @@
 		if tracker.reading[name] {
 			continue
 		}
-		if l.jobs[name] != nil || len(tracker.downstreams[name]) == 0 {
+		if l.jobs.get(name) != nil || len(tracker.downstreams[name]) == 0 {
 			delete(tracker.finalsWanted, name) // it is open after all, or nobody waits
 			continue
 		}
--- a/internal/leader/finish_reservations.go
+++ b/internal/leader/finish_reservations.go
@@ -41,7 +41,7 @@
 
 // canHold tells whether a machine can and may take a task of a job.
 func (l *Leader) canHold(machine *machineState, downstream reservations.Downstream) bool {
-	job := l.jobs[downstream.Job]
+	job := l.jobs.get(downstream.Job)
 	return job != nil && placement.Allowed(&job.view, l.placementMachine(machine)) && l.freeResources(machine).Fits(downstream.TaskResources)
 }
 
@@ -55,7 +55,7 @@
 	if !l.deps.Operator.Holds.SubmissionOrder {
 		return nil
 	}
-	next := l.nextInPipeline(up)
+	next := l.jobs.nextInPipeline(up)
 	if next == nil {
 		return nil
 	}
@@ -66,28 +66,7 @@
 	return reservations.Downstream{Pipeline: pipeline, Job: job.spec.ID, Tasks: job.spec.Tasks, Priority: job.view.Priority, TaskResources: placement.TaskResources(job.spec)}
 }
 
-// nextInPipeline is the pipeline's earliest job still waiting to start. A job that waits
-// for others has a pipeline of its own.
-func (l *Leader) nextInPipeline(up *jobState) *jobState {
-	pipeline := up.view.Pipeline()
-	// Jobs come in the order of their records, but for those that were read
-	// at the takeover.
-	var earliest *jobState
-	kept := l.pipelines[pipeline][:0]
-	for _, job := range l.pipelines[pipeline] {
-		if job.removed {
-			continue
-		}
-		kept = append(kept, job)
-		if job != up && !job.placed && !job.hasDependencies && (earliest == nil || job.revision < earliest.revision) {
-			earliest = job
-		}
-	}
-	l.pipelines[pipeline] = kept
-	return earliest
-}
-
 func (l *Leader) stillWaits(name string) bool {
-	job := l.jobs[name]
+	job := l.jobs.get(name)
 	return job != nil && len(job.attempts) < job.spec.Tasks-job.doneCount
 }
--- a/internal/leader/fixtures_test.go
+++ b/internal/leader/fixtures_test.go
@@ -53,8 +53,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.addJob(jobs.OpenPrefix+j.ID, raw, uint64(len(l.jobs)+1), now)
-	return l.jobs[j.ID]
+	l.addJob(jobs.OpenPrefix+j.ID, raw, uint64(l.jobs.len()+1), now)
+	return l.jobs.get(j.ID)
 }
 
 func sweep(id string, pieces int) jobs.Spec {
--- a/internal/leader/gap_test.go
+++ b/internal/leader/gap_test.go
@@ -120,8 +120,8 @@
 		t.Errorf("gone %v, sure %v", j.removed, l.certainty.SinceProof(now))
 	}
 	l.jobRecordDeleted("j-1", now) // the watch tells it too, later
-	if len(l.removedJobs) != 0 {
-		t.Errorf("remembered for ever: %v", l.removedJobs)
+	if len(l.jobs.removed) != 0 {
+		t.Errorf("remembered for ever: %v", l.jobs.removed)
 	}
 }
 
--- a/internal/leader/job_attempts.go
+++ b/internal/leader/job_attempts.go
@@ -47,7 +47,7 @@
 // addAttempt notes an attempt with its job.
 func (l *Leader) addAttempt(machine *machineState, attempt *workers.Attempt) {
 	l.markStale(machine)
-	job := l.jobs[attempt.ID.Task.Job]
+	job := l.jobs.get(attempt.ID.Task.Job)
 	if job == nil || attempt.ID.Task.Index >= job.spec.Tasks {
 		return
 	}
@@ -61,13 +61,9 @@
 func (l *Leader) removeAttempt(machine *machineState, attempt *workers.Attempt) {
 	l.markStale(machine)
 	l.commits.log.AttemptGone(machine.agent.Name, recordAttempt(attempt))
-	job := l.jobs[attempt.ID.Task.Job]
+	job := l.jobs.get(attempt.ID.Task.Job)
 	if job == nil {
-		if g := l.endedJobs[attempt.ID.Task.Job]; g != nil {
-			if g.attempts--; g.attempts <= 0 {
-				delete(l.endedJobs, attempt.ID.Task.Job)
-			}
-		}
+		l.jobs.endedAttemptGone(attempt.ID.Task.Job)
 		return
 	}
 	job.stale = true
--- a/internal/leader/job_table.go
+++ b/internal/leader/job_table.go
@@ -1,67 +1,144 @@
 package leader
 
 import (
-	"encoding/json"
-	"time"
+	"iter"
+	"maps"
 
-	"thornnotch/internal/constants"
-	"thornnotch/internal/jobs"
 	"thornnotch/internal/placement"
 	"thornnotch/internal/workers"
 )
 
-// addJob takes in a job's record.
-func (l *Leader) addJob(key string, value json.RawMessage, revision uint64, now time.Time) {
-	name := key[len(jobs.OpenPrefix):]
-	if l.jobs[name] != nil || l.removedJobs[name] {
-		return
+// jobTable holds the jobs of a term: the open ones, and what must be remembered of
+// those that have ended.
+type jobTable struct {
+	open map[string]*jobState
+	// removed are the IDs of jobs that ended here before the watch has told so: what
+	// the watch still says of their submission is late.
+	removed map[string]bool
+	// ended are the jobs that are over while attempts of them may still run.
+	ended map[string]*endedJob
+	// pipelines are the jobs of each team and class in the order that they came.
+	pipelines map[placement.Pipeline][]*jobState
+}
+
+// endedJob is what is remembered of a job that is over while attempts of it may
+// still be on machines.
+type endedJob struct {
+	team      string
+	resources placement.Resources // of each task
+	attempts  int                 // attempts not proven gone
+}
+
+func newJobTable() jobTable {
+	return jobTable{
+		open:      make(map[string]*jobState),
+		removed:   make(map[string]bool),
+		ended:     make(map[string]*endedJob),
+		pipelines: make(map[placement.Pipeline][]*jobState),
+	}
+}
+
+// get finds an open job; nil if there is none of this ID.
+func (t *jobTable) get(id string) *jobState { return t.open[id] }
+
+// len is how many jobs are open.
+func (t *jobTable) len() int { return len(t.open) }
+
+// all iterates over the open jobs, in no order.
+func (t *jobTable) all() iter.Seq[*jobState] { return maps.Values(t.open) }
+
+// knows tells whether a job is open, or was removed before the watch has told so.
+func (t *jobTable) knows(id string) bool { return t.open[id] != nil || t.removed[id] }
+
+// add takes in a job.
+func (t *jobTable) add(job *jobState) {
+	t.open[job.spec.ID] = job
+	pipeline := job.view.Pipeline()
+	t.pipelines[pipeline] = append(t.pipelines[pipeline], job)
+}
+
+// remove takes out a job that is over. If attempts of it may still be on machines, what
+// they take is remembered.
+func (t *jobTable) remove(job *jobState, attempts int) {
+	id := job.spec.ID
+	job.removed = true
+	t.removed[id] = true
+	if attempts > 0 {
+		t.ended[id] = &endedJob{team: job.spec.Team, resources: placement.TaskResources(job.spec), attempts: attempts}
+	}
+	delete(t.open, id)
+}
+
+// recordDeleted is called once the watch has told that a job's record is gone. It tells
+// changes in order: nothing older of the job can follow.
+func (t *jobTable) recordDeleted(id string) { delete(t.removed, id) }
+
+// restoreEnded counts an attempt, read from the records, of a job that is over.
+func (t *jobTable) restoreEnded(id, team string, resources placement.Resources) {
+	if t.ended[id] == nil {
+		t.ended[id] = &endedJob{team: team, resources: resources}
+	}
+	t.ended[id].attempts++
+}
+
+// endedAttemptFound counts an attempt, found on a machine, of a job that is over.
+func (t *jobTable) endedAttemptFound(id string) {
+	if ended := t.ended[id]; ended != nil {
+		ended.attempts++
 	}
-	var record jobs.Record
-	err := json.Unmarshal(value, &record)
-	spec := record.Spec
-	if err != nil || spec.ID != name || spec.Tasks < 1 || spec.Tasks > constants.MaxTasks {
-		l.deps.Log.Error("unreadable job", "key", key, "err", err)
+}
+
+// endedAttemptGone is called when an attempt is gone whose job is over.
+func (t *jobTable) endedAttemptGone(id string) {
+	ended := t.ended[id]
+	if ended == nil {
 		return
 	}
-	job := &jobState{
-		spec: &spec, revision: revision, servedAt: now,
-		doneTasks: make(bitset, (spec.Tasks+7)/8), recordedDone: make(bitset, (spec.Tasks+7)/8),
-		unrecordedExits: make(map[*workers.Attempt]*machineState), stale: true, attempts: make(map[int][]placedAttempt), avoid: make(map[string]time.Time),
-		restartedTasks: make(map[int]bool),
+	ended.attempts--
+	if ended.attempts <= 0 {
+		delete(t.ended, id)
 	}
-	job.view = placement.Job{Spec: &spec, Priority: jobs.Priority(spec.PriorityClass), Order: revision, Submitted: now, Targets: l.startTargets(&spec, 0)}
-	if at := time.UnixMilli(record.AcceptedAtMS); record.AcceptedAtMS > 0 && at.Before(now) {
-		job.view.Submitted = at
+}
+
+// resourcesOf is what an attempt takes. One whose job is over still occupies its machine.
+func (t *jobTable) resourcesOf(attempt *workers.Attempt) placement.Resources {
+	if job := t.open[attempt.ID.Task.Job]; job != nil {
+		return placement.TaskResources(job.spec)
 	}
-	job.acceptedAt = job.view.Submitted
-	l.jobs[name] = job
-	pipeline := job.view.Pipeline()
-	l.pipelines[pipeline] = append(l.pipelines[pipeline], job)
-	l.arrivals[spec.Class]++
-	l.updateLargestGang(&spec)
-	if dependencies := (jobs.Dependencies{DependsOn: spec.DependsOn, Split: record.Split}); !dependencies.Empty() {
-		l.addDependencies(job, dependencies)
-	} else {
-		l.noteArrival(job, now)
+	if ended := t.ended[attempt.ID.Task.Job]; ended != nil {
+		return ended.resources
 	}
-	l.passDueNow = true
-	l.deps.Log.Debug("job", "id", name, "owner", spec.Team, "workload", spec.Class, "pieces", spec.Tasks)
+	return placement.Resources{}
 }
 
-// noteArrival counts a job that may start among those that came lately.
-func (l *Leader) noteArrival(job *jobState, now time.Time) {
-	if submitted := job.view.Submitted; now.Sub(submitted) <= constants.ArrivalRateWindow {
-		l.scaling.recentArrivals = append(l.scaling.recentArrivals, arrival{submitted, demandOf(job, job.spec.Tasks), l.reservesWholeMachines(job.spec)})
+// teamOf is the team that an attempt counts for.
+func (t *jobTable) teamOf(attempt *workers.Attempt) string {
+	if job := t.open[attempt.ID.Task.Job]; job != nil {
+		return job.spec.Team
+	}
+	if ended := t.ended[attempt.ID.Task.Job]; ended != nil {
+		return ended.team
 	}
+	return ""
 }
 
-// jobRecordDeleted is called when a job's record has left the open ones: this leader
-// has finished it, or its user has cancelled it.
-func (l *Leader) jobRecordDeleted(name string, now time.Time) {
-	if job := l.jobs[name]; job != nil {
-		l.removeJob(job, now)
-		l.deps.Log.Debug("job gone", "id", name)
+// nextInPipeline is the earliest job of an upstream's pipeline that still waits to
+// start. A job that waits for others has a pipeline of its own.
+func (t *jobTable) nextInPipeline(upstream *jobState) *jobState {
+	pipeline := upstream.view.Pipeline()
+	// Jobs come in the order of their records, but for those that were read
+	// during the failover.
+	var earliest *jobState
+	kept := t.pipelines[pipeline][:0]
+	for _, job := range t.pipelines[pipeline] {
+		if job.removed {
+			continue
+		}
+		kept = append(kept, job)
+		if job != upstream && !job.placed && !job.hasDependencies && (earliest == nil || job.revision < earliest.revision) {
+			earliest = job
+		}
 	}
-	// The watch tells changes in order: nothing older of it can follow.
-	delete(l.removedJobs, name)
+	t.pipelines[pipeline] = kept
+	return earliest
 }
--- a/internal/leader/job_test.go
+++ b/internal/leader/job_test.go
@@ -34,7 +34,7 @@
 	if got := machine.agent.Commands(true, now); len(got) != 2 || got[0].Verb != workers.VerbForget {
 		t.Fatalf("after completion: %v", got)
 	}
-	if l.jobs["j-1"] != nil {
+	if l.jobs.get("j-1") != nil {
 		t.Errorf("the job is still open")
 	}
 }
@@ -52,7 +52,7 @@
 	l.applyHeartbeat(machine, report(l, machine, workers.StatusRunning, ""), false, now)
 	machine.agent.Endpoint = "" // nothing to be told directly here
 	l.jobRecordDeleted("j-1", now)
-	w, _ := l.snapshotForPlacement(now)
+	w := l.snapshotForPlacement(now)
 	if got := w.Teams["a"].Used.GPUs; got != 3 {
 		t.Errorf("%v GPUs in use after the cancellation, want 3", got)
 	}
@@ -61,7 +61,7 @@
 		t.Errorf("the record does not carry them: %+v", rec)
 	}
 	l.applyHeartbeat(machine, report(l, machine, workers.StatusExited, "halted"), false, now)
-	if w, _ = l.snapshotForPlacement(now); w.Teams["a"].Used.GPUs != 0 {
+	if w = l.snapshotForPlacement(now); w.Teams["a"].Used.GPUs != 0 {
 		t.Errorf("they count for ever")
 	}
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -83,8 +83,7 @@
 	// fleet is how many machines are known; it is read by others.
 	fleet            atomic.Int64
 	loaded           bool
-	jobs             map[string]*jobState
-	pipelines        map[placement.Pipeline][]*jobState
+	jobs             jobTable
 	machines         map[string]*machineState
 	sortedCache      []*machineState                // all of machines by name; nil when it must be made anew
 	teamUsage        map[string]placement.Resources // what the teams' attempts and holds take, as the views show it
@@ -108,11 +107,7 @@
 	lastSummary            time.Time
 	commits                groupCommit
 	scaling                scalingState
-	// removedJobs are jobs that ended here before the watch has told so.
-	removedJobs map[string]bool
-	// endedJobs are jobs that are over while attempts of them may still run.
-	endedJobs map[string]*endedJob
-	gangWaits map[string]*gangWaitStats // by class
+	gangWaits              map[string]*gangWaitStats // by class
 	// dependencies is what the jobs that wait for others wait for.
 	dependencies dependencyTracker
 	// runtimeRatios is, by class, how long tasks ran lately against what was expected.
@@ -129,18 +124,15 @@
 	l := &Leader{
 		deps: d, term: newTerm(g), certainty: certainty.NewTracker(certainty.Window(w)), lease: config.Seconds(w.LeaseS),
 		events: make(chan event, 256), done: make(chan struct{}),
-		jobs: make(map[string]*jobState), machines: make(map[string]*machineState), teams: d.Settings.Params.Teams,
+		jobs: newJobTable(), machines: make(map[string]*machineState), teams: d.Settings.Params.Teams,
 		reservations: reservations.NewManager(reservations.Options{
 			Enabled: d.Operator.Holds.Enabled, Alpha: d.Operator.Holds.Alpha,
 			P: d.Operator.Holds.P, Threshold: d.Operator.Holds.Threshold,
 		}),
-		removedJobs:    make(map[string]bool),
-		endedJobs:      make(map[string]*endedJob),
 		arrivals:       make(map[string]float64),
 		runtimeRatios:  make(map[string]float64),
 		placementRates: make(placementRates),
 		gangWaits:      make(map[string]*gangWaitStats),
-		pipelines:      make(map[placement.Pipeline][]*jobState),
 		teamUsage:      make(map[string]placement.Resources),
 		pendingReplies: make(map[*machineState]bool),
 		metadata:       newMetadataQueue(d.Settings.Params.State, d.Operator.Budgets),
@@ -325,7 +317,7 @@
 		l.passDueNow = true
 	}
 	l.logDueMetadata(now)
-	for _, j := range l.jobs {
+	for j := range l.jobs.all() {
 		l.countGangWait(j, now)
 		if !j.notBefore.IsZero() && now.After(j.notBefore) {
 			j.notBefore = time.Time{}
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -100,43 +100,12 @@
 func (l *Leader) usedResources(machine *machineState) (sum placement.Resources) {
 	for _, a := range machine.agent.Attempts {
 		if a.Live() {
-			sum = sum.Add(l.resourcesOf(a))
+			sum = sum.Add(l.jobs.resourcesOf(a))
 		}
 	}
 	return sum
 }
 
-// resourcesOf is what an attempt takes. One whose job is gone is remembered by
-// size, as it still occupies its machine.
-func (l *Leader) resourcesOf(a *workers.Attempt) placement.Resources {
-	if j := l.jobs[a.ID.Task.Job]; j != nil {
-		return placement.TaskResources(j.spec)
-	}
-	if g := l.endedJobs[a.ID.Task.Job]; g != nil {
-		return g.need
-	}
-	return placement.Resources{}
-}
-
-// teamOf is the team that an attempt counts for.
-func (l *Leader) teamOf(a *workers.Attempt) string {
-	if j := l.jobs[a.ID.Task.Job]; j != nil {
-		return j.spec.Team
-	}
-	if g := l.endedJobs[a.ID.Task.Job]; g != nil {
-		return g.team
-	}
-	return ""
-}
-
-// endedJob is what is remembered of a job that is over while attempts of it may
-// still be on machines.
-type endedJob struct {
-	team     string
-	need     placement.Resources
-	attempts int // attempts not proven gone
-}
-
 // placementMachine is the machine as the job rules see it.
 func (l *Leader) placementMachine(machine *machineState) *placement.Machine {
 	return &placement.Machine{Name: machine.agent.Name, Type: machine.agent.MachineType, Zone: machine.agent.Zone, Spot: machine.agent.Spot}
--- a/internal/leader/machine_view.go
+++ b/internal/leader/machine_view.go
@@ -28,10 +28,10 @@
 		if !attempt.Live() {
 			continue
 		}
-		room := l.resourcesOf(attempt)
-		uses = append(uses, teamUse{l.teamOf(attempt), room})
+		room := l.jobs.resourcesOf(attempt)
+		uses = append(uses, teamUse{l.jobs.teamOf(attempt), room})
 		s := placement.RunningTask{Index: attempt.ID.Task.Index, Attempt: attempt.ID.Number, Resources: room, Stopping: attempt.StopRequested}
-		if job := l.jobs[attempt.ID.Task.Job]; job != nil {
+		if job := l.jobs.get(attempt.ID.Task.Job); job != nil {
 			s.Job = &job.view
 			s.Remaining, s.StopCost = l.estimateStopCost(job, attempt, now)
 			if _, have := pr.ImageWait[job.spec.Image]; !have && (attempt.Status == "" || attempt.Status == workers.StatusFetching) && typ.FetchGBPerS > 0 {
--- a/internal/leader/placement_snapshot.go
+++ b/internal/leader/placement_snapshot.go
@@ -9,10 +9,10 @@
 
 // snapshotForPlacement shows the present state to placement. Machines and jobs that have not
 // changed are shown as before.
-func (l *Leader) snapshotForPlacement(now time.Time) (*placement.Snapshot, map[string]*jobState) {
+func (l *Leader) snapshotForPlacement(now time.Time) *placement.Snapshot {
 	w := &placement.Snapshot{Now: now, Teams: make(map[string]*placement.Team), StartRate: l.placementRates}
-	all := make([]*placement.Job, 0, len(l.jobs))
-	for _, job := range l.jobs {
+	all := make([]*placement.Job, 0, l.jobs.len())
+	for job := range l.jobs.all() {
 		if job.complete || job.blockedByUpstream() {
 			continue
 		}
@@ -53,7 +53,7 @@
 			w.Jobs = append(w.Jobs, v)
 		}
 	}
-	return w, l.jobs
+	return w
 }
 
 // viewAge is how old the view of a machine that has not changed may be: making all of a
--- a/internal/leader/provisioning.go
+++ b/internal/leader/provisioning.go
@@ -405,7 +405,7 @@
 			v.Refused[p] = true
 		}
 	}
-	for _, j := range l.jobs {
+	for j := range l.jobs.all() {
 		left := j.spec.Tasks - j.doneCount
 		if left <= 0 || j.blockedByUpstream() {
 			continue
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -94,7 +94,7 @@
 		if rec.Jobs == nil {
 			rec.Jobs = make(map[string]wal.JobUse)
 		}
-		rec.Jobs[a.ID.Task.Job] = wal.JobUse{Team: l.teamOf(a), Resources: recordRoom(l.resourcesOf(a))}
+		rec.Jobs[a.ID.Task.Job] = wal.JobUse{Team: l.jobs.teamOf(a), Resources: recordRoom(l.jobs.resourcesOf(a))}
 	}
 	return rec
 }
@@ -113,14 +113,9 @@
 		}
 		machine.agent.Attempts[a.ID] = a
 		id := a.ID.Task.Job
-		if l.jobs[id] == nil {
-			g := l.endedJobs[id]
-			if g == nil {
-				was := rec.Jobs[id]
-				g = &endedJob{team: was.Team, need: roomOf(was.Resources)}
-				l.endedJobs[id] = g
-			}
-			g.attempts++
+		if l.jobs.get(id) == nil {
+			was := rec.Jobs[id]
+			l.jobs.restoreEnded(id, was.Team, roomOf(was.Resources))
 			machine.agent.RequestStop(a, 0, now)
 		}
 		l.addAttempt(machine, a)
@@ -136,7 +131,7 @@
 
 // restoreDone takes in completed tasks of a job.
 func (l *Leader) restoreDone(name string, list []int) {
-	j := l.jobs[name]
+	j := l.jobs.get(name)
 	if j == nil {
 		return
 	}
--- a/internal/leader/records_test.go
+++ b/internal/leader/records_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	machine := l.machines["m-1"]
-	if len(j.attempts[3]) != 1 || j.doneCount != 2 || !j.recordedDone.has(2) || machine.agent.Zone != "east" || len(machine.images) != 1 || l.endedJobs["j-0"].need.GPUs != 2 {
+	if len(j.attempts[3]) != 1 || j.doneCount != 2 || !j.recordedDone.has(2) || machine.agent.Zone != "east" || len(machine.images) != 1 || l.jobs.ended["j-0"].resources.GPUs != 2 {
 		t.Errorf("not all was read: seats %v, %d done, %+v", j.attempts, j.doneCount, machine.agent)
 	}
 	machine.agent.Endpoint = ""
--- a/internal/leader/reservation_edges.go
+++ b/internal/leader/reservation_edges.go
@@ -63,7 +63,7 @@
 			if name == "" {
 				continue
 			}
-			down := l.jobs[name]
+			down := l.jobs.get(name)
 			r.Reserved[i].Blocked = down != nil && down.blockedByUpstream()
 			if down != nil && !walked[name] {
 				walked[name] = true
@@ -78,7 +78,7 @@
 	name := down.spec.ID
 	for queue := []*jobState{down}; len(queue) > 0; queue = queue[1:] {
 		for before := range queue[0].pendingUpstreams {
-			job := l.jobs[before]
+			job := l.jobs.get(before)
 			if job == nil || job.view.ReservedDownstreams[name] {
 				continue
 			}
--- a/internal/leader/reservation_edges_test.go
+++ b/internal/leader/reservation_edges_test.go
@@ -77,7 +77,7 @@
 	l, machine, down, _ := edgeScene(t, 1, now)
 	endAll(l, machine, now.Add(10*time.Second))
 	shown := func() (out []bool) {
-		w, _ := l.snapshotForPlacement(now)
+		w := l.snapshotForPlacement(now)
 		for _, h := range w.Machines[0].Reserved {
 			out = append(out, h.Blocked)
 		}
@@ -107,7 +107,7 @@
 	spec.DependsOn = []string{"j-2"}
 	waited := addJob(t, l, spec, now)
 	next := addJob(t, l, sweep("j-4", 1), now)
-	l.removeJob(l.jobs["j-2"], now)
+	l.removeJob(l.jobs.get("j-2"), now)
 	l.upstreamEnded("j-2", jobs.FinalRecord{Status: jobs.StatusDone}, now)
 	if waited.blockedByUpstream() {
 		t.Fatal("it may not start")
@@ -183,7 +183,7 @@
 func TestSeveralDownstreams(t *testing.T) {
 	now := time.Now()
 	l, _, first, _ := edgeScene(t, 4, now)
-	up := l.jobs["j-1"]
+	up := l.jobs.get("j-1")
 	named := func(id, urgency string, due float64, waits ...string) *jobState {
 		spec := sweep(id, 2)
 		spec.PriorityClass, spec.DependsOn = urgency, waits
@@ -206,7 +206,7 @@
 		t.Errorf("held for %v, want %v", got, want)
 	}
 	endAll(l, l.machines["m-1"], now.Add(5*time.Second)) // two for j-7, two for j-6
-	if _, _ = l.snapshotForPlacement(now); !side.view.Owns(l.jobs["j-6"].view.EdgePipeline()) || side.view.Owns(l.jobs["j-4"].view.EdgePipeline()) || last.view.Owns(l.jobs["j-7"].view.EdgePipeline()) {
+	if l.snapshotForPlacement(now); !side.view.Owns(l.jobs.get("j-6").view.EdgePipeline()) || side.view.Owns(l.jobs.get("j-4").view.EdgePipeline()) || last.view.Owns(l.jobs.get("j-7").view.EdgePipeline()) {
 		t.Errorf("who may use the holds: one before %v, another %v, one after %v", side.view.ReservedDownstreams, first.view.ReservedDownstreams, last.view.ReservedDownstreams)
 	}
 	// A job that waited and has nothing after it ends its pipeline: nothing is held for
--- a/internal/leader/scheduling_pass.go
+++ b/internal/leader/scheduling_pass.go
@@ -18,11 +18,11 @@
 		// world that may be half a minute old.
 		return
 	}
-	w, states := l.snapshotForPlacement(now)
+	w := l.snapshotForPlacement(now)
 	plan := placement.Schedule(w)
 	for _, s := range plan.Starts {
 		l.machines[s.Machine.Name].stale = true
-		states[s.Job.Spec.ID].stale = true
+		l.jobs.get(s.Job.Spec.ID).stale = true
 	}
 	for _, e := range plan.Preemptions {
 		l.machines[e.Machine.Name].stale = true
@@ -36,9 +36,9 @@
 	for _, e := range plan.Preemptions {
 		l.preempt(e, now)
 	}
-	l.startPlanned(plan, states, now)
+	l.startPlanned(plan, now)
 	for _, s := range plan.Starts {
-		if job := states[s.Job.Spec.ID]; job != nil && len(job.attempts) == job.spec.Tasks {
+		if job := l.jobs.get(s.Job.Spec.ID); job != nil && len(job.attempts) == job.spec.Tasks {
 			job.replacingTask = false
 		}
 	}
@@ -67,7 +67,7 @@
 	if machine == nil || e.Victim.Job == nil {
 		return
 	}
-	job := l.jobs[e.Victim.Job.Spec.ID]
+	job := l.jobs.get(e.Victim.Job.Spec.ID)
 	if job == nil {
 		return
 	}
@@ -87,10 +87,10 @@
 
 // startPlanned turns the starts of a plan into attempts. Their `run` leaves only once
 // the machines' records with them stand.
-func (l *Leader) startPlanned(plan *placement.Plan, states map[string]*jobState, now time.Time) {
+func (l *Leader) startPlanned(plan *placement.Plan, now time.Time) {
 	gangTry := make(map[string]uint64)
 	for _, s := range plan.Starts {
-		job := states[s.Job.Spec.ID]
+		job := l.jobs.get(s.Job.Spec.ID)
 		machine := l.machines[s.Machine.Name]
 		if job == nil || machine == nil {
 			continue
--- a/internal/leader/stall_test.go
+++ b/internal/leader/stall_test.go
@@ -80,7 +80,7 @@
 	l.passDueNow = true
 	l.runSchedulingPass(now)
 	run(t, l)
-	if j := l.jobs["j-1"]; len(j.attempts) > 0 {
+	if j := l.jobs.get("j-1"); len(j.attempts) > 0 {
 		t.Errorf("%d tasks placed on an old world", len(j.attempts))
 	}
 	if *cloud != (cloudCalls{}) {
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -141,7 +141,7 @@
 		c.Used += l.usedResources(machine).DominantShare(placement.Resources{CPUs: typ.CPUs, GPUs: typ.GPUs, MemoryGB: typ.MemoryGB})
 		for _, a := range machine.agent.Attempts {
 			if a.Live() {
-				need, owner := l.resourcesOf(a), l.teamOf(a)
+				need, owner := l.jobs.resourcesOf(a), l.jobs.teamOf(a)
 				c.GPUs += need.GPUs
 				use[owner] = use[owner].Add(need)
 			}
@@ -165,7 +165,7 @@
 		st.Holds = append(st.Holds, HoldStatus{h.Machine, h.Pipeline.Team, h.Pipeline.Class, h.Downstream, h.Resources.CPUs, h.Resources.GPUs, h.ExpiresAt.Sub(now).Seconds()})
 	}
 	queue := make(map[placement.Pipeline]*QueueStatus)
-	for _, j := range l.jobs {
+	for j := range l.jobs.all() {
 		k := j.view.Pipeline()
 		q := queue[k]
 		if q == nil {
@@ -241,7 +241,7 @@
 	per := func(a, b uint64) float64 { return math.Round(float64(a-b)/s*10) / 10 }
 	part := func(a, b float64) float64 { return math.Round((a-b)/s*1000) / 1000 }
 	if !l.lastLoadLog.IsZero() {
-		l.deps.Log.Info("load", "jobs", len(l.jobs), "machines", len(l.machines), "reports_s", per(c.Reports, was.Reports),
+		l.deps.Log.Info("load", "jobs", l.jobs.len(), "machines", len(l.machines), "reports_s", per(c.Reports, was.Reports),
 			"orders_s", per(c.Orders, was.Orders), "commands_s", per(c.Commands, was.Commands), "passes_s", per(c.Passes, was.Passes),
 			"pass_part", part(c.PassS, was.PassS), "commits_s", per(c.Commits, was.Commits), "commit_part", part(c.CommitS, was.CommitS),
 			"busy_part", part(c.BusyS, was.BusyS),
--- a/internal/leader/stragglers.go
+++ b/internal/leader/stragglers.go
@@ -30,7 +30,7 @@
 func (l *Leader) slowSignals(machine *machineState, now time.Time) int {
 	signals := machine.health.SlowSignals(now)
 	for _, attempt := range machine.agent.Attempts {
-		job := l.jobs[attempt.ID.Task.Job]
+		job := l.jobs.get(attempt.ID.Task.Job)
 		if job == nil || job.spec.Kind == jobs.KindGang || attempt.Status != workers.StatusRunning || attempt.RunningSince.IsZero() {
 			continue
 		}
@@ -43,7 +43,7 @@
 // to start anew.
 func (l *Leader) moveTasksAway(machine *machineState, now time.Time) {
 	for _, attempt := range machine.agent.SortedAttempts() {
-		job := l.jobs[attempt.ID.Task.Job]
+		job := l.jobs.get(attempt.ID.Task.Job)
 		if job == nil || job.spec.Kind == jobs.KindGang || attempt.StopRequested || !attempt.Live() {
 			continue
 		}
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -77,7 +77,7 @@
 	for _, row := range open {
 		l.addJob(row.Key, row.Value, row.Revision, now)
 	}
-	for _, j := range l.jobs {
+	for j := range l.jobs.all() {
 		j.fromEarlierTerm = true
 	}
 	if err := l.restoreLegacy(oldMachines, oldDids, now); err != nil {
@@ -95,14 +95,14 @@
 	if len(l.legacyKeys) > 0 {
 		l.checkpoint()
 	}
-	for _, j := range l.jobs {
+	for j := range l.jobs.all() {
 		l.checkComplete(j)
 		l.stopIncompleteGang(j, now)
 	}
 	l.passDueNow = true
 	l.loaded = true
 	l.linkLoadedJobs(now)
-	l.deps.Log.Info("records loaded", "term", l.term.number(), "jobs", len(l.jobs), "machines", len(l.machines),
+	l.deps.Log.Info("records loaded", "term", l.term.number(), "jobs", l.jobs.len(), "machines", len(l.machines),
 		"log", st.Head.Next-st.Head.From, "took_ms", time.Since(start).Milliseconds())
 	return epoch, nil
 }
--- a/internal/leader/task_events.go
+++ b/internal/leader/task_events.go
@@ -16,7 +16,7 @@
 	}
 	for _, event := range events {
 		attempt := event.Attempt
-		job := l.jobs[attempt.ID.Task.Job]
+		job := l.jobs.get(attempt.ID.Task.Job)
 		l.noteCachedImage(machine, job, attempt, now)
 		switch event.Kind {
 		case workers.EventUnrecorded:
@@ -26,9 +26,7 @@
 			l.deps.Log.Info("task in no record", "piece", attempt.ID.Task, "try", attempt.ID.Number, "rig", machine.agent.Name)
 			l.addAttempt(machine, attempt)
 			if job == nil {
-				if g := l.endedJobs[attempt.ID.Task.Job]; g != nil {
-					g.attempts++
-				}
+				l.jobs.endedAttemptFound(attempt.ID.Task.Job)
 			}
 			if job == nil || attempt.ID.Task.Index >= job.spec.Tasks {
 				l.stopAttempt(machine, attempt, 0, now)
--- a/internal/leader/team_usage_test.go
+++ b/internal/leader/team_usage_test.go
@@ -82,12 +82,12 @@
 			},
 			"time": func(*rapid.T) { now = now.Add(time.Duration(rapid.IntRange(1, 20).Draw(rt, "s")) * time.Second) },
 			"": func(*rapid.T) {
-				w, _ := l.snapshotForPlacement(now)
+				w := l.snapshotForPlacement(now)
 				want := map[string]float64{}
 				for _, machine := range l.machines {
 					for _, a := range machine.agent.Attempts {
 						if a.Live() {
-							want[l.teamOf(a)] += l.resourcesOf(a).GPUs
+							want[l.jobs.teamOf(a)] += l.jobs.resourcesOf(a).GPUs
 						}
 					}
 					for _, h := range l.reservations.OnMachine(machine.agent.Name) {
