--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -71,7 +71,7 @@
 		b.ResetTimer()
 		for i := range b.N {
 			for k := range 20 {
-				l.markStale(list[(i*20+k)%len(list)])
+				list[(i*20+k)%len(list)].markStale()
 			}
 			l.runSchedulingPass(now)
 		}
@@ -136,7 +136,7 @@
 		for i := range b.N {
 			now = now.Add(60 * time.Millisecond)
 			for k := range 20 {
-				l.markStale(list[(i*20+k)%len(list)])
+				list[(i*20+k)%len(list)].markStale()
 			}
 			for _, machine := range list {
 				machine.agent.LastHeartbeat = now
@@ -221,7 +221,7 @@
 		b.ResetTimer()
 		for range b.N {
 			now = now.Add(constants.TickInterval)
-			for _, machine := range l.sortedMachines() {
+			for _, machine := range l.fleet.sortedByName() {
 				machine.agent.LastHeartbeat, machine.agent.LastAcknowledged = now, now
 			}
 			l.tick(now)
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -96,7 +96,7 @@
 		}
 		return func() {
 			answered()
-			if l.machines[machine.agent.Name] == machine && rep.Machine == machine.agent.Name {
+			if l.fleet.get(machine.agent.Name) == machine && rep.Machine == machine.agent.Name {
 				l.applyHeartbeat(machine, rep, true, time.Now())
 			}
 		}
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -276,8 +276,8 @@
 
 // checkpoint begins to write the whole state anew.
 func (l *Leader) checkpoint() {
-	machines := make([]string, 0, len(l.machines))
-	for name := range l.machines {
+	machines := make([]string, 0, l.fleet.len())
+	for name := range l.fleet.byName {
 		machines = append(machines, name)
 	}
 	slices.Sort(machines)
@@ -300,7 +300,7 @@
 
 // Machine gives a checkpoint one machine's record.
 func (l *Leader) Machine(name string) (wal.Machine, bool) {
-	machine := l.machines[name]
+	machine := l.fleet.get(name)
 	if machine == nil {
 		return wal.Machine{}, false
 	}
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -47,7 +47,7 @@
 	}
 	for _, name := range job.failures.TakeFaultyMachines(job.longestRuns(), now) {
 		job.failures.ClearJob()
-		if machine := l.machines[name]; machine != nil {
+		if machine := l.fleet.get(name); machine != nil {
 			l.quarantine(machine, "a job that does well elsewhere failed on it", now)
 		}
 	}
@@ -77,7 +77,7 @@
 // clearMachineSuspicion takes back what a faulty job has said against machines.
 func (l *Leader) clearMachineSuspicion(job *jobState) {
 	for _, name := range job.failures.SuspectMachines() {
-		if machine := l.machines[name]; machine != nil {
+		if machine := l.fleet.get(name); machine != nil {
 			machine.health.ClearSuspicion(job.spec.ID)
 		}
 	}
@@ -102,7 +102,7 @@
 			l.stopGang(job, 0, now)
 		}
 	}
-	l.markStale(machine)
+	machine.markStale()
 	l.sendStops(machine, now)
 	l.passDueNow = true
 }
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -32,7 +32,7 @@
 func (w *truth) step(now time.Time) {
 	w.l.runSchedulingPass(now)
 	w.epoch = settle(w.l, w.epoch)
-	for _, machine := range w.l.sortedMachines() {
+	for _, machine := range w.l.fleet.sortedByName() {
 		here := w.tasks[machine.agent.Name]
 		for _, o := range machine.agent.Commands(true, now) {
 			task, _ := workers.ParseTaskID(o.Task)
@@ -112,7 +112,7 @@
 			now = now.Add(250 * time.Millisecond)
 			w.step(now)
 		}
-		for name, machine := range w.l.machines {
+		for name, machine := range w.l.fleet.byName {
 			if machine.health.Faulty() && !w.faulty[name] {
 				rt.Fatalf("%s is taken for faulty and is not", name)
 			}
--- a/internal/leader/fixtures_test.go
+++ b/internal/leader/fixtures_test.go
@@ -40,7 +40,7 @@
 
 // addRig gives the leader a machine that has just reported.
 func addRig(l *Leader, name, zone string, now time.Time) *machineState {
-	machine := l.machine(name, now)
+	machine := l.fleet.getOrAdd(name, now)
 	machine.agent.Observe(&workers.Heartbeat{Machine: name, MachineType: "g4", Zone: zone, Epoch: 1, Sequence: 1, Token: l.term.number()}, l.term.number(), false, now)
 	machine.agent.LastAcknowledged = now
 	return machine
--- a/internal/leader/growth_test.go
+++ b/internal/leader/growth_test.go
@@ -39,7 +39,7 @@
 		settle(l, 2000)
 		for _, machine := range list[:changes] {
 			l.logMetadata(machine, nil)
-			l.markStale(machine)
+			machine.markStale()
 		}
 		before, entries := l.counts.Views, l.commits.log.Stats().EntryBytes
 		l.runSchedulingPass(now)
--- a/internal/leader/hints.go
+++ b/internal/leader/hints.go
@@ -34,7 +34,7 @@
 
 // metadataChanged has the machine's holds and images recorded again within a while.
 func (l *Leader) metadataChanged(machine *machineState, now time.Time) {
-	l.markStale(machine)
+	machine.markStale()
 	if _, waits := l.metadata.due[machine]; !waits {
 		l.metadata.due[machine] = now.Add(constants.MetadataDelay)
 	}
--- a/internal/leader/job_admission.go
+++ b/internal/leader/job_admission.go
@@ -92,7 +92,7 @@
 	}
 	job.unrecordedExits = nil
 	for _, p := range placed {
-		l.markStale(p.machine)
+		p.machine.markStale()
 		l.stopAttempt(p.machine, p.attempt, 0, now)
 	}
 	for _, p := range placed {
--- a/internal/leader/job_attempts.go
+++ b/internal/leader/job_attempts.go
@@ -12,7 +12,7 @@
 	if machine.agent.RequestStop(attempt, grace, now) {
 		l.removeAttempt(machine, attempt)
 	}
-	l.markStale(machine)
+	machine.markStale()
 	l.wakeReply(machine)
 	l.passDueNow = true
 }
@@ -46,7 +46,7 @@
 
 // addAttempt notes an attempt with its job.
 func (l *Leader) addAttempt(machine *machineState, attempt *workers.Attempt) {
-	l.markStale(machine)
+	machine.markStale()
 	job := l.jobs.get(attempt.ID.Task.Job)
 	if job == nil || attempt.ID.Task.Index >= job.spec.Tasks {
 		return
@@ -59,7 +59,7 @@
 
 // removeAttempt takes an attempt off its job once it is gone or has exited.
 func (l *Leader) removeAttempt(machine *machineState, attempt *workers.Attempt) {
-	l.markStale(machine)
+	machine.markStale()
 	l.commits.log.AttemptGone(machine.agent.Name, recordAttempt(attempt))
 	job := l.jobs.get(attempt.ID.Task.Job)
 	if job == nil {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -8,7 +8,6 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"sort"
 	"sync/atomic"
 	"time"
 
@@ -80,12 +79,11 @@
 	// failoverProgress is how far the takeover has come, for operators; empty once it
 	// is over. It is read by others.
 	failoverProgress atomic.Pointer[string]
-	// fleet is how many machines are known; it is read by others.
-	fleet            atomic.Int64
+	// machineCount is how many machines are known; it is read by others.
+	machineCount     atomic.Int64
 	loaded           bool
 	jobs             jobTable
-	machines         map[string]*machineState
-	sortedCache      []*machineState                // all of machines by name; nil when it must be made anew
+	fleet            fleet
 	teamUsage        map[string]placement.Resources // what the teams' attempts and holds take, as the views show it
 	pendingReplies   map[*machineState]bool         // machines whose report waits for its answer
 	repliesDue       []*machineState                // of these, those that orders have come up for
@@ -124,7 +122,7 @@
 	l := &Leader{
 		deps: d, term: newTerm(g), certainty: certainty.NewTracker(certainty.Window(w)), lease: config.Seconds(w.LeaseS),
 		events: make(chan event, 256), done: make(chan struct{}),
-		jobs: newJobTable(), machines: make(map[string]*machineState), teams: d.Settings.Params.Teams,
+		jobs: newJobTable(), fleet: newFleet(), teams: d.Settings.Params.Teams,
 		reservations: reservations.NewManager(reservations.Options{
 			Enabled: d.Operator.Holds.Enabled, Alpha: d.Operator.Holds.Alpha,
 			P: d.Operator.Holds.P, Threshold: d.Operator.Holds.Threshold,
@@ -238,7 +236,7 @@
 }
 
 // Machines is how many machines are known.
-func (l *Leader) Machines() int { return int(l.fleet.Load()) }
+func (l *Leader) Machines() int { return int(l.machineCount.Load()) }
 
 // watchJobs learns of submissions and cancellations.
 func (l *Leader) watchJobs(ctx context.Context, epoch uint64) error {
@@ -286,9 +284,9 @@
 	}
 	l.placementRates.fade(constants.TickInterval)
 	l.trackFailover(now)
-	l.fleet.Store(int64(len(l.machines)))
+	l.machineCount.Store(int64(l.fleet.len()))
 	shown := 0
-	for _, machine := range l.sortedMachines() {
+	for _, machine := range l.fleet.sortedByName() {
 		// That nobody was answered for a lease is our own doing after we stood
 		// still: who leads now knows better, and if we do it is soon known.
 		if l.term.verified() {
@@ -311,7 +309,7 @@
 		}
 	}
 	for _, name := range l.reservations.Expire(now, l.stillWaits) {
-		if machine := l.machines[name]; machine != nil {
+		if machine := l.fleet.get(name); machine != nil {
 			l.metadataChanged(machine, now)
 		}
 		l.passDueNow = true
@@ -332,18 +330,6 @@
 	}
 }
 
-// sortedMachines lists the machines by name. The list must not be changed.
-func (l *Leader) sortedMachines() []*machineState {
-	if l.sortedCache == nil {
-		l.sortedCache = make([]*machineState, 0, len(l.machines))
-		for _, machine := range l.machines {
-			l.sortedCache = append(l.sortedCache, machine)
-		}
-		sort.Slice(l.sortedCache, func(i, j int) bool { return l.sortedCache[i].agent.Name < l.sortedCache[j].agent.Name })
-	}
-	return l.sortedCache
-}
-
 // Progress is how far a job is.
 type Progress struct{ Done, Running int }
 
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -43,30 +43,17 @@
 	heartbeatGap bool
 }
 
-// machine finds a machine, or makes a new one.
-func (l *Leader) machine(name string, now time.Time) *machineState {
-	machine := l.machines[name]
-	if machine == nil {
-		machine = &machineState{agent: workers.NewAgent(name), addedAt: now, idleSince: now}
-		l.machines[name] = machine
-		l.sortedCache = nil
-		l.markStale(machine)
-	}
-	return machine
-}
-
 // removeMachine drops a machine that is no more.
 func (l *Leader) removeMachine(machine *machineState) {
-	delete(l.machines, machine.agent.Name)
+	l.fleet.remove(machine)
 	delete(l.metadata.due, machine)
 	delete(l.pendingReplies, machine)
-	l.sortedCache = nil
 	l.setTeamUsage(machine, nil)
 }
 
 // markStale has the machine's view made anew for the next pass. Whatever changes
 // its attempts, holds or images must call it: the teams' use depends on it.
-func (l *Leader) markStale(machine *machineState) { machine.stale = true }
+func (m *machineState) markStale() { m.stale = true }
 
 // pool is where the machine was rented from.
 func (m *machineState) pool() autoscaling.InstancePool {
--- a/internal/leader/placement_snapshot.go
+++ b/internal/leader/placement_snapshot.go
@@ -19,7 +19,7 @@
 		l.refreshJobView(job, now)
 		all = append(all, &job.view)
 	}
-	machines := l.sortedMachines()
+	machines := l.fleet.sortedByName()
 	w.Machines = make([]*placement.Machine, 0, len(machines))
 	ordinary := 0
 	oldest := now.Add(-viewAge(len(machines)))
--- a/internal/leader/provisioning.go
+++ b/internal/leader/provisioning.go
@@ -76,7 +76,7 @@
 // scale runs the dealings with the cloud: one call at a time.
 func (l *Leader) scale(now time.Time) {
 	m := &l.scaling
-	for _, machine := range l.machines {
+	for machine := range l.fleet.all() {
 		if len(machine.agent.Attempts) > 0 {
 			machine.idleSince = now
 		}
@@ -141,7 +141,7 @@
 // fetch anew, in a zone that can't be reached, is the worst answer to a cut.
 func (l *Leader) unreachableZones(now time.Time) map[string]bool {
 	all, silent := make(map[string]int), make(map[string]int)
-	for _, machine := range l.machines {
+	for machine := range l.fleet.all() {
 		if machine.leaving {
 			continue
 		}
@@ -167,7 +167,7 @@
 // retireMachines marks machines that must be returned as leaving.
 func (l *Leader) retireMachines(now time.Time) {
 	dark := l.unreachableZones(now)
-	for _, machine := range l.machines {
+	for machine := range l.fleet.all() {
 		if machine.leaving {
 			continue
 		}
@@ -196,14 +196,14 @@
 	machine.leavingRecorded = false
 	l.reservations.RemoveMachine(machine.agent.Name)
 	l.logMetadata(machine, func() { machine.leavingRecorded = machine.leaving })
-	l.markStale(machine)
+	machine.markStale()
 	l.drain(machine, now)
 	l.passDueNow = true
 }
 
 // machinesToReturn names the machines to give back now.
 func (l *Leader) machinesToReturn(now time.Time) (names []string) {
-	for _, machine := range l.machines {
+	for machine := range l.fleet.all() {
 		if !machine.leaving || !machine.leavingRecorded {
 			continue
 		}
@@ -218,7 +218,7 @@
 		typ, _ := l.deps.Catalog().Type(b.pool.Type)
 		// A machine of an earlier term that has no record was idle: its worker
 		// needs a moment to turn to this node.
-		if limit := time.Duration(typ.BootS * constants.BootTimeoutFactor * float64(time.Second)); now.Sub(b.since) > limit && now.Sub(b.noted) > l.lease && now.Sub(l.term.resumedAt()) > l.lease && l.machines[name] == nil {
+		if limit := time.Duration(typ.BootS * constants.BootTimeoutFactor * float64(time.Second)); now.Sub(b.since) > limit && now.Sub(b.noted) > l.lease && now.Sub(l.term.resumedAt()) > l.lease && l.fleet.get(name) == nil {
 			l.deps.Log.Info("machine never came up", "rig", name)
 			names = append(names, name)
 		}
@@ -250,7 +250,7 @@
 			for _, name := range names {
 				delete(m.booting, name)
 				m.terminated[name] = now
-				machine := l.machines[name]
+				machine := l.fleet.get(name)
 				if machine == nil {
 					continue
 				}
@@ -316,11 +316,11 @@
 		if _, gone := m.terminated[h.Name]; gone {
 			continue
 		}
-		machine := l.machines[h.Name]
+		machine := l.fleet.get(h.Name)
 		switch {
 		case h.Status == "failed":
 			if machine == nil {
-				machine = l.machine(h.Name, now)
+				machine = l.fleet.getOrAdd(h.Name, now)
 				machine.agent.MachineType, machine.agent.Zone, machine.agent.Spot = h.MachineType, h.Zone, h.Spot
 			}
 			delete(m.booting, h.Name)
@@ -358,7 +358,7 @@
 			default:
 				l.deps.Log.Info("rented", "type", pool.Type, "zone", pool.Zone, "spot", pool.Spot, "asked", req.Count, "got", len(names))
 				for _, name := range names {
-					if l.machines[name] == nil {
+					if l.fleet.get(name) == nil {
 						m.booting[name] = booting{pool, now, now}
 					}
 				}
@@ -382,7 +382,7 @@
 // scalingView shows the present state to renting.
 func (l *Leader) scalingView(now time.Time) autoscaling.Snapshot {
 	v := autoscaling.Snapshot{Catalog: l.deps.Catalog(), Machines: make(map[autoscaling.InstancePool]int), Refused: make(map[autoscaling.InstancePool]bool)}
-	for _, machine := range l.machines {
+	for machine := range l.fleet.all() {
 		// A silent machine is not counted on: it is replaced before it is
 		// given up.
 		if !machine.leaving && !machine.health.Faulty() && machine.agent.ReclaimAt.IsZero() && l.silentFor(machine, now) <= l.lease {
@@ -448,12 +448,12 @@
 	}
 	keep := m.memory.Add(now, want)
 	var idle []autoscaling.IdleMachine
-	for _, machine := range l.machines {
+	for machine := range l.fleet.all() {
 		if machine.schedulable(now) && len(machine.agent.Attempts) == 0 && len(l.reservations.OnMachine(machine.agent.Name)) == 0 && now.Sub(machine.idleSince) > constants.IdleReturnAfter {
 			idle = append(idle, autoscaling.IdleMachine{Name: machine.agent.Name, Pool: machine.pool(), Images: len(machine.images)})
 		}
 	}
 	for _, name := range autoscaling.ScaleIn(v, keep, idle) {
-		l.beginLeaving(l.machines[name], "idle", now)
+		l.beginLeaving(l.fleet.get(name), "idle", now)
 	}
 }
--- a/internal/leader/provisioning_test.go
+++ b/internal/leader/provisioning_test.go
@@ -103,11 +103,11 @@
 	}
 	now := t0.Add(l.lease + constants.SilentReturnAfter + time.Second)
 	for i := range 4 {
-		l.machines[fmt.Sprint("m-w", i)].agent.LastHeartbeat = now
+		l.fleet.get(fmt.Sprint("m-w", i)).agent.LastHeartbeat = now
 	}
-	l.machines["m-w0"].agent.LastHeartbeat = t0 // one machine of the other zone died
+	l.fleet.get("m-w0").agent.LastHeartbeat = t0 // one machine of the other zone died
 	l.retireMachines(now)
-	for name, machine := range l.machines {
+	for name, machine := range l.fleet.byName {
 		if want := name == "m-w0"; machine.leaving != want {
 			t.Errorf("%s: leaving %v, want %v", name, machine.leaving, want)
 		}
@@ -122,22 +122,22 @@
 	// The cut heals: three of the four are back a few seconds before the last.
 	back := now.Add(20 * time.Second)
 	for i := range 3 {
-		l.machines[fmt.Sprint("m-e", i)].agent.LastHeartbeat = back
+		l.fleet.get(fmt.Sprint("m-e", i)).agent.LastHeartbeat = back
 	}
 	l.retireMachines(back.Add(time.Second))
-	if l.machines["m-e3"].leaving {
+	if l.fleet.get("m-e3").leaving {
 		t.Errorf("the last one is given up as the cut heals")
 	}
 	l.retireMachines(back.Add(constants.UnreachableHold + l.lease + constants.SilentReturnAfter))
-	if !l.machines["m-e3"].leaving {
+	if !l.fleet.get("m-e3").leaving {
 		t.Errorf("one that does not come back with the others is never given up")
 	}
 	for i := range 4 {
-		machine := l.machines[fmt.Sprint("m-e", i)]
+		machine := l.fleet.get(fmt.Sprint("m-e", i))
 		machine.agent.LastHeartbeat, machine.leaving = t0, false
 	}
 	l.retireMachines(t0.Add(l.lease + constants.UnreachableReturnAfter + time.Second))
-	if !l.machines["m-e0"].leaving {
+	if !l.fleet.get("m-e0").leaving {
 		t.Errorf("a zone that stays dark is never given up")
 	}
 }
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -101,7 +101,7 @@
 
 // restoreMachine takes in what was recorded of a machine.
 func (l *Leader) restoreMachine(name string, rec *wal.Machine, now time.Time) error {
-	machine := l.machine(name, now)
+	machine := l.fleet.getOrAdd(name, now)
 	machine.metadataLogged = true
 	machine.leaving = rec.Leaving
 	machine.leavingRecorded = rec.Leaving
--- a/internal/leader/records_test.go
+++ b/internal/leader/records_test.go
@@ -20,7 +20,7 @@
 	if err := l.restoreLegacy(machines, dids, now); err != nil {
 		t.Fatal(err)
 	}
-	machine := l.machines["m-1"]
+	machine := l.fleet.get("m-1")
 	if len(j.attempts[3]) != 1 || j.doneCount != 2 || !j.recordedDone.has(2) || machine.agent.Zone != "east" || len(machine.images) != 1 || l.jobs.ended["j-0"].resources.GPUs != 2 {
 		t.Errorf("not all was read: seats %v, %d done, %+v", j.attempts, j.doneCount, machine.agent)
 	}
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -31,7 +31,7 @@
 	}
 	machine.startOverdue = machine.agent.StartOverdue(now)
 	if machine.agent.RepliesLost != deaf {
-		l.markStale(machine)
+		machine.markStale()
 		l.deps.Log.Info("machine does not hear", "rig", machine.agent.Name, "deaf", machine.agent.RepliesLost)
 		l.passDueNow = true
 	}
@@ -47,7 +47,7 @@
 	}
 	if !known {
 		l.passDueNow = true
-		l.markStale(machine)
+		machine.markStale()
 		l.machineRegistered(machine, now)
 	}
 	if before != machine.agent.Epoch {
@@ -55,7 +55,7 @@
 			l.deps.Log.Info("machine began a new session", "rig", machine.agent.Name, "shift", machine.agent.Epoch, "lost", len(ev))
 		}
 		machine.images = keepImages(machine.images)
-		l.markStale(machine)
+		machine.markStale()
 		l.passDueNow = true
 	}
 	l.applyEvents(machine, ev, now)
@@ -101,7 +101,7 @@
 		ch <- Reply{Status: 503}
 		return
 	}
-	machine := l.machine(rep.Machine, now)
+	machine := l.fleet.getOrAdd(rep.Machine, now)
 	l.counts.Reports++
 	if machine.agent.IsDuplicate(rep) {
 		l.counts.Copies++
--- a/internal/leader/reports_test.go
+++ b/internal/leader/reports_test.go
@@ -30,11 +30,10 @@
 	}
 	l.scaling.terminated["m-9"] = now
 	l.heartbeat(&workers.Heartbeat{Machine: "m-9", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: 1, Token: 3}, now, ch)
-	if a := <-ch; a.Status != 503 || l.machines["m-9"] != nil {
+	if a := <-ch; a.Status != 503 || l.fleet.get("m-9") != nil {
 		t.Errorf("a returned machine is back: %d", a.Status)
 	}
-	delete(l.machines, "m-1")
-	l.sortedCache = nil
+	l.fleet.remove(machine)
 	j := addJob(t, l, sweep("j-1", 1), now)
 	stale := &workers.Heartbeat{Machine: "m-2", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: 400, Token: l.term.number() - 1}
 	l.heartbeat(stale, now, ch)
@@ -59,7 +58,7 @@
 	machine := addRig(l, "m-1", "east", now)
 	last := machine.agent.LastAcknowledged
 	machine.agent.RepliesLost = true
-	l.markStale(machine)
+	machine.markStale()
 	ch := make(chan Reply, 1)
 	l.heartbeat(report(l, machine, "", ""), now.Add(time.Second), ch)
 	l.flushReplies(now.Add(3 * time.Second))
--- a/internal/leader/reservation_edges_test.go
+++ b/internal/leader/reservation_edges_test.go
@@ -137,7 +137,7 @@
 			now = lapse.Add(time.Second)
 		}
 		for _, name := range l.reservations.Expire(now, l.stillWaits) {
-			l.metadataChanged(l.machines[name], now)
+			l.metadataChanged(l.fleet.get(name), now)
 		}
 		machine.agent.LastHeartbeat, machine.agent.LastAcknowledged = now, now
 		l.certainty.Watched(now)
@@ -205,7 +205,7 @@
 	if fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("held for %v, want %v", got, want)
 	}
-	endAll(l, l.machines["m-1"], now.Add(5*time.Second)) // two for j-7, two for j-6
+	endAll(l, l.fleet.get("m-1"), now.Add(5*time.Second)) // two for j-7, two for j-6
 	if l.snapshotForPlacement(now); !side.view.Owns(l.jobs.get("j-6").view.EdgePipeline()) || side.view.Owns(l.jobs.get("j-4").view.EdgePipeline()) || last.view.Owns(l.jobs.get("j-7").view.EdgePipeline()) {
 		t.Errorf("who may use the holds: one before %v, another %v, one after %v", side.view.ReservedDownstreams, first.view.ReservedDownstreams, last.view.ReservedDownstreams)
 	}
--- a/internal/leader/scheduling_log.go
+++ b/internal/leader/scheduling_log.go
@@ -53,7 +53,7 @@
 		limits[name] = hundredth(t.Used.DominantShare(t.Limit))
 	}
 	l.deps.Log.Debug("summary", "machines", total, "used", hundredth(used), "ending", hundredth(ending), "held", hundredth(held), "empty", empty,
-		"waiting", fmt.Sprint(waits), "lifted", lifted, "limits", fmt.Sprint(limits), "booting", len(l.scaling.booting), "rigs", len(l.machines))
+		"waiting", fmt.Sprint(waits), "lifted", lifted, "limits", fmt.Sprint(limits), "booting", len(l.scaling.booting), "rigs", l.fleet.len())
 }
 
 // hundredth rounds for the log.
--- a/internal/leader/scheduling_pass.go
+++ b/internal/leader/scheduling_pass.go
@@ -21,14 +21,14 @@
 	w := l.snapshotForPlacement(now)
 	plan := placement.Schedule(w)
 	for _, s := range plan.Starts {
-		l.machines[s.Machine.Name].stale = true
+		l.fleet.get(s.Machine.Name).markStale()
 		l.jobs.get(s.Job.Spec.ID).stale = true
 	}
 	for _, e := range plan.Preemptions {
-		l.machines[e.Machine.Name].stale = true
+		l.fleet.get(e.Machine.Name).markStale()
 	}
 	for _, h := range plan.Released {
-		if machine := l.machines[h.Machine.Name]; machine != nil && l.reservations.Consume(h.Machine.Name, func(p placement.Pipeline) bool { return p == h.Slot.Pipeline }) {
+		if machine := l.fleet.get(h.Machine.Name); machine != nil && l.reservations.Consume(h.Machine.Name, func(p placement.Pipeline) bool { return p == h.Slot.Pipeline }) {
 			l.deps.Log.Debug("hold given up", "rig", h.Machine.Name, "class", h.Slot.Pipeline.Class)
 			l.metadataChanged(machine, now)
 		}
@@ -63,7 +63,7 @@
 
 // preempt stops a task to make room; a gang goes as a whole.
 func (l *Leader) preempt(e placement.Preemption, now time.Time) {
-	machine := l.machines[e.Machine.Name]
+	machine := l.fleet.get(e.Machine.Name)
 	if machine == nil || e.Victim.Job == nil {
 		return
 	}
@@ -91,7 +91,7 @@
 	gangTry := make(map[string]uint64)
 	for _, s := range plan.Starts {
 		job := l.jobs.get(s.Job.Spec.ID)
-		machine := l.machines[s.Machine.Name]
+		machine := l.fleet.get(s.Machine.Name)
 		if job == nil || machine == nil {
 			continue
 		}
--- a/internal/leader/stall_test.go
+++ b/internal/leader/stall_test.go
@@ -66,7 +66,7 @@
 	still := l.lease + constants.SilentReturnAfter + time.Minute
 	l.beginRound()
 	l.term.lastRound = time.Now().Add(-still)
-	for _, machine := range l.machines {
+	for machine := range l.fleet.all() {
 		machine.agent.LastHeartbeat = machine.agent.LastHeartbeat.Add(-still)
 	}
 	b := l.scaling.booting["m-9"]
@@ -86,7 +86,7 @@
 	if *cloud != (cloudCalls{}) {
 		t.Errorf("the cloud was called before the term was looked at: %+v", *cloud)
 	}
-	for name, machine := range l.machines {
+	for name, machine := range l.fleet.byName {
 		if machine.leaving {
 			t.Errorf("%s is given up for silence that was ours", name)
 		}
@@ -141,7 +141,7 @@
 	addJob(t, l, sweep("j-1", 16), now)
 	l.runSchedulingPass(now)
 	settle(l, 100)
-	for _, machine := range l.machines {
+	for machine := range l.fleet.all() {
 		machine.agent.Commands(true, now)
 	}
 	l.jobRecordDeleted("j-1", now)
@@ -176,7 +176,7 @@
 			l.runSchedulingPass(now)
 			settle(l, 100)
 		}
-		for _, machine := range l.machines {
+		for machine := range l.fleet.all() {
 			machine.agent.Commands(true, now)
 		}
 		now = now.Add(l.silenceTolerance() + time.Second)
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -119,7 +119,7 @@
 	}
 	pools := make(map[pool]*PoolStatus)
 	use, held := make(map[string]placement.Resources), make(map[string]placement.Resources)
-	for _, machine := range l.machines {
+	for machine := range l.fleet.all() {
 		k := pool{machine.agent.MachineType, machine.agent.Zone, machine.agent.Spot}
 		c := pools[k]
 		if c == nil {
@@ -241,7 +241,7 @@
 	per := func(a, b uint64) float64 { return math.Round(float64(a-b)/s*10) / 10 }
 	part := func(a, b float64) float64 { return math.Round((a-b)/s*1000) / 1000 }
 	if !l.lastLoadLog.IsZero() {
-		l.deps.Log.Info("load", "jobs", l.jobs.len(), "machines", len(l.machines), "reports_s", per(c.Reports, was.Reports),
+		l.deps.Log.Info("load", "jobs", l.jobs.len(), "machines", l.fleet.len(), "reports_s", per(c.Reports, was.Reports),
 			"orders_s", per(c.Orders, was.Orders), "commands_s", per(c.Commands, was.Commands), "passes_s", per(c.Passes, was.Passes),
 			"pass_part", part(c.PassS, was.PassS), "commits_s", per(c.Commits, was.Commits), "commit_part", part(c.CommitS, was.CommitS),
 			"busy_part", part(c.BusyS, was.BusyS),
--- a/internal/leader/stragglers.go
+++ b/internal/leader/stragglers.go
@@ -10,7 +10,7 @@
 
 // detectStragglers looks for slow machines and takes their tasks elsewhere.
 func (l *Leader) detectStragglers(now time.Time) {
-	for _, machine := range l.sortedMachines() {
+	for _, machine := range l.fleet.sortedByName() {
 		// Of a machine that can't be heard nothing is known: its tasks may be
 		// over, and a cut must not make all machines behind it slow.
 		if machine.health.Slow(now) || machine.leaving || l.silentFor(machine, now) > l.silenceTolerance() {
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -34,7 +34,7 @@
 		return
 	}
 	all, heard := 0, 0
-	for _, machine := range l.machines {
+	for machine := range l.fleet.all() {
 		all++
 		if machine.agent.Registered {
 			heard++
@@ -102,7 +102,7 @@
 	l.passDueNow = true
 	l.loaded = true
 	l.linkLoadedJobs(now)
-	l.deps.Log.Info("records loaded", "term", l.term.number(), "jobs", l.jobs.len(), "machines", len(l.machines),
+	l.deps.Log.Info("records loaded", "term", l.term.number(), "jobs", l.jobs.len(), "machines", l.fleet.len(),
 		"log", st.Head.Next-st.Head.From, "took_ms", time.Since(start).Milliseconds())
 	return epoch, nil
 }
--- a/internal/leader/task_events.go
+++ b/internal/leader/task_events.go
@@ -12,7 +12,7 @@
 // applyEvents takes in what a report or the clock says of a machine's attempts.
 func (l *Leader) applyEvents(machine *machineState, events []workers.Event, now time.Time) {
 	if len(events) > 0 {
-		l.markStale(machine)
+		machine.markStale()
 	}
 	for _, event := range events {
 		attempt := event.Attempt
--- a/internal/leader/team_usage_test.go
+++ b/internal/leader/team_usage_test.go
@@ -22,7 +22,7 @@
 		l.teams = append(l.teams, config.Team{Name: "b", GuaranteedGPUs: 4, MaxGPUs: 12})
 		epoch, jobCount, machines := uint64(100), 0, 0
 		pick := func() *machineState {
-			list := l.sortedMachines()
+			list := l.fleet.sortedByName()
 			if len(list) == 0 {
 				rt.Skip()
 			}
@@ -84,7 +84,7 @@
 			"": func(*rapid.T) {
 				w := l.snapshotForPlacement(now)
 				want := map[string]float64{}
-				for _, machine := range l.machines {
+				for machine := range l.fleet.all() {
 					for _, a := range machine.agent.Attempts {
 						if a.Live() {
 							want[l.jobs.teamOf(a)] += l.jobs.resourcesOf(a).GPUs
