--- a/internal/constants/cloud.go
+++ b/internal/constants/cloud.go
@@ -6,10 +6,10 @@
 const (
 	// CloudTimeout bounds one request to the cloud.
 	CloudTimeout = 4 * time.Second
-	// CloudBackoffMin and CloudBackoffMax bound the pause after a call that the cloud did
+	// MinCloudBackoff and MaxCloudBackoff bound the pause after a call that the cloud did
 	// not carry out.
-	CloudBackoffMin = 500 * time.Millisecond
-	CloudBackoffMax = 4 * time.Second
+	MinCloudBackoff = 500 * time.Millisecond
+	MaxCloudBackoff = 4 * time.Second
 	// CloudConns and CloudIdleConns are the connections opened and kept to the cloud: there
 	// are few calls a second.
 	CloudConns     = 4
--- a/internal/constants/statestore.go
+++ b/internal/constants/statestore.go
@@ -26,9 +26,9 @@
 	StateLeaseConns = 6
 	// ListPage is the number of rows requested at once: well below the protocol's 512 KiB.
 	ListPage = 400
-	// BackoffMin and BackoffMax bound the jittered pause after a failed call.
-	BackoffMin = 100 * time.Millisecond
-	BackoffMax = 1500 * time.Millisecond
+	// MinBackoff and MaxBackoff bound the jittered pause after a failed call.
+	MinBackoff = 100 * time.Millisecond
+	MaxBackoff = 1500 * time.Millisecond
 )
 
 // The rate budget. The state service's limits are shared by all nodes.
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -143,7 +143,7 @@
 	for ctx.Err() == nil {
 		if err := e.round(ctx, lead); err != nil && ctx.Err() == nil {
 			e.log.Debug("election round ended", "err", err)
-			pause(ctx, constants.BackoffMin)
+			pause(ctx, constants.MinBackoff)
 		}
 	}
 	return ctx.Err()
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -228,7 +228,7 @@
 		if c.backoff == 0 {
 			l.deps.Log.Info("records can't be written", "err", o.err)
 		}
-		c.backoff = min(max(2*c.backoff, constants.BackoffMin), constants.BackoffMax)
+		c.backoff = min(max(2*c.backoff, constants.MinBackoff), constants.MaxBackoff)
 		c.retryAt = now.Add(jitter(c.backoff))
 		return
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -255,7 +255,7 @@
 			return fmt.Errorf("jobs must be read again: %w", err)
 		case err != nil:
 			l.deps.Log.Debug("watch failed", "err", err)
-			pause(ctx, constants.BackoffMin)
+			pause(ctx, constants.MinBackoff)
 			continue
 		}
 		epoch = next
--- a/internal/leader/provisioning.go
+++ b/internal/leader/provisioning.go
@@ -303,7 +303,7 @@
 	if m.backoff == 0 {
 		l.deps.Log.Info("the cloud does not answer", "call", call, "err", err)
 	}
-	m.backoff = min(max(2*m.backoff, constants.CloudBackoffMin), constants.CloudBackoffMax)
+	m.backoff = min(max(2*m.backoff, constants.MinCloudBackoff), constants.MaxCloudBackoff)
 	m.retryAt = now.Add(jitter(m.backoff))
 	return true
 }
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -174,7 +174,7 @@
 			return row, found, err
 		}
 		l.deps.Log.Info("record can't be read", "key", key, "err", err)
-		pause(ctx, constants.BackoffMin)
+		pause(ctx, constants.MinBackoff)
 	}
 }
 
@@ -191,6 +191,6 @@
 			return rows, epoch, err
 		}
 		l.deps.Log.Info("records can't be read", "prefix", prefix, "err", err)
-		pause(ctx, constants.BackoffMin)
+		pause(ctx, constants.MinBackoff)
 	}
 }
--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -97,7 +97,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return err
 		default: // too many open files, for one: it may pass
-			time.Sleep(constants.BackoffMin)
+			time.Sleep(constants.MinBackoff)
 			continue
 		}
 		open.add(conn)
