--- a/internal/workers/machine.go
+++ b/internal/workers/machine.go
@@ -32,7 +32,7 @@
 	RunSentSequence uint64
 	// SentAt is when the first `run` went out; Unheard counts the later
 	// reports that did not list the task.
-	RunSentAt           time.Time
+	RunSentAt        time.Time
 	MissedHeartbeats int
 	// Status is what the worker said last; empty until it is first seen.
 	Status string
@@ -59,7 +59,7 @@
 // attempts that are not proven gone.
 type Agent struct {
 	Name, Endpoint, MachineType, Zone string
-	Spot                       bool
+	Spot                              bool
 
 	Epoch, Sequence uint64
 	// HeartbeatSequence is the newest report's own number: a message with a number
