--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -68,7 +68,7 @@
 	SLOGuarantee  = "guarantee" // what fits its team's guarantee started within a time
 )
 
-// Objective is one aim of the users.
+// SLO is one aim of the users.
 type SLO struct {
 	Kind          string   `toml:"kind"`
 	Class         string   `toml:"class"`
@@ -77,7 +77,7 @@
 	DueTimeFactor *float64 `toml:"times"`
 }
 
-// Due is by how many times its due time a job is to be done, for an aim of kind
+// DueFactor is by how many times its due time a job is to be done, for an aim of kind
 // deadline.
 func (o SLO) DueFactor() float64 {
 	if o.DueTimeFactor == nil {
@@ -108,7 +108,7 @@
 	}
 }
 
-// Workers are the workers' timings, in seconds.
+// WorkerTimings are the workers' timings, in seconds.
 type WorkerTimings struct {
 	HeartbeatS    float64 `toml:"report_s"`
 	LeaseS        float64 `toml:"lease_s"`
@@ -117,7 +117,7 @@
 	CancelWithinS float64 `toml:"cancel_s"`
 }
 
-// State limits the calls to the state service.
+// StateLimits limit the calls to the state service.
 type StateLimits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
@@ -127,7 +127,7 @@
 	Next *UpcomingStateLimits `toml:"next"`
 }
 
-// StateNext are limits to come. What is not named stays.
+// UpcomingStateLimits are limits to come. What is not named stays.
 type UpcomingStateLimits struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
@@ -159,13 +159,13 @@
 	return rps, writeRPS
 }
 
-// Cloud limits the calls to the cloud.
+// CloudLimits limit the calls to the cloud.
 type CloudLimits struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// Limits are the node's own machine.
+// MachineLimits are the node's own machine.
 type MachineLimits struct {
 	Cores   float64 `toml:"cores"`
 	MemMB   float64 `toml:"mem_mb"`
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -29,7 +29,7 @@
 	LargeRing bool `yaml:"large_ring"`
 }
 
-// RentSettings steer how many machines are rented.
+// ScalingSettings steer how many machines are rented.
 type ScalingSettings struct {
 	// Spare is how many machines more than the present demand fills are
 	// rented, in units of the square root of that number.
--- a/internal/config/sizing.go
+++ b/internal/config/sizing.go
@@ -25,7 +25,7 @@
 	return max(constants.MinSockets, all-kept)
 }
 
-// Fits tells how many workers one node can serve by its sockets and by its
+// WorkerCapacity tells how many workers one node can serve by its sockets and by its
 // memory, with some users beside them. Infinite where there is no limit.
 func (s *Settings) WorkerCapacity() (bySockets, byMemory float64) {
 	bySockets, byMemory = math.Inf(1), math.Inf(1)
@@ -44,7 +44,7 @@
 	return pages / max(s.Params.Cloud.ListLagS, constants.MinListInterval.Seconds())
 }
 
-// Warnings name the settings under which a node can't serve so many workers, each with
+// SizingWarnings name the settings under which a node can't serve so many workers, each with
 // what it is and what it would have to be. They are no reason not to start: the node
 // serves those it can.
 func (s *Settings) SizingWarnings(workers int) (out []string) {
