--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -235,7 +235,7 @@
 	perFleetSize(b, func(b *testing.B, machines int) {
 		l, list := grown(b, machines)
 		epoch := settle(l, 1000)
-		before := l.commits.log.Stats().EntryBytes
+		before := l.wal.Stats().EntryBytes
 		b.ResetTimer()
 		for i := range b.N {
 			for k := range 20 {
@@ -243,22 +243,22 @@
 			}
 			epoch = settle(l, epoch)
 		}
-		b.ReportMetric(float64(l.commits.log.Stats().EntryBytes-before)/float64(b.N), "bytes")
+		b.ReportMetric(float64(l.wal.Stats().EntryBytes-before)/float64(b.N), "bytes")
 	})
 }
 
 // written carries out what a checkpoint of the whole site writes, and returns
 // the number of transactions and of changes in them.
 func written(l *Leader, rows map[string]wal.KeyValue) (txns, changes int) {
-	l.checkpoint()
-	for l.commits.log.Checkpointing() {
-		t := l.nextTxn()
+	l.beginCheckpoint()
+	for l.wal.Checkpointing() {
+		t := l.commits.next()
 		for _, w := range t.Writes {
 			rows[w.Put] = wal.KeyValue{Key: w.Put, Value: w.Value}
 		}
 		txns++
 		changes += len(t.Writes)
-		l.committed(commitResult{epoch: uint64(1000 + txns)})
+		l.committed(commitResult{revision: uint64(1000 + txns)})
 	}
 	return txns, changes
 }
@@ -287,11 +287,11 @@
 			for k := range 20 {
 				l.logMetadata(list[(i*20+k)%len(list)], nil)
 			}
-			t := l.nextTxn()
+			t := l.commits.next()
 			for _, w := range t.Writes {
 				rows[w.Put] = wal.KeyValue{Key: w.Put, Value: w.Value}
 			}
-			l.committed(commitResult{epoch: uint64(5000 + i)})
+			l.committed(commitResult{revision: uint64(5000 + i)})
 		}
 		all := make([]wal.KeyValue, 0, len(rows))
 		size := 0
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -1,66 +1,113 @@
 package leader
 
 import (
-	"context"
-	"encoding/json"
 	"errors"
-	"slices"
+	"log/slog"
 	"time"
 
 	"thornnotch/internal/constants"
 	"thornnotch/internal/election"
-	"thornnotch/internal/jobs"
 	"thornnotch/internal/leader/wal"
 	"thornnotch/internal/statestore"
-	"thornnotch/internal/workers"
 )
 
-// groupCommit carries the log's transactions to the state service, one at a
-// time. Each is conditioned on the term record and on the log's head, so that
-// neither a deposed leader nor a late copy of an earlier transaction can
-// change anything.
+// Changes of a transaction, beside those that the log fills it with.
+const (
+	// opsPerFinalRecord are the changes that move a job from the open to the final records.
+	opsPerFinalRecord = 2
+	// opsKeptForLog are kept for the head and the log's own values.
+	opsKeptForLog = 3
+)
+
+// groupCommit carries the log's transactions to the state service, one at a time: what is
+// decided while one is under way goes together into the next. Each transaction is
+// conditioned on the term record and on the log's head, so that neither a deposed leader
+// nor a late copy of an earlier transaction can change anything.
+//
+// It makes no calls itself: begin gives out the next transaction, finished takes in what
+// became of it.
 type groupCommit struct {
-	log      *wal.Writer
+	log    *wal.Writer
+	logger *slog.Logger
+	// txnOps is how many changes a transaction may hold.
+	txnOps int
+	// checkpoint begins to write the whole state anew, when that is due.
+	checkpoint func()
+
+	// completed are the final records of jobs whose tasks are all done, cancelled those of
+	// jobs that are cancelled with one that they depend on.
+	completed []finalRecord
+	cancelled []func() wal.JobWrite
+	// obsoleteKeys are keys to be removed, with their revisions.
+	obsoleteKeys map[string]uint64
+
 	inFlight bool
-	// finalizing are the jobs whose tasks are all done, to be moved; off are those that
-	// are cancelled with one before them.
-	finalizing   []*jobState
-	cancelled    []*jobState
-	legacyKeys   map[string]uint64 // leftover keys of the earlier format, with their revision
-	retryAt      time.Time
-	backoff      time.Duration
-	lastCommitAt time.Time
-	// ringsAsked is when the nodes were last asked which rings they read.
-	ringsAsked time.Time
-	// hasMore is set if the last transaction had no room for all that waited, moreSince is
+	// sentAt is when the present transaction was first sent, lastCommitAt when one was last
+	// sent.
+	sentAt, lastCommitAt time.Time
+	// backoff is the pause after a transaction without an answer, zero while records are
+	// written; retryAt is when it may be sent again.
+	backoff time.Duration
+	retryAt time.Time
+	// hasMore is set if the last transaction had no room for all that waited; moreSince is
 	// since when that has been so.
-	hasMore      bool
-	hasMoreSince time.Time
-	// sentAt is when the present transaction was first sent.
-	sentAt time.Time
+	hasMore   bool
+	moreSince time.Time
+	// largeRingCheckedAt is when the nodes were last asked whether they read the large ring.
+	largeRingCheckedAt time.Time
 }
 
-func (c *groupCommit) init() {
-	c.legacyKeys = make(map[string]uint64)
+// finalRecord is a job's final record, which goes along with a transaction.
+type finalRecord struct {
+	// obsolete tells whether it need not be written any more.
+	obsolete func() bool
+	// write makes the change, which is then under way.
+	write func() wal.JobWrite
 }
 
-// setMore notes whether anything had no room in the transaction that goes out now.
-func (c *groupCommit) setMore(more bool, now time.Time) {
-	if more && !c.hasMore {
-		c.hasMoreSince = now
+// newGroupCommit makes a group commit without a log; open must be called next.
+func newGroupCommit(logger *slog.Logger, checkpoint func()) groupCommit {
+	return groupCommit{logger: logger, checkpoint: checkpoint, obsoleteKeys: make(map[string]uint64)}
+}
+
+// open has the transactions of a log carried out.
+func (c *groupCommit) open(log *wal.Writer, txnOps int) { c.log, c.txnOps = log, txnOps }
+
+// recordCompleted has the final record of a completed job go along with a transaction.
+func (c *groupCommit) recordCompleted(record finalRecord) { c.completed = append(c.completed, record) }
+
+// recordCancelled has the final record of a job that is cancelled with one that it depends
+// on go along with a transaction.
+func (c *groupCommit) recordCancelled(write func() wal.JobWrite) {
+	c.cancelled = append(c.cancelled, write)
+}
+
+// removeKeys has keys removed that have these revisions.
+func (c *groupCommit) removeKeys(revisions map[string]uint64) {
+	for key, revision := range revisions {
+		c.obsoleteKeys[key] = revision
 	}
-	c.hasMore = more
 }
 
+// healthy tells whether records can be written, as far as is known.
+func (c *groupCommit) healthy() bool { return c.backoff == 0 }
+
 // behind tells whether records have not kept up for a while.
 func (c *groupCommit) behind(now time.Time) bool {
-	return c.hasMore && now.Sub(c.hasMoreSince) > constants.CommitBehindAfter
+	return c.hasMore && now.Sub(c.moreSince) > constants.CommitBehindAfter
 }
 
-// commitDue is when the next transaction should go out; zero if there is none.
-func (l *Leader) commitDue() time.Time {
-	c := &l.commits
-	if c.inFlight || l.term.ended() || c.log == nil {
+// unwrittenFor is for how long the present transaction has been under way; zero if none is.
+func (c *groupCommit) unwrittenFor(now time.Time) time.Duration {
+	if !c.log.InFlight() {
+		return 0
+	}
+	return now.Sub(c.sentAt)
+}
+
+// due is when the next transaction should go out; zero if there is none.
+func (c *groupCommit) due() time.Time {
+	if c.inFlight {
 		return time.Time{}
 	}
 	var at time.Time
@@ -69,9 +116,9 @@
 		// Waiting gathers nothing: the next one is full already. The tokens
 		// bound how many go out a second.
 		at = c.lastCommitAt
-	case c.log.Pending() || len(c.finalizing) > 0 || len(c.cancelled) > 0:
+	case c.log.Pending() || c.finalRecordsWait():
 		at = c.lastCommitAt.Add(constants.CommitInterval)
-	case c.log.Checkpointing() || len(c.legacyKeys) > 0:
+	case c.log.Checkpointing() || len(c.obsoleteKeys) > 0:
 		at = c.lastCommitAt.Add(constants.CheckpointPartInterval)
 	default:
 		return time.Time{}
@@ -82,303 +129,183 @@
 	return at
 }
 
-// commit starts the next transaction if one is due.
-func (l *Leader) commit(now time.Time) {
-	c := &l.commits
-	due := l.commitDue()
+// finalRecordsWait tells whether jobs' final records wait for a transaction.
+func (c *groupCommit) finalRecordsWait() bool { return len(c.completed) > 0 || len(c.cancelled) > 0 }
+
+// hasRemaining tells whether changes wait that have no place in the transaction under way.
+func (c *groupCommit) hasRemaining() bool { return c.log.Remaining() || c.finalRecordsWait() }
+
+// setMore notes whether anything had no room in the transaction that goes out now.
+func (c *groupCommit) setMore(more bool, now time.Time) {
+	if more && !c.hasMore {
+		c.moreSince = now
+	}
+	c.hasMore = more
+}
+
+// begin gives out the next transaction; nil if none is due. Its result must be handed to
+// finished.
+func (c *groupCommit) begin(now time.Time) *wal.Txn {
+	due := c.due()
 	if due.IsZero() {
 		if !c.inFlight {
 			// What could not be written has become needless meanwhile; without
 			// this, placement would wait for ever for a write to succeed.
 			c.backoff = 0
 		}
-		return
+		return nil
 	}
 	if now.Before(due) {
-		return
+		return nil
 	}
 	if !c.log.InFlight() {
 		c.sentAt = now
 	}
-	t := l.nextTxn()
-	if t == nil {
+	txn := c.next()
+	if txn == nil {
 		c.backoff = 0
 		c.setMore(false, now)
-		return
+		return nil
 	}
 	c.inFlight, c.lastCommitAt = true, now
-	c.setMore(l.hasRemaining(), now)
-	when := append([]statestore.Condition{l.term.condition()}, t.Conditions...)
-	writes := t.Writes
-	l.calls.queue(func(ctx context.Context) func() {
-		epoch, err := l.deps.Store.Txn(ctx, statestore.ClassRecord, when, writes)
-		res := commitResult{epoch: epoch, err: err}
-		var conflict *statestore.ConflictError
-		if errors.As(err, &conflict) && !conflict.HasKey(election.TermKey) {
-			res = l.resolveConflict(ctx, conflict)
-		}
-		return func() { l.committed(res) }
-	})
+	c.setMore(c.hasRemaining(), now)
+	return txn
 }
 
-// hasRemaining tells whether changes wait that have no place in the transaction under way.
-func (l *Leader) hasRemaining() bool {
-	c := &l.commits
-	return c.log.Remaining() || len(c.finalizing) > 0 || len(c.cancelled) > 0
-}
-
-// nextTxn gathers the next transaction.
-func (l *Leader) nextTxn() *wal.Txn {
-	c := &l.commits
+// next gathers the next transaction; one whose outcome is not known is given out again.
+func (c *groupCommit) next() *wal.Txn {
 	if c.log.CheckpointDue() {
-		l.checkpoint()
+		c.checkpoint()
 	}
 	if c.log.InFlight() {
 		return c.log.Next(nil)
 	}
-	var extras []wal.JobWrite
-	// The head and at least one log value go along.
-	room := max(l.deps.Settings.Params.State.TxnOps-3, 2)
-	kept := c.finalizing[:0:0]
-	for _, j := range c.finalizing {
-		switch {
-		case j.removed || j.finalizing:
-		case len(extras) < constants.JobWritesPerTxn && room >= 2:
-			j.finalizing = true
-			room -= 2
-			extras = append(extras, l.finalExtra(j))
-		default:
-			kept = append(kept, j)
+	return c.log.Next(c.jobWrites())
+}
+
+// jobWrites gathers what goes along with the next transaction beside the log: completed
+// jobs first, then cancelled ones, then keys to be removed.
+func (c *groupCommit) jobWrites() (writes []wal.JobWrite) {
+	room := max(c.txnOps-opsKeptForLog, opsPerFinalRecord)
+	add := func(write func() wal.JobWrite) bool {
+		if len(writes) >= constants.JobWritesPerTxn || room < opsPerFinalRecord {
+			return false
 		}
+		room -= opsPerFinalRecord
+		writes = append(writes, write())
+		return true
 	}
-	c.finalizing = kept
-	for len(c.cancelled) > 0 && len(extras) < constants.JobWritesPerTxn && room >= 2 {
-		room -= 2
-		extras = append(extras, l.cancelledJobWrite(c.cancelled[0]))
+	waiting := c.completed[:0:0]
+	for _, record := range c.completed {
+		if !record.obsolete() && !add(record.write) {
+			waiting = append(waiting, record)
+		}
+	}
+	c.completed = waiting
+	for len(c.cancelled) > 0 && add(c.cancelled[0]) {
 		c.cancelled = c.cancelled[1:]
 	}
-	for key, stamp := range c.legacyKeys {
-		if room < 1 || len(extras) > 0 && len(c.finalizing) > 0 {
+	for key, revision := range c.obsoleteKeys {
+		if room < 1 || len(writes) > 0 && len(c.completed) > 0 {
 			break
 		}
 		room--
-		extras = append(extras, l.legacyExtra(key, stamp))
+		writes = append(writes, c.keyRemoval(key, revision))
 	}
-	return c.log.Next(extras)
+	return writes
 }
 
-// commitResult is what became of a transaction. head is set if a clash made it
-// necessary to read it; failed are the clashing keys.
+// keyRemoval removes a key, unless another has changed it.
+func (c *groupCommit) keyRemoval(key string, revision uint64) wal.JobWrite {
+	removed := func() { delete(c.obsoleteKeys, key) }
+	return wal.JobWrite{
+		Conditions: []statestore.Condition{{Key: key, Revision: revision}},
+		Writes:     []statestore.Write{{Delete: key}},
+		Committed:  func(uint64) { removed() },
+		Conflicted: removed,
+	}
+}
+
+// commitResult is what became of a transaction.
 type commitResult struct {
-	epoch  uint64
-	err    error
-	head   *wal.Head
-	stamp  uint64
-	failed *statestore.ConflictError
+	// revision is the state service's after the transaction, if it was carried out.
+	revision uint64
+	err      error
+	// conflict are the keys that clashed, if any. The log's head was then read: head is
+	// what it says, headRevision its revision.
+	conflict     *statestore.ConflictError
+	head         *wal.Head
+	headRevision uint64
 }
 
-// resolveConflict reads the head after a clash: an earlier try without an answer may
-// have been carried out after all.
-func (l *Leader) resolveConflict(ctx context.Context, c *statestore.ConflictError) commitResult {
-	row, found, err := l.deps.Store.Get(ctx, statestore.ClassRecord, wal.HeadKey)
-	if err != nil {
-		return commitResult{err: err}
-	}
-	o := commitResult{err: c, failed: c, head: &wal.Head{}}
-	if found {
-		o.stamp = row.Revision
-		if err := json.Unmarshal(row.Value, o.head); err != nil {
-			return commitResult{err: err}
-		}
-	}
-	return o
+// commitOutcome is what follows from a transaction's result beyond the records.
+type commitOutcome struct {
+	// took is how long the transaction was under way.
+	took time.Duration
+	// endTerm says why the term is over; empty if it goes on.
+	endTerm EndReason
+	// schedule is set if a scheduling pass may do more than before.
+	schedule bool
 }
 
-func (l *Leader) committed(o commitResult) {
-	now := time.Now()
-	c := &l.commits
+// finished takes in what became of the transaction under way.
+func (c *groupCommit) finished(result commitResult, now time.Time) commitOutcome {
 	c.inFlight = false
-	l.counts.Commits++
-	l.counts.CommitS += now.Sub(c.lastCommitAt).Seconds()
+	outcome := commitOutcome{took: now.Sub(c.lastCommitAt)}
 	var conflict *statestore.ConflictError
-	deposed := errors.As(o.err, &conflict) && conflict.HasKey(election.TermKey)
+	deposed := errors.As(result.err, &conflict) && conflict.HasKey(election.TermKey)
 	switch {
 	case deposed:
-		l.term.end(ErrDeposed)
-		return
-	case o.failed != nil && c.log.WroteHead(*o.head):
-		c.log.Committed(o.stamp)
-	case o.failed != nil && o.failed.HasKey(wal.HeadKey):
-		l.term.end(ErrDeposed) // somebody else writes the log
-		return
-	case o.failed != nil:
-		// The extras that did not clash are asked for again.
-		c.log.Conflicted(o.failed.HasKey)
-		l.passDueNow = true
-		return
-	case errors.Is(o.err, statestore.ErrRejected):
-		l.deps.Log.Error("records are refused", "err", o.err)
-		l.term.end(ErrTxnTooLarge)
-		return
-	case o.err == nil:
-		c.log.Committed(o.epoch)
+		outcome.endTerm = ErrDeposed
+	case result.conflict != nil && c.log.WroteHead(*result.head):
+		// An earlier try without an answer was carried out after all.
+		c.log.Committed(result.headRevision)
+		outcome.schedule = c.recovered()
+	case result.conflict != nil && result.conflict.HasKey(wal.HeadKey):
+		outcome.endTerm = ErrDeposed // another node writes the log
+	case result.conflict != nil:
+		// The job writes that did not clash are asked for again.
+		c.log.Conflicted(result.conflict.HasKey)
+		outcome.schedule = true
+	case errors.Is(result.err, statestore.ErrRejected):
+		c.logger.Error("transaction rejected", "error", result.err)
+		outcome.endTerm = ErrTxnTooLarge
+	case result.err == nil:
+		c.log.Committed(result.revision)
+		outcome.schedule = c.recovered()
 	default:
 		// Executed or not, the same transaction is tried again.
 		c.log.OutcomeUnknown()
-		if c.backoff == 0 {
-			l.deps.Log.Info("records can't be written", "err", o.err)
-		}
-		c.backoff = min(max(2*c.backoff, constants.MinBackoff), constants.MaxBackoff)
-		c.retryAt = now.Add(jitter(c.backoff))
-		return
-	}
-	if c.backoff > 0 {
-		l.deps.Log.Info("records are written again")
-		l.passDueNow = true
-	}
-	c.backoff = 0
-}
-
-// finalExtra moves a job from the open to the final ones. It fails if the
-// user's cancellation came first: exactly one of both wins.
-func (l *Leader) finalExtra(j *jobState) wal.JobWrite {
-	name := j.spec.ID
-	at := time.Now()
-	v, _ := json.Marshal(jobs.FinalRecord{Status: jobs.StatusDone, Tasks: j.spec.Tasks, FinishedAtMS: at.UnixMilli()}) // plain fields always encode
-	return wal.JobWrite{
-		Conditions: []statestore.Condition{{Key: jobs.OpenPrefix + name, Revision: j.revision}},
-		Writes:     []statestore.Write{{Delete: jobs.OpenPrefix + name}, {Put: jobs.FinalPrefix + name, Value: v}},
-		Committed: func(uint64) {
-			l.deps.Log.Debug("job done", "id", name)
-			l.removeJob(j, time.Now())
-			l.upstreamEnded(name, jobs.FinalRecord{Status: jobs.StatusDone, FinishedAtMS: at.UnixMilli()}, time.Now())
-		},
-		// Ended already by its user.
-		Conflicted: func() { l.removeJob(j, time.Now()) },
-		Retry: func() {
-			j.finalizing = false
-			l.commits.finalizing = append(l.commits.finalizing, j)
-		},
+		c.retryLater(result.err, now)
 	}
+	return outcome
 }
 
-// legacyExtra removes a key of the earlier format.
-func (l *Leader) legacyExtra(key string, stamp uint64) wal.JobWrite {
-	c := &l.commits
-	gone := func() { delete(c.legacyKeys, key) }
-	return wal.JobWrite{
-		Conditions: []statestore.Condition{{Key: key, Revision: stamp}},
-		Writes:     []statestore.Write{{Delete: key}},
-		Committed:  func(uint64) { gone() },
-		Conflicted: gone,
+// retryLater has the transaction sent again after a pause, which grows.
+func (c *groupCommit) retryLater(err error, now time.Time) {
+	if c.healthy() {
+		c.logger.Info("records can't be written", "error", err)
 	}
+	c.backoff = min(max(2*c.backoff, constants.MinBackoff), constants.MaxBackoff)
+	c.retryAt = now.Add(jitter(c.backoff))
 }
 
-// checkpoint begins to write the whole state anew.
-func (l *Leader) checkpoint() {
-	machines := make([]string, 0, l.fleet.len())
-	for name := range l.fleet.byName {
-		machines = append(machines, name)
-	}
-	slices.Sort(machines)
-	var jobs []string
-	for j := range l.jobs.all() {
-		name := j.spec.ID
-		if j.doneCount > 0 {
-			jobs = append(jobs, name)
-		}
+// recovered notes that records are written. It reports whether they were not before.
+func (c *groupCommit) recovered() bool {
+	if c.healthy() {
+		return false
 	}
-	slices.Sort(jobs)
-	l.commits.log.Checkpoint(machines, jobs, l, func() {
-		l.deps.Log.Debug("checkpoint stands", "rigs", len(machines), "jobs", len(jobs))
-		for key, stamp := range l.legacyKeys {
-			l.commits.legacyKeys[key] = stamp
-		}
-		l.legacyKeys = nil
-	})
-}
-
-// Machine gives a checkpoint one machine's record.
-func (l *Leader) Machine(name string) (wal.Machine, bool) {
-	machine := l.fleet.get(name)
-	if machine == nil {
-		return wal.Machine{}, false
-	}
-	return l.machineRecord(machine), true
-}
-
-// DoneTasks gives a checkpoint a job's completed tasks.
-func (l *Leader) DoneTasks(name string) (out []wal.DoneTasks) {
-	j := l.jobs.get(name)
-	if j == nil {
-		return nil
-	}
-	per := constants.DoneChunkTasks / 8
-	for at := 0; at < len(j.doneTasks); at += per {
-		out = append(out, wal.DoneTasks{First: at * 8, Bits: slices.Clone(j.doneTasks[at:min(len(j.doneTasks), at+per)])})
-	}
-	return out
-}
-
-// allowForget lets a worker forget an exit that is recorded, or of no interest.
-func (l *Leader) allowForget(machine *machineState, a *workers.Attempt) {
-	if !a.ExitRecorded {
-		a.ExitRecorded = true
-		l.wakeReply(machine)
-	}
-}
-
-// releaseRecordedExits lets workers forget the exits of a job's tasks that are recorded.
-func (l *Leader) releaseRecordedExits(j *jobState) {
-	for a, machine := range j.unrecordedExits {
-		if j.recordedDone.has(a.ID.Task.Index) {
-			l.allowForget(machine, a)
-			delete(j.unrecordedExits, a)
-		}
-	}
-}
-
-// logAttempt has an attempt recorded; its `run` leaves only once that stands.
-func (l *Leader) logAttempt(machine *machineState, a *workers.Attempt) {
-	if !machine.metadataLogged {
-		l.logMetadata(machine, nil)
-	}
-	l.commits.log.AttemptPlaced(machine.agent.Name, recordAttempt(a), a.ID.Task.Job, wal.JobUse{Team: l.jobs.teamOf(a), Resources: recordRoom(l.jobs.resourcesOf(a))}, func() {
-		if !a.Committed {
-			a.Committed = true
-			l.allowStart(machine, a)
-		}
-	})
-}
-
-// logMetadata has all but a machine's attempts recorded.
-func (l *Leader) logMetadata(machine *machineState, stood func()) {
-	machine.metadataLogged, machine.loggedMetadata = true, l.machineMetadata(machine)
-	l.commits.log.MachineChanged(machine.agent.Name, machine.loggedMetadata, stood)
+	c.logger.Info("records are written again")
+	c.backoff = 0
+	return true
 }
 
-// allowStart lets a committed attempt start. A gang waits until the records of all
-// its tasks stand.
-func (l *Leader) allowStart(machine *machineState, a *workers.Attempt) {
-	j := l.jobs.get(a.ID.Task.Job)
-	if j == nil {
-		return
-	}
-	if j.spec.Kind != jobs.KindGang {
-		a.StartAllowed = true
-		l.wakeReply(machine)
-		return
-	}
-	seats := sortedAttempts(j)
-	for _, s := range seats {
-		if s.attempt.ID.Number == a.ID.Number && !s.attempt.Committed {
-			return
-		}
-	}
-	for _, s := range seats {
-		if s.attempt.ID.Number == a.ID.Number {
-			s.attempt.StartAllowed = true
-			l.wakeReply(s.machine)
-		}
+// largeRingCheckDue tells whether the nodes should be asked whether they read the log's
+// large ring: now and then, if the fleet has grown so large that it is wanted.
+func (c *groupCommit) largeRingCheckDue(now time.Time) bool {
+	if !c.log.WantsLargeRing() || now.Sub(c.largeRingCheckedAt) < constants.LargeRingCheckInterval {
+		return false
 	}
+	c.largeRingCheckedAt = now
+	return true
 }
--- a/internal/leader/commit_test.go
+++ b/internal/leader/commit_test.go
@@ -22,7 +22,7 @@
 	l := testLeader(t)
 	offline(t, l)
 	l.deps.Settings.Params.State.TxnOps, l.deps.Settings.Params.State.ValueKB = constants.MinTxnOps, 1
-	l.openLog(l.commits.log.Head(), 0)
+	l.openLog(l.wal.Head(), 0)
 	plan := func(i int) *workers.Attempt {
 		machine := addRig(l, fmt.Sprintf("m-%04d", i), "east", now)
 		a := &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: "j-1", Index: i}, Number: uint64(i)}, Epoch: 1, PlacedAt: now}
@@ -36,31 +36,31 @@
 	// send has the next transaction sent and carried out, as Run's routines would.
 	send := func() {
 		l.commits.lastCommitAt = now
-		if t := l.nextTxn(); t != nil {
-			l.commits.setMore(l.hasRemaining(), now)
-			l.committed(commitResult{epoch: 1})
+		if t := l.commits.next(); t != nil {
+			l.commits.setMore(l.commits.hasRemaining(), now)
+			l.committed(commitResult{revision: 1})
 		}
 	}
 	sent := 0
 	for send(); l.commits.hasMore; send() {
 		sent++
-		if due := l.commitDue(); due.After(now) {
+		if due := l.commits.due(); due.After(now) {
 			t.Fatalf("transaction %d: the next waits for %v", sent, due.Sub(now))
 		}
 	}
 	if sent < 3 {
 		t.Errorf("all went into %d transactions", sent+1)
 	}
-	if due := l.commitDue(); !due.IsZero() {
+	if due := l.commits.due(); !due.IsZero() {
 		t.Errorf("nothing is left, and due at %v", due)
 	}
 	plan(200)
-	if due := l.commitDue(); !due.Equal(now.Add(constants.CommitInterval)) {
+	if due := l.commits.due(); !due.Equal(now.Add(constants.CommitInterval)) {
 		t.Errorf("little waits for %v", due.Sub(now))
 	}
 	send()
 	l.commits.hasMore = true // what had remained has become needless
-	if l.commit(now); l.commits.hasMore || !l.commitDue().IsZero() {
+	if l.commit(now); l.commits.hasMore || !l.commits.due().IsZero() {
 		t.Error("the routine would spin")
 	}
 }
@@ -73,12 +73,12 @@
 	machine := addRig(l, "m-1", "east", now)
 	addJob(t, l, sweep("j-1", 1), now)
 	l.runSchedulingPass(now)
-	first := l.nextTxn()
+	first := l.commits.next()
 	l.committed(commitResult{err: fmt.Errorf("no answer")})
 	if l.commits.backoff == 0 || len(machine.agent.Commands(true, now)) != 0 {
 		t.Fatalf("an unknown outcome counts as success")
 	}
-	again := l.nextTxn()
+	again := l.commits.next()
 	if again != first {
 		t.Fatalf("another transaction is sent in place of the first")
 	}
@@ -87,17 +87,17 @@
 		t.Fatalf("%+v: %v", first.Writes, err)
 	}
 	clash := &statestore.ConflictError{FailedKeys: []string{wal.HeadKey}}
-	l.committed(commitResult{err: clash, failed: clash, head: &head, stamp: 55})
+	l.committed(commitResult{err: clash, conflict: clash, head: &head, headRevision: 55})
 	if l.term.err() != nil || len(machine.agent.Commands(true, now)) != 1 {
 		t.Fatalf("the first try stands, but the start does not leave (%v)", l.term.err())
 	}
 	addJob(t, l, sweep("j-2", 1), now)
 	l.runSchedulingPass(now)
-	if next := l.nextTxn(); next.Conditions[0].Revision != 55 {
+	if next := l.commits.next(); next.Conditions[0].Revision != 55 {
 		t.Errorf("the next one builds on %+v", next.Conditions)
 	}
 	// A head that is not ours means that another node writes the log.
-	l.committed(commitResult{err: clash, failed: clash, head: &wal.Head{Term: 9}, stamp: 60})
+	l.committed(commitResult{err: clash, conflict: clash, head: &wal.Head{Term: 9}, headRevision: 60})
 	if l.term.err() == nil {
 		t.Errorf("the leader goes on although another writes")
 	}
@@ -123,7 +123,7 @@
 	j.stale = true
 	l.runSchedulingPass(now)
 	check := func() (n int) {
-		for txn := l.nextTxn(); txn != nil; txn = l.nextTxn() {
+		for txn := l.commits.next(); txn != nil; txn = l.commits.next() {
 			if len(txn.Writes) > 4 {
 				t.Fatalf("%d changes in one transaction", len(txn.Writes))
 			}
@@ -133,13 +133,13 @@
 					t.Fatalf("%s has %d bytes", w.Put, len(w.Value))
 				}
 			}
-			l.committed(commitResult{epoch: uint64(1000 + n)})
+			l.committed(commitResult{revision: uint64(1000 + n)})
 		}
 		return n
 	}
 	check()
-	l.checkpoint()
-	if n := check(); n < 3 || l.commits.log.Checkpointing() {
+	l.beginCheckpoint()
+	if n := check(); n < 3 || l.wal.Checkpointing() {
 		t.Errorf("not all that is done was written: %d parts", n)
 	}
 	for i := range spec.Tasks {
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -97,7 +97,7 @@
 			if ended.f.Status != jobs.StatusDone {
 				l.deps.Log.Debug("job cancelled with one before it", "id", job.spec.ID, "before", ended.name)
 				l.removeJob(job, now)
-				l.commits.cancelled = append(l.commits.cancelled, job)
+				l.recordCancellation(job)
 				queue = append(queue, end{job.spec.ID, jobs.FinalRecord{Status: jobs.StatusCancelled}})
 				continue
 			}
--- a/internal/leader/final_records.go
+++ b/internal/leader/final_records.go
@@ -90,6 +90,6 @@
 	return wal.JobWrite{
 		Conditions: []statestore.Condition{{Key: jobs.OpenPrefix + name, Revision: job.revision}},
 		Writes:     []statestore.Write{{Delete: jobs.OpenPrefix + name}, {Put: jobs.FinalPrefix + name, Value: value}},
-		Retry:      func() { l.commits.cancelled = append(l.commits.cancelled, job) },
+		Retry:      func() { l.recordCancellation(job) },
 	}
 }
--- a/internal/leader/fixtures_test.go
+++ b/internal/leader/fixtures_test.go
@@ -76,21 +76,21 @@
 // settle carries out what the leader wants to record, as the state service
 // would, and returns the epoch.
 func settle(l *Leader, epoch uint64) uint64 {
-	for l.commits.log.Pending() || len(l.commits.finalizing) > 0 {
-		if l.nextTxn() == nil {
+	for l.wal.Pending() || len(l.commits.completed) > 0 {
+		if l.commits.next() == nil {
 			break
 		}
 		epoch++
-		l.committed(commitResult{epoch: epoch})
+		l.committed(commitResult{revision: epoch})
 	}
 	return epoch
 }
 
 // settleAll also writes what can wait: checkpoints and removals.
 func settleAll(l *Leader, epoch uint64) {
-	for l.nextTxn() != nil {
+	for l.commits.next() != nil {
 		epoch++
-		l.committed(commitResult{epoch: epoch})
+		l.committed(commitResult{revision: epoch})
 	}
 }
 
--- a/internal/leader/gap_test.go
+++ b/internal/leader/gap_test.go
@@ -208,7 +208,7 @@
 	addRig(l, "m-1", "east", now)
 	addJob(t, l, sweep("j-1", 1), now)
 	l.runSchedulingPass(now)
-	if l.nextTxn() == nil {
+	if l.commits.next() == nil {
 		t.Fatal("nothing to write")
 	}
 	l.committed(commitResult{err: fmt.Errorf("multi: %w", statestore.ErrRejected)})
--- a/internal/leader/growth_test.go
+++ b/internal/leader/growth_test.go
@@ -41,14 +41,14 @@
 			l.logMetadata(machine, nil)
 			machine.markStale()
 		}
-		before, entries := l.counts.Views, l.commits.log.Stats().EntryBytes
+		before, entries := l.counts.Views, l.wal.Stats().EntryBytes
 		l.runSchedulingPass(now)
-		for l.commits.log.Pending() {
-			l.nextTxn()
-			l.committed(commitResult{epoch: uint64(3000 + w.transactions)})
+		for l.wal.Pending() {
+			l.commits.next()
+			l.committed(commitResult{revision: uint64(3000 + w.transactions)})
 			w.transactions++
 		}
-		w.views, w.entryBytes = l.counts.Views-before, l.commits.log.Stats().EntryBytes-entries
+		w.views, w.entryBytes = l.counts.Views-before, l.wal.Stats().EntryBytes-entries
 		return w
 	}
 	small, large := measure(500), measure(4000)
--- a/internal/leader/job_attempts.go
+++ b/internal/leader/job_attempts.go
@@ -60,7 +60,7 @@
 // removeAttempt takes an attempt off its job once it is gone or has exited.
 func (l *Leader) removeAttempt(machine *machineState, attempt *workers.Attempt) {
 	machine.markStale()
-	l.commits.log.AttemptGone(machine.agent.Name, recordAttempt(attempt))
+	l.wal.AttemptGone(machine.agent.Name, recordAttempt(attempt))
 	job := l.jobs.get(attempt.ID.Task.Job)
 	if job == nil {
 		l.jobs.endedAttemptGone(attempt.ID.Task.Job)
--- /dev/null
+++ b/internal/leader/job_final_writes.go
@@ -0,0 +1,50 @@
+package leader
+
+import (
+	"encoding/json"
+	"time"
+
+	"thornnotch/internal/jobs"
+	"thornnotch/internal/leader/wal"
+	"thornnotch/internal/statestore"
+)
+
+// recordCompletion has a job whose tasks are all done moved to the final records.
+func (l *Leader) recordCompletion(job *jobState) {
+	l.commits.recordCompleted(finalRecord{
+		obsolete: func() bool { return job.removed || job.finalizing },
+		write: func() wal.JobWrite {
+			job.finalizing = true
+			return l.completionWrite(job)
+		},
+	})
+}
+
+// completionWrite moves a job from the open to the final records. It fails if the user's
+// cancellation came first: exactly one of both wins.
+func (l *Leader) completionWrite(job *jobState) wal.JobWrite {
+	name := job.spec.ID
+	finishedAt := time.Now().UnixMilli()
+	value, _ := json.Marshal(jobs.FinalRecord{Status: jobs.StatusDone, Tasks: job.spec.Tasks, FinishedAtMS: finishedAt}) // plain fields always encode
+	return wal.JobWrite{
+		Conditions: []statestore.Condition{{Key: jobs.OpenPrefix + name, Revision: job.revision}},
+		Writes:     []statestore.Write{{Delete: jobs.OpenPrefix + name}, {Put: jobs.FinalPrefix + name, Value: value}},
+		Committed: func(uint64) {
+			l.deps.Log.Debug("job done", "job", name)
+			l.removeJob(job, time.Now())
+			l.upstreamEnded(name, jobs.FinalRecord{Status: jobs.StatusDone, FinishedAtMS: finishedAt}, time.Now())
+		},
+		// Ended already by its user.
+		Conflicted: func() { l.removeJob(job, time.Now()) },
+		Retry: func() {
+			job.finalizing = false
+			l.recordCompletion(job)
+		},
+	}
+}
+
+// recordCancellation has the final record written of a job that is cancelled with one that
+// it depends on.
+func (l *Leader) recordCancellation(job *jobState) {
+	l.commits.recordCancelled(func() wal.JobWrite { return l.cancelledJobWrite(job) })
+}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -75,6 +75,8 @@
 	calls     outboundCalls
 	term      term
 	certainty certainty.Tracker
+	wal       *wal.Writer
+	commits   groupCommit
 
 	// failoverProgress is how far the takeover has come, for operators; empty once it
 	// is over. It is read by others.
@@ -92,9 +94,7 @@
 	lastPassDuration time.Duration
 	legacyKeys       map[string]uint64 // keys of the earlier format, with their revision
 	counts           counts
-	loggedCounts     counts // as they were logged last
-	lastLoadLog      time.Time
-	loggedUsage      map[statestore.Class]statestore.Usage // as it was logged last
+	load             loadLog
 	teams            []config.Team
 	reservations     *reservations.Manager
 	commandsInFlight int // direct orders under way
@@ -103,7 +103,6 @@
 	passDueNow             bool // a placement pass is due
 	lastPass               time.Time
 	lastSummary            time.Time
-	commits                groupCommit
 	scaling                scalingState
 	gangWaits              map[string]*gangWaitStats // by class
 	// dependencies is what the jobs that wait for others wait for.
@@ -135,7 +134,7 @@
 		pendingReplies: make(map[*machineState]bool),
 		metadata:       newMetadataQueue(d.Settings.Params.State, d.Operator.Budgets),
 	}
-	l.commits.init()
+	l.commits = newGroupCommit(d.Log, l.beginCheckpoint)
 	l.dependencies.init()
 	l.openLog(wal.Head{}, 0)
 	l.scaling.init()
@@ -228,7 +227,7 @@
 	if l.passDueNow {
 		sooner(l.nextPassAt())
 	}
-	sooner(l.commitDue())
+	sooner(l.commits.due())
 	if len(l.pendingReplies) > 0 {
 		sooner(l.nextFlush)
 	}
--- /dev/null
+++ b/internal/leader/load.go
@@ -0,0 +1,136 @@
+package leader
+
+import (
+	"fmt"
+	"log/slog"
+	"math"
+	"time"
+
+	"thornnotch/internal/constants"
+	"thornnotch/internal/leader/wal"
+	"thornnotch/internal/statestore"
+)
+
+// counts are running sums of what the leader's loop does.
+type counts struct {
+	Passes   uint64  `json:"passes"`
+	PassS    float64 `json:"passS"` // time spent in them
+	Views    uint64  `json:"views"` // of machines, made anew for them
+	Reports  uint64  `json:"reports"`
+	Copies   uint64  `json:"lateCopies"` // late copies of heartbeats
+	Orders   uint64  `json:"orders"`     // commands sent in replies
+	Commands uint64  `json:"commands"`   // sent directly
+	// Postponed are direct commands that had to wait for others.
+	Postponed uint64  `json:"postponed"`
+	Commits   uint64  `json:"commits"`
+	CommitS   float64 `json:"commitS"`
+	Calls     uint64  `json:"calls"` // events taken by the loop
+	// HintBytes are the records of holds and images, Log all that the log has taken.
+	HintBytes uint64    `json:"hintBytes"`
+	Log       wal.Stats `json:"log"`
+	BusyS     float64   `json:"busyS"` // time the loop was at work
+}
+
+// loadLog logs once in a while how much the loop had to do since last.
+type loadLog struct {
+	// usage tells what this node's calls of a class have drawn; may be nil.
+	usage func(statestore.Class) statestore.Usage
+
+	// loggedAt is when it was logged last, counts and drawn are as they were then.
+	loggedAt time.Time
+	counts   counts
+	drawn    map[statestore.Class]statestore.Usage
+}
+
+// loadGauges are the sizes that are logged beside the rates.
+type loadGauges struct {
+	jobs, machines int
+	// events wait for the loop.
+	events int
+	// backlog is how many log entries a failover would read.
+	backlog int
+}
+
+func (g *loadLog) due(now time.Time) bool { return now.Sub(g.loggedAt) >= constants.LoadLogInterval }
+
+// log logs what has come together since last. The first time there is nothing to compare
+// with, and it only notes the counts.
+func (g *loadLog) log(logger *slog.Logger, current counts, gauges loadGauges, now time.Time) {
+	first, period := g.loggedAt.IsZero(), now.Sub(g.loggedAt).Seconds()
+	if !first {
+		logger.Info("load", g.attributes(current, gauges, period)...)
+	}
+	if usage := g.takeUsage(period); usage != nil && !first {
+		logger.Debug("state service, each second", usage...)
+	}
+	g.loggedAt, g.counts = now, current
+}
+
+// attributes are the load line's rates over a period in seconds.
+func (g *loadLog) attributes(current counts, gauges loadGauges, period float64) []any {
+	was := g.counts
+	return []any{
+		"jobs", gauges.jobs, "machines", gauges.machines,
+		"reports_s", perSecond(current.Reports, was.Reports, period),
+		"orders_s", perSecond(current.Orders, was.Orders, period),
+		"commands_s", perSecond(current.Commands, was.Commands, period),
+		"passes_s", perSecond(current.Passes, was.Passes, period),
+		"pass_part", share(current.PassS, was.PassS, period),
+		"commits_s", perSecond(current.Commits, was.Commits, period),
+		"commit_part", share(current.CommitS, was.CommitS, period),
+		"busy_part", share(current.BusyS, was.BusyS, period),
+		"entries_kb_s", kilobytesPerSecond(current.Log.EntryBytes, was.Log.EntryBytes, period),
+		"hints_kb_s", kilobytesPerSecond(current.HintBytes, was.HintBytes, period),
+		"checkpoint_kb_s", kilobytesPerSecond(current.Log.PartBytes, was.Log.PartBytes, period),
+		"queue", gauges.events, "log", gauges.backlog,
+	}
+}
+
+// takeUsage is what calls to the state service have drawn since last, by class; nil if that
+// is not known.
+func (g *loadLog) takeUsage(period float64) (attributes []any) {
+	if g.usage == nil {
+		return nil
+	}
+	drawn := make(map[statestore.Class]statestore.Usage)
+	for _, class := range statestore.Classes {
+		current, was := g.usage(class), g.drawn[class]
+		drawn[class] = current
+		attributes = append(attributes, class.String(), fmt.Sprintf("%.1f requests, %.1f changes, %.2f waiting",
+			perSecond(current.Requests, was.Requests, period), perSecond(current.Writes, was.Writes, period), share(current.WaitSeconds, was.WaitSeconds, period)))
+	}
+	g.drawn = drawn
+	return attributes
+}
+
+// perSecond is the rate of a running sum, to a tenth.
+func perSecond(current, was uint64, period float64) float64 {
+	return math.Round(float64(current-was)/period*10) / 10
+}
+
+// kilobytesPerSecond is the rate of a running sum of bytes, to a tenth.
+func kilobytesPerSecond(current, was uint64, period float64) float64 {
+	return math.Round(float64(current-was)/period/102.4) / 10
+}
+
+// share is the part of the period that a running sum of seconds took, to a thousandth.
+func share(current, was, period float64) float64 {
+	return math.Round((current-was)/period*1000) / 1000
+}
+
+// logLoad logs once in a while how much the loop had to do since last.
+func (l *Leader) logLoad(now time.Time) {
+	if !l.load.due(now) {
+		return
+	}
+	l.counts.Log = l.wal.Stats()
+	gauges := loadGauges{jobs: l.jobs.len(), machines: l.fleet.len(), events: len(l.events), backlog: l.wal.Backlog()}
+	l.load.log(l.deps.Log, l.work(), gauges, now)
+}
+
+// work is what the loop has done so far.
+func (l *Leader) work() counts {
+	work := l.counts
+	work.HintBytes = l.metadata.bytes
+	return work
+}
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -46,7 +46,7 @@
 // removeMachine drops a machine that is no more.
 func (l *Leader) removeMachine(machine *machineState) {
 	l.fleet.remove(machine)
-	delete(l.metadata.due, machine)
+	l.metadata.remove(machine)
 	delete(l.pendingReplies, machine)
 	l.setTeamUsage(machine, nil)
 }
--- a/internal/leader/hints_test.go
+++ b/internal/leader/metadata_test.go
@@ -24,7 +24,7 @@
 		state := config.StateLimits{WriteRPS: 100, ValueKB: 2, TxnOps: 10, Next: &config.UpcomingStateLimits{WriteRPS: &c.changes}}
 		l.deps.Settings.Params.State = state
 		l.metadata = newMetadataQueue(state, config.DefaultOperator().Budgets)
-		l.openLog(l.commits.log.Head(), 0)
+		l.openLog(l.wal.Head(), 0)
 		for i := range machines {
 			machine := addRig(l, fmt.Sprintf("m-%06d", i), "east", now)
 			for k := range 6 {
@@ -33,12 +33,12 @@
 			l.metadataChanged(machine, now)
 		}
 		l.logDueMetadata(now.Add(constants.MetadataDelay / 2))
-		if l.counts.HintBytes != 0 {
+		if l.metadata.bytes != 0 {
 			t.Errorf("recorded before it is quiet")
 		}
 		l.commits.setMore(true, now.Add(-constants.CommitBehindAfter))
 		l.logDueMetadata(now.Add(constants.MetadataDelay))
-		if l.counts.HintBytes != 0 {
+		if l.metadata.bytes != 0 {
 			t.Errorf("recorded while starts and ends wait")
 		}
 		l.commits.setMore(false, now)
@@ -46,7 +46,7 @@
 			l.logDueMetadata(now.Add(constants.MetadataDelay + time.Duration(tick)*constants.TickInterval))
 		}
 		perSecond := max(c.want, 1) * state.ValueKB * 1024
-		if got, most := float64(l.counts.HintBytes), perSecond*(seconds+constants.MetadataBurst.Seconds()); got > most || got < most/2 {
+		if got, most := float64(l.metadata.bytes), perSecond*(seconds+constants.MetadataBurst.Seconds()); got > most || got < most/2 {
 			t.Errorf("%v changes a second: %.0f bytes in %d s, at most %.0f", c.changes, got, seconds, most)
 		}
 		for hour := 0; len(l.metadata.due) > 0 && hour < 100; hour++ {
--- a/internal/leader/provisioning.go
+++ b/internal/leader/provisioning.go
@@ -260,7 +260,7 @@
 					machine.pending.reply <- Reply{Status: 503}
 				}
 				l.removeMachine(machine)
-				l.commits.log.MachineRemoved(name)
+				l.wal.MachineRemoved(name)
 			}
 			l.passDueNow = true
 		}
--- a/internal/leader/records_test.go
+++ b/internal/leader/records_test.go
@@ -25,10 +25,10 @@
 		t.Errorf("not all was read: seats %v, %d done, %+v", j.attempts, j.doneCount, machine.agent)
 	}
 	machine.agent.Endpoint = ""
-	l.checkpoint()
+	l.beginCheckpoint()
 	settleAll(l, 100)
-	if len(l.commits.legacyKeys) != 0 || l.legacyKeys != nil {
-		t.Errorf("they are not removed: %v", l.commits.legacyKeys)
+	if len(l.commits.obsoleteKeys) != 0 || l.legacyKeys != nil {
+		t.Errorf("they are not removed: %v", l.commits.obsoleteKeys)
 	}
 	if err := l.restoreLegacy([]statestore.KeyValue{{Key: "rig/m-2", Value: json.RawMessage(`"x"`)}}, nil, now); err == nil {
 		t.Errorf("a machine's record that can't be read may hide a task, and is passed over")
--- a/internal/leader/scheduling_pass.go
+++ b/internal/leader/scheduling_pass.go
@@ -13,7 +13,7 @@
 func (l *Leader) runSchedulingPass(now time.Time) {
 	l.passDueNow = false
 	l.lastPass = now
-	if !l.loaded || l.deps.Catalog() == nil || l.commits.backoff > 0 || !l.term.verified() {
+	if !l.loaded || l.deps.Catalog() == nil || !l.commits.healthy() || !l.term.verified() {
 		// Without records no decision that needs one is made, and none on a
 		// world that may be half a minute old.
 		return
--- /dev/null
+++ b/internal/leader/status_view.go
@@ -0,0 +1,174 @@
+package leader
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"thornnotch/internal/placement"
+	"thornnotch/internal/workers"
+)
+
+// status is the operators' view of the present state, a section at a time.
+func (l *Leader) status(now time.Time) Status {
+	machines, leaving := l.machineStatus()
+	return Status{
+		Term:     l.term.number(),
+		Machines: machines,
+		Queue:    l.queueStatus(),
+		Teams:    l.teamStatus(),
+		Holds:    l.holdStatus(now),
+		Booting:  len(l.scaling.booting),
+		Leaving:  leaving,
+		State:    l.recordingStatus(now),
+		Work:     l.work(),
+		Waiting:  len(l.events),
+	}
+}
+
+func (l *Leader) recordingStatus(now time.Time) RecordingStatus {
+	return RecordingStatus{
+		Healthy:    l.commits.healthy(),
+		SureS:      l.certainty.SinceProof(now).Seconds(),
+		Backlog:    l.wal.Backlog(),
+		UnwrittenS: l.commits.unwrittenFor(now).Seconds(),
+	}
+}
+
+// machineStatus counts the machines by type, zone and whether they are spot, and those that
+// are being returned.
+func (l *Leader) machineStatus() (pools []PoolStatus, leaving int) {
+	type key struct {
+		machineType, zone string
+		spot              bool
+	}
+	byPool := make(map[key]*PoolStatus)
+	for machine := range l.fleet.all() {
+		k := key{machine.agent.MachineType, machine.agent.Zone, machine.agent.Spot}
+		pool := byPool[k]
+		if pool == nil {
+			pool = &PoolStatus{Type: k.machineType, Zone: k.zone, Spot: k.spot}
+			byPool[k] = pool
+		}
+		if machine.leaving {
+			leaving++
+		}
+		l.countMachine(pool, machine)
+	}
+	for _, pool := range byPool {
+		pools = append(pools, *pool)
+	}
+	slices.SortFunc(pools, func(a, b PoolStatus) int {
+		return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone), compareBool(a.Spot, b.Spot))
+	})
+	return pools, leaving
+}
+
+// countMachine adds a machine to its pool.
+func (l *Leader) countMachine(pool *PoolStatus, machine *machineState) {
+	if !machine.leaving && machine.agent.Registered {
+		pool.Up++
+	}
+	if l.inUse(machine) {
+		pool.Busy++
+	}
+	if machine.health.Faulty() {
+		pool.Faulty++
+	}
+	machineType, _ := l.deps.Catalog().Type(machine.agent.MachineType)
+	total := placement.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}
+	used := l.usedResources(machine)
+	pool.GPUs += used.GPUs
+	pool.Used += used.DominantShare(total)
+}
+
+// compareBool orders false before true.
+func compareBool(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case b:
+		return -1
+	}
+	return 1
+}
+
+// queueStatus counts the jobs of each class and team.
+func (l *Leader) queueStatus() (queues []QueueStatus) {
+	byPipeline := make(map[placement.Pipeline]*QueueStatus)
+	for job := range l.jobs.all() {
+		pipeline := job.view.Pipeline()
+		queue := byPipeline[pipeline]
+		if queue == nil {
+			queue = &QueueStatus{Class: pipeline.Class, Team: pipeline.Team}
+			byPipeline[pipeline] = queue
+		}
+		queue.Jobs++
+		if job.blockedByUpstream() {
+			queue.Held++
+			continue // its tasks wait for no machine
+		}
+		running := startedAttempts(job)
+		queue.Done += job.doneCount
+		queue.Running += running
+		queue.Waiting += max(0, job.spec.Tasks-job.doneCount-running)
+	}
+	for _, queue := range byPipeline {
+		queues = append(queues, *queue)
+	}
+	slices.SortFunc(queues, func(a, b QueueStatus) int {
+		return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.Team, b.Team))
+	})
+	return queues
+}
+
+// startedAttempts is how many attempts of a job have all that they need on their machine.
+func startedAttempts(job *jobState) (n int) {
+	for _, placed := range job.attempts {
+		for _, p := range placed {
+			if p.attempt.Status != "" && p.attempt.Status != workers.StatusFetching {
+				n++
+			}
+		}
+	}
+	return n
+}
+
+// teamStatus is what each team uses of its levels, held room included.
+func (l *Leader) teamStatus() (teams []TeamStatus) {
+	used, held := make(map[string]placement.Resources), make(map[string]placement.Resources)
+	for machine := range l.fleet.all() {
+		for _, attempt := range machine.agent.Attempts {
+			if attempt.Live() {
+				team := l.jobs.teamOf(attempt)
+				used[team] = used[team].Add(l.jobs.resourcesOf(attempt))
+			}
+		}
+	}
+	for _, hold := range l.reservations.All() {
+		team := hold.Pipeline.Team
+		held[team] = held[team].Add(hold.Resources)
+	}
+	for _, team := range l.teams {
+		u, h := used[team.Name], held[team.Name]
+		teams = append(teams, TeamStatus{
+			Team: team.Name,
+			CPUs: u.CPUs + h.CPUs, GPUs: u.GPUs + h.GPUs,
+			HeldCPUs: h.CPUs, HeldGPUs: h.GPUs,
+			CPUsOwn: team.GuaranteedCPUs, GPUsOwn: team.GuaranteedGPUs,
+			CPUsLimit: team.MaxCPUs, GPUsLimit: team.MaxGPUs,
+		})
+	}
+	return teams
+}
+
+func (l *Leader) holdStatus(now time.Time) (holds []HoldStatus) {
+	for _, hold := range l.reservations.All() {
+		holds = append(holds, HoldStatus{
+			Machine: hold.Machine, Team: hold.Pipeline.Team, Class: hold.Pipeline.Class, Job: hold.Downstream,
+			CPUs: hold.Resources.CPUs, GPUs: hold.Resources.GPUs,
+			LapsesIn: hold.ExpiresAt.Sub(now).Seconds(),
+		})
+	}
+	return holds
+}
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -93,7 +93,7 @@
 	}
 	l.openLog(st.Head, stamp)
 	if len(l.legacyKeys) > 0 {
-		l.checkpoint()
+		l.beginCheckpoint()
 	}
 	for j := range l.jobs.all() {
 		l.checkComplete(j)
@@ -138,34 +138,6 @@
 	return st, headRow.Revision, err
 }
 
-// openLog begins to write behind the head that was read.
-func (l *Leader) openLog(head wal.Head, stamp uint64) {
-	p := l.deps.Settings.Params.State
-	l.commits.log = wal.NewWriter(l.term.number(), wal.Limits{ValueBytes: int(p.ValueKB * 1024), TxnOps: p.TxnOps}, head, stamp)
-	// In use it was found to be read by all nodes, and they do not go back unless the
-	// operators' setting has said so first.
-	l.commits.log.AllowLargeRing(head.Ring > 0 && l.deps.Operator.Log.LargeRing)
-}
-
-// checkLargeRingSupport asks, now and then, whether all nodes read the log's large ring, if the
-// fleet has grown so large that it is wanted.
-func (l *Leader) checkLargeRingSupport(now time.Time) {
-	c := &l.commits
-	if l.deps.ReadsLargeRing == nil || !l.deps.Operator.Log.LargeRing || !c.log.WantsLargeRing() || now.Sub(c.ringsAsked) < constants.LargeRingCheckInterval {
-		return
-	}
-	c.ringsAsked = now
-	l.calls.queue(func(ctx context.Context) func() {
-		if !l.deps.ReadsLargeRing(ctx) {
-			return nil
-		}
-		return func() {
-			l.deps.Log.Info("the log moves to the large ring: all nodes read it", "parts", c.log.Head().Parts)
-			c.log.AllowLargeRing(true)
-		}
-	})
-}
-
 // getRecord reads one record, trying again for as long as the term lasts.
 func (l *Leader) getRecord(ctx context.Context, key string) (statestore.KeyValue, bool, error) {
 	for {
--- a/internal/leader/task_events.go
+++ b/internal/leader/task_events.go
@@ -119,7 +119,7 @@
 
 // logDone has a task's completion recorded, before its worker may forget it.
 func (l *Leader) logDone(job *jobState, task int) {
-	l.commits.log.TasksDone(job.spec.ID, []int{task}, func() {
+	l.wal.TasksDone(job.spec.ID, []int{task}, func() {
 		if job.removed {
 			return
 		}
@@ -136,6 +136,6 @@
 func (l *Leader) checkComplete(job *jobState) {
 	if job.doneCount == job.spec.Tasks && !job.complete && !job.removed {
 		job.complete = true
-		l.commits.finalizing = append(l.commits.finalizing, job)
+		l.recordCompletion(job)
 	}
 }
--- a/internal/leader/team_usage_test.go
+++ b/internal/leader/team_usage_test.go
@@ -78,7 +78,7 @@
 				machine := pick()
 				l.applyEvents(machine, machine.agent.MarkTerminated(), now)
 				l.removeMachine(machine)
-				l.commits.log.MachineRemoved(machine.agent.Name)
+				l.wal.MachineRemoved(machine.agent.Name)
 			},
 			"time": func(*rapid.T) { now = now.Add(time.Duration(rapid.IntRange(1, 20).Draw(rt, "s")) * time.Second) },
 			"": func(*rapid.T) {
