--- a/internal/leader/attempt_records.go
+++ b/internal/leader/attempt_records.go
@@ -31,7 +31,7 @@
 		l.wakeReply(machine)
 		return
 	}
-	seats := sortedAttempts(j)
+	seats := j.attempts.sorted()
 	for _, s := range seats {
 		if s.attempt.ID.Number == a.ID.Number && !s.attempt.Committed {
 			return
@@ -56,7 +56,7 @@
 // releaseRecordedExits lets workers forget the exits of a job's tasks that are recorded.
 func (l *Leader) releaseRecordedExits(j *jobState) {
 	for a, machine := range j.unrecordedExits {
-		if j.recordedDone.has(a.ID.Task.Index) {
+		if j.progress.isRecorded(a.ID.Task.Index) {
 			l.allowForget(machine, a)
 			delete(j.unrecordedExits, a)
 		}
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -167,8 +167,8 @@
 				l.applyHeartbeat(machine, rep, false, now)
 			}
 			for j := range l.jobs.all() {
-				j.notBefore = time.Time{}
-				clear(j.avoid)
+				j.retry.notBefore = time.Time{}
+				clear(j.retry.avoid)
 			}
 			epoch = settle(l, epoch)
 			l.runSchedulingPass(now)
--- a/internal/leader/checkpoint.go
+++ b/internal/leader/checkpoint.go
@@ -3,7 +3,6 @@
 import (
 	"slices"
 
-	"thornnotch/internal/constants"
 	"thornnotch/internal/leader/wal"
 )
 
@@ -15,7 +14,7 @@
 	}
 	var jobs []string
 	for job := range l.jobs.all() {
-		if job.doneCount > 0 {
+		if job.progress.completed() > 0 {
 			jobs = append(jobs, job.spec.ID)
 		}
 	}
@@ -41,15 +40,10 @@
 }
 
 // DoneTasks are a job's completed tasks.
-func (s checkpointSource) DoneTasks(name string) (runs []wal.DoneTasks) {
+func (s checkpointSource) DoneTasks(name string) []wal.DoneTasks {
 	job := s.l.jobs.get(name)
 	if job == nil {
 		return nil
 	}
-	const chunkBytes = constants.DoneChunkTasks / 8
-	for at := 0; at < len(job.doneTasks); at += chunkBytes {
-		end := min(len(job.doneTasks), at+chunkBytes)
-		runs = append(runs, wal.DoneTasks{First: at * 8, Bits: slices.Clone(job.doneTasks[at:end])})
-	}
-	return runs
+	return job.progress.chunks()
 }
--- a/internal/leader/commit_test.go
+++ b/internal/leader/commit_test.go
@@ -117,9 +117,8 @@
 	spec.CPUs, spec.GPUs, spec.MemoryGB = 0.01, 0, 0.01
 	j := addJob(t, l, spec, now)
 	for i := range spec.Tasks - 300 {
-		j.doneTasks.set(i)
+		j.progress.complete(i)
 	}
-	j.recountDone()
 	j.stale = true
 	l.runSchedulingPass(now)
 	check := func() (n int) {
@@ -143,9 +142,8 @@
 		t.Errorf("not all that is done was written: %d parts", n)
 	}
 	for i := range spec.Tasks {
-		j.doneTasks.set(i)
+		j.progress.complete(i)
 	}
-	j.recountDone()
 	l.checkComplete(j)
 	check()
 	if l.jobs.get(spec.ID) != nil {
--- a/internal/leader/demand_propagation_test.go
+++ b/internal/leader/demand_propagation_test.go
@@ -94,20 +94,20 @@
 	l := testLeader(t)
 	j := addJob(t, l, sweep("j-1", 1), now)
 	j.spec.ExpectedS = 10
-	if l.expectedRuntime(j) != 10*time.Second {
-		t.Errorf("at first %v", l.expectedRuntime(j))
+	if l.runtimeRatios.expected(j.spec) != 10*time.Second {
+		t.Errorf("at first %v", l.runtimeRatios.expected(j.spec))
 	}
 	for range 100 {
-		l.noteRuntime(j, 15*time.Second)
+		l.runtimeRatios.record(j.spec, 15*time.Second)
 	}
-	if d := l.expectedRuntime(j) - 15*time.Second; d < -100*time.Millisecond || d > 100*time.Millisecond {
-		t.Errorf("corrected to %v", l.expectedRuntime(j))
+	if d := l.runtimeRatios.expected(j.spec) - 15*time.Second; d < -100*time.Millisecond || d > 100*time.Millisecond {
+		t.Errorf("corrected to %v", l.runtimeRatios.expected(j.spec))
 	}
 	for range 100 {
-		l.noteRuntime(j, 900*time.Second)
+		l.runtimeRatios.record(j.spec, 900*time.Second)
 	}
-	if l.expectedRuntime(j) > 31*time.Second {
-		t.Errorf("without bounds: %v", l.expectedRuntime(j))
+	if l.runtimeRatios.expected(j.spec) > 31*time.Second {
+		t.Errorf("without bounds: %v", l.runtimeRatios.expected(j.spec))
 	}
 }
 
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -34,12 +34,9 @@
 	d.unlinked = make(map[*jobState]jobs.Dependencies)
 }
 
-// blockedByUpstream tells whether a job before this one is not known to be done.
-func (j *jobState) blockedByUpstream() bool { return j.upstreamsUnknown || len(j.pendingUpstreams) > 0 }
-
 // addDependencies takes in what a job waits for.
 func (l *Leader) addDependencies(job *jobState, dependencies jobs.Dependencies) {
-	job.upstreamsUnknown, job.hasDependencies = true, true
+	job.upstreams.unknown, job.upstreams.declared = true, true
 	if dependencies.Split != nil || !l.loaded {
 		// Not all names are known, or not all open jobs.
 		l.dependencies.unlinked[job] = dependencies
@@ -61,13 +58,13 @@
 
 // linkUpstreams has a job wait for the jobs that are named.
 func (l *Leader) linkUpstreams(job *jobState, upstreams []string) {
-	job.upstreamsUnknown = false
-	job.pendingUpstreams = make(map[string]bool, len(upstreams))
+	job.upstreams.unknown = false
+	job.upstreams.pending = make(map[string]bool, len(upstreams))
 	for _, name := range upstreams {
-		if job.pendingUpstreams[name] {
+		if job.upstreams.pending[name] {
 			continue
 		}
-		job.pendingUpstreams[name] = true
+		job.upstreams.pending[name] = true
 		l.dependencies.downstreams[name] = append(l.dependencies.downstreams[name], job)
 		if l.jobs.get(name) == nil {
 			l.dependencies.finalsWanted[name] = true // not open: it must be final
@@ -101,7 +98,7 @@
 				queue = append(queue, end{job.spec.ID, jobs.FinalRecord{Status: jobs.StatusCancelled}})
 				continue
 			}
-			delete(job.pendingUpstreams, ended.name)
+			delete(job.upstreams.pending, ended.name)
 			// By an earlier leader's clock, which may be ahead of ours: it has
 			// happened all the same, and long after the submission for all we know.
 			if endedAt := time.UnixMilli(ended.f.FinishedAtMS); ended.f.FinishedAtMS > 0 && endedAt.After(job.view.Submitted) {
@@ -110,7 +107,7 @@
 					job.view.Submitted = now
 				}
 			}
-			if !job.blockedByUpstream() {
+			if !job.upstreams.blocked() {
 				l.becomeStartable(job, now)
 			}
 		}
--- a/internal/leader/events.go
+++ b/internal/leader/events.go
@@ -57,7 +57,7 @@
 	progress := make(map[string]Progress, len(e.ids))
 	for _, id := range e.ids {
 		if j := l.jobs.get(id); j != nil {
-			progress[id] = Progress{j.doneCount, j.runningTasks()}
+			progress[id] = Progress{j.progress.completed(), j.attempts.runningTasks()}
 		}
 	}
 	e.reply <- progress
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -14,15 +14,15 @@
 	if !attempt.RunningSince.IsZero() {
 		ran = now.Sub(attempt.RunningSince)
 	}
-	job.avoid[machine.agent.Name] = now.Add(constants.AvoidFor)
+	job.retry.avoidMachine(machine.agent.Name, now.Add(constants.AvoidFor))
 	job.stale = true
 	task := attempt.ID.Task.Index
-	pause, taskOnly := job.failures.Record(machine.agent.Name, task, ran, now.Before(job.notBefore), now)
+	pause, taskOnly := job.failures.Record(machine.agent.Name, task, ran, job.retry.backingOff(now), now)
 	if taskOnly {
-		job.delayedTasks.Add(task, now.Add(pause))
+		job.retry.delays.Add(task, now.Add(pause))
 		return
 	}
-	job.notBefore = later(job.notBefore, now.Add(pause))
+	job.retry.waitUntil(now.Add(pause))
 	if job.failures.JobIsFaulty() {
 		l.clearMachineSuspicion(job)
 		return
@@ -33,13 +33,6 @@
 	l.attributeFailures(job, now)
 }
 
-func later(a, b time.Time) time.Time {
-	if a.After(b) {
-		return a
-	}
-	return b
-}
-
 // attributeFailures finds out whose fault a job's failures were.
 func (l *Leader) attributeFailures(job *jobState, now time.Time) {
 	if !job.failures.Unattributed() {
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -126,7 +126,7 @@
 		for j := range w.l.jobs.all() {
 			name := j.spec.ID
 			if !w.mistaken[name] {
-				rt.Fatalf("%s has %d of %d tasks done after 45 s", name, j.doneCount, j.spec.Tasks)
+				rt.Fatalf("%s has %d of %d tasks done after 45 s", name, j.progress.completed(), j.spec.Tasks)
 			}
 			// A first try of all, some machines to find out by, then the pauses
 			// double: one task a try, or all of a gang.
--- a/internal/leader/finish_reservations.go
+++ b/internal/leader/finish_reservations.go
@@ -49,7 +49,7 @@
 // those that name it, or else the next one of its owner and workload, if the operators
 // want holds for these.
 func (l *Leader) downstreams(up *jobState) []reservations.Downstream {
-	if up.hasDependencies || len(l.dependencies.downstreams[up.spec.ID]) > 0 {
+	if up.upstreams.declared || len(l.dependencies.downstreams[up.spec.ID]) > 0 {
 		return l.downstreamEdges(up)
 	}
 	if !l.deps.Operator.Holds.SubmissionOrder {
@@ -68,5 +68,5 @@
 
 func (l *Leader) stillWaits(name string) bool {
 	job := l.jobs.get(name)
-	return job != nil && len(job.attempts) < job.spec.Tasks-job.doneCount
+	return job != nil && len(job.attempts) < job.progress.remaining()
 }
--- a/internal/leader/gang_recovery.go
+++ b/internal/leader/gang_recovery.go
@@ -16,9 +16,9 @@
 		return
 	}
 	if replace && l.mayReplaceTask(job, attempt) {
-		job.replacingTask, job.stale = true, true
-		job.avoid[machine.agent.Name] = now.Add(constants.AvoidFor)
-		l.deps.Log.Debug("task of a waiting gang to be replaced", "piece", attempt.ID.Task, "try", attempt.ID.Number, "rig", machine.agent.Name)
+		job.gang.replacingTask, job.stale = true, true
+		job.retry.avoidMachine(machine.agent.Name, now.Add(constants.AvoidFor))
+		l.deps.Log.Debug("task of a waiting gang to be replaced", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.agent.Name)
 		return
 	}
 	l.stopGang(job, 0, now)
@@ -28,7 +28,7 @@
 // can't be completed any more, and would wait in vain.
 func (l *Leader) stopIncompleteGang(job *jobState, now time.Time) {
 	if n := len(job.attempts); job.spec.Kind == jobs.KindGang && n > 0 && n < job.spec.Tasks && !job.complete {
-		l.stopGang(job, job.spec.SaveS+constants.StopGrace.Seconds(), now)
+		l.stopGang(job, job.stopGrace(), now)
 	}
 }
 
@@ -36,17 +36,23 @@
 // known. Should it have started after all, the rest exits for want of the lost
 // task, and that stops the replacement too. Attempts of earlier terms are not
 // completed: what their leader sent last is not known.
-func (l *Leader) mayReplaceTask(job *jobState, attempt *workers.Attempt) bool {
-	if attempt.StopRequested || attempt.FromEarlierTerm || attempt.ID.Number != job.gangAttempt || !l.term.ownsAttempt(attempt.ID.Number) || len(job.attempts) == 0 {
+func (l *Leader) mayReplaceTask(job *jobState, lost *workers.Attempt) bool {
+	if lost.StopRequested || lost.FromEarlierTerm || len(job.attempts) == 0 {
 		return false
 	}
-	for _, s := range sortedAttempts(job) {
-		switch {
-		case s.attempt.StopRequested, s.attempt.FromEarlierTerm, s.attempt.ID.Number != attempt.ID.Number:
-			return false
-		case s.attempt.Status != "" && s.attempt.Status != workers.StatusFetching && s.attempt.Status != workers.StatusWaiting:
+	if lost.ID.Number != job.gang.attemptNumber || !l.term.ownsAttempt(lost.ID.Number) {
+		return false
+	}
+	for _, placed := range job.attempts.sorted() {
+		other := placed.attempt
+		if other.StopRequested || other.FromEarlierTerm || other.ID.Number != lost.ID.Number || !waitsForStart(other) {
 			return false
 		}
 	}
 	return true
 }
+
+// waitsForStart tells whether an attempt was not seen beyond waiting for its gang.
+func waitsForStart(attempt *workers.Attempt) bool {
+	return attempt.Status == "" || attempt.Status == workers.StatusFetching || attempt.Status == workers.StatusWaiting
+}
--- a/internal/leader/gang_recovery_test.go
+++ b/internal/leader/gang_recovery_test.go
@@ -43,11 +43,11 @@
 		j := addJob(t, l, spec, now)
 		l.runSchedulingPass(now)
 		epoch := settle(l, 100)
-		seats := sortedAttempts(j)
+		seats := j.attempts.sorted()
 		if len(seats) != 2 {
 			t.Fatalf("%d of 2 placed", len(seats))
 		}
-		try := j.gangAttempt
+		try := j.gang.attemptNumber
 		for _, s := range seats {
 			s.machine.agent.Commands(true, now)
 			l.applyHeartbeat(s.machine, report(l, s.machine, status, ""), false, now)
@@ -63,8 +63,8 @@
 			}
 			continue
 		}
-		again := sortedAttempts(j)
-		if len(again) != 2 || seats[0].attempt.StopRequested || j.replacingTask {
+		again := j.attempts.sorted()
+		if len(again) != 2 || seats[0].attempt.StopRequested || j.gang.replacingTask {
 			t.Fatalf("not completed: %+v", again)
 		}
 		fresh := again[1]
@@ -72,7 +72,7 @@
 			t.Errorf("replaced by %+v on %s", fresh.attempt, fresh.machine.agent.Name)
 		}
 		l.applyHeartbeat(seats[0].machine, report(l, seats[0].machine, workers.StatusExited, "mates_gone"), false, now)
-		if len(j.attempts) != 0 && !sortedAttempts(j)[0].attempt.StopRequested {
+		if len(j.attempts) != 0 && !j.attempts.sorted()[0].attempt.StopRequested {
 			t.Errorf("the replacement outlives its gang")
 		}
 	}
--- a/internal/leader/gap_test.go
+++ b/internal/leader/gap_test.go
@@ -182,13 +182,13 @@
 		machine.agent.Endpoint = "m-1:1"
 		j := addJob(t, l, sweep("j-1", 3), now)
 		l.runSchedulingPass(now)
-		for _, s := range sortedAttempts(j) {
+		for _, s := range j.attempts.sorted() {
 			s.attempt.Committed, s.attempt.StartAllowed = true, true
 		}
 		if n := len(machine.agent.Commands(true, now)); n != 3 {
 			t.Fatalf("%d starts", n)
 		}
-		seats := sortedAttempts(j)
+		seats := j.attempts.sorted()
 		seats[0].attempt.StopRequested, seats[0].attempt.StopRequestedAt = true, now // to be stopped
 		seats[1].attempt.Status, seats[1].attempt.ExitRecorded = workers.StatusExited, true
 		l.sendStops(machine, now)
--- a/internal/leader/job_admission.go
+++ b/internal/leader/job_admission.go
@@ -8,8 +8,6 @@
 
 	"thornnotch/internal/constants"
 	"thornnotch/internal/jobs"
-	"thornnotch/internal/placement"
-	"thornnotch/internal/workers"
 )
 
 // addJob takes in a job's record.
@@ -28,8 +26,8 @@
 	job := newJobState(&spec, revision, submittedAt(&record, now), now)
 	job.view.Targets = l.startTargets(&spec, 0)
 	l.jobs.add(job)
-	l.arrivals[spec.Class]++
-	l.updateLargestGang(&spec)
+	l.arrivals.add(spec.Class)
+	l.gangWaits.addJob(&spec)
 	if dependencies := (jobs.Dependencies{DependsOn: spec.DependsOn, Split: record.Split}); !dependencies.Empty() {
 		l.addDependencies(job, dependencies)
 	} else {
@@ -48,16 +46,6 @@
 	return now
 }
 
-func newJobState(spec *jobs.Spec, revision uint64, submitted, now time.Time) *jobState {
-	return &jobState{
-		spec: spec, revision: revision, servedAt: now, acceptedAt: submitted,
-		doneTasks: make(bitset, (spec.Tasks+7)/8), recordedDone: make(bitset, (spec.Tasks+7)/8),
-		unrecordedExits: make(map[*workers.Attempt]*machineState), stale: true, attempts: make(map[int][]placedAttempt), avoid: make(map[string]time.Time),
-		restartedTasks: make(map[int]bool),
-		view:           placement.Job{Spec: spec, Priority: jobs.Priority(spec.PriorityClass), Order: revision, Submitted: submitted},
-	}
-}
-
 // noteArrival counts a job that may start among those that came lately.
 func (l *Leader) noteArrival(job *jobState, now time.Time) {
 	if submitted := job.view.Submitted; now.Sub(submitted) <= constants.ArrivalRateWindow {
@@ -81,11 +69,11 @@
 	if job.removed {
 		return
 	}
-	placed := sortedAttempts(job)
+	placed := job.attempts.sorted()
 	l.jobs.remove(job, len(placed))
 	l.requestFinalRecord(job.spec.ID)
-	if len(job.pendingUpstreams) > 0 {
-		l.propagateDemand(slices.Collect(maps.Keys(job.pendingUpstreams))) // they are needed less
+	if len(job.upstreams.pending) > 0 {
+		l.propagateDemand(slices.Collect(maps.Keys(job.upstreams.pending))) // they are needed less
 	}
 	for attempt, machine := range job.unrecordedExits {
 		l.allowForget(machine, attempt)
--- a/internal/leader/job_attempts.go
+++ b/internal/leader/job_attempts.go
@@ -1,12 +1,16 @@
 package leader
 
 import (
-	"sort"
 	"time"
 
+	"thornnotch/internal/constants"
 	"thornnotch/internal/workers"
 )
 
+// stopGrace is for how long a task of the job may save its progress before it is killed,
+// in seconds.
+func (j *jobState) stopGrace() float64 { return j.spec.SaveS + constants.StopGrace.Seconds() }
+
 // stopAttempt stops one attempt.
 func (l *Leader) stopAttempt(machine *machineState, attempt *workers.Attempt, grace float64, now time.Time) {
 	if machine.agent.RequestStop(attempt, grace, now) {
@@ -19,29 +23,14 @@
 
 // stopGang stops all attempts of a gang together.
 func (l *Leader) stopGang(job *jobState, grace float64, now time.Time) {
-	job.replacingTask, job.stale = false, true
-	seats := sortedAttempts(job)
-	for _, s := range seats {
-		l.stopAttempt(s.machine, s.attempt, grace, now)
-	}
-	for _, s := range seats {
-		l.sendStops(s.machine, now)
+	job.gang.replacingTask, job.stale = false, true
+	all := job.attempts.sorted()
+	for _, placed := range all {
+		l.stopAttempt(placed.machine, placed.attempt, grace, now)
 	}
-}
-
-func sortedAttempts(job *jobState) []placedAttempt {
-	var out []placedAttempt
-	for _, ss := range job.attempts {
-		out = append(out, ss...)
+	for _, placed := range all {
+		l.sendStops(placed.machine, now)
 	}
-	sort.Slice(out, func(a, b int) bool {
-		x, y := out[a], out[b]
-		if x.attempt.ID.Task.Index != y.attempt.ID.Task.Index {
-			return x.attempt.ID.Task.Index < y.attempt.ID.Task.Index
-		}
-		return x.machine.agent.Name < y.machine.agent.Name
-	})
-	return out
 }
 
 // addAttempt notes an attempt with its job.
@@ -52,8 +41,7 @@
 		return
 	}
 	job.stale = true
-	i := attempt.ID.Task.Index
-	job.attempts[i] = append(job.attempts[i], placedAttempt{machine, attempt})
+	job.attempts.add(machine, attempt)
 	job.placed = true
 }
 
@@ -67,19 +55,6 @@
 		return
 	}
 	job.stale = true
-	i := attempt.ID.Task.Index
-	kept := job.attempts[i][:0:0]
-	for _, s := range job.attempts[i] {
-		if s.attempt != attempt {
-			kept = append(kept, s)
-		}
-	}
-	if len(kept) == 0 {
-		delete(job.attempts, i)
-	} else {
-		job.attempts[i] = kept
-	}
-	if i < job.firstWaiting {
-		job.firstWaiting = i
-	}
+	job.attempts.remove(attempt)
+	job.progress.mayWaitFrom(attempt.ID.Task.Index)
 }
--- a/internal/leader/job_state.go
+++ b/internal/leader/job_state.go
@@ -9,36 +9,37 @@
 	"thornnotch/internal/workers"
 )
 
-// placedAttempt is an attempt with the machine that it is on.
-type placedAttempt struct {
-	machine *machineState
-	attempt *workers.Attempt
-}
-
 // jobState is one accepted job that has not ended.
 type jobState struct {
 	spec     *jobs.Spec
-	view     placement.Job
-	revision uint64 // revision of its record, which never changes
-	// servedAt is when a task of it was last given a place, or it came.
-	servedAt time.Time
+	revision uint64 // of its record, which never changes
+	// acceptedAt is when it was submitted; its view counts from when it could start.
+	acceptedAt time.Time
 
-	doneTasks    bitset // finished tasks
-	recordedDone bitset // those whose completion is recorded
-	doneCount    int
-	firstWaiting int // no task below it waits
-	// unrecordedExits are attempts reported done whose completion is not yet recorded.
-	unrecordedExits map[*workers.Attempt]*machineState
-	// stale is set when the view for placement must be made anew.
+	// view is the job as placement sees it; stale is set when it must be made anew.
+	view  placement.Job
 	stale bool
 
-	// attempts are the attempts not proven gone or exited, by task.
-	attempts map[int][]placedAttempt
-	started  time.Time // first time that a task ran
-	// placed is set once any task was given a place: the job no longer waits
-	// to start.
+	progress taskProgress
+	// unrecordedExits are attempts reported done whose completion is not yet recorded:
+	// their workers must not forget them.
+	unrecordedExits map[*workers.Attempt]*machineState
+
+	attempts taskAttempts
+	// placed is set once any task was given a machine: the job no longer waits to start.
 	placed bool
+	// servedAt is when a task of it was last given a machine, or it came.
+	servedAt time.Time
+	started  time.Time // first time that a task ran
 
+	gang      gangState
+	retry     retryState
+	upstreams upstreamState
+	// downstreamDemand is what the jobs that need this one ask for.
+	downstreamDemand demand
+
+	// failures and runtimes are what its tasks tell of their machines, and of itself.
+	failures health.FailureHistory
 	runtimes health.Runtimes
 	// restartedTasks are the tasks that have run in part already, whose last run tells
 	// nothing of the whole.
@@ -47,28 +48,43 @@
 	// run by then is not known, so they tell nothing of machines.
 	fromEarlierTerm bool
 
-	// gangAttempt is the number of a gang's present attempt. short is set while a
-	// task that it lost before it ran may be replaced under that number.
-	gangAttempt   uint64
-	replacingTask bool
-
-	// failures is what its failures tell; retry are tasks that must wait after
-	// failing again and again while the others do well.
-	failures     health.FailureHistory
-	delayedTasks health.TaskDelays
-	notBefore    time.Time
-	avoid        map[string]time.Time
-	waitCounted  bool // how it fared among the largest of its class is known
-	// pendingUpstreams are the jobs that must be done first and are not known to be, asks is
-	// set while not even their names are.
-	pendingUpstreams map[string]bool
-	upstreamsUnknown bool
-	hasDependencies  bool // it named jobs to wait for, whether or not they are done
-	// downstreamDemand is what the jobs that need this one ask for.
-	downstreamDemand demand
-	// acceptedAt is when it was submitted; its view counts from when it could start.
-	acceptedAt time.Time
 	complete   bool // all tasks are done, the final record is being written
 	finalizing bool // a transaction with the final record is under way
 	removed    bool // cancelled or ended
 }
+
+// gangState is what is kept of a gang beside its attempts.
+type gangState struct {
+	// attemptNumber is the number of its present attempt. replacingTask is set while a
+	// task that it lost before it ran may be replaced under that number.
+	attemptNumber uint64
+	replacingTask bool
+	// waitCounted is set once it is known how it fared among the largest of its class.
+	waitCounted bool
+}
+
+// upstreamState is what a job waits for.
+type upstreamState struct {
+	declared bool // it named jobs to wait for, whether or not they are done
+	unknown  bool // not even their names are known
+	// pending are those that are not known to be done.
+	pending map[string]bool
+}
+
+// blocked tells whether a job before this one is not known to be done.
+func (u *upstreamState) blocked() bool { return u.unknown || len(u.pending) > 0 }
+
+func newJobState(spec *jobs.Spec, revision uint64, submitted, now time.Time) *jobState {
+	return &jobState{
+		spec: spec, revision: revision, acceptedAt: submitted, servedAt: now,
+		view: placement.Job{
+			Spec: spec, Priority: jobs.Priority(spec.PriorityClass), Order: revision, Submitted: submitted,
+		},
+		stale:           true,
+		progress:        newTaskProgress(spec.Tasks),
+		unrecordedExits: make(map[*workers.Attempt]*machineState),
+		attempts:        make(taskAttempts),
+		retry:           retryState{avoid: make(map[string]time.Time)},
+		restartedTasks:  make(map[int]bool),
+	}
+}
--- a/internal/leader/job_table.go
+++ b/internal/leader/job_table.go
@@ -135,7 +135,7 @@
 			continue
 		}
 		kept = append(kept, job)
-		if job != upstream && !job.placed && !job.hasDependencies && (earliest == nil || job.revision < earliest.revision) {
+		if job != upstream && !job.placed && !job.upstreams.declared && (earliest == nil || job.revision < earliest.revision) {
 			earliest = job
 		}
 	}
--- a/internal/leader/job_view.go
+++ b/internal/leader/job_view.go
@@ -7,70 +7,68 @@
 	"thornnotch/internal/jobs"
 )
 
-// refreshJobView brings a job's view for placement up to date.
-func (l *Leader) refreshJobView(job *jobState, now time.Time) {
-	v := &job.view
-	v.UpdateSlack(now, l.classShare(job.spec.Class))
-	v.Blocked = now.Before(job.notBefore)
-	v.SinceLastStart = now.Sub(job.servedAt)
-	if !job.stale && len(job.avoid) == 0 && job.delayedTasks.Empty() {
+// refreshView brings the job's view for placement up to date. classShare is how many
+// jobs of its class come, against the most frequent class.
+func (j *jobState) refreshView(classShare float64, now time.Time) {
+	view := &j.view
+	view.UpdateSlack(now, classShare)
+	view.Blocked = j.retry.backingOff(now)
+	view.SinceLastStart = now.Sub(j.servedAt)
+	if !j.stale && !j.retry.changesWithTime() {
 		return
 	}
-	job.stale = false
-	v.WaitingTasks = v.WaitingTasks[:0]
-	v.TasksByZone = make(map[string]int)
-	for _, seats := range job.attempts {
-		for _, s := range seats {
-			v.TasksByZone[s.machine.agent.Zone]++
-		}
+	j.stale = false
+	view.TasksByZone = j.attempts.countByZone()
+	view.AvoidMachines = j.retry.machinesToAvoid(now)
+	// The list is kept for its room.
+	view.WaitingTasks = view.WaitingTasks[:0]
+	if j.spec.Kind == jobs.KindGang {
+		j.showWaitingGang()
+	} else {
+		j.showWaitingTasks(now)
 	}
-	v.AvoidMachines = nil
-	for name, until := range job.avoid {
-		if now.After(until) {
-			delete(job.avoid, name)
-			continue
-		}
-		if v.AvoidMachines == nil {
-			v.AvoidMachines = make(map[string]bool)
-		}
-		v.AvoidMachines[name] = true
+}
+
+// showWaitingGang lists the tasks of a gang that wait for a machine. A gang starts as a
+// whole, and not before the last task of an earlier attempt is proven gone.
+func (j *jobState) showWaitingGang() {
+	if len(j.attempts) == 0 {
+		j.gang.replacingTask = false
 	}
-	if job.spec.Kind == jobs.KindGang {
-		// A gang starts as a whole, and not before the last task of an
-		// earlier attempt is proven gone.
-		if len(job.attempts) == 0 {
-			job.replacingTask = false
-		}
-		if len(job.attempts) == 0 && job.doneCount < job.spec.Tasks || job.replacingTask {
-			for i := 0; i < job.spec.Tasks; i++ {
-				if len(job.attempts[i]) == 0 {
-					v.WaitingTasks = append(v.WaitingTasks, i)
-				}
-			}
-		}
+	mayStart := len(j.attempts) == 0 && j.progress.remaining() > 0
+	if !mayStart && !j.gang.replacingTask {
 		return
 	}
-	shown := constants.MaxWaitingTasks
-	if job.failures.JobIsFaulty() {
+	for task := range j.spec.Tasks {
+		if len(j.attempts[task]) == 0 {
+			j.view.WaitingTasks = append(j.view.WaitingTasks, task)
+		}
+	}
+}
+
+// showWaitingTasks lists the first tasks of an array or service that wait for a machine.
+func (j *jobState) showWaitingTasks(now time.Time) {
+	limit := constants.MaxWaitingTasks
+	if j.failures.JobIsFaulty() {
 		// One task tells whether it still fails, and takes no room of others.
-		shown = max(0, 1-len(job.attempts))
+		limit = max(0, 1-len(j.attempts))
 	}
-	first := true
-	for i := job.firstWaiting; i < job.spec.Tasks; i++ {
-		if job.doneTasks.has(i) || len(job.attempts[i]) > 0 {
+	foundFirst := false
+	for task := j.progress.firstWaiting; task < j.spec.Tasks; task++ {
+		if j.progress.isDone(task) || len(j.attempts[task]) > 0 {
 			continue
 		}
-		if first {
-			job.firstWaiting, first = i, false
+		if !foundFirst {
+			j.progress.firstWaiting, foundFirst = task, true
 		}
-		if len(v.WaitingTasks) >= shown {
+		if len(j.view.WaitingTasks) >= limit {
 			break
 		}
-		if !job.delayedTasks.Waiting(i, now) {
-			v.WaitingTasks = append(v.WaitingTasks, i)
+		if !j.retry.delays.Waiting(task, now) {
+			j.view.WaitingTasks = append(j.view.WaitingTasks, task)
 		}
 	}
-	if first {
-		job.firstWaiting = job.spec.Tasks
+	if !foundFirst {
+		j.progress.firstWaiting = j.spec.Tasks
 	}
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -20,7 +20,6 @@
 	"thornnotch/internal/jobs"
 	"thornnotch/internal/leader/certainty"
 	"thornnotch/internal/leader/wal"
-	"thornnotch/internal/placement"
 	"thornnotch/internal/reservations"
 	"thornnotch/internal/statestore"
 	"thornnotch/internal/workers"
@@ -86,9 +85,9 @@
 	loaded           bool
 	jobs             jobTable
 	fleet            fleet
-	teamUsage        map[string]placement.Resources // what the teams' attempts and holds take, as the views show it
-	pendingReplies   map[*machineState]bool         // machines whose report waits for its answer
-	repliesDue       []*machineState                // of these, those that orders have come up for
+	teamUsage        teamUsage
+	pendingReplies   map[*machineState]bool // machines whose report waits for its answer
+	repliesDue       []*machineState        // of these, those that orders have come up for
 	metadata         metadataQueue
 	nextFlush        time.Time
 	lastPassDuration time.Duration
@@ -104,13 +103,13 @@
 	lastPass               time.Time
 	lastSummary            time.Time
 	scaling                scalingState
-	gangWaits              map[string]*gangWaitStats // by class
+	gangWaits              gangWaits
 	// dependencies is what the jobs that wait for others wait for.
 	dependencies dependencyTracker
 	// runtimeRatios is, by class, how long tasks ran lately against what was expected.
-	runtimeRatios map[string]float64
+	runtimeRatios runtimeRatios
 	// arrivals counts the jobs of each class, older ones for less.
-	arrivals map[string]float64
+	arrivals classArrivals
 	// placementRates are the tasks of each class placed a second, of late.
 	placementRates placementRates
 }
@@ -126,11 +125,11 @@
 			Enabled: d.Operator.Holds.Enabled, Alpha: d.Operator.Holds.Alpha,
 			P: d.Operator.Holds.P, Threshold: d.Operator.Holds.Threshold,
 		}),
-		arrivals:       make(map[string]float64),
-		runtimeRatios:  make(map[string]float64),
+		arrivals:       make(classArrivals),
+		runtimeRatios:  make(runtimeRatios),
 		placementRates: make(placementRates),
-		gangWaits:      make(map[string]*gangWaitStats),
-		teamUsage:      make(map[string]placement.Resources),
+		gangWaits:      make(gangWaits),
+		teamUsage:      make(teamUsage),
 		pendingReplies: make(map[*machineState]bool),
 		metadata:       newMetadataQueue(d.Settings.Params.State, d.Operator.Budgets),
 	}
@@ -278,9 +277,7 @@
 
 // tick does what only time brings about.
 func (l *Leader) tick(now time.Time) {
-	for class := range l.arrivals {
-		l.arrivals[class] *= 1 - constants.TickInterval.Seconds()/constants.ArrivalWindow.Seconds()
-	}
+	l.arrivals.fade(constants.TickInterval)
 	l.placementRates.fade(constants.TickInterval)
 	l.trackFailover(now)
 	l.machineCount.Store(int64(l.fleet.len()))
@@ -315,9 +312,8 @@
 	}
 	l.logDueMetadata(now)
 	for j := range l.jobs.all() {
-		l.countGangWait(j, now)
-		if !j.notBefore.IsZero() && now.After(j.notBefore) {
-			j.notBefore = time.Time{}
+		l.gangWaits.observe(j, now)
+		if j.retry.resume(now) {
 			l.passDueNow = true
 		}
 	}
--- a/internal/leader/placement_snapshot.go
+++ b/internal/leader/placement_snapshot.go
@@ -13,10 +13,10 @@
 	w := &placement.Snapshot{Now: now, Teams: make(map[string]*placement.Team), StartRate: l.placementRates}
 	all := make([]*placement.Job, 0, l.jobs.len())
 	for job := range l.jobs.all() {
-		if job.complete || job.blockedByUpstream() {
+		if job.complete || job.upstreams.blocked() {
 			continue
 		}
-		l.refreshJobView(job, now)
+		job.refreshView(l.arrivals.share(job.spec.Class), now)
 		all = append(all, &job.view)
 	}
 	machines := l.fleet.sortedByName()
@@ -47,7 +47,7 @@
 		}
 	}
 	placement.MarkGuaranteed(all, w.Teams)
-	placement.MarkStarving(all, l.boostedClasses(), now)
+	placement.MarkStarving(all, l.gangWaits.boostedClasses(), now)
 	for _, v := range all {
 		if len(v.WaitingTasks) > 0 {
 			w.Jobs = append(w.Jobs, v)
--- a/internal/leader/provisioning.go
+++ b/internal/leader/provisioning.go
@@ -406,8 +406,8 @@
 		}
 	}
 	for j := range l.jobs.all() {
-		left := j.spec.Tasks - j.doneCount
-		if left <= 0 || j.blockedByUpstream() {
+		left := j.progress.remaining()
+		if left <= 0 || j.upstreams.blocked() {
 			continue
 		}
 		v.Demand = append(v.Demand, demandOf(j, left))
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -135,19 +135,7 @@
 	if j == nil {
 		return
 	}
-	for _, i := range list {
-		switch {
-		case i == wal.AllTasks:
-			for k := range j.spec.Tasks {
-				j.doneTasks.set(k)
-				j.recordedDone.set(k)
-			}
-		case i >= 0 && i < j.spec.Tasks:
-			j.doneTasks.set(i)
-			j.recordedDone.set(i)
-		}
-	}
-	j.recountDone()
+	j.progress.restore(list)
 	j.stale = true
 }
 
--- a/internal/leader/records_test.go
+++ b/internal/leader/records_test.go
@@ -21,8 +21,8 @@
 		t.Fatal(err)
 	}
 	machine := l.fleet.get("m-1")
-	if len(j.attempts[3]) != 1 || j.doneCount != 2 || !j.recordedDone.has(2) || machine.agent.Zone != "east" || len(machine.images) != 1 || l.jobs.ended["j-0"].resources.GPUs != 2 {
-		t.Errorf("not all was read: seats %v, %d done, %+v", j.attempts, j.doneCount, machine.agent)
+	if len(j.attempts[3]) != 1 || j.progress.completed() != 2 || !j.progress.isRecorded(2) || machine.agent.Zone != "east" || len(machine.images) != 1 || l.jobs.ended["j-0"].resources.GPUs != 2 {
+		t.Errorf("not all was read: seats %v, %d done, %+v", j.attempts, j.progress.completed(), machine.agent)
 	}
 	machine.agent.Endpoint = ""
 	l.beginCheckpoint()
--- a/internal/leader/reservation_edges.go
+++ b/internal/leader/reservation_edges.go
@@ -64,7 +64,7 @@
 				continue
 			}
 			down := l.jobs.get(name)
-			r.Reserved[i].Blocked = down != nil && down.blockedByUpstream()
+			r.Reserved[i].Blocked = down != nil && down.upstreams.blocked()
 			if down != nil && !walked[name] {
 				walked[name] = true
 				l.markReservedUpstreams(down)
@@ -77,7 +77,7 @@
 func (l *Leader) markReservedUpstreams(down *jobState) {
 	name := down.spec.ID
 	for queue := []*jobState{down}; len(queue) > 0; queue = queue[1:] {
-		for before := range queue[0].pendingUpstreams {
+		for before := range queue[0].upstreams.pending {
 			job := l.jobs.get(before)
 			if job == nil || job.view.ReservedDownstreams[name] {
 				continue
--- a/internal/leader/reservation_edges_test.go
+++ b/internal/leader/reservation_edges_test.go
@@ -109,7 +109,7 @@
 	next := addJob(t, l, sweep("j-4", 1), now)
 	l.removeJob(l.jobs.get("j-2"), now)
 	l.upstreamEnded("j-2", jobs.FinalRecord{Status: jobs.StatusDone}, now)
-	if waited.blockedByUpstream() {
+	if waited.upstreams.blocked() {
 		t.Fatal("it may not start")
 	}
 	if got := l.downstreams(up); len(got) != 1 || got[0].Job != next.spec.ID {
--- a/internal/leader/scheduling_pass.go
+++ b/internal/leader/scheduling_pass.go
@@ -39,7 +39,7 @@
 	l.startPlanned(plan, now)
 	for _, s := range plan.Starts {
 		if job := l.jobs.get(s.Job.Spec.ID); job != nil && len(job.attempts) == job.spec.Tasks {
-			job.replacingTask = false
+			job.gang.replacingTask = false
 		}
 	}
 	for _, v := range w.Jobs {
@@ -96,8 +96,8 @@
 			continue
 		}
 		try, ok := gangTry[job.spec.ID]
-		if !ok && job.replacingTask {
-			try, ok = job.gangAttempt, true
+		if !ok && job.gang.replacingTask {
+			try, ok = job.gang.attemptNumber, true
 		}
 		if !ok {
 			if try, ok = l.term.nextAttempt(); !ok {
@@ -105,7 +105,7 @@
 			}
 			if job.spec.Kind == jobs.KindGang {
 				gangTry[job.spec.ID] = try
-				job.gangAttempt = try
+				job.gang.attemptNumber = try
 			}
 		}
 		attempt := &workers.Attempt{
--- a/internal/leader/stall_test.go
+++ b/internal/leader/stall_test.go
@@ -188,7 +188,7 @@
 		j := addJob(t, l, spec, now)
 		l.runSchedulingPass(now)
 		settle(l, 1000)
-		for _, s := range sortedAttempts(j) {
+		for _, s := range j.attempts.sorted() {
 			s.machine.agent.Commands(true, now)
 		}
 		if len(j.attempts) != gang {
--- a/internal/leader/status_view.go
+++ b/internal/leader/status_view.go
@@ -104,14 +104,14 @@
 			byPipeline[pipeline] = queue
 		}
 		queue.Jobs++
-		if job.blockedByUpstream() {
+		if job.upstreams.blocked() {
 			queue.Held++
 			continue // its tasks wait for no machine
 		}
 		running := startedAttempts(job)
-		queue.Done += job.doneCount
+		queue.Done += job.progress.completed()
 		queue.Running += running
-		queue.Waiting += max(0, job.spec.Tasks-job.doneCount-running)
+		queue.Waiting += max(0, job.progress.remaining()-running)
 	}
 	for _, queue := range byPipeline {
 		queues = append(queues, *queue)
--- a/internal/leader/task_events.go
+++ b/internal/leader/task_events.go
@@ -9,37 +9,21 @@
 	"thornnotch/internal/workers"
 )
 
-// applyEvents takes in what a report or the clock says of a machine's attempts.
+// applyEvents takes in what a heartbeat or the clock says of a machine's attempts.
 func (l *Leader) applyEvents(machine *machineState, events []workers.Event, now time.Time) {
-	if len(events) > 0 {
-		machine.markStale()
+	if len(events) == 0 {
+		return
 	}
+	machine.markStale()
 	for _, event := range events {
 		attempt := event.Attempt
 		job := l.jobs.get(attempt.ID.Task.Job)
 		l.noteCachedImage(machine, job, attempt, now)
 		switch event.Kind {
 		case workers.EventUnrecorded:
-			if attempt.Status == workers.StatusExited {
-				break // an Ended event follows
-			}
-			l.deps.Log.Info("task in no record", "piece", attempt.ID.Task, "try", attempt.ID.Number, "rig", machine.agent.Name)
-			l.addAttempt(machine, attempt)
-			if job == nil {
-				l.jobs.endedAttemptFound(attempt.ID.Task.Job)
-			}
-			if job == nil || attempt.ID.Task.Index >= job.spec.Tasks {
-				l.stopAttempt(machine, attempt, 0, now)
-			} else {
-				l.stopAttempt(machine, attempt, job.spec.SaveS+constants.StopGrace.Seconds(), now)
-			}
-			l.logAttempt(machine, attempt)
+			l.stopUnrecorded(machine, job, attempt, now)
 		case workers.EventStatusChanged:
-			l.deps.Log.Debug("task seen", "piece", attempt.ID.Task, "try", attempt.ID.Number, "rig", machine.agent.Name, "status", attempt.Status)
-			if job != nil && attempt.Status == workers.StatusRunning && job.started.IsZero() {
-				job.started = now
-				l.countGangWait(job, now)
-			}
+			l.taskStatusChanged(machine, job, attempt, now)
 		case workers.EventGone:
 			if job != nil {
 				job.restartedTasks[attempt.ID.Task.Index] = true
@@ -51,14 +35,40 @@
 			l.taskExited(machine, job, attempt, now)
 		}
 	}
-	if len(events) > 0 {
-		l.passDueNow = true
+	l.passDueNow = true
+}
+
+// stopUnrecorded stops an attempt that a machine reports and no record names. It is
+// recorded nevertheless, as it takes room until it is gone.
+func (l *Leader) stopUnrecorded(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
+	if attempt.Status == workers.StatusExited {
+		return // an EventExited follows
+	}
+	l.deps.Log.Info("task in no record", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.agent.Name)
+	l.addAttempt(machine, attempt)
+	if job == nil {
+		l.jobs.endedAttemptFound(attempt.ID.Task.Job)
+	}
+	grace := 0.0
+	if job != nil && attempt.ID.Task.Index < job.spec.Tasks {
+		grace = job.stopGrace()
+	}
+	l.stopAttempt(machine, attempt, grace, now)
+	l.logAttempt(machine, attempt)
+}
+
+// taskStatusChanged takes in a task's progress short of its exit.
+func (l *Leader) taskStatusChanged(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
+	l.deps.Log.Debug("task status changed", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.agent.Name, "status", attempt.Status)
+	if job != nil && attempt.Status == workers.StatusRunning && job.started.IsZero() {
+		job.started = now
+		l.gangWaits.observe(job, now)
 	}
 }
 
 // taskExited takes in a task's exit.
 func (l *Leader) taskExited(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
-	l.deps.Log.Debug("task ended", "piece", attempt.ID.Task, "try", attempt.ID.Number, "rig", machine.agent.Name, "cause", attempt.Cause, "saved", attempt.Saved)
+	l.deps.Log.Debug("task exited", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.agent.Name, "cause", attempt.Cause, "saved", attempt.Saved)
 	if job == nil || attempt.ID.Task.Index >= job.spec.Tasks {
 		l.allowForget(machine, attempt)
 		return
@@ -74,7 +84,7 @@
 		job.restartedTasks[attempt.ID.Task.Index] = true
 	default:
 		// Refused: the worker knows better than our books; look again soon.
-		job.notBefore = now.Add(constants.RetryBase)
+		job.retry.notBefore = now.Add(constants.RetryBase)
 		replace = true
 	}
 	l.allowForget(machine, attempt)
@@ -84,34 +94,30 @@
 // taskCompleted records a task's completion. The worker may forget it only once the
 // record stands.
 func (l *Leader) taskCompleted(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
-	first := !job.doneTasks.has(attempt.ID.Task.Index)
+	task, isGang := attempt.ID.Task.Index, job.spec.Kind == jobs.KindGang
+	first := !job.progress.isDone(task)
 	job.unrecordedExits[attempt], job.stale = machine, true
 	l.noteStragglerSignal(machine, job, attempt, now)
-	if job.spec.Kind == jobs.KindGang {
+	switch {
+	case first && isGang:
 		// A gang's tasks complete together: one done, all done.
-		if first {
-			for i := range job.spec.Tasks {
-				job.doneTasks.set(i)
-			}
-			job.doneCount = job.spec.Tasks
-			l.logDone(job, wal.AllTasks)
-		}
-	} else if first {
-		job.doneTasks.set(attempt.ID.Task.Index)
-		job.doneCount++
-		l.logDone(job, attempt.ID.Task.Index)
+		job.progress.completeAll()
+		l.logDone(job, wal.AllTasks)
+	case first:
+		job.progress.complete(task)
+		l.logDone(job, task)
 	}
 	job.failures.RecordSuccess()
 	l.attributeFailures(job, now) // now: the job may be over in a moment
 	machine.health.RecordSuccess()
 	l.releaseRecordedExits(job)
-	if first || job.spec.Kind == jobs.KindGang {
+	if first || isGang {
 		l.reserveFreed(machine, job, attempt, now)
 	}
-	// Another attempt of a task that is done has no purpose.
-	if job.spec.Kind != jobs.KindGang {
-		for _, s := range job.attempts[attempt.ID.Task.Index] {
-			l.stopAttempt(s.machine, s.attempt, 0, now)
+	if !isGang {
+		// Another attempt of a task that is done has no purpose.
+		for _, placed := range job.attempts[task] {
+			l.stopAttempt(placed.machine, placed.attempt, 0, now)
 		}
 	}
 	l.checkComplete(job)
@@ -123,18 +129,14 @@
 		if job.removed {
 			return
 		}
-		if task == wal.AllTasks {
-			copy(job.recordedDone, job.doneTasks)
-		} else {
-			job.recordedDone.set(task)
-		}
+		job.progress.markRecorded(task)
 		l.releaseRecordedExits(job)
 	})
 }
 
-// checkComplete starts the last record of a job whose tasks are all done.
+// checkComplete has the final record written of a job whose tasks are all done.
 func (l *Leader) checkComplete(job *jobState) {
-	if job.doneCount == job.spec.Tasks && !job.complete && !job.removed {
+	if job.progress.remaining() == 0 && !job.complete && !job.removed {
 		job.complete = true
 		l.recordCompletion(job)
 	}
--- a/internal/leader/team_usage.go
+++ b/internal/leader/team_usage.go
@@ -1,22 +1,30 @@
 package leader
 
-import (
-	"thornnotch/internal/placement"
-)
+import "thornnotch/internal/placement"
 
-// teamUse is what one attempt or hold adds to its team's use.
+// teamUsage is what the teams' attempts and reservations take, as the machines' views
+// show it.
+type teamUsage map[string]placement.Resources
+
+// teamUse is what one attempt or reservation adds to its team's usage.
 type teamUse struct {
 	team      string
 	resources placement.Resources
 }
 
-// setTeamUsage replaces what a machine adds to the teams' use.
-func (l *Leader) setTeamUsage(machine *machineState, uses []teamUse) {
-	for _, u := range machine.countedUsage {
-		l.teamUsage[u.team] = l.teamUsage[u.team].Sub(u.resources)
+// replace takes what a machine added to the teams' usage out of it, and adds what it
+// takes now.
+func (u teamUsage) replace(previous, present []teamUse) {
+	for _, use := range previous {
+		u[use.team] = u[use.team].Sub(use.resources)
 	}
-	for _, u := range uses {
-		l.teamUsage[u.team] = l.teamUsage[u.team].Add(u.resources)
+	for _, use := range present {
+		u[use.team] = u[use.team].Add(use.resources)
 	}
+}
+
+// setTeamUsage replaces what a machine adds to the teams' usage.
+func (l *Leader) setTeamUsage(machine *machineState, uses []teamUse) {
+	l.teamUsage.replace(machine.countedUsage, uses)
 	machine.countedUsage = uses
 }
