--- a/internal/node/large_fleet_test.go
+++ b/internal/node/large_fleet_test.go
@@ -43,7 +43,7 @@
 // not say that it reads the large ring, nobody takes it that all do.
 func TestLargeRingNeedsAllNodes(t *testing.T) {
 	meetOnce(t, small(), 13, nil, func(m *scenario) {
-		reads := func() bool { return m.nodes[m.leader()].node.readsLargeRing(m.users.ctx) }
+		reads := func() bool { return m.nodes[m.leader()].node.allReadLargeRing(m.users.ctx) }
 		m.until(5*time.Second, "all nodes' word", reads)
 		for label := range m.nodes {
 			if label != m.leader() {
@@ -61,12 +61,12 @@
 		}
 		m.until(10*time.Second, "all nodes' word again", reads)
 		leader := m.nodes[m.leader()].node
-		others := leader.set.Peers
-		leader.set.Peers = others[:1]
+		others := leader.settings.Peers
+		leader.settings.Peers = others[:1]
 		if reads() {
 			t.Error("a node that the settings do not name was counted on")
 		}
-		leader.set.Peers = others
+		leader.settings.Peers = others
 	})
 }
 
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -3,132 +3,94 @@
 import (
 	"bytes"
 	"context"
+	"io"
 	"net/http"
 	"strings"
-	"sync"
-	"time"
 
 	"thornnotch/internal/constants"
 	"thornnotch/internal/peers"
 	"thornnotch/internal/userapi"
 )
 
-// The state service may refuse one node alone, or be out of its reach, while
-// the others work. A node can't tell that from an outage by itself, so it asks
-// the others; as long as one of them is served, it has users' requests served
-// there instead of sending the users away.
-
-// Healthy tells whether the state service answers this node.
-func (n *Node) Healthy() bool {
-	return n.store.FailingFor() == 0 && time.Since(n.store.LastSuccess()) < constants.HealthMaxAge
-}
-
-// watchHealth finds out who can help while the state service fails this node.
-func (n *Node) watchHealth(ctx context.Context) error {
-	tick := time.NewTicker(constants.HealthCheckInterval)
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-tick.C:
-		}
-		failing := n.store.FailingFor()
-		if failing < constants.HealthCheckInterval {
-			n.helpers.Store(nil)
-			n.lonely.Store(false)
-			continue
-		}
-		helpers, reached := n.askHealth(ctx)
-		n.helpers.Store(&helpers)
-		n.lonely.Store(reached == 0 && len(n.set.Peers) > 0 && failing > constants.IsolatedAfter)
-	}
-}
-
-// askHealth asks all other nodes at once.
-func (n *Node) askHealth(ctx context.Context) (helpers []string, reached int) {
-	var mu sync.Mutex
-	var wait sync.WaitGroup
-	for _, k := range n.set.Peers {
-		wait.Go(func() {
-			ok, err := n.peers.Health(ctx, k.Name)
-			mu.Lock()
-			defer mu.Unlock()
-			if err == nil {
-				reached++
-			}
-			if ok {
-				helpers = append(helpers, k.Name)
-			}
-		})
-	}
-	wait.Wait()
-	return helpers, reached
-}
+const (
+	// relayedPrefix is the part of the users' interface that other nodes serve.
+	relayedPrefix = "/work"
+	// maxRelayTargets is how many nodes a request is passed to in turn: its user
+	// waits for no more.
+	maxRelayTargets = 2
+)
 
-// serveUser serves a user's request, here or where it can be.
+// serveUser serves a user's request, here or at a node that the state service answers.
 func (n *Node) serveUser(w http.ResponseWriter, r *http.Request) {
-	if n.sockets.user() {
+	if n.connections.onUserRequest() {
 		w.Header().Set("Connection", "close")
 	}
-	helpers := n.helpers.Load()
-	if helpers == nil || len(*helpers) == 0 || !strings.HasPrefix(r.URL.Path, "/work") {
-		n.users.ServeHTTP(w, r)
+	targets := n.health.relayTargets()
+	if len(targets) == 0 || !strings.HasPrefix(r.URL.Path, relayedPrefix) {
+		n.userHandler.ServeHTTP(w, r)
 		return
 	}
 	body, ok := userapi.ReadBody(w, r)
 	if !ok {
 		return
 	}
-	req := peers.RelayArgs{Method: r.Method, Path: r.URL.EscapedPath(), Body: body}
-	for _, label := range (*helpers)[:min(len(*helpers), 2)] {
-		a, err := n.peers.Relay(r.Context(), label, req)
-		if err != nil || a.Status == 0 {
-			n.log.Debug("not relayed", "to", label, "err", err)
-			continue
-		}
-		if a.RetryAfter != "" {
-			w.Header().Set("Retry-After", a.RetryAfter)
-		}
-		w.Header().Set("Content-Type", "application/json")
-		w.WriteHeader(a.Status)
-		_, _ = w.Write(a.Body)
+	if reply, ok := n.relay(r, targets, body); ok {
+		writeRelayed(w, reply)
 		return
 	}
-	r.Body = http.MaxBytesReader(w, nopCloser{bytes.NewReader(body)}, constants.MaxBodyBytes)
-	n.users.ServeHTTP(w, r)
+	r.Body = http.MaxBytesReader(w, io.NopCloser(bytes.NewReader(body)), constants.MaxBodyBytes)
+	n.userHandler.ServeHTTP(w, r)
 }
 
-type nopCloser struct{ *bytes.Reader }
+// relay passes a request on to one node after the other until one serves it.
+func (n *Node) relay(r *http.Request, targets []string, body []byte) (reply peers.RelayReply, ok bool) {
+	request := peers.RelayArgs{Method: r.Method, Path: r.URL.EscapedPath(), Body: body}
+	for _, target := range targets {
+		reply, err := n.peers.Relay(r.Context(), target, request)
+		if err == nil && reply.Status != 0 {
+			return reply, true
+		}
+		n.log.Debug("request not relayed", "node", target, "error", err)
+	}
+	return peers.RelayReply{}, false
+}
 
-func (nopCloser) Close() error { return nil }
+// writeRelayed answers a user as another node has.
+func writeRelayed(w http.ResponseWriter, reply peers.RelayReply) {
+	if reply.RetryAfter != "" {
+		w.Header().Set("Retry-After", reply.RetryAfter)
+	}
+	w.Header().Set("Content-Type", "application/json")
+	w.WriteHeader(reply.Status)
+	_, _ = w.Write(reply.Body) // fails if the user has gone
+}
 
 // Relay serves a request that another node passes on.
-func (n *Node) Relay(ctx context.Context, req peers.RelayArgs) peers.RelayReply {
-	if n.users == nil || !n.Healthy() || !strings.HasPrefix(req.Path, "/work") {
+func (n *Node) Relay(ctx context.Context, request peers.RelayArgs) peers.RelayReply {
+	if n.userHandler == nil || !n.Healthy() || !strings.HasPrefix(request.Path, relayedPrefix) {
 		return peers.RelayReply{}
 	}
-	r, err := http.NewRequestWithContext(ctx, req.Method, req.Path, bytes.NewReader(req.Body))
+	r, err := http.NewRequestWithContext(ctx, request.Method, request.Path, bytes.NewReader(request.Body))
 	if err != nil {
 		return peers.RelayReply{}
 	}
-	rec := recorder{header: make(http.Header), status: http.StatusOK}
-	n.users.ServeHTTP(&rec, r)
-	return peers.RelayReply{Status: rec.status, RetryAfter: rec.header.Get("Retry-After"), Body: rec.body.Bytes()}
+	response := responseRecorder{header: make(http.Header), status: http.StatusOK}
+	n.userHandler.ServeHTTP(&response, r)
+	return peers.RelayReply{Status: response.status, RetryAfter: response.header.Get("Retry-After"), Body: response.body.Bytes()}
 }
 
-// recorder keeps an answer that goes back over the mesh.
-type recorder struct {
+// responseRecorder keeps a response that goes back to another node.
+type responseRecorder struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
-// Header is the answer's header.
-func (r *recorder) Header() http.Header { return r.header }
+// Header returns the response's header.
+func (r *responseRecorder) Header() http.Header { return r.header }
 
 // WriteHeader keeps the status.
-func (r *recorder) WriteHeader(status int) { r.status = status }
+func (r *responseRecorder) WriteHeader(status int) { r.status = status }
 
 // Write keeps the body.
-func (r *recorder) Write(b []byte) (int, error) { return r.body.Write(b) }
+func (r *responseRecorder) Write(part []byte) (int, error) { return r.body.Write(part) }
--- a/internal/node/needs_test.go
+++ b/internal/node/sizing_test.go
@@ -25,7 +25,7 @@
 		id := m.run(long("a", jobs.KindArray, 40, 60)) // fills all machines
 		told := func() *Node {
 			for _, p := range m.nodes {
-				if len(p.node.own().TooSmall) > 0 {
+				if len(p.node.ownStatus().TooSmall) > 0 {
 					return p.node
 				}
 			}
@@ -33,7 +33,7 @@
 		}
 		m.until(time.Minute, "a node that names what is too small", func() bool { return told() != nil })
 		node := told()
-		if problem := node.own().TooSmall[0]; !strings.Contains(problem, "params.machine_limits.mem_mb: 24") || !strings.Contains(problem, "10 are to be expected") {
+		if problem := node.ownStatus().TooSmall[0]; !strings.Contains(problem, "params.machine_limits.mem_mb: 24") || !strings.Contains(problem, "10 are to be expected") {
 			t.Errorf("it says %q", problem)
 		}
 		mux := http.NewServeMux()
--- a/internal/node/formats.go
+++ b/internal/node/stored_formats.go
@@ -6,15 +6,15 @@
 	"thornnotch/internal/constants"
 )
 
-// readsLargeRing tells whether every node of the site runs a version that reads the
+// allReadLargeRing tells whether every node of the site runs a version that reads the
 // log's large ring. Each must say so itself, now: a node that is silent may come back
 // with an earlier version.
-func (n *Node) readsLargeRing(ctx context.Context) bool {
-	if len(n.set.Peers)+1 < n.set.Params.Count {
+func (n *Node) allReadLargeRing(ctx context.Context) bool {
+	if len(n.settings.Peers)+1 < n.settings.Params.Count {
 		return false
 	}
-	for _, k := range n.set.Peers {
-		formats, err := n.peers.Formats(ctx, k.Name)
+	for _, peer := range n.settings.Peers {
+		formats, err := n.peers.Formats(ctx, peer.Name)
 		if err != nil || formats.LogRing < constants.LogLargeRingSize {
 			return false
 		}
