--- a/internal/leader/attempt_records.go
+++ b/internal/leader/attempt_records.go
@@ -28,7 +28,7 @@
 	}
 	if j.spec.Kind != jobs.KindGang {
 		a.StartAllowed = true
-		l.wakeReply(machine)
+		l.replies.wake(machine)
 		return
 	}
 	seats := j.attempts.sorted()
@@ -40,7 +40,7 @@
 	for _, s := range seats {
 		if s.attempt.ID.Number == a.ID.Number {
 			s.attempt.StartAllowed = true
-			l.wakeReply(s.machine)
+			l.replies.wake(s.machine)
 		}
 	}
 }
@@ -49,7 +49,7 @@
 func (l *Leader) allowForget(machine *machineState, a *workers.Attempt) {
 	if !a.ExitRecorded {
 		a.ExitRecorded = true
-		l.wakeReply(machine)
+		l.replies.wake(machine)
 	}
 }
 
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -202,8 +202,8 @@
 			rep := report(l, machine, workers.StatusRunning, "")
 			l.heartbeat(rep, now, ch)
 			l.commit(now)
-			machine.pending.until = now
-			l.wakeReply(machine)
+			l.replies.byMachine[machine].until = now
+			l.replies.wake(machine)
 			l.flushReplies(now)
 			<-ch
 		}
--- a/internal/leader/gap_test.go
+++ b/internal/leader/gap_test.go
@@ -49,7 +49,7 @@
 				if rng.IntN(3) == 0 { // the answer is held back, too
 					time.Sleep(time.Duration(rng.Int64N(int64(2 * time.Second))))
 				}
-				l.nextFlush = time.Time{}
+				l.replies.nextFlush = time.Time{}
 				l.flushReplies(time.Now().Add(constants.IdleReplyHold))
 				if a := <-ch; a.Status == 200 {
 					renewed = sent
--- a/internal/leader/growth_test.go
+++ b/internal/leader/growth_test.go
@@ -28,8 +28,8 @@
 			machine := list[next%len(list)]
 			next += 7
 			l.heartbeat(report(l, machine, workers.StatusRunning, ""), now, ch)
-			machine.pending.until = now
-			l.wakeReply(machine)
+			l.replies.byMachine[machine].until = now
+			l.replies.wake(machine)
 			l.flushReplies(now)
 			<-ch
 		})
--- a/internal/leader/reports_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -1,9 +1,13 @@
 package leader
 
 import (
+	"net/http"
 	"testing"
+	"testing/synctest"
 	"time"
 
+	"thornnotch/internal/constants"
+	"thornnotch/internal/jobs"
 	"thornnotch/internal/workers"
 )
 
@@ -22,7 +26,7 @@
 	l.heartbeat(copyOf, now.Add(time.Second), ch)
 	select {
 	case a := <-ch:
-		if a.Status != 503 || !machine.agent.LastAcknowledged.Equal(answered) || machine.pending != nil {
+		if a.Status != 503 || !machine.agent.LastAcknowledged.Equal(answered) || l.replies.byMachine[machine] != nil {
 			t.Errorf("a copy got %d, answered %v", a.Status, machine.agent.LastAcknowledged)
 		}
 	default:
@@ -74,3 +78,38 @@
 		t.Errorf("its session never ends: %v", ev)
 	}
 }
+
+// TestReturnedMachineIsAnsweredOnce: a machine goes back to the cloud while its
+// heartbeat waits, and what the end of its tasks brings about has commands for it.
+// Its heartbeat gets one reply: whoever waits for it reads one, and a second would
+// block the loop.
+func TestReturnedMachineIsAnsweredOnce(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		now := time.Now()
+		l := testLeader(t)
+		offline(t, l)
+		l.deps.Cloud = &cloudCalls{}
+		l.certainty.Watched(now)
+		machine := addRig(l, "m-1", "east", now)
+		spec := sweep("j-1", 2)
+		spec.Kind, spec.SameZone = jobs.KindGang, true
+		addJob(t, l, spec, now)
+		l.runSchedulingPass(now)
+		settle(l, 100)
+		machine.agent.Commands(true, now)
+		replies := make(chan Reply, 2)
+		l.heartbeat(report(l, machine, workers.StatusRunning, ""), now, replies)
+		if len(machine.agent.Attempts) != 2 || len(replies) != 0 {
+			t.Fatalf("%d attempts on the machine, %d replies", len(machine.agent.Attempts), len(replies))
+		}
+		l.returnMachines([]string{"m-1"}, now)
+		run(t, l)
+		l.flushReplies(time.Now().Add(constants.ReplyHold)) // the same round, by when the heartbeat need not wait longer
+		if n := len(replies); n != 1 {
+			t.Fatalf("%d replies to one heartbeat", n)
+		}
+		if reply := <-replies; reply.Status != http.StatusServiceUnavailable || l.fleet.get("m-1") != nil {
+			t.Errorf("a machine that is no more got %d", reply.Status)
+		}
+	})
+}
--- a/internal/leader/job_attempts.go
+++ b/internal/leader/job_attempts.go
@@ -17,7 +17,7 @@
 		l.removeAttempt(machine, attempt)
 	}
 	machine.markStale()
-	l.wakeReply(machine)
+	l.replies.wake(machine)
 	l.passDueNow = true
 }
 
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -86,10 +86,8 @@
 	jobs             jobTable
 	fleet            fleet
 	teamUsage        teamUsage
-	pendingReplies   map[*machineState]bool // machines whose report waits for its answer
-	repliesDue       []*machineState        // of these, those that orders have come up for
+	replies          heldReplies
 	metadata         metadataQueue
-	nextFlush        time.Time
 	lastPassDuration time.Duration
 	legacyKeys       map[string]uint64 // keys of the earlier format, with their revision
 	counts           counts
@@ -130,7 +128,7 @@
 		placementRates: make(placementRates),
 		gangWaits:      make(gangWaits),
 		teamUsage:      make(teamUsage),
-		pendingReplies: make(map[*machineState]bool),
+		replies:        newHeldReplies(),
 		metadata:       newMetadataQueue(d.Settings.Params.State, d.Operator.Budgets),
 	}
 	l.commits = newGroupCommit(d.Log, l.beginCheckpoint)
@@ -227,9 +225,7 @@
 		sooner(l.nextPassAt())
 	}
 	sooner(l.commits.due())
-	if len(l.pendingReplies) > 0 {
-		sooner(l.nextFlush)
-	}
+	sooner(l.replies.nextDue())
 	return at
 }
 
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -28,7 +28,6 @@
 
 	images  []image // least recently used first
 	health  health.Machine
-	pending *pendingReply
 	leaving bool // being returned; it gets no more tasks
 	// leavingRecorded is set once the record says so, or none exists.
 	leavingRecorded bool
@@ -47,7 +46,7 @@
 func (l *Leader) removeMachine(machine *machineState) {
 	l.fleet.remove(machine)
 	l.metadata.remove(machine)
-	delete(l.pendingReplies, machine)
+	l.replies.refuse(machine)
 	l.setTeamUsage(machine, nil)
 }
 
--- a/internal/leader/provisioning.go
+++ b/internal/leader/provisioning.go
@@ -62,6 +62,12 @@
 	m.memory = autoscaling.NewDemandWindow(constants.DemandWindow)
 }
 
+// isTerminated tells whether the cloud has confirmed the end of a machine of this name.
+func (m *scalingState) isTerminated(name string) bool {
+	_, terminated := m.terminated[name]
+	return terminated
+}
+
 func (m *scalingState) unmet(jobs []*placement.Job, _ time.Time) { m.unplacedJobs = jobs }
 
 // machineRegistered is called when a machine reports for the first time in this term.
@@ -256,9 +262,6 @@
 				}
 				// The cloud's word is the strongest proof: all is gone.
 				l.applyEvents(machine, machine.agent.MarkTerminated(), now)
-				if machine.pending != nil {
-					machine.pending.reply <- Reply{Status: 503}
-				}
 				l.removeMachine(machine)
 				l.wal.MachineRemoved(name)
 			}
