--- a/internal/constants/scoring.go
+++ b/internal/constants/scoring.go
@@ -6,9 +6,13 @@
 const (
 	// OrdinaryMachinePenalty keeps ordinary machines for jobs that can't use spot machines.
 	OrdinaryMachinePenalty = 4.0
-	// EmptyMachinePenalty keeps machines whole for gangs, and lets others become empty so
-	// that they can be returned.
-	EmptyMachinePenalty = 3.0
+	// ReservedSlotBonus has a job use the slots that are reserved for its pipeline before
+	// other room.
+	ReservedSlotBonus = 3.0
+	// SpotSpreadPenalty spreads the tasks of job arrays that must fetch their image anyway
+	// over more spot machines, up to a full one: the more machines have it, the sooner it
+	// is there for the next tasks.
+	SpotSpreadPenalty = 3.0
 	// PartlyUsedBonus fills the machines that have the image one after the other.
 	PartlyUsedBonus = 10.0
 	// LastWholeMachinePenalty is the cost of breaking up the last whole machine for gangs
@@ -22,6 +26,10 @@
 	// BoostedClaimBonusS is added to that for a boosted gang (seconds): it must finish with
 	// the zone that it has begun to gather in.
 	BoostedClaimBonusS = 300.0
+	// DrainPenaltyS (seconds) puts a machine that must run empty first behind every machine
+	// that has room for a waiting gang as soon as preempted tasks have ended: it is longer
+	// than any other delay.
+	DrainPenaltyS = 1e6
 )
 
 // Machines kept whole for gangs.
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -2,106 +2,123 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 )
 
-func (p *pass) gang(j *Job) {
-	machines := p.gangMachines(j)
-	p.unpromise(j)
+// placeGang starts all of a gang's waiting tasks or none. If none, room is made for it,
+// in its team's limit or on machines.
+func (p *pass) placeGang(gang *Job) {
+	machines := p.gangMachines(gang)
+	p.endLimitPromise(gang)
 	if machines != nil {
-		for i, r := range machines {
-			p.put(j, j.WaitingTasks[i], r)
+		for i, machine := range machines {
+			p.place(gang, gang.WaitingTasks[i], machine)
 		}
 		return
 	}
-	p.plan.Unplaced = append(p.plan.Unplaced, j)
-	if !p.gangWithinLimit(j) {
-		if j.Boost != NoBoost {
-			p.makeLimit(j)
-		}
-		return
+	p.plan.Unplaced = append(p.plan.Unplaced, gang)
+	if p.gangWithinLimit(gang) {
+		p.preemptOrDrain(gang, len(gang.WaitingTasks))
+	} else if gang.Boost != NoBoost {
+		p.keepLimitForBoosted(gang)
 	}
-	p.makeRoom(j, len(j.WaitingTasks))
 }
 
-func (p *pass) gangWithinLimit(j *Job) bool {
-	return p.allows(j, TaskResources(j.Spec).Times(len(j.WaitingTasks)))
+func (p *pass) gangWithinLimit(gang *Job) bool {
+	return p.limitAllows(gang, gang.waitingResources())
+}
+
+// gangSlot is room for one task of a gang.
+type gangSlot struct {
+	machine *Machine
+	score   float64
 }
 
-// gangMachines finds machines for all waiting tasks, or none.
-func (p *pass) gangMachines(j *Job) []*Machine {
-	if !p.gangWithinLimit(j) {
+// gangMachines chooses a machine for each waiting task, or returns nil if there are not
+// enough.
+func (p *pass) gangMachines(gang *Job) []*Machine {
+	if !p.gangWithinLimit(gang) {
 		return nil
 	}
-	need := TaskResources(j.Spec)
-	type seat struct {
-		machine *Machine
-		score   float64
+	slots := p.gangSlots(gang)
+	if !gang.Spec.SameZone {
+		machines, _ := chooseGangSlots(gang, slots, ZoneCap(gang.Spec))
+		return machines
 	}
-	byZone := make(map[string][]seat)
-	var zones []string
-	var all []seat
-	for _, r := range p.roomyFor(j) {
-		if !p.usable(j, r) {
+	if gang.Spec.Tasks > ZoneCap(gang.Spec) {
+		return nil
+	}
+	return bestZone(gang, slots)
+}
+
+// gangSlots lists the room for the gang's waiting tasks, machine by machine.
+func (p *pass) gangSlots(gang *Job) []gangSlot {
+	request := TaskResources(gang.Spec)
+	var slots []gangSlot
+	for _, machine := range p.machinesFor(gang) {
+		if !eligible(gang, machine) {
 			continue
 		}
-		n := r.free(j).Count(need, min(len(j.WaitingTasks), r.AttemptCapacity))
-		if n == 0 {
+		count := machine.freeFor(gang).Count(request, min(len(gang.WaitingTasks), machine.AttemptCapacity))
+		if count == 0 {
 			continue
 		}
-		s := seat{r, p.score(r, j)}
-		for range n {
-			if byZone[r.Zone] == nil {
-				zones = append(zones, r.Zone)
-			}
-			byZone[r.Zone] = append(byZone[r.Zone], s)
-			all = append(all, s)
+		slot := gangSlot{machine, p.score(machine, gang)}
+		for range count {
+			slots = append(slots, slot)
 		}
 	}
-	// A gang moves when its last image is there, so a choice of machines is
-	// as good as its worst.
-	pick := func(seats []seat, cap int) ([]*Machine, float64) {
-		slices.SortStableFunc(seats, func(a, b seat) int { return cmp.Compare(a.score, b.score) })
-		// Tasks that already have their place count too: a gang that lost one
-		// while it waited gets a replacement.
-		per := make(map[string]int)
-		for z, n := range j.TasksByZone {
-			per[z] = n
-		}
-		var out []*Machine
-		worst := 0.0
-		for _, s := range seats {
-			if len(out) == len(j.WaitingTasks) {
-				break
-			}
-			if per[s.machine.Zone] >= cap {
-				continue
-			}
-			per[s.machine.Zone]++
-			out = append(out, s.machine)
-			worst = s.score
-		}
-		if len(out) < len(j.WaitingTasks) {
-			return nil, 0
+	return slots
+}
+
+// bestZone chooses machines for a gang that must be in one zone: of the zones that have
+// room for all of it the one with the best score, the first such one by the machines'
+// order.
+func bestZone(gang *Job, slots []gangSlot) (best []*Machine) {
+	byZone := make(map[string][]gangSlot)
+	var zones []string
+	for _, slot := range slots {
+		zone := slot.machine.Zone
+		if byZone[zone] == nil {
+			zones = append(zones, zone)
 		}
-		return out, worst
-	}
-	if !j.Spec.SameZone {
-		machines, _ := pick(all, ZoneCap(j.Spec))
-		return machines
+		byZone[zone] = append(byZone[zone], slot)
 	}
-	if j.Spec.Tasks > ZoneCap(j.Spec) {
-		return nil
-	}
-	var best []*Machine
 	bestScore := 0.0
-	for _, z := range zones {
-		if !zoneAllows(j, z) {
+	for _, zone := range zones {
+		if !zoneAllows(gang, zone) {
 			continue
 		}
-		if machines, s := pick(byZone[z], j.Spec.Tasks); machines != nil && (best == nil || s < bestScore) {
-			best, bestScore = machines, s
+		machines, score := chooseGangSlots(gang, byZone[zone], gang.Spec.Tasks)
+		if machines != nil && (best == nil || score < bestScore) {
+			best, bestScore = machines, score
 		}
 	}
 	return best
 }
+
+// chooseGangSlots takes the best slots with at most zoneCap of the gang's tasks in a zone.
+// The score of the choice is that of its worst slot, as a gang starts to work when its
+// last image is there. It returns nil if there are not enough slots. It sorts the slots.
+func chooseGangSlots(gang *Job, slots []gangSlot, zoneCap int) (machines []*Machine, worstScore float64) {
+	slices.SortStableFunc(slots, func(a, b gangSlot) int { return cmp.Compare(a.score, b.score) })
+	// Tasks that already run count too: a gang that lost one gets a replacement.
+	tasksByZone := make(map[string]int)
+	maps.Copy(tasksByZone, gang.TasksByZone)
+	for _, slot := range slots {
+		if len(machines) == len(gang.WaitingTasks) {
+			break
+		}
+		if tasksByZone[slot.machine.Zone] >= zoneCap {
+			continue
+		}
+		tasksByZone[slot.machine.Zone]++
+		machines = append(machines, slot.machine)
+		worstScore = slot.score
+	}
+	if len(machines) < len(gang.WaitingTasks) {
+		return nil, 0
+	}
+	return machines, worstScore
+}
--- a/internal/placement/limit_test.go
+++ b/internal/placement/limit_test.go
@@ -52,7 +52,7 @@
 		if c.begins != (len(p.Released) == 8) {
 			t.Errorf("%s: %d holds given up", c.name, len(p.Released))
 		}
-		if u := w.Teams["a"].Used; !w.Teams["a"].within(u) || u.GPUs != 8 {
+		if u := w.Teams["a"].Used; !w.Teams["a"].withinLimit(u) || u.GPUs != 8 {
 			t.Errorf("%s: the team uses %v", c.name, u)
 		}
 	}
--- a/internal/placement/overload.go
+++ b/internal/placement/overload.go
@@ -6,87 +6,78 @@
 	"slices"
 )
 
-// Where more comes than can be placed, the order of time left makes every job
-// late by a little: each is served just as its time runs out. The users count the
-// jobs that are in time, so it is better to let a few large ones go.
+// Where more array tasks come than can be placed, the order of time left makes every job
+// late by a little: each is served just as its time runs out. Users count the jobs that
+// are on time, so it is better to defer a few large ones.
 
-// sized is a job with the time that its waiting tasks take to be placed at the
-// rate of late, in seconds.
-type sized struct {
-	job  *Job
-	work float64
-}
-
-// largestFirst is a heap of jobs.
-type largestFirst []sized
-
-func (h largestFirst) Len() int           { return len(h) }
-func (h largestFirst) Less(i, j int) bool { return h[i].work > h[j].work }
-func (h largestFirst) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-
-// Push adds a job.
-func (h *largestFirst) Push(x any) { *h = append(*h, x.(sized)) }
-
-// Pop takes the last one off.
-func (h *largestFirst) Pop() any {
-	old := *h
-	x := old[len(old)-1]
-	*h = old[:len(old)-1]
-	return x
-}
-
-// sparable names the jobs, of a list in the order of time left, that had better
-// wait so that as many of the others as can be are placed in time, with so many
-// tasks placed a second (Moore and Hodgson's rule: whenever one would be late, the
-// largest so far gives way).
-func sparable(jobs []*Job, rate float64) map[*Job]bool {
-	var in largestFirst
-	spared := make(map[*Job]bool)
-	sum := 0.0
-	for _, j := range jobs {
-		w := float64(len(j.WaitingTasks)) / rate
-		heap.Push(&in, sized{j, w})
-		sum += w
-		if sum > j.TimeToTarget.Seconds() {
-			out := heap.Pop(&in).(sized)
-			spared[out.job] = true
-			sum -= out.work
-		}
-	}
-	return spared
-}
-
-// spareInTime reorders the sweeps of one rank that can still be in time, each
-// class's in the places that it has there: those that had better wait go last.
+// deferLateArrays reorders the job arrays of one rank that can still be on time, each
+// class's within the places that it has there: those that had better wait go last.
 // Where there is room for all, the order makes no difference.
-func (p *pass) spareInTime(jobs []*Job) {
+func (p *pass) deferLateArrays(rank []*Job) {
 	places := make(map[string][]int)
-	for i, j := range jobs {
-		if j.Spec.Kind != "gang" && !j.Late && !j.Blocked && len(j.WaitingTasks) > 0 && p.StartRate[j.Spec.Class] > 0 {
-			places[j.Spec.Class] = append(places[j.Spec.Class], i)
+	for i, job := range rank {
+		if !job.isGang() && !job.Late && !job.Blocked && len(job.WaitingTasks) > 0 && p.StartRate[job.Spec.Class] > 0 {
+			places[job.Spec.Class] = append(places[job.Spec.Class], i)
 		}
 	}
 	for class, at := range places {
-		list := make([]*Job, len(at))
-		for i, k := range at {
-			list[i] = jobs[k]
-		}
-		slices.SortStableFunc(list, func(a, b *Job) int { return cmp.Compare(a.TimeToTarget, b.TimeToTarget) })
-		spared := sparable(list, p.StartRate[class])
-		if len(spared) == 0 {
+		arrays := pick(rank, at)
+		slices.SortStableFunc(arrays, func(a, b *Job) int { return cmp.Compare(a.TimeToTarget, b.TimeToTarget) })
+		deferred := deferrable(arrays, p.StartRate[class])
+		if len(deferred) == 0 {
 			continue
 		}
-		slices.SortStableFunc(list, func(a, b *Job) int {
-			if spared[a] != spared[b] {
-				if spared[b] {
-					return -1
-				}
-				return 1
+		slices.SortStableFunc(arrays, func(a, b *Job) int {
+			if deferred[a] != deferred[b] {
+				return falseFirst(deferred[a])
 			}
 			return 0
 		})
-		for i, k := range at {
-			jobs[k] = list[i]
+		putBack(rank, at, arrays)
+	}
+}
+
+// deferrable names the jobs, of a list in the order of time left, that had better wait so
+// that as many of the others as possible are placed on time, at a rate of tasks per
+// second. This is the Moore-Hodgson algorithm: whenever a job would be late, the largest
+// so far is deferred.
+func deferrable(byTimeLeft []*Job, rate float64) map[*Job]bool {
+	var onTime largestFirst
+	deferred := make(map[*Job]bool)
+	totalSeconds := 0.0
+	for _, job := range byTimeLeft {
+		seconds := float64(len(job.WaitingTasks)) / rate
+		heap.Push(&onTime, sizedJob{job, seconds})
+		totalSeconds += seconds
+		if totalSeconds > job.TimeToTarget.Seconds() {
+			largest := heap.Pop(&onTime).(sizedJob)
+			deferred[largest.job] = true
+			totalSeconds -= largest.seconds
 		}
 	}
+	return deferred
+}
+
+// sizedJob is a job with the time that its waiting tasks take to be placed.
+type sizedJob struct {
+	job     *Job
+	seconds float64
+}
+
+// largestFirst is a heap of jobs.
+type largestFirst []sizedJob
+
+func (h largestFirst) Len() int           { return len(h) }
+func (h largestFirst) Less(i, j int) bool { return h[i].seconds > h[j].seconds }
+func (h largestFirst) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+
+// Push is for container/heap.
+func (h *largestFirst) Push(x any) { *h = append(*h, x.(sizedJob)) }
+
+// Pop is for container/heap.
+func (h *largestFirst) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return last
 }
--- a/internal/placement/overload_test.go
+++ b/internal/placement/overload_test.go
@@ -41,8 +41,8 @@
 				most = max(most, n)
 			}
 		}
-		spared := sparable(jobs, rate)
-		if n, all := inTime(func(i int) bool { return !spared[jobs[i]] }); !all || n != most {
+		deferred := deferrable(jobs, rate)
+		if n, all := inTime(func(i int) bool { return !deferred[jobs[i]] }); !all || n != most {
 			t.Fatalf("%d kept in time (all of them: %v), could be %d", n, all, most)
 		}
 	})
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -1,361 +1,133 @@
+// Package placement decides which task starts where and what has to make room for it. It
+// is a plain function of the state that it is shown, without I/O.
+//
+// A pass goes through the queue rank by rank (queue.go): what is boosted (starvation.go),
+// of higher priority or within its team's guarantee (quota.go) stands before the rest.
+// Job arrays (array.go) start as many tasks as fit, gangs (gang.go) all or none. Of the
+// eligible machines (eligibility.go) a task takes the one with the best score
+// (binpacking.go). What can't be placed may preempt others (preemption.go) or keep
+// machines until these are empty (drain.go).
 package placement
 
 import (
 	"math"
-	"slices"
-	"strings"
-	"time"
 
 	"thornnotch/internal/constants"
 )
 
-// Schedule runs one pass over the world. It changes the views of machines that
-// it puts work on or stops work on; these must be made anew for the next pass.
-func Schedule(w *Snapshot) *Plan {
-	p := &pass{
-		Snapshot: w, plan: &Plan{}, ending: make(map[string]Resources), holds: make(map[string][]heldOn), shortOf: make(map[string]bool), inTime: make(map[ownerAt]Resources), promises: make(map[string][]promise),
-		able: make(map[standing]int), outside: make(map[string]bool), bits: make(map[standing]uint64),
-	}
-	var running []*Job // whose tasks may be stopped, each once
-	byName := func(a, b *Machine) int { return strings.Compare(a.Name, b.Name) }
-	if !slices.IsSortedFunc(w.Machines, byName) {
-		slices.SortFunc(w.Machines, byName)
-	}
-	leanest := p.leanest()
-	for i, r := range w.Machines {
-		r.rank, r.claimed, r.roomy, r.standings = i, nil, false, 0
-		r.sum()
-		if r.Schedulable && !r.Spot && len(r.RunningTasks) == 0 {
-			p.whole++
-		}
-		if r.Schedulable && r.AttemptCapacity > 0 && r.Total.Sub(r.used).Fits(leanest) {
-			p.roomy, r.roomy = append(p.roomy, r), true
-		}
-		for _, s := range r.RunningTasks {
-			switch {
-			case s.Job == nil:
-			case s.Stopping:
-				p.ending[s.Job.Spec.Team] = p.ending[s.Job.Spec.Team].Add(s.Resources)
-			default:
-				// Counted by job first: tasks are many, standings few.
-				if s.Job.tally == 0 {
-					running = append(running, s.Job)
-					s.Job.bit = p.bit(standing{s.Job.Priority, s.Job.Guaranteed, s.Job.Spec.Team})
-				}
-				s.Job.tally++
-				r.standings |= s.Job.bit
-			}
-		}
-		for _, h := range r.Reserved {
-			p.holds[h.Pipeline.Team] = append(p.holds[h.Pipeline.Team], heldOn{r, h})
-		}
-	}
-	for _, j := range running {
-		p.able[standing{j.Priority, j.Guaranteed, j.Spec.Team}] += j.tally
-		j.tally = 0
-	}
-	slices.SortFunc(w.Jobs, func(a, b *Job) int {
-		switch {
-		case Before(a, b):
-			return -1
-		case Before(b, a):
-			return 1
-		}
-		return 0
-	})
-	p.classify()
+// Schedule runs one pass over the snapshot. It changes the machines that it places tasks
+// on or preempts tasks on; these must be made anew for the next pass.
+func Schedule(snapshot *Snapshot) *Plan {
+	p := newPass(snapshot)
+	sortMachines(p.Machines)
+	p.initMachines()
+	sortQueue(p.Jobs)
+	p.initSizeClasses()
 	p.releaseUseless()
-	p.keepClaims()
-	p.keepPromises()
-	for from := 0; from < len(w.Jobs); {
-		to := from + 1
-		for to < len(w.Jobs) && rankAs(w.Jobs[from], w.Jobs[to]) {
-			to++
-		}
-		p.rank(w.Jobs[from:to])
-		from = to
-	}
+	p.renewClaims()
+	p.renewLimitPromises()
+	forEachRank(p.Jobs, p.placeRank)
 	return p.plan
 }
 
-// rankAs tells whether two jobs differ only in the time that they have left.
-func rankAs(a, b *Job) bool {
-	return a.Boost == b.Boost && a.Priority == b.Priority && a.Guaranteed == b.Guaranteed
-}
-
-// rank places jobs of one rank. A slot whose machine would have to fetch the
-// first job's image while the next one's is there goes to the next one, as
-// long as the first has not been passed over for longer than the fetch takes.
-// What nobody takes in this way goes in order after all.
-func (p *pass) rank(jobs []*Job) {
-	type rest struct {
-		job  *Job
-		from int
-	}
-	var again []rest
-	if jobs[0].Boost == NoBoost {
-		p.smallFirst(jobs)
-		p.spareInTime(jobs)
-	}
-	for _, j := range jobs {
-		if j.Blocked || len(j.WaitingTasks) == 0 || p.Teams[j.Spec.Team] == nil {
-			continue
-		}
-		if j.Spec.Kind == "gang" {
-			p.gang(j)
-		} else if done := p.sweep(j, 0, j.SinceLastStart.Seconds()+constants.LocalImageMaxWaitS); done < len(j.WaitingTasks) {
-			again = append(again, rest{j, done})
-		}
-	}
-	for _, r := range again {
-		done := p.sweep(r.job, r.from, math.Inf(1))
-		if done < len(r.job.WaitingTasks) {
-			p.plan.Unplaced = append(p.plan.Unplaced, r.job)
-			p.makeRoom(r.job, len(r.job.WaitingTasks)-done)
-		}
-	}
-}
-
-// standing is what decides whether a task may be stopped.
-type standing struct {
-	priority   int
-	guaranteed bool
-	owner      string
-}
-
-// bit gives a standing its bit; those beyond 63 share one.
-func (p *pass) bit(v standing) uint64 {
-	b, known := p.bits[v]
-	if !known {
-		b = 1 << min(len(p.bits), 63)
-		p.bits[v] = b
-	}
-	return b
-}
-
+// pass is the state of one pass beside its input and its output. What it keeps for each
+// machine and job is in machineState and jobState.
 type pass struct {
 	*Snapshot
-	bits map[standing]uint64
 	plan *Plan
-	// whole is the number of ordinary machines with nothing on them.
-	whole int
-	// ending is what this pass has told each team's tasks to give up.
-	ending map[string]Resources
-	// roomy are the machines that can take any task at all: when most are
-	// full, no job need look at all of them. classes are these by size of task, and
-	// largest is the most that any machine has of each kind.
-	roomy   []*Machine
-	classes map[sizeClass]*roomyClass
-	largest Resources
-	// able are the tasks that run, by standing.
-	able map[standing]int
-	// holds are the holds, by team.
-	holds map[string][]heldOn
-	// yieldsTo is the job that yielding was reckoned for.
-	yieldsTo *Job
-	yielding Resources
-	// promises are the parts of the teams' limits that gangs will need.
-	promises map[string][]promise
-	// shortOf are the teams whose limit can't hold all that waits.
-	shortOf map[string]bool
-	// inTime is what teams' jobs below a priority wait for that can meet an aim.
-	inTime map[ownerAt]Resources
-	// outside are the teams that use more than their guarantee, as far as room
-	// has been sought for the present job; victims is room to list tasks in.
-	outside map[string]bool
-	victims []RunningTask
-	// tries counts the jobs that room was sought for.
-	tries int
-	// draining counts the machines that are kept for gangs until what runs on
-	// them ends.
-	draining int
-	// claims are the machines kept from the last pass.
-	claims map[*Job][]*Machine
-	cands  candidates
-}
-
-// leanest is the least that any waiting task takes of each kind.
-func (p *pass) leanest() (least Resources) {
-	for i, j := range p.Jobs {
-		n := TaskResources(j.Spec)
-		if i == 0 {
-			least = n
-		}
-		least = Resources{min(least.CPUs, n.CPUs), min(least.GPUs, n.GPUs), min(least.MemoryGB, n.MemoryGB)}
-	}
-	return least
-}
-
-// blocks tells whether held room is closed to a job: it is open to its own
-// pipeline and to higher priority, and it never keeps another team from its
-// guarantee.
-func (h ReservedSlot) blocks(j *Job) bool {
-	switch {
-	case givesWay(h, j):
-		return false
-	case j.Guaranteed && j.Spec.Team != h.Pipeline.Team:
-		return false
-	}
-	return true
-}
-
-// free is the room that the job may use on the machine.
-func (m *Machine) free(j *Job) Resources {
-	f := m.Total.Sub(m.used)
-	for _, h := range m.Reserved {
-		if h.blocks(j) {
-			f = f.Sub(h.Resources)
-		}
-	}
-	return f
-}
 
-// heldFor is the room that is kept on the machine for the job's pipeline.
-func (m *Machine) heldFor(j *Job) (sum Resources, n int) {
-	for _, h := range m.Reserved {
-		if j.Owns(h.Pipeline) {
-			sum = sum.Add(h.Resources)
-			n++
-		}
-	}
-	return sum, n
-}
-
-// Allowed tells whether the job may use the machine at all.
-func Allowed(j *Job, r *Machine) bool {
-	s := j.Spec
-	if r.Spot && !s.AllowSpot || s.Zone != "" && s.Zone != r.Zone {
-		return false
-	}
-	if s.MachineTypes == nil {
-		return true
-	}
-	for _, t := range s.MachineTypes {
-		if t == r.Type {
-			return true
-		}
-	}
-	return false
-}
-
-func (p *pass) usable(j *Job, r *Machine) bool {
-	return r.Schedulable && r.AttemptCapacity > 0 && Allowed(j, r) && !j.AvoidMachines[r.Name] && (r.claimed == nil || r.claimed == j || outranks(j, r.claimed))
-}
-
-// outranks tells whether a job stands above another whatever the time.
-func outranks(a, b *Job) bool {
-	if a.Boost == BoostAboveAll || b.Boost == BoostAboveAll {
-		return a.Boost > b.Boost
-	}
-	if a.Priority != b.Priority || a.Boost != b.Boost {
-		return a.Priority > b.Priority || a.Priority == b.Priority && a.Boost > b.Boost
-	}
-	return a.Guaranteed && !b.Guaranteed
-}
-
-// keepClaims renews the claims of gangs that still wait. A machine that drains
-// for a gang must not be filled again by the small tasks of whichever job has
-// less time left at the moment, or it never comes to be empty.
-func (p *pass) keepClaims() {
-	p.claims = make(map[*Job][]*Machine)
-	byName := func(name string) *Machine {
-		at, ok := slices.BinarySearchFunc(p.Machines, name, func(r *Machine, name string) int { return strings.Compare(r.Name, name) })
-		if !ok {
-			return nil
-		}
-		return p.Machines[at]
-	}
-	for _, j := range p.Jobs {
-		if j.Spec.Kind != "gang" || len(j.WaitingTasks) == 0 || j.Blocked {
+	// emptyOnDemand is the number of schedulable on-demand machines with nothing on them.
+	emptyOnDemand int
+	// withRoom are the machines that can take any task at all: when most are full, no job
+	// need examine all of them. sizeClasses are these by size of task, largestTotal is
+	// the most that any machine has of each kind.
+	withRoom     []*Machine
+	sizeClasses  map[sizeClass]*sizeClassMachines
+	largestTotal Resources
+
+	// reserved are the reserved slots, by team. overridable caches the part of the limit
+	// that gives way to overridableFor.
+	reserved       map[string][]reservedOn
+	overridableFor *Job
+	overridable    Resources
+
+	// limitPromises are the parts of the teams' limits that gangs will need.
+	limitPromises map[string][]limitPromise
+	// limitShortCache tells which teams' limits can't hold all that waits.
+	limitShortCache map[string]bool
+	// onTimeCache is what teams' jobs below a priority, that can still meet a target,
+	// wait for.
+	onTimeCache map[teamBelow]Resources
+	// stopping is what each team's stopping tasks take.
+	stopping map[string]Resources
+	// aboveGuaranteeCache tells which teams use more than their guarantee, as far as
+	// room has been sought for the present job; nil means no caching.
+	aboveGuaranteeCache map[string]bool
+
+	// preemptible counts the running tasks by preemption class, classBits gives each
+	// class its bit.
+	preemptible map[preemptionClass]int
+	classBits   map[preemptionClass]uint64
+	// preemptionAttempts counts the jobs that room was sought for.
+	preemptionAttempts int
+	// drainingMachines counts the machines that are kept for gangs until what runs on
+	// them ends.
+	drainingMachines int
+	// renewedClaims are the machines still kept from the last pass.
+	renewedClaims map[*Job][]*Machine
+
+	// victimBuffer and arrayBuffer are reused from job to job, to save allocations.
+	victimBuffer []RunningTask
+	arrayBuffer  arrayCandidates
+}
+
+func newPass(snapshot *Snapshot) *pass {
+	return &pass{
+		Snapshot:            snapshot,
+		plan:                &Plan{},
+		reserved:            make(map[string][]reservedOn),
+		limitPromises:       make(map[string][]limitPromise),
+		limitShortCache:     make(map[string]bool),
+		onTimeCache:         make(map[teamBelow]Resources),
+		stopping:            make(map[string]Resources),
+		aboveGuaranteeCache: make(map[string]bool),
+		preemptible:         make(map[preemptionClass]int),
+		classBits:           make(map[preemptionClass]uint64),
+	}
+}
+
+// placeRank places jobs of one rank. A place whose machine would have to fetch the first
+// job's image while the next job's is there goes to the next job, as long as the first
+// has not been passed over for longer than the fetch takes. What is left over is then
+// placed in order, wherever the images are.
+func (p *pass) placeRank(rank []*Job) {
+	type partlyPlaced struct {
+		job    *Job
+		placed int
+	}
+	var remaining []partlyPlaced
+	if rank[0].Boost == NoBoost {
+		p.orderSmallGangsFirst(rank)
+		p.deferLateArrays(rank)
+	}
+	for _, job := range rank {
+		if job.Blocked || len(job.WaitingTasks) == 0 || p.Teams[job.Spec.Team] == nil {
 			continue
 		}
-		for name := range j.ClaimedMachines {
-			if r := byName(name); r != nil && r.claimed == nil && r.Schedulable {
-				r.claimed = j
-				p.claims[j] = append(p.claims[j], r)
-			}
-		}
-	}
-}
-
-// delay estimates how long a task would wait for its image on the machine.
-func (m *Machine) delay(j *Job) float64 {
-	if left, ok := m.ImageWait[j.Spec.Image]; ok {
-		return left.Seconds()
-	}
-	if m.FetchGBPerS <= 0 {
-		return 0
-	}
-	return j.Spec.ImageGB / m.FetchGBPerS * float64(1+m.ActiveFetches)
-}
-
-// score ranks machines for a task; lower is better.
-func (p *pass) score(r *Machine, j *Job) float64 {
-	s := r.delay(j)
-	if _, n := r.heldFor(j); n > 0 {
-		s -= constants.EmptyMachinePenalty
-	}
-	if j.Spec.AllowSpot && !r.Spot {
-		s += constants.OrdinaryMachinePenalty
-		if j.Spec.Kind != "gang" && r.used == (Resources{}) && p.whole > 0 {
-			s += constants.LastWholeMachinePenalty / float64(p.whole)
-		}
-	}
-	if j.Spec.Kind != "gang" {
-		full := r.used.DominantShare(r.Total)
-		if _, have := r.ImageWait[j.Spec.Image]; have || !r.Spot {
-			s += constants.PartlyUsedBonus * (1 - full)
-		} else {
-			// The image must be fetched anyway: on a machine that gangs can't
-			// use it had better come to one more machine than to few.
-			s += constants.EmptyMachinePenalty * full
-		}
-	}
-	return s
-}
-
-// put books one task on a machine.
-func (p *pass) put(j *Job, index int, r *Machine) {
-	need := TaskResources(j.Spec)
-	if !r.Spot && r.used == (Resources{}) {
-		p.whole--
-	}
-	r.used = r.used.Add(need)
-	r.AttemptCapacity--
-	p.Teams[j.Spec.Team].Used = p.Teams[j.Spec.Team].Used.Add(need)
-	for _, h := range r.Reserved {
-		if j.Owns(h.Pipeline) {
-			// The task takes the place of its hold, which counted already.
-			p.unhold(heldOn{r, h})
-			break
+		if job.isGang() {
+			p.placeGang(job)
+			continue
 		}
-	}
-	if t := p.Teams[j.Spec.Team]; !t.Allows(Resources{}) {
-		p.giveWay(j, Resources{})
-	}
-	if j.TasksByZone == nil {
-		j.TasksByZone = make(map[string]int)
-	}
-	j.TasksByZone[r.Zone]++
-	if _, ok := r.ImageWait[j.Spec.Image]; !ok {
-		left := time.Duration(r.delay(j) * float64(time.Second))
-		if r.ImageWait == nil {
-			r.ImageWait = make(map[string]time.Duration)
+		maxImageWaitS := job.SinceLastStart.Seconds() + constants.LocalImageMaxWaitS
+		if placed := p.placeArray(job, 0, maxImageWaitS); placed < len(job.WaitingTasks) {
+			remaining = append(remaining, partlyPlaced{job, placed})
 		}
-		r.ImageWait[j.Spec.Image] = left
-		r.ActiveFetches++
 	}
-	p.plan.Starts = append(p.plan.Starts, Start{j, index, r})
-}
-
-// zoneAllows keeps samePlace and apart with the job's tasks as they stand.
-func zoneAllows(j *Job, zone string) bool {
-	if j.Spec.SameZone {
-		for z, n := range j.TasksByZone {
-			if n > 0 && z != zone {
-				return false
-			}
+	for _, rest := range remaining {
+		placed := p.placeArray(rest.job, rest.placed, math.Inf(1))
+		if placed < len(rest.job.WaitingTasks) {
+			p.plan.Unplaced = append(p.plan.Unplaced, rest.job)
+			p.preemptOrDrain(rest.job, len(rest.job.WaitingTasks)-placed)
 		}
 	}
-	return !j.Spec.SpreadZones || j.TasksByZone[zone] < ZoneCap(j.Spec)
 }
--- a/internal/placement/pass_test.go
+++ b/internal/placement/pass_test.go
@@ -293,7 +293,7 @@
 			g := float64(rapid.IntRange(0, 2).Draw(t, "guarantee") * 4)
 			teams[n] = &Team{Name: n, Guarantee: Resources{GPUs: g}, Limit: Resources{GPUs: 99}, Used: Resources{GPUs: float64(rapid.IntRange(0, 12).Draw(t, "used"))}}
 		}
-		p := &pass{Snapshot: &Snapshot{Teams: teams}, ending: map[string]Resources{}}
+		p := &pass{Snapshot: &Snapshot{Teams: teams}, stopping: map[string]Resources{}}
 		var queue []*Job
 		for i := range 4 {
 			j := sweepJob(fmt.Sprint("j-", i), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "owner"), rapid.IntRange(0, 3).Draw(t, "priority"))
@@ -302,14 +302,14 @@
 		}
 		var above func(x, y *Job, depth int) bool
 		above = func(x, y *Job, depth int) bool {
-			if p.mayEvict(x, RunningTask{Job: y}) {
+			if p.mayPreempt(x, &RunningTask{Job: y}) {
 				return true
 			}
 			if depth == 0 {
 				return false
 			}
 			for _, z := range queue {
-				if p.mayEvict(x, RunningTask{Job: z}) && above(z, y, depth-1) {
+				if p.mayPreempt(x, &RunningTask{Job: z}) && above(z, y, depth-1) {
 					return true
 				}
 			}
--- a/internal/placement/room_test.go
+++ b/internal/placement/roomsearch_test.go
@@ -16,20 +16,20 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := drawWorld(t)
 		Schedule(w) // sums and counts, as a pass leaves them
-		p := &pass{Snapshot: w, plan: &Plan{}, ending: map[string]Resources{}, outside: map[string]bool{}}
+		p := &pass{Snapshot: w, plan: &Plan{}, stopping: map[string]Resources{}, aboveGuaranteeCache: map[string]bool{}}
 		for _, j := range w.Jobs {
 			if p.Teams[j.Spec.Team] == nil || len(j.WaitingTasks) == 0 {
 				continue
 			}
 			for _, r := range w.Machines {
-				n := len(j.WaitingTasks)
-				free, ok := p.option(j, r, TaskResources(j.Spec), n, true, ^uint64(0), math.Inf(1))
-				worst := rapid.SampledFrom([]float64{0, free.cost / 2, free.cost, math.Nextafter(free.cost, math.Inf(1)), 2*free.cost + 1}).Draw(t, "worst")
-				bound, within := p.option(j, r, TaskResources(j.Spec), n, true, ^uint64(0), worst)
-				if within != (ok && free.cost < worst) {
-					t.Fatalf("cost %v (%v) against %v: taken %v", free.cost, ok, worst, within)
+				search := roomSearch{pass: p, job: j, request: TaskResources(j.Spec), tasks: len(j.WaitingTasks), mayPreempt: true, preemptibleBits: ^uint64(0)}
+				free, ok := search.weigh(r, math.Inf(1))
+				worst := rapid.SampledFrom([]float64{0, free.costS / 2, free.costS, math.Nextafter(free.costS, math.Inf(1)), 2*free.costS + 1}).Draw(t, "worst")
+				bound, within := search.weigh(r, worst)
+				if within != (ok && free.costS < worst) {
+					t.Fatalf("cost %v (%v) against %v: taken %v", free.costS, ok, worst, within)
 				}
-				if within && fmt.Sprint(bound.cost, bound.coming, len(bound.victim)) != fmt.Sprint(free.cost, free.coming, len(free.victim)) {
+				if within && fmt.Sprint(bound.costS, bound.tasks, len(bound.victims)) != fmt.Sprint(free.costS, free.tasks, len(free.victims)) {
 					t.Fatalf("weighed without a bound %v, with it %v", free, bound)
 				}
 			}
@@ -42,7 +42,7 @@
 func TestRoomIsSoughtInTheSamePlaces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Int().Draw(t, "seed")
-		decide := func(thorough bool) string {
+		decide := func(exhaustive bool) string {
 			w := rapid.Custom(drawWorld).Example(seed)
 			for _, j := range w.Jobs {
 				for i := range w.Machines {
@@ -52,7 +52,7 @@
 					}
 				}
 			}
-			w.thorough = thorough
+			w.exhaustive = exhaustive
 			plan := Schedule(w)
 			out := ""
 			for _, s := range plan.Starts {
