--- a/internal/leader/attempt_records.go
+++ b/internal/leader/attempt_records.go
@@ -2,7 +2,6 @@
 
 import (
 	"thornnotch/internal/jobs"
-	"thornnotch/internal/leader/wal"
 	"thornnotch/internal/workers"
 )
 
@@ -11,7 +10,7 @@
 	if !machine.metadataLogged {
 		l.logMetadata(machine, nil)
 	}
-	l.wal.AttemptPlaced(machine.agent.Name, recordAttempt(a), a.ID.Task.Job, wal.JobUse{Team: l.jobs.teamOf(a), Resources: recordRoom(l.jobs.resourcesOf(a))}, func() {
+	l.wal.AttemptPlaced(machine.agent.Name, recordAttempt(a), a.ID.Task.Job, l.recordUse(a), func() {
 		if !a.Committed {
 			a.Committed = true
 			l.allowStart(machine, a)
--- a/internal/leader/attestations.go
+++ b/internal/leader/attestations.go
@@ -8,7 +8,7 @@
 	"thornnotch/internal/constants"
 )
 
-// AttestFunc asks all nodes which cancellations they have told users of within a time;
+// AttestFunc asks all nodes which cancellations they have told users of within a time; ok is
 // false unless each of them can say.
 type AttestFunc func(ctx context.Context, span time.Duration) (cancelled []string, ok bool)
 
@@ -22,42 +22,30 @@
 			return ctx.Err()
 		case <-tick.C:
 		}
-		watched := make(chan time.Time, 1)
-		if !l.post(ctx, watchedUntilRequested{watched}) {
-			continue
-		}
-		var since time.Time
-		select {
-		case since = <-watched:
-		case <-l.done:
-			return nil
-		case <-ctx.Done():
-			return ctx.Err()
-		}
+		watchedUntil, ok := ask(ctx, l, func(reply chan<- time.Time) event { return watchedUntilRequested{reply} })
 		asked := time.Now()
-		if asked.Sub(since) < constants.AttestationAfter {
+		if !ok || asked.Sub(watchedUntil) < constants.AttestationAfter {
 			continue
 		}
-		ids, ok := l.deps.Attest(ctx, attestation.Window(asked, since))
-		if ok {
-			l.post(ctx, attested{ids, asked})
+		if cancelled, ok := l.deps.Attest(ctx, attestation.Window(asked, watchedUntil)); ok {
+			l.post(ctx, attested{cancelled, asked})
 		}
 	}
 }
 
-// applyAttestation takes in what all nodes have vouched for: whatever users were told
-// before they were asked is known.
-func (l *Leader) applyAttestation(ids []string, asked, now time.Time) {
+// applyAttestation takes in what all nodes attest to: whatever users were told before they
+// were asked is known.
+func (l *Leader) applyAttestation(cancelled []string, asked, now time.Time) {
 	if attestation.AnsweredTooLate(asked, now) {
 		return
 	}
-	for _, id := range ids {
-		if j := l.jobs.get(id); j != nil {
-			l.deps.Log.Debug("job cancelled, as nodes vouch", "id", id)
-			l.removeJob(j, now)
+	for _, id := range cancelled {
+		if job := l.jobs.get(id); job != nil {
+			l.deps.Log.Debug("job cancelled", "job", id, "reason", "nodes attest to it")
+			l.removeJob(job, now)
 		}
 	}
 	if l.certainty.Attested(asked, now) {
-		l.deps.Log.Info("all nodes vouch for their cancellations", "since_s", asked.Sub(l.certainty.WatchedUntil()).Seconds())
+		l.deps.Log.Info("all nodes attest to their cancellations", "unwatched_s", asked.Sub(l.certainty.WatchedUntil()).Seconds())
 	}
 }
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -284,7 +284,7 @@
 // retryLater has the transaction sent again after a pause, which grows.
 func (c *groupCommit) retryLater(err error, now time.Time) {
 	if c.healthy() {
-		c.logger.Info("records can't be written", "error", err)
+		c.logger.Warn("records can't be written", "error", err)
 	}
 	c.backoff = min(max(2*c.backoff, constants.MinBackoff), constants.MaxBackoff)
 	c.retryAt = now.Add(jitter(c.backoff))
--- a/internal/leader/job_test.go
+++ b/internal/leader/job_test.go
@@ -57,7 +57,7 @@
 		t.Errorf("%v GPUs in use after the cancellation, want 3", got)
 	}
 	rec := l.machineRecord(machine)
-	if len(rec.Attempts) != 3 || rec.Jobs["j-1"].Team != "a" || roomOf(rec.Jobs["j-1"].Resources).GPUs != 1 {
+	if len(rec.Attempts) != 3 || rec.Jobs["j-1"].Team != "a" || resourcesFromRecord(rec.Jobs["j-1"].Resources).GPUs != 1 {
 		t.Errorf("the record does not carry them: %+v", rec)
 	}
 	l.applyHeartbeat(machine, report(l, machine, workers.StatusExited, "halted"), false, now)
--- a/internal/leader/records_test.go
+++ b/internal/leader/legacy_test.go
@@ -17,7 +17,7 @@
 	machines := []statestore.KeyValue{{Key: "rig/m-1", Revision: 5, Value: json.RawMessage(
 		`{"t":"g4","z":"east","e":"h:1","h":2,"a":[{"p":"j-1/3","t":9,"h":2},{"p":"j-0/0","t":8,"h":2}],"j":{"j-0":{"w":"a","r":[1,2,3]},"j-1":{"w":"a","r":[1,1,1]}},"i":[{"n":"img","g":5}]}`)}}
 	dids := []statestore.KeyValue{{Key: "did/j-1/0", Revision: 6, Value: json.RawMessage(`"BQAA"`)}, {Key: "did/j-1/x", Revision: 7, Value: json.RawMessage(`7`)}}
-	if err := l.restoreLegacy(machines, dids, now); err != nil {
+	if err := l.restoreLegacy(legacyRecords{machines: machines, done: dids}, now); err != nil {
 		t.Fatal(err)
 	}
 	machine := l.fleet.get("m-1")
@@ -30,7 +30,7 @@
 	if len(l.commits.obsoleteKeys) != 0 || l.legacyKeys != nil {
 		t.Errorf("they are not removed: %v", l.commits.obsoleteKeys)
 	}
-	if err := l.restoreLegacy([]statestore.KeyValue{{Key: "rig/m-2", Value: json.RawMessage(`"x"`)}}, nil, now); err == nil {
+	if err := l.restoreLegacy(legacyRecords{machines: []statestore.KeyValue{{Key: "rig/m-2", Value: json.RawMessage(`"x"`)}}}, now); err == nil {
 		t.Errorf("a machine's record that can't be read may hide a task, and is passed over")
 	}
 }
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -1,9 +1,5 @@
 package leader
 
-import (
-	"context"
-)
-
 // Status is the state of a term as operators see it.
 type Status struct {
 	Term     uint64          `json:"term"`
@@ -79,18 +75,3 @@
 	GPUs     float64 `json:"gpus"`
 	LapsesIn float64 `json:"lapsesInS"`
 }
-
-// Status takes a snapshot; ok is false once the term is over.
-func (l *Leader) Status(ctx context.Context) (st Status, ok bool) {
-	ch := make(chan Status, 1)
-	if !l.post(ctx, statusRequested{ch}) {
-		return Status{}, false
-	}
-	select {
-	case st := <-ch:
-		return st, true
-	case <-ctx.Done():
-	case <-l.done:
-	}
-	return Status{}, false
-}
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -34,10 +34,8 @@
 // is written is conditioned on the term; calls to the cloud are not, so they wait until the
 // term record has been read again.
 type term struct {
-	grant    election.Grant
-	attempts attemptNumbers
-	// startedAt is when reading the records began.
-	startedAt time.Time
+	grant     election.Grant
+	attempts  attemptNumbers
 	endReason EndReason // empty while the term lasts
 	// lastRound is when the loop last went round, resumed when it last went on after it
 	// had stood still.
