--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -4,129 +4,122 @@
 	"context"
 	"time"
 
-	"thornnotch/internal/config"
 	"thornnotch/internal/constants"
-	"thornnotch/internal/jobs"
 	"thornnotch/internal/workers"
 )
 
-// sendStops sends stops straight to a worker, so that they need not wait for its
-// next report. One that has not been heard for a while is most likely cut off:
-// orders to it hang until their time is over, and a whole dark zone's would
-// take the sockets and the places that the others' stops need.
-func (l *Leader) sendStops(machine *machineState, now time.Time) {
-	again := constants.StopResend
-	if l.silentFor(machine, now) > l.silenceTolerance() {
-		again = constants.StopResendSilent
-	}
-	due := false
-	for _, a := range machine.agent.Attempts {
-		if a.StopRequested && a.Status != workers.StatusExited && (a.RunSent || a.FromEarlierTerm) && now.Sub(a.StopSentAt) >= again {
-			due = true
-		}
-	}
-	if !due {
-		return
-	}
-	var orders []workers.Command
-	for _, o := range machine.agent.Commands(false, now) {
-		if o.Verb == workers.VerbStop {
-			orders = append(orders, o)
-		}
+// commandDispatcher bounds the direct commands under way: a node has few sockets beside
+// those of its workers. Half of the places are for stops alone, and commands to workers
+// that have not been heard lately get half at most: most likely they hang until their
+// time is over, and a whole dark zone's would take the places that others' stops need.
+type commandDispatcher struct {
+	inFlight int
+	// silentInFlight are those of them to workers that have not been heard lately.
+	silentInFlight int
+}
+
+// acquire takes a place for a command. It reports false if the command has to wait for
+// others.
+func (d *commandDispatcher) acquire(stops, silent bool) bool {
+	limit := constants.MaxCommandsInFlight
+	if !stops {
+		limit /= 2
 	}
-	if !l.sendCommand(machine, orders, now) {
-		return // the next tick tries again
+	if d.inFlight >= limit || silent && d.silentInFlight >= constants.MaxSilentCommandsInFlight {
+		return false
 	}
-	for _, a := range machine.agent.Attempts {
-		if a.StopRequested {
-			a.StopSentAt = now
-		}
+	d.inFlight++
+	if silent {
+		d.silentInFlight++
 	}
+	return true
 }
 
-// silenceTolerance is how long a worker may well be silent: a few of its reports.
-func (l *Leader) silenceTolerance() time.Duration {
-	return time.Duration(constants.SilentAfterHeartbeats * float64(config.Seconds(l.deps.Settings.Params.Workers.HeartbeatS)))
+// release gives the place of a command back, which was silent when it was acquired.
+func (d *commandDispatcher) release(silent bool) {
+	d.inFlight--
+	if silent {
+		d.silentInFlight--
+	}
 }
 
-// sendCommand sends orders to a worker's own address. They may arrive minutes
+// sendCommand sends commands to a worker's own address. They may arrive minutes
 // late, so only stops go this way: a late stop names an attempt that is never
-// started again.
-//
-// So many are under way at once at most, half of these for stops alone and half for
-// workers that have been heard of late: a node has few sockets beside those of its
-// workers. It reports false when the order has to wait for others.
-func (l *Leader) sendCommand(machine *machineState, orders []workers.Command, now time.Time) bool {
-	if machine.agent.Endpoint == "" || machine.agent.Epoch == 0 || machine.commandInFlight && len(orders) == 0 {
-		return true
+// started again. Without any it shows the worker our token and asks for its status.
+// It reports false when the commands have to wait for others.
+func (l *Leader) sendCommand(machine *machineState, stops []workers.Command, now time.Time) bool {
+	agent := machine.agent
+	if agent.Endpoint == "" || agent.Epoch == 0 || machine.commandInFlight && len(stops) == 0 {
+		return true // nowhere to send it, or its news is under way already
 	}
-	silent := l.silentFor(machine, now) > l.silenceTolerance()
-	most := constants.MaxCommandsInFlight
-	if len(orders) == 0 {
-		most /= 2
-	}
-	if l.commandsInFlight >= most || silent && l.silentCommandsInFlight >= constants.MaxSilentCommandsInFlight {
+	silent := l.isSilent(machine, now)
+	if !l.commands.acquire(len(stops) > 0, silent) {
 		l.counts.Postponed++
 		return false
 	}
-	l.commandsInFlight++
-	if silent {
-		l.silentCommandsInFlight++
-	}
-	answered := func() {
-		machine.commandInFlight = false
-		l.commandsInFlight--
-		if silent {
-			l.silentCommandsInFlight--
-		}
-	}
-	machine.lastCommandAt = now
-	machine.commandInFlight = true
+	machine.commandInFlight, machine.lastCommandAt = true, now
 	l.counts.Commands++
-	if orders == nil {
-		orders = []workers.Command{}
+	if stops == nil {
+		stops = []workers.Command{} // the protocol wants a list
 	}
-	a := workers.CommandBatch{Token: l.term.number(), Epoch: machine.agent.Epoch, Commands: orders}
-	endpoint := machine.agent.Endpoint
+	batch := workers.CommandBatch{Token: l.term.number(), Epoch: agent.Epoch, Commands: stops}
+	endpoint := agent.Endpoint
 	l.calls.queue(func(ctx context.Context) func() {
-		rep, err := l.deps.Workers.Send(ctx, endpoint, a)
-		if err != nil || rep == nil {
-			l.deps.Log.Debug("direct order failed", "rig", machine.agent.Name, "err", err)
-			return answered
-		}
+		status, err := l.deps.Workers.Send(ctx, endpoint, batch)
 		return func() {
-			answered()
-			if l.fleet.get(machine.agent.Name) == machine && rep.Machine == machine.agent.Name {
-				l.applyHeartbeat(machine, rep, true, time.Now())
+			machine.commandInFlight = false
+			l.commands.release(silent)
+			if err != nil || status == nil {
+				l.deps.Log.Debug("direct command failed", "machine", agent.Name, "error", err)
+				return
+			}
+			if l.fleet.get(agent.Name) == machine && status.Machine == agent.Name {
+				l.applyHeartbeat(machine, status, true, time.Now())
 			}
 		}
 	})
 	return true
 }
 
-// drain stops what runs on a machine that the cloud takes away, while there
-// is time to save. A notice may be half as long as it says.
-func (l *Leader) drain(machine *machineState, now time.Time) {
-	for _, a := range machine.agent.SortedAttempts() {
-		if a.StopRequested || !a.Live() {
-			continue
-		}
-		j := l.jobs.get(a.ID.Task.Job)
-		if j == nil {
-			l.stopAttempt(machine, a, 0, now)
-			continue
+// sendStops sends stops straight to a worker, so that they need not wait for its
+// next heartbeat. One that is silent is most likely cut off and told again less often.
+func (l *Leader) sendStops(machine *machineState, now time.Time) {
+	resend := constants.StopResend
+	if l.isSilent(machine, now) {
+		resend = constants.StopResendSilent
+	}
+	if !machine.stopsDue(resend, now) {
+		return
+	}
+	if !l.sendCommand(machine, stopCommands(machine.agent, now), now) {
+		return // the next tick tries again
+	}
+	for _, attempt := range machine.agent.Attempts {
+		if attempt.StopRequested {
+			attempt.StopSentAt = now
 		}
-		grace := j.spec.SaveS + constants.StopGrace.Seconds()
-		if j.spec.Kind == jobs.KindGang {
-			l.stopGang(j, grace, now)
-		} else {
-			l.stopAttempt(machine, a, grace, now)
+	}
+}
+
+// stopsDue tells whether a stop has to be sent, or sent again after this pause.
+func (m *machineState) stopsDue(resend time.Duration, now time.Time) bool {
+	for _, attempt := range m.agent.Attempts {
+		if attempt.StopRequested && attempt.Status != workers.StatusExited &&
+			(attempt.RunSent || attempt.FromEarlierTerm) && now.Sub(attempt.StopSentAt) >= resend {
+			return true
 		}
 	}
-	if len(l.reservations.OnMachine(machine.agent.Name)) > 0 {
-		l.reservations.RemoveMachine(machine.agent.Name)
-		l.metadataChanged(machine, now)
+	return false
+}
+
+// stopCommands lists the stops that a worker must be told.
+func stopCommands(agent *workers.Agent, now time.Time) (stops []workers.Command) {
+	for _, command := range agent.Commands(false, now) {
+		if command.Verb == workers.VerbStop {
+			stops = append(stops, command)
+		}
 	}
+	return stops
 }
 
 // probeAgent tries to reach a worker directly: an answer shows that it hears.
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -81,14 +81,12 @@
 	load             loadLog
 	teams            []config.Team
 	reservations     *reservations.Manager
-	commandsInFlight int // direct orders under way
-	// silentCommandsInFlight are those of them to workers that have not been heard lately.
-	silentCommandsInFlight int
-	passDueNow             bool // a placement pass is due
-	lastPass               time.Time
-	lastSummary            time.Time
-	scaling                scalingState
-	gangWaits              gangWaits
+	commands         commandDispatcher
+	passDueNow       bool // a placement pass is due
+	lastPass         time.Time
+	lastSummary      time.Time
+	scaling          scalingState
+	gangWaits        gangWaits
 	// dependencies is what the jobs that wait for others wait for.
 	dependencies dependencyTracker
 	// runtimeRatios is, by class, how long tasks ran lately against what was expected.
--- a/internal/leader/provisioning.go
+++ b/internal/leader/provisioning.go
@@ -127,19 +127,6 @@
 	return max(time.Duration(l.deps.Settings.Params.Cloud.ListLagS*float64(time.Second)), constants.MinListInterval)
 }
 
-// silentFor is how long nothing has been heard of the machine in this term, while
-// the leader itself could hear.
-func (l *Leader) silentFor(machine *machineState, now time.Time) time.Duration {
-	last := machine.addedAt
-	if machine.agent.Registered {
-		last = machine.agent.LastHeartbeat
-	}
-	if l.term.resumedAt().After(last) {
-		last = l.term.resumedAt()
-	}
-	return now.Sub(last)
-}
-
 // unreachableZones are the zones most of whose machines are silent, or were a short
 // while ago. Machines
 // die one by one; a zone that goes dark is cut off, and comes back with all its
@@ -152,7 +139,7 @@
 			continue
 		}
 		all[machine.agent.Zone]++
-		if l.silentFor(machine, now) > l.lease {
+		if l.isSilentBeyondLease(machine, now) {
 			silent[machine.agent.Zone]++
 		}
 	}
@@ -214,7 +201,7 @@
 			continue
 		}
 		// Tasks that can still save get the time to.
-		silent := l.silentFor(machine, now) > l.lease
+		silent := l.isSilentBeyondLease(machine, now)
 		if machine.agent.Registered && !silent && l.inUse(machine) {
 			continue
 		}
@@ -388,7 +375,7 @@
 	for machine := range l.fleet.all() {
 		// A silent machine is not counted on: it is replaced before it is
 		// given up.
-		if !machine.leaving && !machine.health.Faulty() && machine.agent.ReclaimAt.IsZero() && l.silentFor(machine, now) <= l.lease {
+		if !machine.leaving && !machine.health.Faulty() && machine.agent.ReclaimAt.IsZero() && !l.isSilentBeyondLease(machine, now) {
 			v.Machines[machine.pool()]++
 		}
 	}
--- a/internal/leader/stall_test.go
+++ b/internal/leader/stall_test.go
@@ -135,8 +135,8 @@
 		machine.agent.Endpoint = "x"
 		l.sendCommand(machine, nil, now)
 	}
-	if l.commandsInFlight != constants.MaxCommandsInFlight/2 {
-		t.Errorf("%d orders under way that stop nothing", l.commandsInFlight)
+	if l.commands.inFlight != constants.MaxCommandsInFlight/2 {
+		t.Errorf("%d orders under way that stop nothing", l.commands.inFlight)
 	}
 	addJob(t, l, sweep("j-1", 16), now)
 	l.runSchedulingPass(now)
@@ -145,14 +145,14 @@
 		machine.agent.Commands(true, now)
 	}
 	l.jobRecordDeleted("j-1", now)
-	stops := l.commandsInFlight - constants.MaxCommandsInFlight/2
+	stops := l.commands.inFlight - constants.MaxCommandsInFlight/2
 	if stops < 4 {
 		t.Errorf("%d stops found a place", stops)
 	}
 	close(hang)
 	run(t, l)
-	if l.commandsInFlight != 0 {
-		t.Errorf("%d places never came free", l.commandsInFlight)
+	if l.commands.inFlight != 0 {
+		t.Errorf("%d places never came free", l.commands.inFlight)
 	}
 }
 
@@ -195,17 +195,17 @@
 			t.Fatalf("%d tasks of the gang placed", len(j.attempts))
 		}
 		l.jobRecordDeleted("j-1", now)
-		if l.commandsInFlight != constants.MaxSilentCommandsInFlight {
-			t.Errorf("%d orders under way to machines that are cut off", l.commandsInFlight)
+		if l.commands.inFlight != constants.MaxSilentCommandsInFlight {
+			t.Errorf("%d orders under way to machines that are cut off", l.commands.inFlight)
 		}
 		l.stopGang(j, 10, now)
-		if told := l.commandsInFlight - constants.MaxSilentCommandsInFlight; told != gang {
+		if told := l.commands.inFlight - constants.MaxSilentCommandsInFlight; told != gang {
 			t.Errorf("%d of %d tasks of the gang are told at once", told, gang)
 		}
 		close(hang)
 		run(t, l)
-		if l.commandsInFlight != 0 || l.silentCommandsInFlight != 0 {
-			t.Errorf("%d and %d places never came free", l.commandsInFlight, l.silentCommandsInFlight)
+		if l.commands.inFlight != 0 || l.commands.silentInFlight != 0 {
+			t.Errorf("%d and %d places never came free", l.commands.inFlight, l.commands.silentInFlight)
 		}
 	})
 }
