--- a/internal/constants/scheduling.go
+++ b/internal/constants/scheduling.go
@@ -37,6 +37,9 @@
 	StartCountsAfter = 30 * time.Second
 	// EarlyStopCost is the extra cost of stopping a task before StartCountsAfter.
 	EarlyStopCost = 5 * time.Second
+	// MinRemainingEstimate is how long a task is at least expected to go on that has run for
+	// as long as its owner expects.
+	MinRemainingEstimate = 5 * time.Second
 	// StopWeight is what a second of a whole machine's lost work weighs against a second of
 	// waiting for an image there (ratio).
 	StopWeight = 8.0
--- a/internal/leader/demand_propagation.go
+++ b/internal/leader/demand_propagation.go
@@ -45,7 +45,7 @@
 
 // demandOn is what the jobs that wait for one ask of it now.
 func (l *Leader) demandOn(upstream *jobState) (asked demand) {
-	for _, downstream := range l.dependencies.downstreams[upstream.spec.ID] {
+	for _, downstream := range l.dependencies.downstreamsOf(upstream.spec.ID) {
 		if downstream.removed {
 			continue
 		}
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -6,34 +6,12 @@
 	"thornnotch/internal/jobs"
 )
 
-// Jobs that wait for others. Such a job is shown to nobody, neither placement nor
-// the market, until each job that it names is done by its final record: that all
+// Jobs that depend on others. Such a job is shown to nobody, neither placement nor
+// autoscaling, until each job that it names is done by its final record: that all
 // its tasks are done in the log is too early, as its user's cancellation can still
 // win that key. Final records never change, so reading one decides for good; while
 // it can't be read the job waits on.
 
-// dependencyTracker is what they wait for.
-type dependencyTracker struct {
-	// after are the jobs that wait for one, by its name.
-	downstreams map[string][]*jobState
-	// wanted are the names whose final record is to be read, asking those whose
-	// reading is under way.
-	finalsWanted map[string]bool
-	reading      map[string]bool
-	// unnamed are the jobs whose list of names is to be read.
-	unlinked map[*jobState]jobs.Dependencies
-	retryAt  time.Time
-	// fed are the jobs that were shown as feeding ones with room held for them.
-	reservedUpstreams []*jobState
-}
-
-func (d *dependencyTracker) init() {
-	d.downstreams = make(map[string][]*jobState)
-	d.finalsWanted = make(map[string]bool)
-	d.reading = make(map[string]bool)
-	d.unlinked = make(map[*jobState]jobs.Dependencies)
-}
-
 // addDependencies takes in what a job waits for.
 func (l *Leader) addDependencies(job *jobState, dependencies jobs.Dependencies) {
 	job.upstreams.unknown, job.upstreams.declared = true, true
@@ -45,7 +23,7 @@
 	l.linkUpstreams(job, dependencies.DependsOn)
 }
 
-// linkLoadedJobs links the jobs that were read at the takeover, once all are known.
+// linkLoadedJobs links the jobs that were read during the failover, once all are known.
 func (l *Leader) linkLoadedJobs(now time.Time) {
 	for job, dependencies := range l.dependencies.unlinked {
 		if dependencies.Split == nil {
@@ -57,68 +35,74 @@
 }
 
 // linkUpstreams has a job wait for the jobs that are named.
-func (l *Leader) linkUpstreams(job *jobState, upstreams []string) {
+func (l *Leader) linkUpstreams(job *jobState, names []string) {
 	job.upstreams.unknown = false
-	job.upstreams.pending = make(map[string]bool, len(upstreams))
-	for _, name := range upstreams {
+	job.upstreams.pending = make(map[string]bool, len(names))
+	for _, name := range names {
 		if job.upstreams.pending[name] {
 			continue
 		}
 		job.upstreams.pending[name] = true
-		l.dependencies.downstreams[name] = append(l.dependencies.downstreams[name], job)
+		l.dependencies.addDownstream(name, job)
 		if l.jobs.get(name) == nil {
-			l.dependencies.finalsWanted[name] = true // not open: it must be final
+			l.dependencies.requestFinal(name) // not open: it must be final
 		}
 	}
-	l.propagateDemand(upstreams)
+	l.propagateDemand(names)
 }
 
-// upstreamEnded takes in how a job ended, by its final record: those that wait for it have one
-// less to wait for, or are cancelled with it, and so are those that wait for them.
-// No call goes deeper than this, however long the chain.
-func (l *Leader) upstreamEnded(name string, final jobs.FinalRecord, now time.Time) {
-	tracker := &l.dependencies
-	type end struct {
-		name string
-		f    jobs.FinalRecord
+// upstreamEnded takes in how a job ended, by its final record: those that depend on it
+// have one less to wait for, or are cancelled with it, and so are those that depend on
+// them. No call goes deeper than this, however long the chain.
+func (l *Leader) upstreamEnded(id string, final jobs.FinalRecord, now time.Time) {
+	type ending struct {
+		id    string
+		final jobs.FinalRecord
 	}
-	for queue := []end{{name, final}}; len(queue) > 0; queue = queue[1:] {
-		ended := queue[0]
-		downstreams := tracker.downstreams[ended.name]
-		delete(tracker.downstreams, ended.name)
-		delete(tracker.finalsWanted, ended.name)
-		for _, job := range downstreams {
-			if job.removed {
-				continue
-			}
-			if ended.f.Status != jobs.StatusDone {
-				l.deps.Log.Debug("job cancelled with one before it", "id", job.spec.ID, "before", ended.name)
-				l.removeJob(job, now)
-				l.recordCancellation(job)
-				queue = append(queue, end{job.spec.ID, jobs.FinalRecord{Status: jobs.StatusCancelled}})
-				continue
-			}
-			delete(job.upstreams.pending, ended.name)
-			// By an earlier leader's clock, which may be ahead of ours: it has
-			// happened all the same, and long after the submission for all we know.
-			if endedAt := time.UnixMilli(ended.f.FinishedAtMS); ended.f.FinishedAtMS > 0 && endedAt.After(job.view.Submitted) {
-				job.view.Submitted = endedAt
-				if endedAt.After(now) {
-					job.view.Submitted = now
-				}
-			}
-			if !job.upstreams.blocked() {
-				l.becomeStartable(job, now)
+	for queue := []ending{{id, final}}; len(queue) > 0; queue = queue[1:] {
+		upstream := queue[0]
+		for _, job := range l.dependencies.takeDownstreams(upstream.id) {
+			switch {
+			case job.removed:
+			case upstream.final.Status == jobs.StatusDone:
+				l.upstreamDone(job, upstream.id, upstream.final, now)
+			default:
+				l.cancelWithUpstream(job, upstream.id, now)
+				queue = append(queue, ending{job.spec.ID, jobs.FinalRecord{Status: jobs.StatusCancelled}})
 			}
 		}
 	}
 }
 
-// becomeStartable is called when all jobs before this one are done. Its times count from
-// when the last was, by its record; its due time from its submission.
+// cancelWithUpstream cancels a job, as one that it depends on will never be done.
+func (l *Leader) cancelWithUpstream(job *jobState, upstream string, now time.Time) {
+	l.deps.Log.Debug("job cancelled with upstream", "job", job.spec.ID, "upstream", upstream)
+	l.removeJob(job, now)
+	l.recordCancellation(job)
+}
+
+// upstreamDone is called when a job that this one depends on is done. The times of this
+// one count from when the last was, by its record; its due time from its submission.
+func (l *Leader) upstreamDone(job *jobState, upstream string, final jobs.FinalRecord, now time.Time) {
+	delete(job.upstreams.pending, upstream)
+	finishedAt := time.UnixMilli(final.FinishedAtMS)
+	if final.FinishedAtMS > 0 && finishedAt.After(job.view.Submitted) {
+		// By an earlier leader's clock, which may be ahead of ours: it has happened all
+		// the same, and long after the submission for all we know.
+		if finishedAt.After(now) {
+			finishedAt = now
+		}
+		job.view.Submitted = finishedAt
+	}
+	if !job.upstreams.blocked() {
+		l.becomeStartable(job, now)
+	}
+}
+
+// becomeStartable is called when all jobs before this one are done.
 func (l *Leader) becomeStartable(job *jobState, now time.Time) {
 	l.updateTargets(job)
 	job.servedAt = now
 	l.noteArrival(job, now)
-	l.deps.Log.Debug("nothing is left to wait for", "id", job.spec.ID, "waited_s", now.Sub(job.acceptedAt).Seconds())
+	l.deps.Log.Debug("dependencies satisfied", "job", job.spec.ID, "waited_s", now.Sub(job.acceptedAt).Seconds())
 }
--- a/internal/leader/final_records.go
+++ b/internal/leader/final_records.go
@@ -5,91 +5,92 @@
 	"encoding/json"
 	"time"
 
-	"thornnotch/internal/constants"
 	"thornnotch/internal/jobs"
-	"thornnotch/internal/leader/wal"
 	"thornnotch/internal/statestore"
 )
 
-// requestFinalRecord has a job's final record read if others wait for it.
-func (l *Leader) requestFinalRecord(name string) {
-	if len(l.dependencies.downstreams[name]) > 0 {
-		l.dependencies.finalsWanted[name] = true
-	}
-}
-
 // readFinalRecords reads what decides over the jobs that wait, some at a time.
 func (l *Leader) readFinalRecords(now time.Time) {
-	tracker := &l.dependencies
-	if len(tracker.finalsWanted) == 0 && len(tracker.unlinked) == 0 || now.Before(tracker.retryAt) {
+	if !l.dependencies.readsDue(now) {
 		return
 	}
-	for name := range tracker.finalsWanted {
-		if len(tracker.reading) >= constants.MaxFinalReads {
-			break
-		}
-		if tracker.reading[name] {
-			continue
+	l.readWantedFinals()
+	l.readUnlinkedLists()
+}
+
+// readWantedFinals reads the final records of jobs that others wait for.
+func (l *Leader) readWantedFinals() {
+	tracker := &l.dependencies
+	for id := range tracker.finalsWanted {
+		if tracker.readsFull() {
+			return
 		}
-		if l.jobs.get(name) != nil || len(tracker.downstreams[name]) == 0 {
-			delete(tracker.finalsWanted, name) // it is open after all, or nobody waits
-			continue
+		switch {
+		case tracker.reading[finalRead{job: id}]:
+		case l.jobs.get(id) != nil, len(tracker.downstreamsOf(id)) == 0:
+			delete(tracker.finalsWanted, id) // it is open after all, or nobody waits
+		default:
+			l.readFinal(id)
 		}
-		tracker.reading[name] = true
-		l.calls.queue(func(ctx context.Context) func() {
-			row, found, err := l.deps.Store.Get(ctx, statestore.ClassRecord, jobs.FinalPrefix+name)
-			return func() {
-				delete(tracker.reading, name)
-				var final jobs.FinalRecord
-				if err == nil && found {
-					err = json.Unmarshal(row.Value, &final)
-				}
-				if err != nil || !found {
-					// Not readable now; or not final: then the watch brings it.
-					tracker.retryAt = time.Now().Add(constants.FinalReadRetry)
-					return
-				}
-				l.upstreamEnded(name, final, time.Now())
-				l.readFinalRecords(time.Now())
-			}
-		})
 	}
+}
+
+// readFinal reads the final record of a job.
+func (l *Leader) readFinal(id string) {
+	read := finalRead{job: id}
+	l.dependencies.reading[read] = true
+	l.calls.queue(func(ctx context.Context) func() {
+		row, found, err := l.deps.Store.Get(ctx, statestore.ClassRecord, jobs.FinalPrefix+id)
+		return func() {
+			delete(l.dependencies.reading, read)
+			var final jobs.FinalRecord
+			if err == nil && found {
+				err = json.Unmarshal(row.Value, &final)
+			}
+			if err != nil || !found {
+				// Not readable now; or not final: then the watch brings it.
+				l.dependencies.readFailed(time.Now())
+				return
+			}
+			l.upstreamEnded(id, final, time.Now())
+			l.readFinalRecords(time.Now())
+		}
+	})
+}
+
+// readUnlinkedLists reads the lists of names of jobs whose dependencies are not linked yet.
+func (l *Leader) readUnlinkedLists() {
+	tracker := &l.dependencies
 	for job, dependencies := range tracker.unlinked {
-		name := job.spec.ID
-		if job.removed {
+		switch {
+		case job.removed:
 			delete(tracker.unlinked, job)
-			continue
-		}
-		if len(tracker.reading) >= constants.MaxFinalReads || tracker.reading["list of "+name] {
-			continue
+		case tracker.readsFull(), tracker.reading[finalRead{job.spec.ID, true}]:
+		default:
+			l.readDependencyList(job, dependencies)
 		}
-		tracker.reading["list of "+name] = true
-		l.calls.queue(func(ctx context.Context) func() {
-			names, err := dependencies.Load(ctx, l.deps.Store, statestore.ClassRecord, name)
-			return func() {
-				delete(tracker.reading, "list of "+name)
-				if err != nil {
-					l.deps.Log.Info("a list of jobs can't be read", "id", name, "err", err)
-					tracker.retryAt = time.Now().Add(constants.FinalReadRetry)
-					return
-				}
-				if _, still := tracker.unlinked[job]; still {
-					delete(tracker.unlinked, job)
-					l.linkUpstreams(job, names)
-					l.readFinalRecords(time.Now())
-				}
-			}
-		})
 	}
 }
 
-// cancelledJobWrite writes the final record of a job that is cancelled with one before it.
-func (l *Leader) cancelledJobWrite(job *jobState) wal.JobWrite {
-	name := job.spec.ID
-	value, _ := json.Marshal(jobs.FinalRecord{Status: jobs.StatusCancelled}) // plain fields always encode
-	return wal.JobWrite{
-		Conditions: []statestore.Condition{{Key: jobs.OpenPrefix + name, Revision: job.revision}},
-		Writes:     []statestore.Write{{Delete: jobs.OpenPrefix + name}, {Put: jobs.FinalPrefix + name, Value: value}},
-		Retry:      func() { l.recordCancellation(job) },
-	}
+// readDependencyList reads the names of the jobs that one depends on, and links it to them.
+func (l *Leader) readDependencyList(job *jobState, dependencies jobs.Dependencies) {
+	id := job.spec.ID
+	read := finalRead{id, true}
+	l.dependencies.reading[read] = true
+	l.calls.queue(func(ctx context.Context) func() {
+		names, err := dependencies.Load(ctx, l.deps.Store, statestore.ClassRecord, id)
+		return func() {
+			delete(l.dependencies.reading, read)
+			if err != nil {
+				l.deps.Log.Info("dependencies can't be read", "job", id, "error", err)
+				l.dependencies.readFailed(time.Now())
+				return
+			}
+			if _, still := l.dependencies.unlinked[job]; still {
+				delete(l.dependencies.unlinked, job)
+				l.linkUpstreams(job, names)
+				l.readFinalRecords(time.Now())
+			}
+		}
+	})
 }
--- a/internal/leader/finish_reservations.go
+++ b/internal/leader/finish_reservations.go
@@ -8,12 +8,12 @@
 	"thornnotch/internal/workers"
 )
 
-// reserveFreed applies the reservation rule to the room that a finished task leaves.
+// reserveFreed applies the reservation rule to the resources that a finished task frees.
 func (l *Leader) reserveFreed(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
 	finish := reservations.TaskFinish{
 		Job: job.spec.ID, Tasks: job.spec.Tasks, UpstreamStartedAt: job.started, Machine: machine.agent.Name, Downstreams: l.downstreams(job), Now: now,
 		Fits: func(downstream reservations.Downstream) bool {
-			return machine.schedulable(now) && l.canHold(machine, downstream)
+			return machine.schedulable(now) && l.mayReserve(machine, downstream)
 		},
 	}
 	if finish.UpstreamStartedAt.IsZero() {
@@ -29,33 +29,35 @@
 	l.offerFreedResources(machine, now)
 }
 
-// offerFreedResources gives freed room to stages that hold room from elsewhere.
+// offerFreedResources offers what came free on a machine to jobs that have reservations
+// elsewhere.
 func (l *Leader) offerFreedResources(machine *machineState, now time.Time) {
 	if !machine.schedulable(now) {
 		return
 	}
-	if l.reservations.OfferFreed(machine.agent.Name, func(downstream reservations.Downstream) bool { return l.canHold(machine, downstream) }, now) {
+	fits := func(downstream reservations.Downstream) bool { return l.mayReserve(machine, downstream) }
+	if l.reservations.OfferFreed(machine.agent.Name, fits, now) {
 		l.metadataChanged(machine, now)
 	}
 }
 
-// canHold tells whether a machine can and may take a task of a job.
-func (l *Leader) canHold(machine *machineState, downstream reservations.Downstream) bool {
+// mayReserve tells whether a machine can and may take a task of a job.
+func (l *Leader) mayReserve(machine *machineState, downstream reservations.Downstream) bool {
 	job := l.jobs.get(downstream.Job)
 	return job != nil && placement.Allowed(&job.view, l.placementMachine(machine)) && l.freeResources(machine).Fits(downstream.TaskResources)
 }
 
 // downstreams are the jobs that come after one in its pipeline and wait to start:
-// those that name it, or else the next one of its owner and workload, if the operators
-// want holds for these.
-func (l *Leader) downstreams(up *jobState) []reservations.Downstream {
-	if up.upstreams.declared || len(l.dependencies.downstreams[up.spec.ID]) > 0 {
-		return l.downstreamEdges(up)
+// those that name it, or else the next one of its team and class, if the operators
+// want reservations for these.
+func (l *Leader) downstreams(upstream *jobState) []reservations.Downstream {
+	if upstream.upstreams.declared || len(l.dependencies.downstreamsOf(upstream.spec.ID)) > 0 {
+		return l.downstreamEdges(upstream)
 	}
 	if !l.deps.Operator.Holds.SubmissionOrder {
 		return nil
 	}
-	next := l.jobs.nextInPipeline(up)
+	next := l.jobs.nextInPipeline(upstream)
 	if next == nil {
 		return nil
 	}
@@ -63,10 +65,15 @@
 }
 
 func newDownstream(job *jobState, pipeline placement.Pipeline) reservations.Downstream {
-	return reservations.Downstream{Pipeline: pipeline, Job: job.spec.ID, Tasks: job.spec.Tasks, Priority: job.view.Priority, TaskResources: placement.TaskResources(job.spec)}
+	return reservations.Downstream{
+		Pipeline: pipeline, Job: job.spec.ID, Tasks: job.spec.Tasks,
+		Priority: job.view.Priority, TaskResources: placement.TaskResources(job.spec),
+	}
 }
 
-func (l *Leader) stillWaits(name string) bool {
-	job := l.jobs.get(name)
+// hasWaitingTasks tells whether a job has tasks that are neither done nor placed: its
+// reservations serve nothing else.
+func (l *Leader) hasWaitingTasks(id string) bool {
+	job := l.jobs.get(id)
 	return job != nil && len(job.attempts) < job.progress.remaining()
 }
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -156,7 +156,7 @@
 		if before.Epoch != 0 && len(events) > 0 {
 			l.deps.Log.Info("machine began a new epoch", "machine", agent.Name, "epoch", agent.Epoch, "events", len(events))
 		}
-		machine.images = keepImages(machine.images)
+		machine.images.dropFetches()
 		machine.markStale()
 		l.passDueNow = true
 	}
--- a/internal/leader/image_cache.go
+++ b/internal/leader/image_cache.go
@@ -1,73 +1,94 @@
 package leader
 
 import (
+	"slices"
 	"time"
 
 	"thornnotch/internal/workers"
 )
 
-// image is one image on a machine, or on its way there.
-type image struct {
-	name string
-	gb   float64
-	have bool
+// cachedImage is one image on a machine, or on its way there.
+type cachedImage struct {
+	name    string
+	gb      float64
+	fetched bool // false: on its way
 }
 
-// noteCachedImage follows which images are on the machine.
-func (l *Leader) noteCachedImage(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
-	if job == nil {
-		return
-	}
-	have := attempt.Status == workers.StatusWaiting || attempt.Status == workers.StatusRunning || attempt.Status == workers.StatusSaving ||
-		attempt.Status == workers.StatusExited && attempt.Cause == workers.CauseDone
-	if !have {
-		return
-	}
-	known := false
-	for _, im := range machine.images {
-		known = known || im.name == job.spec.Image && im.have
-	}
-	machine.useImage(job.spec.Image, job.spec.ImageGB, true, l.imageCacheGB(machine))
-	if !known {
-		// The next leader must know too, or it fetches where it need not.
-		l.metadataChanged(machine, now)
-	}
-}
+// imageCache is a machine's images as far as they are known here, least recently used
+// first.
+type imageCache []cachedImage
 
-func (l *Leader) imageCacheGB(machine *machineState) float64 {
-	t, ok := l.deps.Catalog().Type(machine.agent.MachineType)
-	if !ok {
-		return 0
-	}
-	return t.CacheGB
+// has tells whether an image is on the machine.
+func (c imageCache) has(name string) bool {
+	return slices.ContainsFunc(c, func(image cachedImage) bool { return image.fetched && image.name == name })
 }
 
-// useImage marks an image as used last and drops what no longer fits.
-func (m *machineState) useImage(name string, gb float64, have bool, cache float64) {
-	for i, im := range m.images {
-		if im.name == name {
-			have = have || im.have
-			m.images = append(m.images[:i], m.images[i+1:]...)
+// use marks an image as used last and drops what no longer fits the machine's cache, as
+// the machine does. A capacity of 0 is none that is known.
+func (c *imageCache) use(name string, gb float64, fetched bool, capacityGB float64) {
+	images := *c
+	for i, image := range images {
+		if image.name == name {
+			fetched = fetched || image.fetched
+			images = append(images[:i], images[i+1:]...)
 			break
 		}
 	}
-	m.images = append(m.images, image{name, gb, have})
+	images = append(images, cachedImage{name, gb, fetched})
+	*c = images
+	if capacityGB <= 0 {
+		return
+	}
 	sum := 0.0
-	for i := len(m.images) - 1; i >= 0; i-- {
-		sum += m.images[i].gb
-		if cache > 0 && sum > cache && i < len(m.images)-1 {
-			m.images = append([]image(nil), m.images[i+1:]...)
+	for i := len(images) - 1; i >= 0; i-- {
+		sum += images[i].gb
+		if sum > capacityGB && i < len(images)-1 {
+			*c = slices.Clone(images[i+1:])
 			return
 		}
 	}
 }
 
-// keepImages drops fetches that ended with the session.
-func keepImages(in []image) (out []image) {
-	for _, im := range in {
-		if im.have {
-			out = append(out, im)
+// dropFetches drops the images that were on their way: fetches end with the agent's epoch.
+func (c *imageCache) dropFetches() {
+	var kept imageCache
+	for _, image := range *c {
+		if image.fetched {
+			kept = append(kept, image)
 		}
 	}
-	return out
+	*c = kept
+}
+
+// noteCachedImage follows which images are on the machine.
+func (l *Leader) noteCachedImage(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
+	if job == nil || !provesImage(attempt) {
+		return
+	}
+	known := machine.images.has(job.spec.Image)
+	machine.images.use(job.spec.Image, job.spec.ImageGB, true, l.imageCacheGB(machine))
+	if !known {
+		// The next leader must know too, or it fetches where it need not.
+		l.metadataChanged(machine, now)
+	}
+}
+
+// provesImage tells whether an attempt has come so far that its image is on the machine.
+func provesImage(attempt *workers.Attempt) bool {
+	switch attempt.Status {
+	case workers.StatusWaiting, workers.StatusRunning, workers.StatusSaving:
+		return true
+	case workers.StatusExited:
+		return attempt.Cause == workers.CauseDone
+	}
+	return false
+}
+
+// imageCacheGB is how much the machine's image cache holds; 0 if that is not known.
+func (l *Leader) imageCacheGB(machine *machineState) float64 {
+	machineType, ok := l.deps.Catalog().Type(machine.agent.MachineType)
+	if !ok {
+		return 0
+	}
+	return machineType.CacheGB
 }
--- a/internal/leader/job_admission.go
+++ b/internal/leader/job_admission.go
@@ -71,7 +71,7 @@
 	}
 	placed := job.attempts.sorted()
 	l.jobs.remove(job, len(placed))
-	l.requestFinalRecord(job.spec.ID)
+	l.dependencies.requestFinal(job.spec.ID)
 	if len(job.upstreams.pending) > 0 {
 		l.propagateDemand(slices.Collect(maps.Keys(job.upstreams.pending))) // they are needed less
 	}
--- a/internal/leader/job_final_writes.go
+++ b/internal/leader/job_final_writes.go
@@ -46,5 +46,17 @@
 // recordCancellation has the final record written of a job that is cancelled with one that
 // it depends on.
 func (l *Leader) recordCancellation(job *jobState) {
-	l.commits.recordCancelled(func() wal.JobWrite { return l.cancelledJobWrite(job) })
+	l.commits.recordCancelled(func() wal.JobWrite { return l.cancellationWrite(job) })
+}
+
+// cancellationWrite moves a job that is cancelled with one that it depends on to the final
+// records.
+func (l *Leader) cancellationWrite(job *jobState) wal.JobWrite {
+	name := job.spec.ID
+	value, _ := json.Marshal(jobs.FinalRecord{Status: jobs.StatusCancelled}) // plain fields always encode
+	return wal.JobWrite{
+		Conditions: []statestore.Condition{{Key: jobs.OpenPrefix + name, Revision: job.revision}},
+		Writes:     []statestore.Write{{Delete: jobs.OpenPrefix + name}, {Put: jobs.FinalPrefix + name, Value: value}},
+		Retry:      func() { l.recordCancellation(job) },
+	}
 }
--- a/internal/leader/job_test.go
+++ b/internal/leader/job_test.go
@@ -23,7 +23,7 @@
 		t.Fatalf("after the record: %v", got)
 	}
 	l.applyHeartbeat(machine, report(l, machine, workers.StatusRunning, ""), false, now)
-	if len(machine.images) != 1 || !machine.images[0].have || l.metadata.due[machine].IsZero() {
+	if len(machine.images) != 1 || !machine.images[0].fetched || l.metadata.due[machine].IsZero() {
 		t.Errorf("the image is not noted for the next leader")
 	}
 	l.applyHeartbeat(machine, report(l, machine, workers.StatusExited, workers.CauseDone), false, now)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -111,6 +111,7 @@
 		arrivals:       make(classArrivals),
 		runtimeRatios:  make(runtimeRatios),
 		placementRates: make(placementRates),
+		dependencies:   newDependencyTracker(),
 		gangWaits:      make(gangWaits),
 		teamUsage:      make(teamUsage),
 		replies:        newHeldReplies(),
@@ -118,7 +119,6 @@
 		metadata:       newMetadataQueue(d.Settings.Params.State, d.Operator.Budgets),
 	}
 	l.commits = newGroupCommit(d.Log, l.beginCheckpoint)
-	l.dependencies.init()
 	l.openLog(wal.Head{}, 0)
 	l.scaling.init()
 	return l
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -26,7 +26,7 @@
 	stale        bool
 	countedUsage []teamUse
 
-	images  []image // least recently used first
+	images  imageCache // least recently used first
 	health  health.Machine
 	leaving bool // being returned; it gets no more tasks
 	// leavingRecorded is set once the record says so, or none exists.
--- a/internal/leader/machine_view.go
+++ b/internal/leader/machine_view.go
@@ -4,48 +4,70 @@
 	"time"
 
 	"thornnotch/internal/constants"
+	"thornnotch/internal/jobs"
 	"thornnotch/internal/placement"
 	"thornnotch/internal/workers"
 )
 
-// refreshMachineView makes a machine's view anew.
+// refreshMachineView makes a machine's view for placement anew, and with it what the
+// machine adds to the teams' usage.
 func (l *Leader) refreshMachineView(machine *machineState, now time.Time) {
 	machine.stale, machine.viewAt = false, now
 	l.counts.Views++
-	var uses []teamUse
-	typ, _ := l.deps.Catalog().Type(machine.agent.MachineType)
-	pr := l.placementMachine(machine)
-	pr.AttemptCapacity = int(l.deps.Settings.Params.State.ValueKB*1024)/constants.AttemptBytes - len(machine.agent.Attempts)
-	pr.Total = placement.Resources{CPUs: typ.CPUs, GPUs: typ.GPUs, MemoryGB: typ.MemoryGB}
-	pr.FetchGBPerS = typ.FetchGBPerS
-	pr.ImageWait = make(map[string]time.Duration, len(machine.images))
-	for _, im := range machine.images {
-		if im.have {
-			pr.ImageWait[im.name] = 0
+	machineType, _ := l.deps.Catalog().Type(machine.agent.MachineType) // of an unknown type nothing is free
+	view := l.placementMachine(machine)
+	view.AttemptCapacity = int(l.deps.Settings.Params.State.ValueKB*1024)/constants.AttemptBytes - len(machine.agent.Attempts)
+	view.Total = placement.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}
+	view.FetchGBPerS = machineType.FetchGBPerS
+	view.ImageWait = make(map[string]time.Duration, len(machine.images))
+	for _, image := range machine.images {
+		if image.fetched {
+			view.ImageWait[image.name] = 0
 		}
 	}
+	var uses []teamUse
 	for _, attempt := range machine.agent.Attempts {
 		if !attempt.Live() {
 			continue
 		}
-		room := l.jobs.resourcesOf(attempt)
-		uses = append(uses, teamUse{l.jobs.teamOf(attempt), room})
-		s := placement.RunningTask{Index: attempt.ID.Task.Index, Attempt: attempt.ID.Number, Resources: room, Stopping: attempt.StopRequested}
-		if job := l.jobs.get(attempt.ID.Task.Job); job != nil {
-			s.Job = &job.view
-			s.Remaining, s.StopCost = l.estimateStopCost(job, attempt, now)
-			if _, have := pr.ImageWait[job.spec.Image]; !have && (attempt.Status == "" || attempt.Status == workers.StatusFetching) && typ.FetchGBPerS > 0 {
-				pr.ActiveFetches++
-				full := job.spec.ImageGB / typ.FetchGBPerS * float64(pr.ActiveFetches)
-				pr.ImageWait[job.spec.Image] = max(time.Second, time.Duration(full*float64(time.Second))-now.Sub(attempt.PlacedAt))
-			}
-		}
-		pr.RunningTasks = append(pr.RunningTasks, s)
+		task := l.showAttempt(view, attempt, now)
+		uses = append(uses, teamUse{l.jobs.teamOf(attempt), task.Resources})
+		view.RunningTasks = append(view.RunningTasks, task)
 	}
-	for _, h := range l.reservations.OnMachine(machine.agent.Name) {
-		pr.Reserved = append(pr.Reserved, placement.ReservedSlot{Pipeline: h.Pipeline, Priority: h.Priority, Resources: h.Resources})
-		uses = append(uses, teamUse{h.Pipeline.Team, h.Resources})
+	for _, hold := range l.reservations.OnMachine(machine.agent.Name) {
+		view.Reserved = append(view.Reserved, placement.ReservedSlot{Pipeline: hold.Pipeline, Priority: hold.Priority, Resources: hold.Resources})
+		uses = append(uses, teamUse{hold.Pipeline.Team, hold.Resources})
 	}
 	l.setTeamUsage(machine, uses)
-	machine.view = pr
+	machine.view = view
+}
+
+// showAttempt is an attempt as placement sees it. If it still fetches its image, the view
+// shows how long that takes.
+func (l *Leader) showAttempt(view *placement.Machine, attempt *workers.Attempt, now time.Time) placement.RunningTask {
+	task := placement.RunningTask{
+		Index: attempt.ID.Task.Index, Attempt: attempt.ID.Number,
+		Resources: l.jobs.resourcesOf(attempt), Stopping: attempt.StopRequested,
+	}
+	job := l.jobs.get(attempt.ID.Task.Job)
+	if job == nil {
+		return task
+	}
+	task.Job = &job.view
+	task.Remaining, task.StopCost = estimateStopCost(job.spec, attempt, now)
+	if attempt.Status == "" || attempt.Status == workers.StatusFetching {
+		showFetch(view, job.spec, now.Sub(attempt.PlacedAt))
+	}
+	return task
+}
+
+// showFetch has the view show an image that a machine has fetched for so long. Fetches
+// share its bandwidth.
+func showFetch(view *placement.Machine, spec *jobs.Spec, elapsed time.Duration) {
+	if _, shown := view.ImageWait[spec.Image]; shown || view.FetchGBPerS <= 0 {
+		return
+	}
+	view.ActiveFetches++
+	totalS := spec.ImageGB / view.FetchGBPerS * float64(view.ActiveFetches)
+	view.ImageWait[spec.Image] = max(time.Second, time.Duration(totalS*float64(time.Second))-elapsed)
 }
--- a/internal/leader/metadata_test.go
+++ b/internal/leader/metadata_test.go
@@ -28,7 +28,7 @@
 		for i := range machines {
 			machine := addRig(l, fmt.Sprintf("m-%06d", i), "east", now)
 			for k := range 6 {
-				machine.useImage(fmt.Sprintf("img-%02d-%06d", k, i), 5, true, 0)
+				machine.images.use(fmt.Sprintf("img-%02d-%06d", k, i), 5, true, 0)
 			}
 			l.metadataChanged(machine, now)
 		}
--- a/internal/leader/placement_snapshot.go
+++ b/internal/leader/placement_snapshot.go
@@ -7,57 +7,84 @@
 	"thornnotch/internal/placement"
 )
 
-// snapshotForPlacement shows the present state to placement. Machines and jobs that have not
-// changed are shown as before.
+// snapshotForPlacement shows the present state to placement. Machines and jobs that have
+// not changed are shown as before.
 func (l *Leader) snapshotForPlacement(now time.Time) *placement.Snapshot {
-	w := &placement.Snapshot{Now: now, Teams: make(map[string]*placement.Team), StartRate: l.placementRates}
-	all := make([]*placement.Job, 0, l.jobs.len())
+	snapshot := &placement.Snapshot{Now: now, StartRate: l.placementRates}
+	startable := l.startableJobViews(now)
+	// The teams' usage is brought up to date with the machines' views.
+	snapshot.Machines = l.machineViews(now)
+	snapshot.Teams = l.teamViews()
+	l.addReservationEdges(snapshot)
+	snapshot.ReservedMachines = l.reservedMachines(snapshot.Machines, now)
+	placement.MarkGuaranteed(startable, snapshot.Teams)
+	placement.MarkStarving(startable, l.gangWaits.boostedClasses(), now)
+	for _, view := range startable {
+		if len(view.WaitingTasks) > 0 {
+			snapshot.Jobs = append(snapshot.Jobs, view)
+		}
+	}
+	return snapshot
+}
+
+// startableJobViews shows the jobs that are not done and wait for no other job.
+func (l *Leader) startableJobViews(now time.Time) []*placement.Job {
+	views := make([]*placement.Job, 0, l.jobs.len())
 	for job := range l.jobs.all() {
 		if job.complete || job.upstreams.blocked() {
 			continue
 		}
 		job.refreshView(l.arrivals.share(job.spec.Class), now)
-		all = append(all, &job.view)
+		views = append(views, &job.view)
 	}
+	return views
+}
+
+// machineViews shows all machines by name.
+func (l *Leader) machineViews(now time.Time) []*placement.Machine {
 	machines := l.fleet.sortedByName()
-	w.Machines = make([]*placement.Machine, 0, len(machines))
-	ordinary := 0
-	oldest := now.Add(-viewAge(len(machines)))
+	views := make([]*placement.Machine, 0, len(machines))
+	oldest := now.Add(-maxViewAge(len(machines)))
 	for _, machine := range machines {
 		if machine.view == nil || machine.stale || machine.viewAt.Before(oldest) {
 			l.refreshMachineView(machine, now)
 		}
-		// Placement may put work only on machines that have shown our token:
-		// a report may be a late copy of one from a machine that is no more.
-		// One that has not been heard for a few reports may well be dead or cut
-		// off: what is put there would wait until its lease is over.
-		machine.view.Schedulable = machine.view.Total != (placement.Resources{}) && machine.schedulable(now) && machine.agent.Token == l.term.number() &&
-			l.silentFor(machine, now) <= l.silenceTolerance()+constants.IdleReplyHold
-		if machine.view.Schedulable && !machine.view.Spot {
-			ordinary++
-		}
-		w.Machines = append(w.Machines, machine.view)
+		machine.view.Schedulable = l.mayPlaceOn(machine, now)
+		views = append(views, machine.view)
 	}
-	l.addReservationEdges(w)
-	w.ReservedMachines = min(l.reservedMachines(now), int(float64(ordinary)*constants.GangReserveMaxShare))
-	for _, t := range l.teams {
-		w.Teams[t.Name] = &placement.Team{
-			Name: t.Name, Used: l.teamUsage[t.Name],
-			Guarantee: placement.Resources{CPUs: t.GuaranteedCPUs, GPUs: t.GuaranteedGPUs}, Limit: placement.Resources{CPUs: t.MaxCPUs, GPUs: t.MaxGPUs},
-		}
+	return views
+}
+
+// mayPlaceOn tells whether placement may put work on a machine, given its view.
+func (l *Leader) mayPlaceOn(machine *machineState, now time.Time) bool {
+	if machine.view.Total == (placement.Resources{}) || !machine.schedulable(now) {
+		return false
 	}
-	placement.MarkGuaranteed(all, w.Teams)
-	placement.MarkStarving(all, l.gangWaits.boostedClasses(), now)
-	for _, v := range all {
-		if len(v.WaitingTasks) > 0 {
-			w.Jobs = append(w.Jobs, v)
+	// Only on machines that have shown our token: a heartbeat may be a late copy of one
+	// from a machine that is no more.
+	if machine.agent.Token != l.term.number() {
+		return false
+	}
+	// One that has not been heard for a few heartbeats may well be dead or cut off: what
+	// is put there would wait until its lease is over.
+	return l.silentFor(machine, now) <= l.silenceTolerance()+constants.IdleReplyHold
+}
+
+// teamViews shows what the teams use and may use.
+func (l *Leader) teamViews() map[string]*placement.Team {
+	views := make(map[string]*placement.Team, len(l.teams))
+	for _, team := range l.teams {
+		views[team.Name] = &placement.Team{
+			Name: team.Name, Used: l.teamUsage[team.Name],
+			Guarantee: placement.Resources{CPUs: team.GuaranteedCPUs, GPUs: team.GuaranteedGPUs},
+			Limit:     placement.Resources{CPUs: team.MaxCPUs, GPUs: team.MaxGPUs},
 		}
 	}
-	return w
+	return views
 }
 
-// viewAge is how old the view of a machine that has not changed may be: making all of a
+// maxViewAge is how old the view of a machine that has not changed may be: making all of a
 // large fleet's anew every time would take longer than the pass itself.
-func viewAge(machines int) time.Duration {
+func maxViewAge(machines int) time.Duration {
 	return time.Duration(float64(constants.MaxViewAge) * max(1, float64(machines)/constants.ViewAgeBaseMachines))
 }
--- /dev/null
+++ b/internal/leader/plan_execution.go
@@ -0,0 +1,107 @@
+package leader
+
+import (
+	"time"
+
+	"thornnotch/internal/jobs"
+	"thornnotch/internal/placement"
+	"thornnotch/internal/workers"
+)
+
+// releaseReservations gives up the reservations that gave way to other work.
+func (l *Leader) releaseReservations(released []placement.Release, now time.Time) {
+	for _, release := range released {
+		name, pipeline := release.Machine.Name, release.Slot.Pipeline
+		machine := l.fleet.get(name)
+		if machine == nil || !l.reservations.Consume(name, func(p placement.Pipeline) bool { return p == pipeline }) {
+			continue
+		}
+		l.deps.Log.Debug("reservation given up", "machine", name, "class", pipeline.Class)
+		l.metadataChanged(machine, now)
+	}
+}
+
+// preempt stops a task to make room; a gang goes as a whole.
+func (l *Leader) preempt(preemption placement.Preemption, now time.Time) {
+	victim := preemption.Victim
+	machine := l.fleet.get(preemption.Machine.Name)
+	if machine == nil || victim.Job == nil {
+		return
+	}
+	job := l.jobs.get(victim.Job.Spec.ID)
+	if job == nil {
+		return
+	}
+	l.deps.Log.Debug("task preempted", "task", workers.TaskID{Job: job.spec.ID, Index: victim.Index}, "attempt", victim.Attempt,
+		"machine", machine.agent.Name, "for_job", preemption.For.Spec.ID)
+	if job.spec.Kind == jobs.KindGang {
+		l.stopGang(job, job.stopGrace(), now)
+		return
+	}
+	for _, placed := range job.attempts[victim.Index] {
+		if placed.machine == machine && placed.attempt.ID.Number == victim.Attempt {
+			l.stopAttempt(machine, placed.attempt, job.stopGrace(), now)
+		}
+	}
+	l.sendStops(machine, now)
+}
+
+// startPlanned turns the starts of a plan into attempts. Their `run` leaves only once
+// the machines' records with them stand.
+func (l *Leader) startPlanned(starts []placement.Start, now time.Time) {
+	gangNumbers := make(map[string]uint64)
+	for _, start := range starts {
+		job := l.jobs.get(start.Job.Spec.ID)
+		machine := l.fleet.get(start.Machine.Name)
+		if job == nil || machine == nil {
+			continue
+		}
+		number, ok := l.attemptNumber(job, gangNumbers)
+		if !ok {
+			break // the term ends
+		}
+		l.startTask(machine, job, start, number, now)
+	}
+	for _, start := range starts {
+		if job := l.jobs.get(start.Job.Spec.ID); job != nil && len(job.attempts) == job.spec.Tasks {
+			job.gang.replacingTask = false
+		}
+	}
+}
+
+// attemptNumber is the number for the next attempt of a job. All tasks of a gang that start
+// together have one, by gangNumbers, and so has the replacement of a task that it lost. It
+// is false once the term has none left, which ends the term.
+func (l *Leader) attemptNumber(job *jobState, gangNumbers map[string]uint64) (number uint64, ok bool) {
+	if number, ok := gangNumbers[job.spec.ID]; ok {
+		return number, true
+	}
+	if job.gang.replacingTask {
+		return job.gang.attemptNumber, true
+	}
+	number, ok = l.term.nextAttempt()
+	if ok && job.spec.Kind == jobs.KindGang {
+		gangNumbers[job.spec.ID] = number
+		job.gang.attemptNumber = number
+	}
+	return number, ok
+}
+
+// startTask places an attempt on a machine and has it recorded. A reservation that it may
+// use is used up; others there that no longer fit beside it end.
+func (l *Leader) startTask(machine *machineState, job *jobState, start placement.Start, number uint64, now time.Time) {
+	id := workers.AttemptID{Task: workers.TaskID{Job: job.spec.ID, Index: start.Index}, Number: number}
+	attempt := &workers.Attempt{ID: id, Epoch: machine.agent.Epoch, PlacedAt: now}
+	machine.agent.Attempts[id] = attempt
+	job.servedAt = now
+	l.placementRates.add(job.spec.Class)
+	l.addAttempt(machine, attempt)
+	l.logAttempt(machine, attempt)
+	if l.reservations.Consume(machine.agent.Name, job.view.Owns) {
+		l.deps.Log.Debug("reservation used", "machine", machine.agent.Name, "job", job.spec.ID)
+		l.metadataChanged(machine, now)
+	}
+	l.reservations.ReleaseExcess(machine.agent.Name, start.Machine.Total.Sub(l.usedResources(machine)))
+	machine.images.use(job.spec.Image, job.spec.ImageGB, false, l.imageCacheGB(machine))
+	l.deps.Log.Debug("placed", "task", id.Task, "attempt", id.Number, "machine", machine.agent.Name)
+}
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -68,7 +68,7 @@
 		record.Holds = append(record.Holds, recordHold(h))
 	}
 	for _, image := range machine.images {
-		if image.have {
+		if image.fetched {
 			record.Images = append(record.Images, wal.Image{Name: image.name, GB: image.gb})
 		}
 	}
--- a/internal/leader/reservation_edges_test.go
+++ b/internal/leader/reservation_edges_test.go
@@ -130,13 +130,13 @@
 		} else {
 			o := l.deps.Operator.Holds
 			lapse := start.Add(reservations.Options{Alpha: o.Alpha, P: o.P}.Deadline(10*time.Second, 4))
-			l.reservations.Expire(lapse.Add(-time.Second), l.stillWaits)
+			l.reservations.Expire(lapse.Add(-time.Second), l.hasWaitingTasks)
 			if len(l.reservations.All()) != 4 {
 				t.Errorf("lapsed early")
 			}
 			now = lapse.Add(time.Second)
 		}
-		for _, name := range l.reservations.Expire(now, l.stillWaits) {
+		for _, name := range l.reservations.Expire(now, l.hasWaitingTasks) {
 			l.metadataChanged(l.fleet.get(name), now)
 		}
 		machine.agent.LastHeartbeat, machine.agent.LastAcknowledged = now, now
--- a/internal/leader/restore.go
+++ b/internal/leader/restore.go
@@ -22,7 +22,7 @@
 		}
 	}
 	for _, i := range record.Images {
-		machine.images = append(machine.images, image{name: i.Name, gb: i.GB, have: true})
+		machine.images = append(machine.images, cachedImage{name: i.Name, gb: i.GB, fetched: true})
 	}
 	for _, hold := range record.Holds {
 		l.reservations.Restore(holdFromRecord(hold, name))
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -60,7 +60,7 @@
 
 // expireReservations ends the holds whose time is over.
 func (l *Leader) expireReservations(now time.Time) {
-	for _, name := range l.reservations.Expire(now, l.stillWaits) {
+	for _, name := range l.reservations.Expire(now, l.hasWaitingTasks) {
 		if machine := l.fleet.get(name); machine != nil {
 			l.metadataChanged(machine, now)
 		}
