--- /dev/null
+++ b/cmd/thornnotch/job.go
@@ -0,0 +1,100 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+
+	"thornnotch/internal/constants"
+	"thornnotch/internal/jobs"
+	"thornnotch/internal/userapi"
+)
+
+// jobsPath is the users' interface for jobs.
+const jobsPath = "/work"
+
+// jobCmd groups the commands on jobs.
+type jobCmd struct {
+	Submit submitCmd `cmd:"" help:"Submit a job."`
+	Get    getCmd    `cmd:"" help:"Show how far a job is."`
+	Cancel cancelCmd `cmd:"" help:"Cancel a job."`
+}
+
+// submitCmd submits a job.
+type submitCmd struct {
+	client
+	File string `arg:"" help:"The job as JSON; - for standard input."`
+}
+
+// Run carries the command out.
+func (c *submitCmd) Run() error {
+	raw, err := c.read()
+	if err != nil {
+		return err
+	}
+	spec, err := jobs.DecodeSpec(raw)
+	if err != nil {
+		return fmt.Errorf("%s: %w", c.File, err)
+	}
+	body, err := c.request(spec.ID, http.MethodPost, jobsPath, raw, http.StatusCreated, http.StatusOK)
+	if err != nil {
+		return err
+	}
+	return c.printJob(body)
+}
+
+// read reads the job's JSON.
+func (c *submitCmd) read() ([]byte, error) {
+	if c.File == "-" {
+		// One byte more than a node takes: it says so of a longer one.
+		return io.ReadAll(io.LimitReader(os.Stdin, constants.MaxBodyBytes+1))
+	}
+	return os.ReadFile(c.File)
+}
+
+// getCmd shows a job.
+type getCmd struct {
+	client
+	ID string `arg:"" help:"The job's name."`
+}
+
+// Run carries the command out.
+func (c *getCmd) Run() error { return c.requestJob(c.ID, http.MethodGet, jobsPath+"/"+c.ID) }
+
+// cancelCmd cancels a job.
+type cancelCmd struct {
+	client
+	ID string `arg:"" help:"The job's name."`
+}
+
+// Run carries the command out.
+func (c *cancelCmd) Run() error {
+	return c.requestJob(c.ID, http.MethodPost, jobsPath+"/"+c.ID+"/cancel")
+}
+
+// requestJob sends a request about one job, and prints the job's status.
+func (c client) requestJob(id, method, path string) error {
+	body, err := c.request(id, method, path, nil, http.StatusOK)
+	if err != nil {
+		return err
+	}
+	return c.printJob(body)
+}
+
+// printJob prints a job's status.
+func (c client) printJob(body []byte) error {
+	if c.JSON {
+		return printJSON(body)
+	}
+	job, err := decodeResponse[userapi.JobStatus](body)
+	if err != nil {
+		return err
+	}
+	fmt.Print(job.ID, "  ", job.Status)
+	if job.Done != nil && job.Running != nil {
+		fmt.Printf("  %d done, %d running", *job.Done, *job.Running)
+	}
+	fmt.Println()
+	return nil
+}
--- /dev/null
+++ b/cmd/thornnotch/overview.go
@@ -0,0 +1,126 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"thornnotch/internal/leader"
+	"thornnotch/internal/node"
+)
+
+// printOverview prints a site's nodes, machines, queue, teams and holds as tables with
+// common columns.
+func printOverview(out io.Writer, overview node.Overview) error {
+	table := overviewTable{tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)}
+	table.nodes(overview.Nodes)
+	if overview.Cluster == nil {
+		table.line("\nno leader answers")
+	} else {
+		table.cluster(overview.Cluster)
+	}
+	return table.writer.Flush()
+}
+
+// overviewTable prints one table after the other. The writer keeps all until it is
+// flushed, which reports the first error.
+type overviewTable struct{ writer *tabwriter.Writer }
+
+// line prints one line; a tab ends a cell.
+func (t overviewTable) line(format string, args ...any) {
+	_, _ = fmt.Fprintf(t.writer, format+"\n", args...)
+}
+
+// nodes prints a line for each node, and below what operators should know of them.
+func (t overviewTable) nodes(nodes []node.Status) {
+	t.line("NODE\tVERSION\tLEADS\tLEADER SEEN\tTERM\tSTATE REQUESTS LEFT\tSTATE CHANGES LEFT\tCLOUD CALLS LEFT\tSOCKETS\tMEMORY\tTHREADS\tSCARCE")
+	for _, n := range nodes {
+		t.node(n)
+	}
+	for _, n := range nodes {
+		for _, problem := range n.TooSmall {
+			t.line("\n%s: settings are too small: %s", n.Label, problem)
+		}
+	}
+	for _, n := range nodes {
+		if n.Failover != "" {
+			t.line("\n%s takes over: %s", n.Label, n.Failover)
+		}
+	}
+}
+
+func (t overviewTable) node(n node.Status) {
+	if !n.Reachable {
+		t.line("%s\t\tnot reachable\t\t\t\t\t\t\t\t\t", n.Label)
+		return
+	}
+	sockets := fmt.Sprint(n.Sockets.Open)
+	if n.Sockets.Limit > 0 {
+		sockets = fmt.Sprintf("%d of %d", n.Sockets.Open, n.Sockets.Limit)
+	}
+	t.line("%s\t%s\t%v\t%s\t%d\t%.0f\t%.0f\t%.0f\t%s\t%.0f MB\t%d\t%s", n.Label, n.Version, n.Leads, n.Leader, n.Term,
+		n.RequestTokens, n.WriteTokens, n.CloudTokens, sockets, n.MemoryMB, n.Threads, strings.Join(n.Scarce, ", "))
+}
+
+// cluster prints what the leader knows.
+func (t overviewTable) cluster(cluster *leader.Status) {
+	t.line("\nterm %d, %d machines booting, %d leaving, records written: %v", cluster.Term, cluster.Booting, cluster.Leaving, cluster.State.Healthy)
+	t.machines(cluster.Machines)
+	t.queue(cluster.Queue)
+	t.teams(cluster.Teams)
+	if len(cluster.Holds) > 0 {
+		t.holds(cluster.Holds)
+	}
+}
+
+func (t overviewTable) machines(pools []leader.PoolStatus) {
+	t.line("\nTYPE\tZONE\tKIND\tUP\tBUSY\tMACHINES USED\tGPUS USED\tFAULTY")
+	for _, pool := range pools {
+		kind := "ordinary"
+		if pool.Spot {
+			kind = "spot"
+		}
+		t.line("%s\t%s\t%s\t%d\t%d\t%.1f\t%.0f\t%d", pool.Type, pool.Zone, kind, pool.Up, pool.Busy, pool.Used, pool.GPUs, pool.Faulty)
+	}
+}
+
+func (t overviewTable) queue(queues []leader.QueueStatus) {
+	t.line("\nCLASS\tTEAM\tJOBS\tOF THEM AFTER OTHERS\tWAITING\tRUNNING\tDONE")
+	for _, queue := range queues {
+		t.line("%s\t%s\t%d\t%d\t%d\t%d\t%d", queue.Class, queue.Team, queue.Jobs, queue.Held, queue.Waiting, queue.Running, queue.Done)
+	}
+}
+
+func (t overviewTable) teams(teams []leader.TeamStatus) {
+	t.line("\nTEAM\tOF\tUSED\tHELD\tGUARANTEED\tLIMIT")
+	for _, team := range teams {
+		t.quota(team.Team, "GPUs", quota{team.GPUs, team.HeldGPUs, team.GPUsOwn, team.GPUsLimit})
+		t.quota(team.Team, "CPUs", quota{team.CPUs, team.HeldCPUs, team.CPUsOwn, team.CPUsLimit})
+	}
+}
+
+// quota is what a team uses and may use of one resource; a limit of 0 means none.
+type quota struct{ used, held, guaranteed, limit float64 }
+
+// quota prints what the team has a quota of, or uses: platforms without GPUs have no
+// such rows.
+func (t overviewTable) quota(team, resource string, q quota) {
+	if q.used <= 0 && q.guaranteed <= 0 && q.limit <= 0 {
+		return
+	}
+	limit := "none"
+	if q.limit > 0 {
+		limit = fmt.Sprintf("%.0f", q.limit)
+	}
+	t.line("%s\t%s\t%.0f\t%.0f\t%.0f\t%s", team, resource, q.used, q.held, q.guaranteed, limit)
+}
+
+func (t overviewTable) holds(holds []leader.HoldStatus) {
+	t.line("\nHELD ON\tTEAM\tCLASS\tFOR JOB\tCPUS\tGPUS\tLAPSES IN")
+	for _, hold := range holds {
+		lapsesIn := time.Duration(hold.LapsesIn * float64(time.Second)).Round(time.Second)
+		t.line("%s\t%s\t%s\t%s\t%.0f\t%.0f\t%v", hold.Machine, hold.Team, hold.Class, hold.Job, hold.CPUs, hold.GPUs, lapsesIn)
+	}
+}
--- /dev/null
+++ b/cmd/thornnotch/status.go
@@ -0,0 +1,29 @@
+package main
+
+import (
+	"net/http"
+	"os"
+
+	"thornnotch/internal/node"
+)
+
+// statusCmd shows the site.
+type statusCmd struct {
+	client
+}
+
+// Run carries the command out.
+func (c *statusCmd) Run() error {
+	body, err := c.request("status", http.MethodGet, "/cluster", nil, http.StatusOK)
+	if err != nil {
+		return err
+	}
+	if c.JSON {
+		return printJSON(body)
+	}
+	overview, err := decodeResponse[node.Overview](body)
+	if err != nil {
+		return err
+	}
+	return printOverview(os.Stdout, overview)
+}
