--- a/internal/constants/scheduling.go
+++ b/internal/constants/scheduling.go
@@ -80,4 +80,10 @@
 	// MaxDownstreams is how many of a job's downstream jobs are considered when its tasks
 	// end: a job may have thousands, and holds for a few take all the room that it leaves.
 	MaxDownstreams = 64
+	// MaxReservationDeadline bounds the deadline D of the paper, which grows without bound
+	// (and out of a Duration) as P approaches 1.
+	MaxReservationDeadline = 24 * time.Hour
+	// ReservationPhaseRetention is how long a phase is remembered after its deadline: a
+	// task that finishes late must not be taken for the first finisher of a new phase.
+	ReservationPhaseRetention = time.Hour
 )
--- /dev/null
+++ b/internal/reservations/deadline.go
@@ -0,0 +1,21 @@
+package reservations
+
+import (
+	"math"
+	"time"
+
+	"thornnotch/internal/constants"
+)
+
+// Deadline is the reservation deadline D of the paper's section IV-B: for how long after
+// the start of a phase of n tasks its slots stay reserved, where tm is the run time of the
+// task that finished first. All n tasks finish before it with probability P, by equation
+// (2) solved for D.
+func (o Options) Deadline(tm time.Duration, n int) time.Duration {
+	n = max(1, n)
+	deadline := float64(tm) * math.Pow(1-math.Pow(o.P, 1/float64(n)), -1/o.Alpha)
+	if deadline > float64(constants.MaxReservationDeadline) {
+		return constants.MaxReservationDeadline
+	}
+	return time.Duration(deadline)
+}
