--- a/cmd/thornnotch/overview.go
+++ b/cmd/thornnotch/overview.go
@@ -66,7 +66,7 @@
 
 // cluster prints what the leader knows.
 func (t overviewTable) cluster(cluster *leader.Status) {
-	t.line("\nterm %d, %d machines booting, %d leaving, records written: %v", cluster.Term, cluster.Booting, cluster.Leaving, cluster.State.Healthy)
+	t.line("\nterm %d, %d machines booting, %d leaving, records written: %v", cluster.Term, cluster.Booting, cluster.Leaving, cluster.Recording.Healthy)
 	t.machines(cluster.Machines)
 	t.queue(cluster.Queue)
 	t.teams(cluster.Teams)
@@ -89,15 +89,15 @@
 func (t overviewTable) queue(queues []leader.QueueStatus) {
 	t.line("\nCLASS\tTEAM\tJOBS\tOF THEM AFTER OTHERS\tWAITING\tRUNNING\tDONE")
 	for _, queue := range queues {
-		t.line("%s\t%s\t%d\t%d\t%d\t%d\t%d", queue.Class, queue.Team, queue.Jobs, queue.Held, queue.Waiting, queue.Running, queue.Done)
+		t.line("%s\t%s\t%d\t%d\t%d\t%d\t%d", queue.Class, queue.Team, queue.Jobs, queue.Blocked, queue.Waiting, queue.Running, queue.Done)
 	}
 }
 
 func (t overviewTable) teams(teams []leader.TeamStatus) {
 	t.line("\nTEAM\tOF\tUSED\tHELD\tGUARANTEED\tLIMIT")
 	for _, team := range teams {
-		t.quota(team.Team, "GPUs", quota{team.GPUs, team.HeldGPUs, team.GPUsOwn, team.GPUsLimit})
-		t.quota(team.Team, "CPUs", quota{team.CPUs, team.HeldCPUs, team.CPUsOwn, team.CPUsLimit})
+		t.quota(team.Team, "GPUs", quota{team.GPUs, team.ReservedGPUs, team.GuaranteedGPUs, team.MaxGPUs})
+		t.quota(team.Team, "CPUs", quota{team.CPUs, team.ReservedCPUs, team.GuaranteedCPUs, team.MaxCPUs})
 	}
 }
 
@@ -120,7 +120,7 @@
 func (t overviewTable) holds(holds []leader.HoldStatus) {
 	t.line("\nHELD ON\tTEAM\tCLASS\tFOR JOB\tCPUS\tGPUS\tLAPSES IN")
 	for _, hold := range holds {
-		lapsesIn := time.Duration(hold.LapsesIn * float64(time.Second)).Round(time.Second)
+		lapsesIn := time.Duration(hold.ExpiresInS * float64(time.Second)).Round(time.Second)
 		t.line("%s\t%s\t%s\t%s\t%.0f\t%.0f\t%v", hold.Machine, hold.Team, hold.Class, hold.Job, hold.CPUs, hold.GPUs, lapsesIn)
 	}
 }
--- a/internal/leader/attempts.go
+++ b/internal/leader/attempt_numbers.go
@@ -9,7 +9,7 @@
 type attemptNumbers struct{ term, used uint64 }
 
 // next is a new number; false once the term has none left.
-func (n *attemptNumbers) next() (try uint64, ok bool) {
+func (n *attemptNumbers) next() (number uint64, ok bool) {
 	used := n.used + 1
 	carry := used >> constants.AttemptCounterBits
 	if carry >= 1<<constants.AttemptCarryBits || carry > 0 && n.term >= 1<<constants.TermBits {
@@ -20,9 +20,9 @@
 }
 
 // owns tells whether a number is one of this term's.
-func (n *attemptNumbers) owns(try uint64) bool {
+func (n *attemptNumbers) owns(number uint64) bool {
 	if n.term >= 1<<constants.TermBits {
-		return try>>constants.AttemptCounterBits == n.term
+		return number>>constants.AttemptCounterBits == n.term
 	}
-	return try>>constants.AttemptCounterBits&(1<<constants.TermBits-1) == n.term
+	return number>>constants.AttemptCounterBits&(1<<constants.TermBits-1) == n.term
 }
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -38,12 +38,12 @@
 	l.certainty.Watched(now)
 	var list []*machineState
 	for i := range machines {
-		machine := addRig(l, fmt.Sprintf("m-%06d", i), []string{"east", "west"}[i%2], now)
+		machine := addMachine(l, fmt.Sprintf("m-%06d", i), []string{"east", "west"}[i%2], now)
 		machine.agent.Spot = i%3 == 0
 		list = append(list, machine)
 	}
 	for i := range machines / 3 {
-		j := sweep(fmt.Sprintf("j-%06d", i), 40)
+		j := arraySpec(fmt.Sprintf("j-%06d", i), 40)
 		j.Image = fmt.Sprint("img-", i%10)
 		j.Class = []string{"x", "y"}[i%2]
 		if i%4 == 0 {
@@ -54,7 +54,7 @@
 	for range 5 {
 		l.passDueNow = true
 		l.runSchedulingPass(now)
-		settle(l, 100)
+		commitAll(l, 100)
 	}
 	for _, machine := range list {
 		machine.agent.Commands(true, now) // the starts have left: no answer waits for them
@@ -92,12 +92,12 @@
 	l.certainty.Watched(now)
 	var list []*machineState
 	for i := range machines {
-		machine := addRig(l, fmt.Sprintf("m-%06d", i), []string{"east", "west"}[i%2], now)
+		machine := addMachine(l, fmt.Sprintf("m-%06d", i), []string{"east", "west"}[i%2], now)
 		machine.agent.Spot = i%5 < 2
 		list = append(list, machine)
 	}
 	for i := range machines / 4 {
-		j := sweep(fmt.Sprintf("j-%06d", i), 50)
+		j := arraySpec(fmt.Sprintf("j-%06d", i), 50)
 		j.Team = l.teams[i%len(l.teams)].Name
 		j.Image = fmt.Sprint("img-", i%14)
 		switch i % 5 {
@@ -113,7 +113,7 @@
 	for range 5 {
 		l.passDueNow = true
 		l.runSchedulingPass(now)
-		settle(l, 100)
+		commitAll(l, 100)
 	}
 	for _, machine := range list {
 		machine.agent.Commands(true, now)
@@ -158,7 +158,7 @@
 			now := time.Now()
 			for k := range 20 {
 				machine := list[(i*20+k*101)%len(list)]
-				rep := report(l, machine, workers.StatusRunning, "")
+				rep := nextHeartbeat(l, machine, workers.StatusRunning, "")
 				for n := range rep.Tasks {
 					if a := machine.agent.Attempts[attemptID(b, rep.Tasks[n])]; n%3 == 0 && a.ID.Task.Index%50 != 0 && l.jobs.get(a.ID.Task.Job) != nil && l.jobs.get(a.ID.Task.Job).spec.Kind != jobs.KindGang {
 						rep.Tasks[n].Status, rep.Tasks[n].Cause = workers.StatusExited, workers.CauseError
@@ -170,9 +170,9 @@
 				j.retry.notBefore = time.Time{}
 				clear(j.retry.avoid)
 			}
-			epoch = settle(l, epoch)
+			epoch = commitAll(l, epoch)
 			l.runSchedulingPass(now)
-			epoch = settle(l, epoch)
+			epoch = commitAll(l, epoch)
 			for k := range 20 {
 				machine := list[(i*20+k*101)%len(list)]
 				machine.agent.Commands(true, now)
@@ -199,7 +199,7 @@
 		b.ResetTimer()
 		for i := range b.N {
 			machine := list[i%len(list)]
-			rep := report(l, machine, workers.StatusRunning, "")
+			rep := nextHeartbeat(l, machine, workers.StatusRunning, "")
 			l.heartbeat(rep, now, ch)
 			l.commit(now)
 			l.replies.byMachine[machine].until = now
@@ -234,14 +234,14 @@
 func BenchmarkCommit(b *testing.B) {
 	perFleetSize(b, func(b *testing.B, machines int) {
 		l, list := grown(b, machines)
-		epoch := settle(l, 1000)
+		epoch := commitAll(l, 1000)
 		before := l.wal.Stats().EntryBytes
 		b.ResetTimer()
 		for i := range b.N {
 			for k := range 20 {
 				l.logMetadata(list[(i*20+k)%len(list)], nil)
 			}
-			epoch = settle(l, epoch)
+			epoch = commitAll(l, epoch)
 		}
 		b.ReportMetric(float64(l.wal.Stats().EntryBytes-before)/float64(b.N), "bytes")
 	})
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -54,11 +54,11 @@
 	}
 	silent := l.isSilent(machine, now)
 	if !l.commands.acquire(len(stops) > 0, silent) {
-		l.counts.Postponed++
+		l.counts.PostponedCommands++
 		return false
 	}
 	machine.commandInFlight, machine.lastCommandAt = true, now
-	l.counts.Commands++
+	l.counts.DirectCommands++
 	if stops == nil {
 		stops = []workers.Command{} // the protocol wants a list
 	}
--- a/internal/leader/commit_calls.go
+++ b/internal/leader/commit_calls.go
@@ -60,7 +60,7 @@
 func (l *Leader) committed(result commitResult) {
 	outcome := l.commits.finished(result, time.Now())
 	l.counts.Commits++
-	l.counts.CommitS += outcome.took.Seconds()
+	l.counts.CommitSeconds += outcome.took.Seconds()
 	if outcome.endTerm != "" {
 		l.term.end(outcome.endTerm)
 	}
--- a/internal/leader/commit_test.go
+++ b/internal/leader/commit_test.go
@@ -24,7 +24,7 @@
 	l.deps.Settings.Params.State.TxnOps, l.deps.Settings.Params.State.ValueKB = constants.MinTxnOps, 1
 	l.openLog(l.wal.Head(), 0)
 	plan := func(i int) *workers.Attempt {
-		machine := addRig(l, fmt.Sprintf("m-%04d", i), "east", now)
+		machine := addMachine(l, fmt.Sprintf("m-%04d", i), "east", now)
 		a := &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: "j-1", Index: i}, Number: uint64(i)}, Epoch: 1, PlacedAt: now}
 		machine.agent.Attempts[a.ID] = a
 		l.logAttempt(machine, a)
@@ -70,8 +70,8 @@
 func TestLateWriteClashes(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	machine := addRig(l, "m-1", "east", now)
-	addJob(t, l, sweep("j-1", 1), now)
+	machine := addMachine(l, "m-1", "east", now)
+	addJob(t, l, arraySpec("j-1", 1), now)
 	l.runSchedulingPass(now)
 	first := l.commits.next()
 	l.committed(commitResult{err: fmt.Errorf("no answer")})
@@ -91,7 +91,7 @@
 	if l.term.err() != nil || len(machine.agent.Commands(true, now)) != 1 {
 		t.Fatalf("the first try stands, but the start does not leave (%v)", l.term.err())
 	}
-	addJob(t, l, sweep("j-2", 1), now)
+	addJob(t, l, arraySpec("j-2", 1), now)
 	l.runSchedulingPass(now)
 	if next := l.commits.next(); next.Conditions[0].Revision != 55 {
 		t.Errorf("the next one builds on %+v", next.Conditions)
@@ -111,9 +111,9 @@
 	l.deps.Settings.Params.State.ValueKB, l.deps.Settings.Params.State.TxnOps = 8, 4
 	l.openLog(wal.Head{}, 0)
 	for i := range 3 {
-		addRig(l, fmt.Sprint("m-", i), "east", now)
+		addMachine(l, fmt.Sprint("m-", i), "east", now)
 	}
-	spec := sweep("j-00000000000000000001", constants.MaxTasks)
+	spec := arraySpec("j-00000000000000000001", constants.MaxTasks)
 	spec.CPUs, spec.GPUs, spec.MemoryGB = 0.01, 0, 0.01
 	j := addJob(t, l, spec, now)
 	for i := range spec.Tasks - 300 {
--- a/internal/leader/demand_propagation_test.go
+++ b/internal/leader/demand_propagation_test.go
@@ -92,7 +92,7 @@
 func TestExpectationsAreCorrected(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	j := addJob(t, l, sweep("j-1", 1), now)
+	j := addJob(t, l, arraySpec("j-1", 1), now)
 	j.spec.ExpectedS = 10
 	if l.runtimeRatios.expected(j.spec) != 10*time.Second {
 		t.Errorf("at first %v", l.runtimeRatios.expected(j.spec))
@@ -119,7 +119,7 @@
 		now := time.UnixMilli(1_700_000_000_000)
 		l := testLeader(t)
 		due := 300.0
-		spec := sweep("j-9", 1)
+		spec := arraySpec("j-9", 1)
 		spec.DueS, spec.DependsOn = &due, []string{"j-1", "j-2"}
 		j := addJob(t, l, spec, now)
 		accepted, last := j.acceptedAt, j.acceptedAt
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -31,7 +31,7 @@
 // step lets the leader decide, and the machines obey and report.
 func (w *truth) step(now time.Time) {
 	w.l.runSchedulingPass(now)
-	w.epoch = settle(w.l, w.epoch)
+	w.epoch = commitAll(w.l, w.epoch)
 	for _, machine := range w.l.fleet.sortedByName() {
 		here := w.tasks[machine.agent.Name]
 		for _, o := range machine.agent.Commands(true, now) {
@@ -70,7 +70,7 @@
 		}
 		w.l.applyHeartbeat(machine, rep, false, now)
 	}
-	w.epoch = settle(w.l, w.epoch)
+	w.epoch = commitAll(w.l, w.epoch)
 	w.l.attributeAllFailures(now)
 }
 
@@ -91,13 +91,13 @@
 		w.l.teams[0].GuaranteedGPUs = 64
 		for i := range 12 {
 			name := fmt.Sprintf("m-%02d", i)
-			addRig(w.l, name, "east", now)
+			addMachine(w.l, name, "east", now)
 			w.tasks[name] = map[workers.AttemptID]*really{}
 			w.faulty[name] = i < 2 && rapid.Bool().Draw(rt, "faulty")
 		}
 		sound := 0
 		for i := range rapid.IntRange(2, 6).Draw(rt, "jobs") {
-			spec := sweep(fmt.Sprint("j-", i), rapid.IntRange(1, 8).Draw(rt, "pieces"))
+			spec := arraySpec(fmt.Sprint("j-", i), rapid.IntRange(1, 8).Draw(rt, "pieces"))
 			if rapid.IntRange(0, 2).Draw(rt, "gang") == 0 {
 				spec.Kind, spec.SameZone = jobs.KindGang, true
 			}
--- a/internal/leader/fixtures_test.go
+++ b/internal/leader/fixtures_test.go
@@ -38,8 +38,8 @@
 	return l
 }
 
-// addRig gives the leader a machine that has just reported.
-func addRig(l *Leader, name, zone string, now time.Time) *machineState {
+// addMachine gives the leader a machine that has just reported.
+func addMachine(l *Leader, name, zone string, now time.Time) *machineState {
 	machine := l.fleet.getOrAdd(name, now)
 	machine.agent.Observe(&workers.Heartbeat{Machine: name, MachineType: "g4", Zone: zone, Epoch: 1, Sequence: 1, Token: l.term.number()}, l.term.number(), false, now)
 	machine.agent.LastAcknowledged = now
@@ -57,15 +57,15 @@
 	return l.jobs.get(j.ID)
 }
 
-func sweep(id string, pieces int) jobs.Spec {
+func arraySpec(id string, pieces int) jobs.Spec {
 	return jobs.Spec{
 		ID: id, Class: "x", Team: "a", Kind: jobs.KindArray, PriorityClass: "standard", Tasks: pieces,
 		CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 5, AllowSpot: true, ExpectedS: 30, CheckpointIntervalS: 5, SaveS: 1,
 	}
 }
 
-// report makes a worker's next report with these tasks in this state.
-func report(l *Leader, machine *machineState, status, cause string) *workers.Heartbeat {
+// nextHeartbeat makes a worker's next heartbeat with these tasks in this state.
+func nextHeartbeat(l *Leader, machine *machineState, status, cause string) *workers.Heartbeat {
 	rep := &workers.Heartbeat{Machine: machine.agent.Name, MachineType: machine.agent.MachineType, Zone: machine.agent.Zone, Epoch: machine.agent.Epoch, Sequence: machine.agent.Sequence + 1, Token: l.term.number()}
 	for _, a := range machine.agent.SortedAttempts() {
 		rep.Tasks = append(rep.Tasks, workers.TaskReport{Task: a.ID.Task.String(), Attempt: a.ID.Number, Status: status, Cause: cause})
@@ -73,9 +73,9 @@
 	return rep
 }
 
-// settle carries out what the leader wants to record, as the state service
+// commitAll carries out what the leader wants to record, as the state service
 // would, and returns the epoch.
-func settle(l *Leader, epoch uint64) uint64 {
+func commitAll(l *Leader, epoch uint64) uint64 {
 	for l.wal.Pending() || len(l.commits.completed) > 0 {
 		if l.commits.next() == nil {
 			break
@@ -86,18 +86,18 @@
 	return epoch
 }
 
-// settleAll also writes what can wait: checkpoints and removals.
-func settleAll(l *Leader, epoch uint64) {
+// commitEverything also writes what can wait: checkpoints and removals.
+func commitEverything(l *Leader, epoch uint64) {
 	for l.commits.next() != nil {
 		epoch++
 		l.committed(commitResult{revision: epoch})
 	}
 }
 
-// run starts the calls that the leader wants to make and applies what they and others hand
+// runUntilQuiet starts the calls that the leader wants to make and applies what they and others hand
 // to the loop, until nothing comes any more. Within a synctest bubble its wait ends only
 // when nothing else is under way.
-func run(tb testing.TB, l *Leader) {
+func runUntilQuiet(tb testing.TB, l *Leader) {
 	tb.Helper()
 	group, ctx := errgroup.WithContext(tb.Context())
 	defer func() { _ = group.Wait() }()
@@ -112,8 +112,8 @@
 	}
 }
 
-// runOne starts the calls that the leader wants to make and applies the first result.
-func runOne(tb testing.TB, l *Leader) {
+// runNextEvent starts the calls that the leader wants to make and applies the first result.
+func runNextEvent(tb testing.TB, l *Leader) {
 	tb.Helper()
 	group, ctx := errgroup.WithContext(tb.Context())
 	l.startCalls(ctx, group)
--- a/internal/leader/gang_recovery_test.go
+++ b/internal/leader/gang_recovery_test.go
@@ -14,10 +14,10 @@
 func TestPartOfAGangEndsWithItsTerm(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	spec := sweep("j-1", 2)
+	spec := arraySpec("j-1", 2)
 	spec.Kind, spec.SameZone, spec.GPUs = jobs.KindGang, true, 4
 	j := addJob(t, l, spec, now)
-	machine := addRig(l, "m-1", "east", now)
+	machine := addMachine(l, "m-1", "east", now)
 	a := &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: "j-1"}, Number: 9}, Epoch: 1, FromEarlierTerm: true, RunSent: true, Committed: true}
 	machine.agent.Attempts[a.ID] = a
 	l.addAttempt(machine, a)
@@ -35,14 +35,14 @@
 		now := time.Now()
 		l := testLeader(t)
 		for i := range 3 {
-			addRig(l, fmt.Sprint("m-e", i), "east", now)
-			addRig(l, fmt.Sprint("m-w", i), "west", now)
+			addMachine(l, fmt.Sprint("m-e", i), "east", now)
+			addMachine(l, fmt.Sprint("m-w", i), "west", now)
 		}
-		spec := sweep("j-1", 2)
+		spec := arraySpec("j-1", 2)
 		spec.Kind, spec.SameZone, spec.GPUs = jobs.KindGang, true, 4
 		j := addJob(t, l, spec, now)
 		l.runSchedulingPass(now)
-		epoch := settle(l, 100)
+		epoch := commitAll(l, 100)
 		seats := j.attempts.sorted()
 		if len(seats) != 2 {
 			t.Fatalf("%d of 2 placed", len(seats))
@@ -50,13 +50,13 @@
 		try := j.gang.attemptNumber
 		for _, s := range seats {
 			s.machine.agent.Commands(true, now)
-			l.applyHeartbeat(s.machine, report(l, s.machine, status, ""), false, now)
+			l.applyHeartbeat(s.machine, nextHeartbeat(l, s.machine, status, ""), false, now)
 		}
 		lost := seats[1].machine
 		l.applyEvents(lost, lost.agent.MarkTerminated(), now)
 		lost.leaving = true
 		l.runSchedulingPass(now)
-		settle(l, epoch)
+		commitAll(l, epoch)
 		if status == workers.StatusRunning {
 			if !seats[0].attempt.StopRequested || len(j.attempts) != 1 {
 				t.Errorf("the rest of a running gang goes on: %v", j.attempts)
@@ -71,7 +71,7 @@
 		if fresh.attempt.ID.Number != try || fresh.machine == lost || fresh.machine.agent.Zone != seats[0].machine.agent.Zone || !fresh.attempt.StartAllowed {
 			t.Errorf("replaced by %+v on %s", fresh.attempt, fresh.machine.agent.Name)
 		}
-		l.applyHeartbeat(seats[0].machine, report(l, seats[0].machine, workers.StatusExited, "mates_gone"), false, now)
+		l.applyHeartbeat(seats[0].machine, nextHeartbeat(l, seats[0].machine, workers.StatusExited, "mates_gone"), false, now)
 		if len(j.attempts) != 0 && !j.attempts.sorted()[0].attempt.StopRequested {
 			t.Errorf("the replacement outlives its gang")
 		}
--- a/internal/leader/gang_starvation_test.go
+++ b/internal/leader/gang_starvation_test.go
@@ -18,7 +18,7 @@
 	n := 0
 	add := func(pieces int, began time.Duration) {
 		n++
-		spec := sweep(fmt.Sprint("j-", n), pieces)
+		spec := arraySpec(fmt.Sprint("j-", n), pieces)
 		spec.Kind, spec.SameZone = jobs.KindGang, true
 		j := addJob(t, l, spec, now)
 		if began > 0 {
--- a/internal/leader/gap_test.go
+++ b/internal/leader/gap_test.go
@@ -109,7 +109,7 @@
 	now := time.Now()
 	l := testLeader(t)
 	l.certainty.Watched(now.Add(-time.Minute))
-	j := addJob(t, l, sweep("j-1", 1), now)
+	j := addJob(t, l, arraySpec("j-1", 1), now)
 	l.applyAttestation([]string{"j-1"}, now.Add(-constants.AttestationMaxAge-time.Second), now)
 	if j.removed || l.certainty.SinceProof(now) < time.Minute {
 		t.Errorf("late words are taken: gone %v, sure %v", j.removed, l.certainty.SinceProof(now))
@@ -151,11 +151,11 @@
 		l := testLeader(t)
 		store := &raised{}
 		l.deps.Store = store
-		addRig(l, "m-1", "east", now)
-		addJob(t, l, sweep("j-1", 1), now)
+		addMachine(l, "m-1", "east", now)
+		addJob(t, l, arraySpec("j-1", 1), now)
 		l.runSchedulingPass(now)
 		l.commit(now.Add(time.Second))
-		runOne(t, l)
+		runNextEvent(t, l)
 		if store.wrote != 0 || !errors.Is(l.term.err(), ErrDeposed) {
 			t.Errorf("%d writes, ended %v", store.wrote, l.term.err())
 		}
@@ -178,9 +178,9 @@
 		l := testLeader(t)
 		d := direct{make(chan []workers.Command, 1)}
 		l.deps.Workers = d
-		machine := addRig(l, "m-1", "east", now)
+		machine := addMachine(l, "m-1", "east", now)
 		machine.agent.Endpoint = "m-1:1"
-		j := addJob(t, l, sweep("j-1", 3), now)
+		j := addJob(t, l, arraySpec("j-1", 3), now)
 		l.runSchedulingPass(now)
 		for _, s := range j.attempts.sorted() {
 			s.attempt.Committed, s.attempt.StartAllowed = true, true
@@ -192,7 +192,7 @@
 		seats[0].attempt.StopRequested, seats[0].attempt.StopRequestedAt = true, now // to be stopped
 		seats[1].attempt.Status, seats[1].attempt.ExitRecorded = workers.StatusExited, true
 		l.sendStops(machine, now)
-		runOne(t, l)
+		runNextEvent(t, l)
 		if got := <-d.orders; len(got) != 1 || got[0].Verb != workers.VerbStop {
 			t.Errorf("straight to the worker went %+v", got)
 		}
@@ -205,8 +205,8 @@
 func TestRefusedTransactionEndsTheTerm(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	addRig(l, "m-1", "east", now)
-	addJob(t, l, sweep("j-1", 1), now)
+	addMachine(l, "m-1", "east", now)
+	addJob(t, l, arraySpec("j-1", 1), now)
 	l.runSchedulingPass(now)
 	if l.commits.next() == nil {
 		t.Fatal("nothing to write")
--- a/internal/leader/growth_test.go
+++ b/internal/leader/growth_test.go
@@ -27,16 +27,16 @@
 		w.report = testing.AllocsPerRun(200, func() {
 			machine := list[next%len(list)]
 			next += 7
-			l.heartbeat(report(l, machine, workers.StatusRunning, ""), now, ch)
+			l.heartbeat(nextHeartbeat(l, machine, workers.StatusRunning, ""), now, ch)
 			l.replies.byMachine[machine].until = now
 			l.replies.wake(machine)
 			l.flushReplies(now)
 			<-ch
 		})
-		settle(l, 1000)
+		commitAll(l, 1000)
 		now = time.Now()
 		l.runSchedulingPass(now)
-		settle(l, 2000)
+		commitAll(l, 2000)
 		for _, machine := range list[:changes] {
 			l.logMetadata(machine, nil)
 			machine.markStale()
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -42,9 +42,9 @@
 		return
 	}
 	machine := l.fleet.getOrAdd(heartbeat.Machine, now)
-	l.counts.Reports++
+	l.counts.Heartbeats++
 	if machine.agent.IsDuplicate(heartbeat) {
-		l.counts.Copies++
+		l.counts.DuplicateHeartbeats++
 		// A late copy tells nothing new, and whoever sent it has given up
 		// waiting: it must not count as contact with the worker.
 		reply <- refusal
@@ -112,7 +112,7 @@
 	if commands == nil {
 		commands = []workers.Command{} // the protocol wants a list
 	}
-	l.counts.Orders += uint64(len(commands))
+	l.counts.RepliedCommands += uint64(len(commands))
 	return Reply{Status: http.StatusOK, Answer: workers.CommandBatch{Token: l.term.number(), Commands: commands}}, true
 }
 
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -18,9 +18,9 @@
 	now := time.Now()
 	l := testLeader(t)
 	l.certainty.Watched(now)
-	machine := addRig(l, "m-1", "east", now)
+	machine := addMachine(l, "m-1", "east", now)
 	answered := machine.agent.LastAcknowledged
-	copyOf := report(l, machine, "", "")
+	copyOf := nextHeartbeat(l, machine, "", "")
 	copyOf.Sequence = 1
 	ch := make(chan Reply, 1)
 	l.heartbeat(copyOf, now.Add(time.Second), ch)
@@ -38,7 +38,7 @@
 		t.Errorf("a returned machine is back: %d", a.Status)
 	}
 	l.fleet.remove(machine)
-	j := addJob(t, l, sweep("j-1", 1), now)
+	j := addJob(t, l, arraySpec("j-1", 1), now)
 	stale := &workers.Heartbeat{Machine: "m-2", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: 400, Token: l.term.number() - 1}
 	l.heartbeat(stale, now, ch)
 	l.runSchedulingPass(now)
@@ -59,17 +59,17 @@
 	now := time.Now()
 	l := testLeader(t)
 	l.certainty.Watched(now)
-	machine := addRig(l, "m-1", "east", now)
+	machine := addMachine(l, "m-1", "east", now)
 	last := machine.agent.LastAcknowledged
 	machine.agent.RepliesLost = true
 	machine.markStale()
 	ch := make(chan Reply, 1)
-	l.heartbeat(report(l, machine, "", ""), now.Add(time.Second), ch)
+	l.heartbeat(nextHeartbeat(l, machine, "", ""), now.Add(time.Second), ch)
 	l.flushReplies(now.Add(3 * time.Second))
 	if a := <-ch; a.Status != 503 || !machine.agent.LastAcknowledged.Equal(last) {
 		t.Errorf("it got %d, its lease counts from %v", a.Status, machine.agent.LastAcknowledged.Sub(last))
 	}
-	j := addJob(t, l, sweep("j-1", 1), now)
+	j := addJob(t, l, arraySpec("j-1", 1), now)
 	l.runSchedulingPass(now)
 	if len(j.attempts) != 0 {
 		t.Errorf("it got work")
@@ -90,20 +90,20 @@
 		offline(t, l)
 		l.deps.Cloud = &cloudCalls{}
 		l.certainty.Watched(now)
-		machine := addRig(l, "m-1", "east", now)
-		spec := sweep("j-1", 2)
+		machine := addMachine(l, "m-1", "east", now)
+		spec := arraySpec("j-1", 2)
 		spec.Kind, spec.SameZone = jobs.KindGang, true
 		addJob(t, l, spec, now)
 		l.runSchedulingPass(now)
-		settle(l, 100)
+		commitAll(l, 100)
 		machine.agent.Commands(true, now)
 		replies := make(chan Reply, 2)
-		l.heartbeat(report(l, machine, workers.StatusRunning, ""), now, replies)
+		l.heartbeat(nextHeartbeat(l, machine, workers.StatusRunning, ""), now, replies)
 		if len(machine.agent.Attempts) != 2 || len(replies) != 0 {
 			t.Fatalf("%d attempts on the machine, %d replies", len(machine.agent.Attempts), len(replies))
 		}
 		l.returnMachines([]string{"m-1"}, now)
-		run(t, l)
+		runUntilQuiet(t, l)
 		l.flushReplies(time.Now().Add(constants.ReplyHold)) // the same round, by when the heartbeat need not wait longer
 		if n := len(replies); n != 1 {
 			t.Fatalf("%d replies to one heartbeat", n)
--- a/internal/leader/job_test.go
+++ b/internal/leader/job_test.go
@@ -12,25 +12,25 @@
 func TestStartsFollowTheirRecord(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	machine := addRig(l, "m-1", "east", now)
-	j := addJob(t, l, sweep("j-1", 2), now)
+	machine := addMachine(l, "m-1", "east", now)
+	j := addJob(t, l, arraySpec("j-1", 2), now)
 	l.runSchedulingPass(now)
 	if len(j.attempts) != 2 || len(machine.agent.Commands(true, now)) != 0 {
 		t.Fatalf("%d placed, %d orders before the record", len(j.attempts), len(machine.agent.Commands(true, now)))
 	}
-	epoch := settle(l, 100)
+	epoch := commitAll(l, 100)
 	if got := machine.agent.Commands(true, now); len(got) != 2 || got[0].Verb != workers.VerbRun {
 		t.Fatalf("after the record: %v", got)
 	}
-	l.applyHeartbeat(machine, report(l, machine, workers.StatusRunning, ""), false, now)
+	l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusRunning, ""), false, now)
 	if len(machine.images) != 1 || !machine.images[0].fetched || l.metadata.due[machine].IsZero() {
 		t.Errorf("the image is not noted for the next leader")
 	}
-	l.applyHeartbeat(machine, report(l, machine, workers.StatusExited, workers.CauseDone), false, now)
+	l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusExited, workers.CauseDone), false, now)
 	if !j.complete || len(machine.agent.Commands(true, now)) != 0 {
 		t.Fatalf("closing %v, orders %v before completion is recorded", j.complete, machine.agent.Commands(true, now))
 	}
-	settle(l, epoch)
+	commitAll(l, epoch)
 	if got := machine.agent.Commands(true, now); len(got) != 2 || got[0].Verb != workers.VerbForget {
 		t.Fatalf("after completion: %v", got)
 	}
@@ -44,12 +44,12 @@
 func TestCancelledTasksStillCount(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	machine := addRig(l, "m-1", "east", now)
-	addJob(t, l, sweep("j-1", 3), now)
+	machine := addMachine(l, "m-1", "east", now)
+	addJob(t, l, arraySpec("j-1", 3), now)
 	l.runSchedulingPass(now)
-	settle(l, 100)
+	commitAll(l, 100)
 	machine.agent.Commands(true, now)
-	l.applyHeartbeat(machine, report(l, machine, workers.StatusRunning, ""), false, now)
+	l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusRunning, ""), false, now)
 	machine.agent.Endpoint = "" // nothing to be told directly here
 	l.jobRecordDeleted("j-1", now)
 	w := l.snapshotForPlacement(now)
@@ -60,7 +60,7 @@
 	if len(rec.Attempts) != 3 || rec.Jobs["j-1"].Team != "a" || resourcesFromRecord(rec.Jobs["j-1"].Resources).GPUs != 1 {
 		t.Errorf("the record does not carry them: %+v", rec)
 	}
-	l.applyHeartbeat(machine, report(l, machine, workers.StatusExited, "halted"), false, now)
+	l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusExited, "halted"), false, now)
 	if w = l.snapshotForPlacement(now); w.Teams["a"].Used.GPUs != 0 {
 		t.Errorf("they count for ever")
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -77,7 +77,7 @@
 	metadata         metadataQueue
 	lastPassDuration time.Duration
 	legacyKeys       map[string]uint64 // keys of the earlier format, with their revision
-	counts           counts
+	counts           WorkCounts
 	load             loadLog
 	teams            []config.Team
 	reservations     *reservations.Manager
--- a/internal/leader/legacy_test.go
+++ b/internal/leader/legacy_test.go
@@ -13,7 +13,7 @@
 func TestOldRecordsAreRead(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	j := addJob(t, l, sweep("j-1", 20), now)
+	j := addJob(t, l, arraySpec("j-1", 20), now)
 	machines := []statestore.KeyValue{{Key: "rig/m-1", Revision: 5, Value: json.RawMessage(
 		`{"t":"g4","z":"east","e":"h:1","h":2,"a":[{"p":"j-1/3","t":9,"h":2},{"p":"j-0/0","t":8,"h":2}],"j":{"j-0":{"w":"a","r":[1,2,3]},"j-1":{"w":"a","r":[1,1,1]}},"i":[{"n":"img","g":5}]}`)}}
 	dids := []statestore.KeyValue{{Key: "did/j-1/0", Revision: 6, Value: json.RawMessage(`"BQAA"`)}, {Key: "did/j-1/x", Revision: 7, Value: json.RawMessage(`7`)}}
@@ -26,7 +26,7 @@
 	}
 	machine.agent.Endpoint = ""
 	l.beginCheckpoint()
-	settleAll(l, 100)
+	commitEverything(l, 100)
 	if len(l.commits.obsoleteKeys) != 0 || l.legacyKeys != nil {
 		t.Errorf("they are not removed: %v", l.commits.obsoleteKeys)
 	}
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -11,24 +11,24 @@
 	"thornnotch/internal/statestore"
 )
 
-// counts are running sums of what the leader's loop does.
-type counts struct {
-	Passes   uint64  `json:"passes"`
-	PassS    float64 `json:"passS"` // time spent in them
-	Views    uint64  `json:"views"` // of machines, made anew for them
-	Reports  uint64  `json:"reports"`
-	Copies   uint64  `json:"lateCopies"` // late copies of heartbeats
-	Orders   uint64  `json:"orders"`     // commands sent in replies
-	Commands uint64  `json:"commands"`   // sent directly
-	// Postponed are direct commands that had to wait for others.
-	Postponed uint64  `json:"postponed"`
-	Commits   uint64  `json:"commits"`
-	CommitS   float64 `json:"commitS"`
-	Calls     uint64  `json:"calls"` // events taken by the loop
-	// HintBytes are the records of holds and images, Log all that the log has taken.
-	HintBytes uint64    `json:"hintBytes"`
-	Log       wal.Stats `json:"log"`
-	BusyS     float64   `json:"busyS"` // time the loop was at work
+// WorkCounts are running sums of what the leader's loop does.
+type WorkCounts struct {
+	Passes              uint64  `json:"passes"`
+	PassSeconds         float64 `json:"passS"` // time spent in them
+	Views               uint64  `json:"views"` // of machines, made anew for them
+	Heartbeats          uint64  `json:"reports"`
+	DuplicateHeartbeats uint64  `json:"lateCopies"` // late copies of heartbeats
+	RepliedCommands     uint64  `json:"orders"`     // commands sent in replies
+	DirectCommands      uint64  `json:"commands"`   // sent directly
+	// PostponedCommands are direct commands that had to wait for others.
+	PostponedCommands uint64  `json:"postponed"`
+	Commits           uint64  `json:"commits"`
+	CommitSeconds     float64 `json:"commitS"`
+	Events            uint64  `json:"calls"` // events taken by the loop
+	// MetadataBytes are the records of holds and images, Log all that the log has taken.
+	MetadataBytes uint64    `json:"hintBytes"`
+	Log           wal.Stats `json:"log"`
+	BusySeconds   float64   `json:"busyS"` // time the loop was at work
 }
 
 // loadLog logs once in a while how much the loop had to do since last.
@@ -38,7 +38,7 @@
 
 	// loggedAt is when it was logged last, counts and drawn are as they were then.
 	loggedAt time.Time
-	counts   counts
+	counts   WorkCounts
 	drawn    map[statestore.Class]statestore.Usage
 }
 
@@ -55,7 +55,7 @@
 
 // log logs what has come together since last. The first time there is nothing to compare
 // with, and it only notes the counts.
-func (g *loadLog) log(logger *slog.Logger, current counts, gauges loadGauges, now time.Time) {
+func (g *loadLog) log(logger *slog.Logger, current WorkCounts, gauges loadGauges, now time.Time) {
 	first, period := g.loggedAt.IsZero(), now.Sub(g.loggedAt).Seconds()
 	if !first {
 		logger.Info("load", g.attributes(current, gauges, period)...)
@@ -67,20 +67,20 @@
 }
 
 // attributes are the load line's rates over a period in seconds.
-func (g *loadLog) attributes(current counts, gauges loadGauges, period float64) []any {
+func (g *loadLog) attributes(current WorkCounts, gauges loadGauges, period float64) []any {
 	was := g.counts
 	return []any{
 		"jobs", gauges.jobs, "machines", gauges.machines,
-		"reports_s", perSecond(current.Reports, was.Reports, period),
-		"orders_s", perSecond(current.Orders, was.Orders, period),
-		"commands_s", perSecond(current.Commands, was.Commands, period),
+		"reports_s", perSecond(current.Heartbeats, was.Heartbeats, period),
+		"orders_s", perSecond(current.RepliedCommands, was.RepliedCommands, period),
+		"commands_s", perSecond(current.DirectCommands, was.DirectCommands, period),
 		"passes_s", perSecond(current.Passes, was.Passes, period),
-		"pass_part", share(current.PassS, was.PassS, period),
+		"pass_part", share(current.PassSeconds, was.PassSeconds, period),
 		"commits_s", perSecond(current.Commits, was.Commits, period),
-		"commit_part", share(current.CommitS, was.CommitS, period),
-		"busy_part", share(current.BusyS, was.BusyS, period),
+		"commit_part", share(current.CommitSeconds, was.CommitSeconds, period),
+		"busy_part", share(current.BusySeconds, was.BusySeconds, period),
 		"entries_kb_s", kilobytesPerSecond(current.Log.EntryBytes, was.Log.EntryBytes, period),
-		"hints_kb_s", kilobytesPerSecond(current.HintBytes, was.HintBytes, period),
+		"hints_kb_s", kilobytesPerSecond(current.MetadataBytes, was.MetadataBytes, period),
 		"checkpoint_kb_s", kilobytesPerSecond(current.Log.PartBytes, was.Log.PartBytes, period),
 		"queue", gauges.events, "log", gauges.backlog,
 	}
@@ -129,8 +129,8 @@
 }
 
 // work is what the loop has done so far.
-func (l *Leader) work() counts {
+func (l *Leader) work() WorkCounts {
 	work := l.counts
-	work.HintBytes = l.metadata.bytes
+	work.MetadataBytes = l.metadata.bytes
 	return work
 }
--- a/internal/leader/loop.go
+++ b/internal/leader/loop.go
@@ -72,7 +72,7 @@
 		now := l.decide()
 		l.startCalls(ctx, group)
 		l.flushReplies(now)
-		l.counts.BusyS += time.Since(began).Seconds()
+		l.counts.BusySeconds += time.Since(began).Seconds()
 		if next := l.nextAlarm(); !next.IsZero() {
 			alarm.Reset(max(next.Sub(now), 0))
 		}
@@ -91,7 +91,7 @@
 
 // applyAll applies an event and what else has come in, before the costly part.
 func (l *Leader) applyAll(first event) {
-	l.counts.Calls += uint64(1 + len(l.events))
+	l.counts.Events += uint64(1 + len(l.events))
 	first.apply(l)
 	for waiting := len(l.events); waiting > 0 && !l.term.ended(); waiting-- {
 		(<-l.events).apply(l)
--- a/internal/leader/metadata_test.go
+++ b/internal/leader/metadata_test.go
@@ -26,7 +26,7 @@
 		l.metadata = newMetadataQueue(state, config.DefaultOperator().Budgets)
 		l.openLog(l.wal.Head(), 0)
 		for i := range machines {
-			machine := addRig(l, fmt.Sprintf("m-%06d", i), "east", now)
+			machine := addMachine(l, fmt.Sprintf("m-%06d", i), "east", now)
 			for k := range 6 {
 				machine.images.use(fmt.Sprintf("img-%02d-%06d", k, i), 5, true, 0)
 			}
--- a/internal/leader/provisioning_test.go
+++ b/internal/leader/provisioning_test.go
@@ -58,12 +58,12 @@
 		l.deps.Cloud = cloud
 		l.teams[0].MaxGPUs = 100000
 		for i := range 400 {
-			addJob(t, l, sweep(fmt.Sprintf("j-%06d", i), 100), time.Now())
+			addJob(t, l, arraySpec(fmt.Sprintf("j-%06d", i), 100), time.Now())
 		}
 		for step := range 40 {
 			cloud.failing = step == 5
 			l.scale(time.Now())
-			run(t, l)
+			runUntilQuiet(t, l)
 			time.Sleep(time.Second)
 			clear(l.scaling.refused)
 			if !l.scaling.listedAt.IsZero() {
@@ -98,8 +98,8 @@
 	t0 := time.Unix(1000, 0)
 	l := testLeader(t)
 	for i := range 4 {
-		addRig(l, fmt.Sprint("m-e", i), "east", t0)
-		addRig(l, fmt.Sprint("m-w", i), "west", t0)
+		addMachine(l, fmt.Sprint("m-e", i), "east", t0)
+		addMachine(l, fmt.Sprint("m-w", i), "west", t0)
 	}
 	now := t0.Add(l.lease + constants.SilentReturnAfter + time.Second)
 	for i := range 4 {
@@ -155,7 +155,7 @@
 	if names := l.machinesToReturn(now.Add(2 * time.Second)); len(names) != 0 {
 		t.Errorf("returned before they could report: %v", names)
 	}
-	addRig(l, "m-1", "east", now.Add(3*time.Second))
+	addMachine(l, "m-1", "east", now.Add(3*time.Second))
 	if names := l.machinesToReturn(now.Add(l.lease + 5*time.Second)); len(names) != 1 || names[0] != "m-2" {
 		t.Errorf("returned: %v, want the one that never came up", names)
 	}
--- a/internal/leader/reservation_edges_test.go
+++ b/internal/leader/reservation_edges_test.go
@@ -23,23 +23,23 @@
 	l.certainty.Watched(now)
 	l.teams = append(l.teams, config.Team{Name: "b", GuaranteedGPUs: 0, MaxGPUs: 12})
 	l.teams[0].GuaranteedGPUs = 0 // nobody has a guarantee: it would go before any hold
-	machine = addRig(l, "m-1", "east", now)
+	machine = addMachine(l, "m-1", "east", now)
 	machine.agent.Endpoint = ""
-	addJob(t, l, sweep("j-1", n), now)
+	addJob(t, l, arraySpec("j-1", n), now)
 	l.runSchedulingPass(now)
-	settle(l, 100)
+	commitAll(l, 100)
 	machine.agent.Commands(true, now)
-	l.applyHeartbeat(machine, report(l, machine, workers.StatusRunning, ""), false, now)
-	spec := sweep("j-2", n)
+	l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusRunning, ""), false, now)
+	spec := arraySpec("j-2", n)
 	spec.Team, spec.DependsOn = "b", []string{"j-1"}
 	down = addJob(t, l, spec, now)
-	other = addJob(t, l, sweep("j-3", n), now)
+	other = addJob(t, l, arraySpec("j-3", n), now)
 	return l, machine, down, other
 }
 
 // endAll has all tasks on the machine reported done.
 func endAll(l *Leader, machine *machineState, now time.Time) {
-	l.applyHeartbeat(machine, report(l, machine, workers.StatusExited, workers.CauseDone), false, now)
+	l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusExited, workers.CauseDone), false, now)
 }
 
 // TestEdgesAreThePipeline: where users name edges, what a finisher leaves is held for
@@ -63,7 +63,7 @@
 	if len(other.attempts) != 0 || len(down.attempts) != 0 {
 		t.Fatalf("before the end is recorded %d tasks of the other and %d of the one that waits are placed", len(other.attempts), len(down.attempts))
 	}
-	settle(l, 200)
+	commitAll(l, 200)
 	l.runSchedulingPass(now)
 	if len(down.attempts) != 4 || len(other.attempts) != 0 || len(l.reservations.All()) != 0 {
 		t.Errorf("%d tasks of the one that waited, %d of the other, %d holds left", len(down.attempts), len(other.attempts), len(l.reservations.All()))
@@ -86,7 +86,7 @@
 	if got := shown(); len(got) != 1 || !got[0] {
 		t.Errorf("shown while the job waits: barred %v", got)
 	}
-	settle(l, 200)
+	commitAll(l, 200)
 	if got := shown(); len(got) != 1 || got[0] {
 		t.Errorf("shown once it may start: barred %v", got)
 	}
@@ -101,12 +101,12 @@
 func TestWaitedIsNobodysNext(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	up := addJob(t, l, sweep("j-1", 1), now)
-	addJob(t, l, sweep("j-2", 1), now)
-	spec := sweep("j-3", 1)
+	up := addJob(t, l, arraySpec("j-1", 1), now)
+	addJob(t, l, arraySpec("j-2", 1), now)
+	spec := arraySpec("j-3", 1)
 	spec.DependsOn = []string{"j-2"}
 	waited := addJob(t, l, spec, now)
-	next := addJob(t, l, sweep("j-4", 1), now)
+	next := addJob(t, l, arraySpec("j-4", 1), now)
 	l.removeJob(l.jobs.get("j-2"), now)
 	l.upstreamEnded("j-2", jobs.FinalRecord{Status: jobs.StatusDone}, now)
 	if waited.upstreams.blocked() {
@@ -185,7 +185,7 @@
 	l, _, first, _ := edgeScene(t, 4, now)
 	up := l.jobs.get("j-1")
 	named := func(id, urgency string, due float64, waits ...string) *jobState {
-		spec := sweep(id, 2)
+		spec := arraySpec(id, 2)
 		spec.PriorityClass, spec.DependsOn = urgency, waits
 		if due > 0 {
 			spec.DueS = &due
@@ -193,7 +193,7 @@
 		return addJob(t, l, spec, now)
 	}
 	named("j-4", "standard", 500, "j-1")
-	side := addJob(t, l, sweep("j-5", 1), now)
+	side := addJob(t, l, arraySpec("j-5", 1), now)
 	named("j-6", "standard", 90, "j-1", "j-5")
 	named("j-7", "idle", 0, "j-1")
 	last := named("j-8", "urgent", 0, "j-7")
@@ -224,13 +224,13 @@
 		l := testLeader(t)
 		l.deps.Operator.Holds.SubmissionOrder = inOrder
 		l.teams[0].MaxGPUs = 4 // the next one has to wait
-		machine := addRig(l, "m-1", "east", now)
-		addJob(t, l, sweep("j-1", 4), now)
+		machine := addMachine(l, "m-1", "east", now)
+		addJob(t, l, arraySpec("j-1", 4), now)
 		l.runSchedulingPass(now)
-		settle(l, 100)
+		commitAll(l, 100)
 		machine.agent.Commands(true, now)
-		l.applyHeartbeat(machine, report(l, machine, workers.StatusRunning, ""), false, now)
-		addJob(t, l, sweep("j-2", 4), now)
+		l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusRunning, ""), false, now)
+		addJob(t, l, arraySpec("j-2", 4), now)
 		endAll(l, machine, now.Add(10*time.Second))
 		if got, want := len(l.reservations.All()), map[bool]int{true: 4}[inOrder]; got != want {
 			t.Errorf("in submission order %v: %d holds, want %d", inOrder, got, want)
--- a/internal/leader/scheduling_pass.go
+++ b/internal/leader/scheduling_pass.go
@@ -26,7 +26,7 @@
 	l.logSummary(snapshot, now)
 	l.lastPassDuration = time.Since(now)
 	l.counts.Passes++
-	l.counts.PassS += l.lastPassDuration.Seconds()
+	l.counts.PassSeconds += l.lastPassDuration.Seconds()
 }
 
 // mayDecide tells whether a pass may run: without records no decision that needs one is
--- a/internal/leader/stall_test.go
+++ b/internal/leader/stall_test.go
@@ -58,10 +58,10 @@
 	store, cloud := &termStore{err: statestore.ErrUnavailable}, &cloudCalls{}
 	l.deps.Store, l.deps.Cloud = store, cloud
 	for i := range 6 {
-		addRig(l, fmt.Sprint("m-", i), []string{"east", "west"}[i%2], t0)
+		addMachine(l, fmt.Sprint("m-", i), []string{"east", "west"}[i%2], t0)
 	}
 	l.scaling.booting["m-9"] = booting{autoscaling.InstancePool{Type: "g4", Zone: "east"}, t0, t0}
-	addJob(t, l, sweep("j-1", 40), t0)
+	addJob(t, l, arraySpec("j-1", 40), t0)
 	// It stood still from a while ago until now.
 	still := l.lease + constants.SilentReturnAfter + time.Minute
 	l.beginRound()
@@ -79,7 +79,7 @@
 	l.tick(now)
 	l.passDueNow = true
 	l.runSchedulingPass(now)
-	run(t, l)
+	runUntilQuiet(t, l)
 	if j := l.jobs.get("j-1"); len(j.attempts) > 0 {
 		t.Errorf("%d tasks placed on an old world", len(j.attempts))
 	}
@@ -99,7 +99,7 @@
 		store.stamp++
 	}
 	l.scale(now)
-	run(t, l)
+	runUntilQuiet(t, l)
 	if (l.term.err() != nil) != deposed {
 		t.Fatalf("ended: %v", l.term.err())
 	}
@@ -113,7 +113,7 @@
 		return
 	}
 	l.scale(now)
-	run(t, l)
+	runUntilQuiet(t, l)
 	if cloud.lists+cloud.rents == 0 {
 		t.Errorf("it never deals with the cloud again")
 	}
@@ -131,16 +131,16 @@
 	hang := make(chan struct{})
 	l.deps.Workers = hanging(hang)
 	for i := range 400 {
-		machine := addRig(l, fmt.Sprintf("m-%04d", i), "east", now)
+		machine := addMachine(l, fmt.Sprintf("m-%04d", i), "east", now)
 		machine.agent.Endpoint = "x"
 		l.sendCommand(machine, nil, now)
 	}
 	if l.commands.inFlight != constants.MaxCommandsInFlight/2 {
 		t.Errorf("%d orders under way that stop nothing", l.commands.inFlight)
 	}
-	addJob(t, l, sweep("j-1", 16), now)
+	addJob(t, l, arraySpec("j-1", 16), now)
 	l.runSchedulingPass(now)
-	settle(l, 100)
+	commitAll(l, 100)
 	for machine := range l.fleet.all() {
 		machine.agent.Commands(true, now)
 	}
@@ -150,7 +150,7 @@
 		t.Errorf("%d stops found a place", stops)
 	}
 	close(hang)
-	run(t, l)
+	runUntilQuiet(t, l)
 	if l.commands.inFlight != 0 {
 		t.Errorf("%d places never came free", l.commands.inFlight)
 	}
@@ -169,25 +169,25 @@
 		l.deps.Workers = hanging(hang)
 		const machines, gang = 500, 20
 		for i := range machines {
-			addRig(l, fmt.Sprintf("m-%04d", i), "west", now).agent.Endpoint = "x"
+			addMachine(l, fmt.Sprintf("m-%04d", i), "west", now).agent.Endpoint = "x"
 		}
-		addJob(t, l, sweep("j-1", 4*machines), now)
+		addJob(t, l, arraySpec("j-1", 4*machines), now)
 		for range 6 {
 			l.runSchedulingPass(now)
-			settle(l, 100)
+			commitAll(l, 100)
 		}
 		for machine := range l.fleet.all() {
 			machine.agent.Commands(true, now)
 		}
 		now = now.Add(l.silenceTolerance() + time.Second)
 		for i := range gang {
-			addRig(l, fmt.Sprintf("m-9%03d", i), "east", now).agent.Endpoint = "x"
+			addMachine(l, fmt.Sprintf("m-9%03d", i), "east", now).agent.Endpoint = "x"
 		}
-		spec := sweep("j-2", gang)
+		spec := arraySpec("j-2", gang)
 		spec.Kind, spec.GPUs = jobs.KindGang, 4
 		j := addJob(t, l, spec, now)
 		l.runSchedulingPass(now)
-		settle(l, 1000)
+		commitAll(l, 1000)
 		for _, s := range j.attempts.sorted() {
 			s.machine.agent.Commands(true, now)
 		}
@@ -203,7 +203,7 @@
 			t.Errorf("%d of %d tasks of the gang are told at once", told, gang)
 		}
 		close(hang)
-		run(t, l)
+		runUntilQuiet(t, l)
 		if l.commands.inFlight != 0 || l.commands.silentInFlight != 0 {
 			t.Errorf("%d and %d places never came free", l.commands.inFlight, l.commands.silentInFlight)
 		}
@@ -227,32 +227,32 @@
 			now := time.Now()
 			l := testLeader(t)
 			offline(t, l)
-			a, b := addRig(l, "m-a", "east", now), addRig(l, "m-b", "west", now)
-			j := addJob(t, l, sweep("j-1", 8), now)
+			a, b := addMachine(l, "m-a", "east", now), addMachine(l, "m-b", "west", now)
+			j := addJob(t, l, arraySpec("j-1", 8), now)
 			l.runSchedulingPass(now)
-			settle(l, 100)
+			commitAll(l, 100)
 			for _, machine := range []*machineState{a, b} {
 				machine.agent.Commands(true, now)
-				l.applyHeartbeat(machine, report(l, machine, workers.StatusRunning, ""), false, now)
+				l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusRunning, ""), false, now)
 			}
 			// One machine's tasks end after 10 s, the other's go on for 60.
 			for range 5 {
 				now = now.Add(2 * time.Second)
-				l.applyHeartbeat(a, report(l, a, workers.StatusRunning, ""), false, now)
-				l.applyHeartbeat(b, report(l, b, workers.StatusRunning, ""), false, now)
+				l.applyHeartbeat(a, nextHeartbeat(l, a, workers.StatusRunning, ""), false, now)
+				l.applyHeartbeat(b, nextHeartbeat(l, b, workers.StatusRunning, ""), false, now)
 			}
-			l.applyHeartbeat(a, report(l, a, workers.StatusExited, workers.CauseDone), false, now)
+			l.applyHeartbeat(a, nextHeartbeat(l, a, workers.StatusExited, workers.CauseDone), false, now)
 			if _, ok := j.runtimes.Typical(8); !ok {
 				t.Fatal("no run times to compare with")
 			}
 			for range 50 {
 				now = now.Add(time.Second)
 				if !cut {
-					l.applyHeartbeat(b, report(l, b, workers.StatusRunning, ""), false, now)
+					l.applyHeartbeat(b, nextHeartbeat(l, b, workers.StatusRunning, ""), false, now)
 				}
 				l.detectStragglers(now)
 			}
-			l.applyHeartbeat(b, report(l, b, workers.StatusExited, workers.CauseDone), false, now)
+			l.applyHeartbeat(b, nextHeartbeat(l, b, workers.StatusExited, workers.CauseDone), false, now)
 			l.detectStragglers(now)
 			if slow := b.health.Slow(now); slow == cut {
 				t.Errorf("slow: %v", slow)
--- a/internal/leader/status_view.go
+++ b/internal/leader/status_view.go
@@ -13,25 +13,25 @@
 func (l *Leader) status(now time.Time) Status {
 	machines, leaving := l.machineStatus()
 	return Status{
-		Term:     l.term.number(),
-		Machines: machines,
-		Queue:    l.queueStatus(),
-		Teams:    l.teamStatus(),
-		Holds:    l.holdStatus(now),
-		Booting:  len(l.scaling.booting),
-		Leaving:  leaving,
-		State:    l.recordingStatus(now),
-		Work:     l.work(),
-		Waiting:  len(l.events),
+		Term:          l.term.number(),
+		Machines:      machines,
+		Queue:         l.queueStatus(),
+		Teams:         l.teamStatus(),
+		Holds:         l.holdStatus(now),
+		Booting:       len(l.scaling.booting),
+		Leaving:       leaving,
+		Recording:     l.recordingStatus(now),
+		Work:          l.work(),
+		EventsWaiting: len(l.events),
 	}
 }
 
 func (l *Leader) recordingStatus(now time.Time) RecordingStatus {
 	return RecordingStatus{
-		Healthy:    l.commits.healthy(),
-		SureS:      l.certainty.SinceProof(now).Seconds(),
-		Backlog:    l.wal.Backlog(),
-		UnwrittenS: l.commits.unwrittenFor(now).Seconds(),
+		Healthy:     l.commits.healthy(),
+		SinceProofS: l.certainty.SinceProof(now).Seconds(),
+		Backlog:     l.wal.Backlog(),
+		UnwrittenS:  l.commits.unwrittenFor(now).Seconds(),
 	}
 }
 
@@ -105,7 +105,7 @@
 		}
 		queue.Jobs++
 		if job.upstreams.blocked() {
-			queue.Held++
+			queue.Blocked++
 			continue // its tasks wait for no machine
 		}
 		running := startedAttempts(job)
@@ -154,9 +154,9 @@
 		teams = append(teams, TeamStatus{
 			Team: team.Name,
 			CPUs: u.CPUs + h.CPUs, GPUs: u.GPUs + h.GPUs,
-			HeldCPUs: h.CPUs, HeldGPUs: h.GPUs,
-			CPUsOwn: team.GuaranteedCPUs, GPUsOwn: team.GuaranteedGPUs,
-			CPUsLimit: team.MaxCPUs, GPUsLimit: team.MaxGPUs,
+			ReservedCPUs: h.CPUs, ReservedGPUs: h.GPUs,
+			GuaranteedCPUs: team.GuaranteedCPUs, GuaranteedGPUs: team.GuaranteedGPUs,
+			MaxCPUs: team.MaxCPUs, MaxGPUs: team.MaxGPUs,
 		})
 	}
 	return teams
@@ -167,7 +167,7 @@
 		holds = append(holds, HoldStatus{
 			Machine: hold.Machine, Team: hold.Pipeline.Team, Class: hold.Pipeline.Class, Job: hold.Downstream,
 			CPUs: hold.Resources.CPUs, GPUs: hold.Resources.GPUs,
-			LapsesIn: hold.ExpiresAt.Sub(now).Seconds(),
+			ExpiresInS: hold.ExpiresAt.Sub(now).Seconds(),
 		})
 	}
 	return holds
--- a/internal/leader/stragglers_test.go
+++ b/internal/leader/stragglers_test.go
@@ -13,8 +13,8 @@
 func TestSlowMachine(t *testing.T) {
 	t0 := time.Now()
 	l := testLeader(t)
-	bad := addRig(l, "m-bad", "east", t0)
-	j := addJob(t, l, sweep("j-1", 6), t0)
+	bad := addMachine(l, "m-bad", "east", t0)
+	j := addJob(t, l, arraySpec("j-1", 6), t0)
 	for i := range 2 {
 		a := &workers.Attempt{
 			ID: workers.AttemptID{Task: workers.TaskID{Job: "j-1", Index: i}, Number: uint64(i + 1)}, Epoch: 1,
@@ -53,10 +53,10 @@
 func TestPaceNeedsWholeRuns(t *testing.T) {
 	t0 := time.Now()
 	l := testLeader(t)
-	machine := addRig(l, "m-1", "east", t0)
-	j := addJob(t, l, sweep("j-1", 4), t0)
+	machine := addMachine(l, "m-1", "east", t0)
+	j := addJob(t, l, arraySpec("j-1", 4), t0)
 	j.fromEarlierTerm = true
-	old := addJob(t, l, sweep("j-2", 4), t0)
+	old := addJob(t, l, arraySpec("j-2", 4), t0)
 	old.restartedTasks[0] = true
 	for _, x := range []*jobState{j, old} {
 		l.noteStragglerSignal(machine, x, &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: x.spec.ID}}, RunningSince: t0}, t0.Add(time.Second))
--- a/internal/leader/targets_test.go
+++ b/internal/leader/targets_test.go
@@ -14,13 +14,13 @@
 func TestSilentMachineGetsNoWork(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := testLeader(t)
-	silent, heard := addRig(l, "m-1", "east", now), addRig(l, "m-2", "east", now)
+	silent, heard := addMachine(l, "m-1", "east", now), addMachine(l, "m-2", "east", now)
 	now = now.Add(l.silenceTolerance() + constants.IdleReplyHold + time.Second)
 	if now.Sub(silent.agent.LastHeartbeat) >= l.lease {
 		t.Fatal("the lease is over: nothing is tested")
 	}
 	heard.agent.LastHeartbeat = now
-	addJob(t, l, sweep("j-1", 3), now)
+	addJob(t, l, arraySpec("j-1", 3), now)
 	l.runSchedulingPass(now)
 	if len(silent.agent.Attempts) != 0 || len(heard.agent.Attempts) != 3 {
 		t.Errorf("%d placed on the silent machine, %d on the other", len(silent.agent.Attempts), len(heard.agent.Attempts))
@@ -49,7 +49,7 @@
 		{"n", &due, "[1m5s]"}, // nothing known: the due time itself
 		{"n", nil, "[]"},
 	} {
-		spec := sweep("j-1", 1)
+		spec := arraySpec("j-1", 1)
 		spec.Class, spec.DueS = c.class, c.due
 		if got := fmt.Sprint(l.startTargets(&spec, 0)); got != c.want {
 			t.Errorf("%s, due %v: %s, want %s", c.class, c.due != nil, got, c.want)
--- a/internal/leader/team_usage_test.go
+++ b/internal/leader/team_usage_test.go
@@ -33,11 +33,11 @@
 				if machines++; machines > 6 {
 					rt.Skip()
 				}
-				addRig(l, fmt.Sprint("m-", machines), []string{"east", "west"}[machines%2], now)
+				addMachine(l, fmt.Sprint("m-", machines), []string{"east", "west"}[machines%2], now)
 			},
 			"job": func(*rapid.T) {
 				jobCount++
-				spec := sweep(fmt.Sprint("j-", jobCount), rapid.IntRange(1, 5).Draw(rt, "pieces"))
+				spec := arraySpec(fmt.Sprint("j-", jobCount), rapid.IntRange(1, 5).Draw(rt, "pieces"))
 				spec.Team = rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "owner")
 				if rapid.Bool().Draw(rt, "gang") {
 					spec.Kind, spec.SameZone, spec.Tasks = jobs.KindGang, true, 2
@@ -48,7 +48,7 @@
 				addJob(t, l, spec, now)
 			},
 			"pass":   func(*rapid.T) { l.runSchedulingPass(now) },
-			"commit": func(*rapid.T) { epoch = settle(l, epoch) },
+			"commit": func(*rapid.T) { epoch = commitAll(l, epoch) },
 			"report": func(*rapid.T) {
 				machine := pick()
 				status := rapid.SampledFrom([]string{workers.StatusFetching, workers.StatusRunning, workers.StatusExited}).Draw(rt, "status")
@@ -56,7 +56,7 @@
 				if status == workers.StatusExited {
 					cause = rapid.SampledFrom([]string{workers.CauseDone, "halted", workers.CauseError}).Draw(rt, "cause")
 				}
-				rep := report(l, machine, status, cause)
+				rep := nextHeartbeat(l, machine, status, cause)
 				if rapid.IntRange(0, 4).Draw(rt, "some") == 0 {
 					rep.Tasks = rep.Tasks[:len(rep.Tasks)/2]
 				}
@@ -70,7 +70,7 @@
 			},
 			"session": func(*rapid.T) {
 				machine := pick()
-				rep := report(l, machine, workers.StatusRunning, "")
+				rep := nextHeartbeat(l, machine, workers.StatusRunning, "")
 				rep.Epoch, rep.Tasks = rep.Epoch+1, nil
 				l.applyHeartbeat(machine, rep, false, now)
 			},
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -94,22 +94,22 @@
 // leaderWork reports what the leader has done in its term.
 func (w metricsWriter) leaderWork(status leader.Status) {
 	work := status.Work
-	w.counter("reports_total", "Reports of workers in this term.", float64(work.Reports), unlabelled)
-	w.counter("late_copies_total", "Late copies of reports in this term.", float64(work.Copies), unlabelled)
-	w.counter("orders_total", "Orders sent in answers in this term.", float64(work.Orders), unlabelled)
-	w.counter("commands_total", "Direct calls to workers in this term.", float64(work.Commands), unlabelled)
-	w.counter("postponed_commands_total", "Direct orders that had to wait, as too many were under way.", float64(work.Postponed), unlabelled)
+	w.counter("reports_total", "Reports of workers in this term.", float64(work.Heartbeats), unlabelled)
+	w.counter("late_copies_total", "Late copies of reports in this term.", float64(work.DuplicateHeartbeats), unlabelled)
+	w.counter("orders_total", "Orders sent in answers in this term.", float64(work.RepliedCommands), unlabelled)
+	w.counter("commands_total", "Direct calls to workers in this term.", float64(work.DirectCommands), unlabelled)
+	w.counter("postponed_commands_total", "Direct orders that had to wait, as too many were under way.", float64(work.PostponedCommands), unlabelled)
 	w.counter("passes_total", "Placement passes in this term.", float64(work.Passes), unlabelled)
-	w.counter("pass_seconds_total", "Time spent in placement passes.", work.PassS, unlabelled)
+	w.counter("pass_seconds_total", "Time spent in placement passes.", work.PassSeconds, unlabelled)
 	w.counter("commits_total", "Transactions of the log in this term.", float64(work.Commits), unlabelled)
-	w.counter("commit_seconds_total", "Time that these took, waiting for tokens included.", work.CommitS, unlabelled)
-	w.counter("busy_seconds_total", "Time that the leader's routine was at work.", work.BusyS, unlabelled)
+	w.counter("commit_seconds_total", "Time that these took, waiting for tokens included.", work.CommitSeconds, unlabelled)
+	w.counter("busy_seconds_total", "Time that the leader's routine was at work.", work.BusySeconds, unlabelled)
 	w.counter("log_entry_bytes_total", "Entries that the log has taken in this term.", float64(work.Log.EntryBytes), unlabelled)
-	w.counter("log_hint_bytes_total", "Of these, records of holds and images.", float64(work.HintBytes), unlabelled)
+	w.counter("log_hint_bytes_total", "Of these, records of holds and images.", float64(work.MetadataBytes), unlabelled)
 	w.counter("log_checkpoint_bytes_total", "Parts of checkpoints that the log has taken in this term.", float64(work.Log.PartBytes), unlabelled)
-	w.gauge("log_backlog", "Log entries that a takeover would read.", float64(status.State.Backlog), unlabelled)
-	w.gauge("unwritten_seconds", "Age of the transaction under way.", status.State.UnwrittenS, unlabelled)
-	w.gauge("calls_waiting", "Calls that wait for the leader's routine.", float64(status.Waiting), unlabelled)
+	w.gauge("log_backlog", "Log entries that a takeover would read.", float64(status.Recording.Backlog), unlabelled)
+	w.gauge("unwritten_seconds", "Age of the transaction under way.", status.Recording.UnwrittenS, unlabelled)
+	w.gauge("calls_waiting", "Calls that wait for the leader's routine.", float64(status.EventsWaiting), unlabelled)
 }
 
 // machinePools reports the machines by type, zone and kind.
@@ -132,7 +132,7 @@
 func (w metricsWriter) queue(status leader.Status) {
 	for _, queue := range status.Queue {
 		labels := labelSet{[]string{"class", "team"}, []string{queue.Class, queue.Team}}
-		w.gauge("jobs_after_others", "Jobs that wait for other jobs.", float64(queue.Held), labels)
+		w.gauge("jobs_after_others", "Jobs that wait for other jobs.", float64(queue.Blocked), labels)
 		w.gauge("tasks_waiting", "Tasks that do not run yet.", float64(queue.Waiting), labels)
 		w.gauge("tasks_running", "Tasks on machines.", float64(queue.Running), labels)
 	}
@@ -141,8 +141,8 @@
 // teams reports what teams use of their quota.
 func (w metricsWriter) teams(status leader.Status) {
 	for _, team := range status.Teams {
-		w.teamQuota(team.Team, "gpus", "GPUs", teamQuota{used: team.GPUs, held: team.HeldGPUs, limit: team.GPUsLimit, guaranteed: team.GPUsOwn})
-		w.teamQuota(team.Team, "cpus", "CPUs", teamQuota{used: team.CPUs, held: team.HeldCPUs, limit: team.CPUsLimit, guaranteed: team.CPUsOwn})
+		w.teamQuota(team.Team, "gpus", "GPUs", teamQuota{used: team.GPUs, held: team.ReservedGPUs, limit: team.MaxGPUs, guaranteed: team.GuaranteedGPUs})
+		w.teamQuota(team.Team, "cpus", "CPUs", teamQuota{used: team.CPUs, held: team.ReservedCPUs, limit: team.MaxCPUs, guaranteed: team.GuaranteedCPUs})
 	}
 }
 
