--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -52,7 +52,7 @@
 		addJob(b, l, j, now)
 	}
 	for range 5 {
-		l.passDueNow = true
+		l.passes.request()
 		l.runSchedulingPass(now)
 		commitAll(l, 100)
 	}
@@ -111,7 +111,7 @@
 		addJob(b, l, j, now.Add(time.Duration(i)*time.Millisecond))
 	}
 	for range 5 {
-		l.passDueNow = true
+		l.passes.request()
 		l.runSchedulingPass(now)
 		commitAll(l, 100)
 	}
--- a/internal/leader/commit_calls.go
+++ b/internal/leader/commit_calls.go
@@ -65,7 +65,7 @@
 		l.term.end(outcome.endTerm)
 	}
 	if outcome.schedule {
-		l.passDueNow = true
+		l.passes.request()
 	}
 }
 
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -74,7 +74,7 @@
 			machine.health.ClearSuspicion(job.spec.ID)
 		}
 	}
-	l.passDueNow = true
+	l.passes.request()
 }
 
 // quarantine takes a machine for faulty: it gets no more tasks, and goes back once
@@ -97,7 +97,7 @@
 	}
 	machine.markStale()
 	l.sendStops(machine, now)
-	l.passDueNow = true
+	l.passes.request()
 }
 
 // hasBegun tells whether an attempt was seen to run and has not ended.
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -148,7 +148,7 @@
 	machine.startOverdue = agent.StartOverdue(now)
 	l.followReachability(machine, before.RepliesLost, before.EpochUnconfirmed, now)
 	if !before.Registered {
-		l.passDueNow = true
+		l.passes.request()
 		machine.markStale()
 		l.machineRegistered(machine, now)
 	}
@@ -158,7 +158,7 @@
 		}
 		machine.images.dropFetches()
 		machine.markStale()
-		l.passDueNow = true
+		l.passes.request()
 	}
 	l.applyEvents(machine, events, now)
 	if !agent.ReclaimAt.IsZero() {
@@ -177,14 +177,14 @@
 		} else {
 			l.deps.Log.Info("replies reach the machine again", "machine", agent.Name, "zone", agent.Zone)
 		}
-		l.passDueNow = true
+		l.passes.request()
 	}
 	agent.ConfirmEpoch(l.lease, now)
 	if agent.EpochUnconfirmed != epochWasUnconfirmed {
 		if agent.EpochUnconfirmed {
 			machine.lastCommandAt = time.Time{} // probe it at once
 		}
-		l.passDueNow = true
+		l.passes.request()
 	}
 	if agent.RepliesLost || agent.EpochUnconfirmed {
 		l.probeAgent(machine, now)
--- a/internal/leader/job_admission.go
+++ b/internal/leader/job_admission.go
@@ -33,7 +33,7 @@
 	} else {
 		l.noteArrival(job, now)
 	}
-	l.passDueNow = true
+	l.passes.request()
 	l.deps.Log.Debug("job accepted", "job", id, "team", spec.Team, "class", spec.Class, "tasks", spec.Tasks)
 }
 
@@ -86,5 +86,5 @@
 	for _, p := range placed {
 		l.sendStops(p.machine, now)
 	}
-	l.passDueNow = true
+	l.passes.request()
 }
--- a/internal/leader/job_attempts.go
+++ b/internal/leader/job_attempts.go
@@ -18,7 +18,7 @@
 	}
 	machine.markStale()
 	l.replies.wake(machine)
-	l.passDueNow = true
+	l.passes.request()
 }
 
 // stopGang stops all attempts of a gang together.
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -67,26 +67,24 @@
 	wal       *wal.Writer
 	commits   groupCommit
 
-	failover         failover
-	published        publishedState
-	loaded           bool
-	jobs             jobTable
-	fleet            fleet
-	teamUsage        teamUsage
-	replies          heldReplies
-	metadata         metadataQueue
-	lastPassDuration time.Duration
-	legacyKeys       map[string]uint64 // keys of the earlier format, with their revision
-	counts           WorkCounts
-	load             loadLog
-	teams            []config.Team
-	reservations     *reservations.Manager
-	commands         commandDispatcher
-	passDueNow       bool // a placement pass is due
-	lastPass         time.Time
-	lastSummary      time.Time
-	scaling          scalingState
-	gangWaits        gangWaits
+	failover     failover
+	published    publishedState
+	loaded       bool
+	jobs         jobTable
+	fleet        fleet
+	teamUsage    teamUsage
+	replies      heldReplies
+	metadata     metadataQueue
+	legacyKeys   map[string]uint64 // keys of the earlier format, with their revision
+	counts       WorkCounts
+	load         loadLog
+	teams        []config.Team
+	reservations *reservations.Manager
+	commands     commandDispatcher
+	passes       passTimer
+	lastSummary  time.Time
+	scaling      scalingState
+	gangWaits    gangWaits
 	// dependencies is what the jobs that wait for others wait for.
 	dependencies dependencyTracker
 	// runtimeRatios is, by class, how long tasks ran lately against what was expected.
--- a/internal/leader/loop.go
+++ b/internal/leader/loop.go
@@ -17,7 +17,7 @@
 //     (startCalls). Each is an event (events.go).
 //  2. The loop applies it to the state: applyHeartbeat and applyEvents for what a machine
 //     reports, addJob and jobRecordDeleted for jobs. What must outlive the leader goes into
-//     the write-ahead log at once (logAttempt, logDone, logMetadata), and passDueNow is set
+//     the write-ahead log at once (logAttempt, logDone, logMetadata), and a pass is requested
 //     if placement may decide otherwise than before.
 //  3. runSchedulingPass, if due, shows the state to placement and turns its plan into
 //     attempts (startPlanned) and stops (preempt). The attempts are logged.
@@ -102,7 +102,7 @@
 // time after the pass.
 func (l *Leader) decide() time.Time {
 	now := time.Now()
-	if l.passDueNow && !now.Before(l.nextPassAt()) {
+	if l.passes.due(now) {
 		l.runSchedulingPass(now)
 		now = time.Now()
 	}
@@ -110,12 +110,6 @@
 	return now
 }
 
-// nextPassAt is when the next placement pass may run. A pass that takes long is
-// followed by a longer pause: reports and records must not wait for passes.
-func (l *Leader) nextPassAt() time.Time {
-	return l.lastPass.Add(min(max(constants.MinPassInterval, constants.PassIntervalFactor*l.lastPassDuration), constants.MaxPassInterval))
-}
-
 // nextAlarm is when the loop must look again if nothing comes in.
 func (l *Leader) nextAlarm() (at time.Time) {
 	sooner := func(t time.Time) {
@@ -123,9 +117,7 @@
 			at = t
 		}
 	}
-	if l.passDueNow {
-		sooner(l.nextPassAt())
-	}
+	sooner(l.passes.nextAt())
 	sooner(l.commits.due())
 	sooner(l.replies.nextDue())
 	return at
--- a/internal/leader/provisioning.go
+++ b/internal/leader/provisioning.go
@@ -191,7 +191,7 @@
 	l.logMetadata(machine, func() { machine.leavingRecorded = machine.leaving })
 	machine.markStale()
 	l.drain(machine, now)
-	l.passDueNow = true
+	l.passes.request()
 }
 
 // machinesToReturn names the machines to give back now.
@@ -252,7 +252,7 @@
 				l.removeMachine(machine)
 				l.wal.MachineRemoved(name)
 			}
-			l.passDueNow = true
+			l.passes.request()
 		}
 	})
 }
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -92,7 +92,7 @@
 		l.checkComplete(job)
 		l.stopIncompleteGang(job, now)
 	}
-	l.passDueNow = true
+	l.passes.request()
 	l.loaded = true
 	l.linkLoadedJobs(now)
 	return nil
--- a/internal/leader/scheduling_pass.go
+++ b/internal/leader/scheduling_pass.go
@@ -8,8 +8,7 @@
 
 // runSchedulingPass runs placement over the present state and carries out its plan.
 func (l *Leader) runSchedulingPass(now time.Time) {
-	l.passDueNow = false
-	l.lastPass = now
+	l.passes.begin(now)
 	if !l.mayDecide() {
 		return
 	}
@@ -24,9 +23,10 @@
 	showDrainClaims(snapshot.Jobs, plan)
 	l.scaling.unmet(plan.Unplaced, now)
 	l.logSummary(snapshot, now)
-	l.lastPassDuration = time.Since(now)
+	took := time.Since(now)
+	l.passes.finish(took)
 	l.counts.Passes++
-	l.counts.PassSeconds += l.lastPassDuration.Seconds()
+	l.counts.PassSeconds += took.Seconds()
 }
 
 // mayDecide tells whether a pass may run: without records no decision that needs one is
--- a/internal/leader/stall_test.go
+++ b/internal/leader/stall_test.go
@@ -77,7 +77,7 @@
 		t.Fatal("that it stood still was not seen")
 	}
 	l.tick(now)
-	l.passDueNow = true
+	l.passes.request()
 	l.runSchedulingPass(now)
 	runUntilQuiet(t, l)
 	if j := l.jobs.get("j-1"); len(j.attempts) > 0 {
--- a/internal/leader/start_targets.go
+++ b/internal/leader/start_targets.go
@@ -77,5 +77,5 @@
 		slices.Sort(job.view.Targets)
 	}
 	job.stale = true
-	l.passDueNow = true
+	l.passes.request()
 }
--- a/internal/leader/stragglers.go
+++ b/internal/leader/stragglers.go
@@ -54,7 +54,7 @@
 		l.stopAttempt(machine, attempt, job.saveGrace(), now)
 	}
 	l.sendStops(machine, now)
-	l.passDueNow = true
+	l.passes.request()
 }
 
 // saveGrace is how long, in seconds, one of the job's tasks is given to save and stop.
--- a/internal/leader/task_events.go
+++ b/internal/leader/task_events.go
@@ -35,7 +35,7 @@
 			l.taskExited(machine, job, attempt, now)
 		}
 	}
-	l.passDueNow = true
+	l.passes.request()
 }
 
 // stopUnrecorded stops an attempt that a machine reports and no record names. It is
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -146,7 +146,7 @@
 		record, found, err := l.deps.Store.Get(ctx, statestore.ClassLease, election.TermKey)
 		return func() {
 			if l.term.finishVerification(asked, record, found, err) {
-				l.passDueNow = true
+				l.passes.request()
 			}
 		}
 	})
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -19,8 +19,8 @@
 	l.readFinalRecords(now)
 	l.checkLargeRingSupport(now)
 	l.scale(now)
-	if now.Sub(l.lastPass) > time.Second {
-		l.passDueNow = true // estimates and spare room change with time alone
+	if l.passes.sinceLast(now) > time.Second {
+		l.passes.request() // estimates and spare room change with time alone
 	}
 }
 
@@ -64,7 +64,7 @@
 		if machine := l.fleet.get(name); machine != nil {
 			l.metadataChanged(machine, now)
 		}
-		l.passDueNow = true
+		l.passes.request()
 	}
 }
 
@@ -73,7 +73,7 @@
 	for job := range l.jobs.all() {
 		l.gangWaits.observe(job, now)
 		if job.retry.resume(now) {
-			l.passDueNow = true
+			l.passes.request()
 		}
 	}
 }
