--- a/internal/constants/workers.go
+++ b/internal/constants/workers.go
@@ -12,6 +12,13 @@
 	WorkerKillDelay = 4 * time.Second
 )
 
+// What a worker says of itself.
+const (
+	// MaxMachineNameBytes bounds a machine's name (bytes). The cloud's names are a tenth of
+	// that; the bound keeps what a faulty worker sends out of the records.
+	MaxMachineNameBytes = 100
+)
+
 // Workers that do not receive what the leader sends.
 const (
 	// LostReplyHeartbeats is how many heartbeats in a row must show a command not carried
@@ -51,6 +58,11 @@
 const (
 	// CommandTimeout bounds one direct command to a worker.
 	CommandTimeout = 2 * time.Second
+	// MaxCommandAnswerBytes bounds the heartbeat that answers it (bytes): far more than the
+	// heartbeats that a worker may send by itself, which MaxBodyBytes bounds.
+	MaxCommandAnswerBytes = 16 * MaxBodyBytes
+	// CommandConnsPerWorker bounds the connections to one worker.
+	CommandConnsPerWorker = 2
 	// MaxCommandsInFlight bounds the direct commands under way: in a zone that is cut off
 	// each hangs until its timeout, and every one takes a socket.
 	MaxCommandsInFlight = 96
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -24,8 +24,9 @@
 }
 
 type really struct {
-	status, cause string
-	since         time.Time
+	status workers.TaskStatus
+	cause  workers.ExitCause
+	since  time.Time
 }
 
 // step lets the leader decide, and the machines obey and report.
--- a/internal/leader/fixtures_test.go
+++ b/internal/leader/fixtures_test.go
@@ -65,7 +65,7 @@
 }
 
 // nextHeartbeat makes a worker's next heartbeat with these tasks in this state.
-func nextHeartbeat(l *Leader, machine *machineState, status, cause string) *workers.Heartbeat {
+func nextHeartbeat(l *Leader, machine *machineState, status workers.TaskStatus, cause workers.ExitCause) *workers.Heartbeat {
 	rep := &workers.Heartbeat{Machine: machine.agent.Name, MachineType: machine.agent.MachineType, Zone: machine.agent.Zone, Epoch: machine.agent.Epoch, Sequence: machine.agent.Sequence + 1, Token: l.term.number()}
 	for _, a := range machine.agent.SortedAttempts() {
 		rep.Tasks = append(rep.Tasks, workers.TaskReport{Task: a.ID.Task.String(), Attempt: a.ID.Number, Status: status, Cause: cause})
--- a/internal/leader/gang_recovery_test.go
+++ b/internal/leader/gang_recovery_test.go
@@ -31,7 +31,7 @@
 // replacement under the same number, in the same zone; one that has run, or
 // that is told that its mates are gone, starts anew as a whole.
 func TestWaitingGangIsCompleted(t *testing.T) {
-	for _, status := range []string{workers.StatusWaiting, workers.StatusRunning} {
+	for _, status := range []workers.TaskStatus{workers.StatusWaiting, workers.StatusRunning} {
 		now := time.Now()
 		l := testLeader(t)
 		for i := range 3 {
--- a/internal/leader/team_usage_test.go
+++ b/internal/leader/team_usage_test.go
@@ -51,10 +51,10 @@
 			"commit": func(*rapid.T) { epoch = commitAll(l, epoch) },
 			"report": func(*rapid.T) {
 				machine := pick()
-				status := rapid.SampledFrom([]string{workers.StatusFetching, workers.StatusRunning, workers.StatusExited}).Draw(rt, "status")
-				cause := ""
+				status := rapid.SampledFrom([]workers.TaskStatus{workers.StatusFetching, workers.StatusRunning, workers.StatusExited}).Draw(rt, "status")
+				var cause workers.ExitCause
 				if status == workers.StatusExited {
-					cause = rapid.SampledFrom([]string{workers.CauseDone, "halted", workers.CauseError}).Draw(rt, "cause")
+					cause = rapid.SampledFrom([]workers.ExitCause{workers.CauseDone, "halted", workers.CauseError}).Draw(rt, "cause")
 				}
 				rep := nextHeartbeat(l, machine, status, cause)
 				if rapid.IntRange(0, 4).Draw(rt, "some") == 0 {
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -55,8 +55,8 @@
 type task struct {
 	id      workers.AttemptID
 	job     *jobs.Spec
-	status  string
-	cause   string
+	status  workers.TaskStatus
+	cause   workers.ExitCause
 	saved   bool
 	since   time.Time // of the present state
 	began   bool
@@ -373,12 +373,12 @@
 	return ids
 }
 
-func (w *Worker) set(t *task, status string, now time.Time) {
+func (w *Worker) set(t *task, status workers.TaskStatus, now time.Time) {
 	t.status, t.since = status, now
 	w.changed()
 }
 
-func (w *Worker) exit(t *task, cause string, saved bool, now time.Time) {
+func (w *Worker) exit(t *task, cause workers.ExitCause, saved bool, now time.Time) {
 	w.leave(t, cause == workers.CauseDone)
 	t.cause, t.saved = cause, saved
 	w.set(t, workers.StatusExited, now)
--- /dev/null
+++ b/internal/workers/command_client.go
@@ -0,0 +1,56 @@
+package workers
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+
+	"thornnotch/internal/constants"
+)
+
+// CommandClient sends commands directly to workers' own addresses.
+type CommandClient struct{ http *http.Client }
+
+// NewCommandClient makes a client that reaches workers through dial.
+func NewCommandClient(dial func(ctx context.Context, network, addr string) (net.Conn, error)) *CommandClient {
+	return &CommandClient{&http.Client{Transport: &http.Transport{
+		DialContext:         dial,
+		MaxConnsPerHost:     constants.CommandConnsPerWorker,
+		MaxIdleConnsPerHost: 1,
+		MaxIdleConns:        constants.MaxIdleCommandConns,
+		IdleConnTimeout:     constants.HeaderTimeout,
+		DisableCompression:  true,
+	}}}
+}
+
+// Send sends commands to the worker at endpoint. The answer, also when the worker refuses
+// them (409), is its heartbeat.
+func (c *CommandClient) Send(ctx context.Context, endpoint string, batch CommandBatch) (*Heartbeat, error) {
+	ctx, cancel := context.WithTimeout(ctx, constants.CommandTimeout)
+	defer cancel()
+	raw, err := json.Marshal(batch)
+	if err != nil {
+		return nil, fmt.Errorf("encode commands: %w", err)
+	}
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+endpoint+"/commands", bytes.NewReader(raw))
+	if err != nil {
+		return nil, fmt.Errorf("send commands to %s: %w", endpoint, err)
+	}
+	response, err := c.http.Do(request)
+	if err != nil {
+		return nil, fmt.Errorf("send commands to %s: %w", endpoint, err)
+	}
+	defer func() { _ = response.Body.Close() }() // all that counts has been read by then
+	body, err := io.ReadAll(io.LimitReader(response.Body, constants.MaxCommandAnswerBytes))
+	if err != nil {
+		return nil, fmt.Errorf("send commands to %s: %w", endpoint, err)
+	}
+	if response.StatusCode != http.StatusOK && response.StatusCode != http.StatusConflict {
+		return nil, fmt.Errorf("send commands to %s: status %d", endpoint, response.StatusCode)
+	}
+	return DecodeHeartbeat(body)
+}
--- a/internal/workers/machine_test.go
+++ b/internal/workers/machine_test.go
@@ -20,7 +20,7 @@
 // simWorker follows the protocol's rules for a worker.
 type simWorker struct {
 	shift, tick, token uint64
-	tasks              map[AttemptID]string
+	tasks              map[AttemptID]TaskStatus
 	leaseFrom          time.Time // when the last answered report was sent
 	inFlight           uint64    // tick of the report under way, 0 if none
 	sentAt             time.Time
@@ -42,7 +42,7 @@
 func (w *simWorker) expire(now time.Time) {
 	if now.Sub(w.leaseFrom) > simLease {
 		w.shift++
-		w.tasks = map[AttemptID]string{}
+		w.tasks = map[AttemptID]TaskStatus{}
 		w.leaseFrom = now
 		w.inFlight = 0
 	}
@@ -81,7 +81,7 @@
 func TestGoneMeansGone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		w := &simWorker{shift: 1, tasks: map[AttemptID]string{}, leaseFrom: now}
+		w := &simWorker{shift: 1, tasks: map[AttemptID]TaskStatus{}, leaseFrom: now}
 		m := NewAgent("m-1")
 		var net []message
 		released := map[AttemptID]bool{}
@@ -463,8 +463,8 @@
 		}
 		for range rapid.IntRange(0, 4).Draw(t, "tasks") {
 			report.Tasks = append(report.Tasks, TaskReport{
-				Task: text.Draw(t, "piece"), Attempt: rapid.Uint64().Draw(t, "try"), Status: text.Draw(t, "status"),
-				Cause: text.Draw(t, "cause"), Saved: rapid.Bool().Draw(t, "saved"),
+				Task: text.Draw(t, "piece"), Attempt: rapid.Uint64().Draw(t, "try"), Status: TaskStatus(text.Draw(t, "status")),
+				Cause: ExitCause(text.Draw(t, "cause")), Saved: rapid.Bool().Draw(t, "saved"),
 			})
 		}
 		raw, err := json.Marshal(report)
--- a/internal/workers/wire.go
+++ b/internal/workers/wire.go
@@ -1,53 +1,65 @@
-// Package workers keeps the workers' sessions: their reports, the orders to
-// them, and the proofs that a task has left its machine.
 package workers
 
 import (
 	"bytes"
 	"errors"
 	"fmt"
-	"strconv"
 	"strings"
 
-	// Reports come by the thousand a second: it decodes one in a sixth of the time that
-	// the standard library takes.
+	// Thousands of heartbeats arrive each second: this package decodes one in a sixth of the
+	// time that the standard library takes.
 	"github.com/segmentio/encoding/json"
+
+	"thornnotch/internal/constants"
 )
 
+// The messages of the protocol between workers and controller nodes. The protocol's own
+// names stand in the JSON tags here, and in the errors that name a field of a message.
+
+// TaskStatus is the state of a task on a worker, as the worker reports it.
+type TaskStatus string
+
 // States of a task on a worker.
 const (
-	StatusFetching = "fetching"
-	StatusWaiting  = "waiting"
-	StatusRunning  = "running"
-	StatusSaving   = "saving"
-	StatusExited   = "exited"
+	StatusFetching TaskStatus = "fetching" // waits for its image
+	StatusWaiting  TaskStatus = "waiting"  // waits for the other tasks of its gang
+	StatusRunning  TaskStatus = "running"
+	StatusSaving   TaskStatus = "saving" // was told to stop, and writes a checkpoint
+	StatusExited   TaskStatus = "exited"
 )
 
-// Causes of an exit.
+// ExitCause is why a task exited.
+type ExitCause string
+
+// Causes of an exit that the leader tells apart; workers report others as well.
 const (
-	CauseDone  = "done"
-	CauseError = "error"
-	CauseFull  = "full"
-	CauseInUse = "in_use"
+	CauseDone  ExitCause = "done"
+	CauseError ExitCause = "error"
+	CauseFull  ExitCause = "full"   // start refused: the machine has no room
+	CauseInUse ExitCause = "in_use" // start refused: the task is there with another attempt
 )
 
-// Verbs of orders.
+// Verb is what a command tells a worker to do with a task.
+type Verb string
+
+// Verbs of commands.
 const (
-	VerbRun    = "run"
-	VerbStop   = "stop"
-	VerbForget = "forget"
+	VerbRun    Verb = "run"
+	VerbStop   Verb = "stop"
+	VerbForget Verb = "forget" // drop an exited task from the heartbeats
 )
 
-// TaskReport is a task as a worker reports it.
+// TaskReport is one task in a heartbeat.
 type TaskReport struct {
-	Task    string `json:"piece"`
-	Attempt uint64 `json:"try"`
-	Status  string `json:"status"`
-	Cause   string `json:"cause,omitempty"`
-	Saved   bool   `json:"saved,omitempty"`
+	Task    string     `json:"piece"`
+	Attempt uint64     `json:"try"`
+	Status  TaskStatus `json:"status"`
+	Cause   ExitCause  `json:"cause,omitempty"`
+	Saved   bool       `json:"saved,omitempty"`
 }
 
-// Heartbeat is what a worker tells of itself.
+// Heartbeat is what a worker reports of itself: at intervals, on each change, and in the
+// answer to a direct command.
 type Heartbeat struct {
 	Machine     string       `json:"rig"`
 	Endpoint    string       `json:"endpoint"`
@@ -61,77 +73,76 @@
 	Tasks       []TaskReport `json:"pieces"`
 }
 
-// Command tells a worker what to do with a task.
+// Command tells a worker what to do with a task. GraceS is the time to save, for a stop.
 type Command struct {
-	Verb    string   `json:"verb"`
+	Verb    Verb     `json:"verb"`
 	Task    string   `json:"piece"`
 	Attempt uint64   `json:"try"`
 	GraceS  *float64 `json:"windDownS,omitempty"`
 }
 
-// CommandBatch is the answer to a report; with Shift it is a direct command.
+// CommandBatch is the reply to a heartbeat; with an epoch it is a direct command.
 type CommandBatch struct {
 	Token    uint64    `json:"warrant"`
 	Epoch    uint64    `json:"shift,omitempty"`
 	Commands []Command `json:"orders"`
 }
 
-// TaskID names one task of a job.
-type TaskID struct {
-	Job   string
-	Index int
-}
-
-func (t TaskID) String() string { return t.Job + "/" + strconv.Itoa(t.Index) }
-
-// ParseTaskID reads a task's name as it stands on the wire.
-func ParseTaskID(s string) (TaskID, error) {
-	job, idx, ok := strings.Cut(s, "/")
-	n, err := strconv.Atoi(idx)
-	if !ok || job == "" || err != nil || n < 0 || strconv.Itoa(n) != idx {
-		return TaskID{}, fmt.Errorf("%q is not a task's name", s)
-	}
-	return TaskID{job, n}, nil
-}
-
-// DecodeHeartbeat reads and checks a report.
+// DecodeHeartbeat reads and checks a heartbeat.
 func DecodeHeartbeat(raw []byte) (*Heartbeat, error) {
-	if t := bytes.TrimSpace(raw); len(t) == 0 || t[0] != '{' {
+	if text := bytes.TrimSpace(raw); len(text) == 0 || text[0] != '{' {
 		return nil, errors.New("the report is not a JSON object")
 	}
-	var r Heartbeat
-	if err := json.Unmarshal(raw, &r); err != nil {
+	var heartbeat Heartbeat
+	if err := json.Unmarshal(raw, &heartbeat); err != nil {
 		return nil, fmt.Errorf("the report is not valid: %w", err)
 	}
+	if err := heartbeat.checkMachine(); err != nil {
+		return nil, err
+	}
+	if err := heartbeat.checkTasks(); err != nil {
+		return nil, err
+	}
+	return &heartbeat, nil
+}
+
+// checkMachine checks what the heartbeat says of the machine.
+func (h *Heartbeat) checkMachine() error {
 	switch {
-	case r.Machine == "" || len(r.Machine) > 100 || strings.ContainsAny(r.Machine, " /\n"):
-		return nil, fmt.Errorf("rig: %q is not a machine's name", r.Machine)
-	case r.MachineType == "":
-		return nil, errors.New("rigType: is missing")
-	case r.Zone == "":
-		return nil, errors.New("hall: is missing")
-	case r.Epoch == 0:
-		return nil, errors.New("shift: is missing")
+	case h.Machine == "" || len(h.Machine) > constants.MaxMachineNameBytes || strings.ContainsAny(h.Machine, " /\n"):
+		return fmt.Errorf("rig: %q is not a machine's name", h.Machine)
+	case h.MachineType == "":
+		return errors.New("rigType: is missing")
+	case h.Zone == "":
+		return errors.New("hall: is missing")
+	case h.Epoch == 0:
+		return errors.New("shift: is missing")
 	}
-	type attempt struct {
-		piece string
-		try   uint64
+	return nil
+}
+
+// checkTasks checks that each task is well formed and that no attempt is listed twice.
+func (h *Heartbeat) checkTasks() error {
+	type reportedAttempt struct {
+		task   string
+		number uint64
 	}
-	seen := make(map[attempt]bool, len(r.Tasks))
-	for _, p := range r.Tasks {
-		if _, err := ParseTaskID(p.Task); err != nil {
-			return nil, fmt.Errorf("pieces: %w", err)
+	seen := make(map[reportedAttempt]bool, len(h.Tasks))
+	for i := range h.Tasks {
+		task := &h.Tasks[i]
+		if _, err := ParseTaskID(task.Task); err != nil {
+			return fmt.Errorf("pieces: %w", err)
 		}
-		key := attempt{p.Task, p.Attempt}
-		if seen[key] {
-			return nil, fmt.Errorf("pieces: %s stands twice", p.Task)
+		attempt := reportedAttempt{task.Task, task.Attempt}
+		if seen[attempt] {
+			return fmt.Errorf("pieces: %s stands twice", task.Task)
 		}
-		seen[key] = true
-		switch p.Status {
+		seen[attempt] = true
+		switch task.Status {
 		case StatusFetching, StatusWaiting, StatusRunning, StatusSaving, StatusExited:
 		default:
-			return nil, fmt.Errorf("pieces: %s: unknown status %q", p.Task, p.Status)
+			return fmt.Errorf("pieces: %s: unknown status %q", task.Task, task.Status)
 		}
 	}
-	return &r, nil
+	return nil
 }
