--- a/internal/leader/checkpoint.go
+++ b/internal/leader/checkpoint.go
@@ -22,8 +22,7 @@
 	l.wal.Checkpoint(machines, jobs, checkpointSource{l}, func() {
 		l.deps.Log.Debug("checkpoint committed", "machines", len(machines), "jobs", len(jobs))
 		// What the records of the earlier format say stands in the checkpoint now.
-		l.commits.removeKeys(l.legacyKeys)
-		l.legacyKeys = nil
+		l.commits.checkpointCommitted()
 	})
 }
 
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"log/slog"
+	"maps"
 	"time"
 
 	"thornnotch/internal/constants"
@@ -38,8 +39,9 @@
 	// jobs that are cancelled with one that they depend on.
 	completed []finalRecord
 	cancelled []func() wal.JobWrite
-	// obsoleteKeys are keys to be removed, with their revisions.
-	obsoleteKeys map[string]uint64
+	// obsoleteKeys are keys to be removed, with their revisions; replacedKeys are those that
+	// become obsolete once the next checkpoint stands, as it holds what they say.
+	obsoleteKeys, replacedKeys map[string]uint64
 
 	inFlight bool
 	// sentAt is when the present transaction was first sent, lastCommitAt when one was last
@@ -67,7 +69,7 @@
 
 // newGroupCommit makes a group commit without a log; open must be called next.
 func newGroupCommit(logger *slog.Logger, checkpoint func()) groupCommit {
-	return groupCommit{logger: logger, checkpoint: checkpoint, obsoleteKeys: make(map[string]uint64)}
+	return groupCommit{logger: logger, checkpoint: checkpoint, obsoleteKeys: make(map[string]uint64), replacedKeys: make(map[string]uint64)}
 }
 
 // open has the transactions of a log carried out.
@@ -82,11 +84,19 @@
 	c.cancelled = append(c.cancelled, write)
 }
 
-// removeKeys has keys removed that have these revisions.
-func (c *groupCommit) removeKeys(revisions map[string]uint64) {
-	for key, revision := range revisions {
-		c.obsoleteKeys[key] = revision
-	}
+// removeAfterCheckpoint has a key removed once a checkpoint stands, if it still has this
+// revision then.
+func (c *groupCommit) removeAfterCheckpoint(key string, revision uint64) {
+	c.replacedKeys[key] = revision
+}
+
+// keysWaitForCheckpoint tells whether keys are to be removed once a checkpoint stands.
+func (c *groupCommit) keysWaitForCheckpoint() bool { return len(c.replacedKeys) > 0 }
+
+// checkpointCommitted notes that a checkpoint stands.
+func (c *groupCommit) checkpointCommitted() {
+	maps.Copy(c.obsoleteKeys, c.replacedKeys)
+	clear(c.replacedKeys)
 }
 
 // healthy tells whether records can be written, as far as is known.
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -15,7 +15,7 @@
 // addDependencies takes in what a job waits for.
 func (l *Leader) addDependencies(job *jobState, dependencies jobs.Dependencies) {
 	job.upstreams.unknown, job.upstreams.declared = true, true
-	if dependencies.Split != nil || !l.loaded {
+	if dependencies.Split != nil || !l.failover.recordsLoaded() {
 		// Not all names are known, or not all open jobs.
 		l.dependencies.unlinked[job] = dependencies
 		return
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -9,6 +9,8 @@
 // failover follows how far this leader has come in taking over from an earlier term.
 type failover struct {
 	startedAt time.Time
+	// loaded is set once the records are taken in.
+	loaded bool
 	// progress is for operators; empty once the failover is over.
 	progress string
 }
@@ -16,6 +18,12 @@
 // begin starts the failover.
 func (f *failover) begin(now time.Time) { f.startedAt = now }
 
+// finishLoading notes that the records are taken in.
+func (f *failover) finishLoading() { f.loaded = true }
+
+// recordsLoaded tells whether the records are taken in: before, nothing may be decided.
+func (f *failover) recordsLoaded() bool { return f.loaded }
+
 // step notes what the failover does now.
 func (f *failover) step(format string, args ...any) { f.progress = fmt.Sprintf(format, args...) }
 
--- a/internal/leader/fixtures_test.go
+++ b/internal/leader/fixtures_test.go
@@ -34,7 +34,7 @@
 		Settings: set, Operator: config.DefaultOperator(), Catalog: func() *autoscaling.Catalog { return cat },
 		Log: slog.New(slog.DiscardHandler),
 	}, election.Grant{Term: 3, Revision: 7})
-	l.loaded = true
+	l.failover.finishLoading()
 	return l
 }
 
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -69,13 +69,11 @@
 
 	failover     failover
 	published    publishedState
-	loaded       bool
 	jobs         jobTable
 	fleet        fleet
 	teamUsage    teamUsage
 	replies      heldReplies
 	metadata     metadataQueue
-	legacyKeys   map[string]uint64 // keys of the earlier format, with their revision
 	counts       WorkCounts
 	load         loadLog
 	teams        []config.Team
--- a/internal/leader/legacy.go
+++ b/internal/leader/legacy.go
@@ -44,7 +44,6 @@
 // read may hide a task that still runs, so it ends the failover; one of completed tasks
 // can't do harm: its tasks run again.
 func (l *Leader) restoreLegacy(records legacyRecords, now time.Time) error {
-	l.legacyKeys = make(map[string]uint64)
 	for _, row := range records.machines {
 		var record wal.Machine
 		if err := json.Unmarshal(row.Value, &record); err != nil {
@@ -53,10 +52,10 @@
 		if err := l.restoreMachine(strings.TrimPrefix(row.Key, legacyMachinePrefix), &record, now); err != nil {
 			return err
 		}
-		l.legacyKeys[row.Key] = row.Revision
+		l.commits.removeAfterCheckpoint(row.Key, row.Revision)
 	}
 	for _, row := range records.done {
-		l.legacyKeys[row.Key] = row.Revision
+		l.commits.removeAfterCheckpoint(row.Key, row.Revision)
 		job, tasks, err := decodeLegacyDone(row)
 		if err != nil {
 			l.deps.Log.Error("unreadable record", "key", row.Key, "error", err)
--- a/internal/leader/legacy_test.go
+++ b/internal/leader/legacy_test.go
@@ -27,7 +27,7 @@
 	machine.agent.Endpoint = ""
 	l.beginCheckpoint()
 	commitEverything(l, 100)
-	if len(l.commits.obsoleteKeys) != 0 || l.legacyKeys != nil {
+	if len(l.commits.obsoleteKeys) != 0 || l.commits.keysWaitForCheckpoint() {
 		t.Errorf("they are not removed: %v", l.commits.obsoleteKeys)
 	}
 	if err := l.restoreLegacy(legacyRecords{machines: []statestore.KeyValue{{Key: "rig/m-2", Value: json.RawMessage(`"x"`)}}}, now); err == nil {
--- a/internal/leader/provisioning.go
+++ b/internal/leader/provisioning.go
@@ -362,7 +362,7 @@
 
 // nextRental names the next machines to rent, if any.
 func (l *Leader) nextRental(now time.Time) (autoscaling.RentRequest, autoscaling.InstancePool, bool) {
-	if l.deps.Catalog() == nil || !l.loaded {
+	if l.deps.Catalog() == nil || !l.failover.recordsLoaded() {
 		return autoscaling.RentRequest{}, autoscaling.InstancePool{}, false
 	}
 	req, ok := autoscaling.ScaleOut(l.scalingView(now), l.deps.Operator.Scaling.Spare)
@@ -425,7 +425,7 @@
 // demand of the last while would not have needed.
 func (l *Leader) releaseSurplus(now time.Time) {
 	m := &l.scaling
-	if l.deps.Catalog() == nil || !l.loaded || now.Sub(m.surplusCheckedAt) < time.Second {
+	if l.deps.Catalog() == nil || !l.failover.recordsLoaded() || now.Sub(m.surplusCheckedAt) < time.Second {
 		return
 	}
 	m.surplusCheckedAt = now
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -85,7 +85,7 @@
 		l.restoreDone(job, tasks)
 	}
 	l.openLog(records.log.Head, records.logRevision)
-	if len(l.legacyKeys) > 0 {
+	if l.commits.keysWaitForCheckpoint() {
 		l.beginCheckpoint()
 	}
 	for job := range l.jobs.all() {
@@ -93,7 +93,7 @@
 		l.stopIncompleteGang(job, now)
 	}
 	l.passes.request()
-	l.loaded = true
+	l.failover.finishLoading()
 	l.linkLoadedJobs(now)
 	return nil
 }
--- a/internal/leader/scheduling_pass.go
+++ b/internal/leader/scheduling_pass.go
@@ -32,7 +32,7 @@
 // mayDecide tells whether a pass may run: without records no decision that needs one is
 // made, and none on a world that may be half a minute old.
 func (l *Leader) mayDecide() bool {
-	return l.loaded && l.deps.Catalog() != nil && l.commits.healthy() && l.term.verified()
+	return l.failover.recordsLoaded() && l.deps.Catalog() != nil && l.commits.healthy() && l.term.verified()
 }
 
 // markPlannedStale has the views made anew of all machines and jobs in the plan, whether or
