--- a/internal/constants/cloud.go
+++ b/internal/constants/cloud.go
@@ -49,6 +49,12 @@
 const (
 	// ScaleInSpare is the default of the operator setting keep, in the units of ScaleOutSpare.
 	ScaleInSpare = 4.0
+	// TerminatedRetention is how long a machine that was given back is remembered: lists
+	// lag, and a heartbeat may still be under way.
+	TerminatedRetention = 10 * time.Minute
+	// FleetReviewInterval is the pause between two searches for slow, faulty and unneeded
+	// machines.
+	FleetReviewInterval = time.Second
 	// IdleReturnAfter is how long an unneeded machine is kept where price counts.
 	IdleReturnAfter = 10 * time.Second
 	// DemandWindow is how far back demand is remembered before machines are returned.
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -217,7 +217,7 @@
 		l, _ := grown(b, machines)
 		l.deps.Cloud = &cloudCalls{}
 		now := time.Now()
-		l.scaling.listedAt, l.scaling.callInFlight = now, true
+		l.scaling.list.completedAt, l.scaling.calls.inFlight = now, true
 		b.ResetTimer()
 		for range b.N {
 			now = now.Add(constants.TickInterval)
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -102,7 +102,7 @@
 		if len(machine.agent.Attempts) != 2 || len(replies) != 0 {
 			t.Fatalf("%d attempts on the machine, %d replies", len(machine.agent.Attempts), len(replies))
 		}
-		l.returnMachines([]string{"m-1"}, now)
+		l.returnMachines([]string{"m-1"})
 		runUntilQuiet(t, l)
 		l.flushReplies(time.Now().Add(constants.ReplyHold)) // the same round, by when the heartbeat need not wait longer
 		if n := len(replies); n != 1 {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -116,6 +116,6 @@
 	}
 	l.commits = newGroupCommit(d.Log, l.beginCheckpoint)
 	l.openLog(wal.Head{}, 0)
-	l.scaling.init()
+	l.scaling = newScalingState()
 	return l
 }
--- /dev/null
+++ b/internal/leader/scaling_surplus.go
@@ -0,0 +1,36 @@
+package leader
+
+import (
+	"time"
+
+	"thornnotch/internal/autoscaling"
+	"thornnotch/internal/constants"
+)
+
+// releaseSurplus returns machines that have been idle for a while and that the
+// demand of the last while would not have needed.
+func (l *Leader) releaseSurplus(now time.Time) {
+	snapshot := l.scalingSnapshot(now)
+	desired := make(map[string]autoscaling.DesiredCapacity)
+	for _, machineType := range snapshot.Catalog.MachineTypes {
+		desired[machineType.Name] = autoscaling.DesiredFor(snapshot, machineType, l.deps.Operator.Scaling.Keep)
+	}
+	keep := l.scaling.demand.Add(now, desired)
+	for _, name := range autoscaling.ScaleIn(snapshot, keep, l.idleMachines(now)) {
+		l.beginLeaving(l.fleet.get(name), "idle", now)
+	}
+}
+
+// idleMachines are the machines that nothing runs on, or is kept for, for a while.
+func (l *Leader) idleMachines(now time.Time) (idle []autoscaling.IdleMachine) {
+	for machine := range l.fleet.all() {
+		name := machine.agent.Name
+		if !machine.schedulable(now) || len(machine.agent.Attempts) > 0 || len(l.reservations.OnMachine(name)) > 0 {
+			continue
+		}
+		if now.Sub(machine.idleSince) > constants.IdleReturnAfter {
+			idle = append(idle, autoscaling.IdleMachine{Name: name, Pool: machine.pool(), Images: len(machine.images)})
+		}
+	}
+	return idle
+}
--- a/internal/leader/provisioning_test.go
+++ b/internal/leader/scaling_test.go
@@ -66,7 +66,7 @@
 			runUntilQuiet(t, l)
 			time.Sleep(time.Second)
 			clear(l.scaling.refused)
-			if !l.scaling.listedAt.IsZero() {
+			if !l.scaling.list.completedAt.IsZero() {
 				break
 			}
 		}
@@ -83,8 +83,8 @@
 		if want := cloud.machines / constants.InstanceListPage; pages != want {
 			t.Errorf("%d pages read, want %d: %v", pages, want, cloud.calls)
 		}
-		if !slices.Contains(cloud.calls, "rent") || l.scaling.listedAt.IsZero() {
-			t.Errorf("list over at %v, calls %v", l.scaling.listedAt, cloud.calls)
+		if !slices.Contains(cloud.calls, "rent") || l.scaling.list.completedAt.IsZero() {
+			t.Errorf("list over at %v, calls %v", l.scaling.list.completedAt, cloud.calls)
 		}
 		if n := len(l.scaling.booting); n != cloud.machines {
 			t.Errorf("%d machines known of %d", n, cloud.machines)
@@ -112,7 +112,7 @@
 			t.Errorf("%s: leaving %v, want %v", name, machine.leaving, want)
 		}
 	}
-	v := l.scalingView(now)
+	v := l.scalingSnapshot(now)
 	if !v.Refused[autoscaling.InstancePool{Type: "g4", Zone: "east"}] || v.Refused[autoscaling.InstancePool{Type: "g4", Zone: "west"}] {
 		t.Errorf("renting in a zone that can't be reached: %v", v.Refused)
 	}
@@ -168,7 +168,7 @@
 	l := testLeader(t)
 	calls := 0
 	for at := now; at.Before(now.Add(time.Minute)); at = at.Add(constants.TickInterval) {
-		if at.Before(l.scaling.retryAt) {
+		if at.Before(l.scaling.calls.retryAt) {
 			continue
 		}
 		calls++
@@ -177,7 +177,7 @@
 	if calls > 20 {
 		t.Errorf("%d calls in a minute of outage", calls)
 	}
-	if l.cloudFailed("rent", nil, now) || l.scaling.backoff != 0 {
+	if l.cloudFailed("rent", nil, now) || l.scaling.calls.backoff != 0 {
 		t.Errorf("an answer does not end the pause")
 	}
 }
--- a/internal/leader/scheduling_pass.go
+++ b/internal/leader/scheduling_pass.go
@@ -21,7 +21,6 @@
 	}
 	l.startPlanned(plan.Starts, now)
 	showDrainClaims(snapshot.Jobs, plan)
-	l.scaling.unmet(plan.Unplaced, now)
 	l.logSummary(snapshot, now)
 	took := time.Since(now)
 	l.passes.finish(took)
--- a/internal/leader/stall_test.go
+++ b/internal/leader/stall_test.go
@@ -60,7 +60,7 @@
 	for i := range 6 {
 		addMachine(l, fmt.Sprint("m-", i), []string{"east", "west"}[i%2], t0)
 	}
-	l.scaling.booting["m-9"] = booting{autoscaling.InstancePool{Type: "g4", Zone: "east"}, t0, t0}
+	l.scaling.booting["m-9"] = bootingMachine{autoscaling.InstancePool{Type: "g4", Zone: "east"}, t0, t0}
 	addJob(t, l, arraySpec("j-1", 40), t0)
 	// It stood still from a while ago until now.
 	still := l.lease + constants.SilentReturnAfter + time.Minute
@@ -70,7 +70,7 @@
 		machine.agent.LastHeartbeat = machine.agent.LastHeartbeat.Add(-still)
 	}
 	b := l.scaling.booting["m-9"]
-	b.since, b.noted = b.since.Add(-still), b.noted.Add(-still)
+	b.rentedAt, b.learntAt = b.rentedAt.Add(-still), b.learntAt.Add(-still)
 	l.scaling.booting["m-9"] = b
 	now := l.beginRound()
 	if !l.term.unverified {
@@ -91,7 +91,7 @@
 			t.Errorf("%s is given up for silence that was ours", name)
 		}
 	}
-	if v := l.scalingView(now); v.Machines[autoscaling.InstancePool{Type: "g4", Zone: "east"}] != 4 {
+	if v := l.scalingSnapshot(now); v.Machines[autoscaling.InstancePool{Type: "g4", Zone: "east"}] != 4 {
 		t.Errorf("machines are to be replaced for silence that was ours: %v", v.Machines)
 	}
 	store.err, store.stamp = nil, l.term.grant.Revision
--- a/internal/leader/status_view.go
+++ b/internal/leader/status_view.go
@@ -69,7 +69,7 @@
 	if !machine.leaving && machine.agent.Registered {
 		pool.Up++
 	}
-	if l.inUse(machine) {
+	if machine.inUse() {
 		pool.Busy++
 	}
 	if machine.health.Faulty() {
