--- a/internal/leader/checkpoint.go
+++ b/internal/leader/checkpoint.go
@@ -19,7 +19,7 @@
 		}
 	}
 	slices.Sort(jobs)
-	l.wal.Checkpoint(machines, jobs, checkpointSource{l}, func() {
+	l.wal.BeginCheckpoint(machines, jobs, checkpointSource{l}, func() {
 		l.deps.Log.Debug("checkpoint committed", "machines", len(machines), "jobs", len(jobs))
 		// What the records of the earlier format say stands in the checkpoint now.
 		l.commits.checkpointCommitted()
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -285,7 +285,6 @@
 		outcome.schedule = c.recovered()
 	default:
 		// Executed or not, the same transaction is tried again.
-		c.log.OutcomeUnknown()
 		c.retryLater(result.err, now)
 	}
 	return outcome
--- /dev/null
+++ b/internal/leader/wal/store_test.go
@@ -0,0 +1,85 @@
+package wal
+
+import (
+	"encoding/json"
+	"slices"
+	"strings"
+	"testing"
+
+	"thornnotch/internal/statestore"
+)
+
+// fakeStore is a state service that carries out transactions whole.
+type fakeStore struct {
+	rows      map[string]KeyValue
+	revisions map[string]uint64 // of each key's latest change
+	revision  uint64            // of the whole store
+}
+
+func newFakeStore() *fakeStore {
+	return &fakeStore{rows: map[string]KeyValue{}, revisions: map[string]uint64{}}
+}
+
+// run carries out a transaction, or tells the keys whose conditions failed.
+func (s *fakeStore) run(conditions []statestore.Condition, writes []statestore.Write) (failed []string) {
+	for _, condition := range conditions {
+		if s.revisions[condition.Key] != condition.Revision {
+			failed = append(failed, condition.Key)
+		}
+	}
+	if len(failed) > 0 {
+		return failed
+	}
+	s.revision++
+	for _, write := range writes {
+		if write.Delete != "" {
+			delete(s.rows, write.Delete)
+			delete(s.revisions, write.Delete)
+			continue
+		}
+		s.rows[write.Put] = KeyValue{write.Put, write.Value}
+		s.revisions[write.Put] = s.revision
+	}
+	return nil
+}
+
+// head is the log's head as it stands; the zero Head if there is none.
+func (s *fakeStore) head() (head Head, err error) {
+	if row, ok := s.rows[HeadKey]; ok {
+		err = json.Unmarshal(row.Value, &head)
+	}
+	return head, err
+}
+
+// allRows lists all of the log's keys.
+func (s *fakeStore) allRows() []KeyValue { return s.rowsBelow(Prefix) }
+
+// failoverRows lists what a failover reads: the head, and what it names.
+func (s *fakeStore) failoverRows() []KeyValue {
+	head, _ := s.head() // of a damaged head Read tells
+	return s.rowsBelow(append(head.Prefixes(), HeadKey)...)
+}
+
+func (s *fakeStore) rowsBelow(prefixes ...string) (rows []KeyValue) {
+	for key, row := range s.rows {
+		if slices.ContainsFunc(prefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) }) {
+			rows = append(rows, row)
+		}
+	}
+	slices.SortFunc(rows, func(a, b KeyValue) int { return strings.Compare(a.Key, b.Key) })
+	return rows
+}
+
+// commitNext sends the writer's next transaction, which must be carried out.
+func commitNext(t *testing.T, store *fakeStore, writer *Writer, jobWrites []JobWrite) *Txn {
+	t.Helper()
+	txn := writer.Next(jobWrites)
+	if txn == nil {
+		t.Fatal("nothing is written any more")
+	}
+	if failed := store.run(txn.Conditions, txn.Writes); failed != nil {
+		t.Fatalf("conditions on %v failed", failed)
+	}
+	writer.Committed(store.revision)
+	return txn
+}
