--- /dev/null
+++ b/internal/config/check.go
@@ -0,0 +1,188 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"strings"
+
+	"thornnotch/internal/constants"
+)
+
+// SettingError is one problem of a settings file.
+type SettingError struct {
+	// Key is the setting's, such as "params.workers.lease_s".
+	Key     string
+	Problem string
+}
+
+func (e *SettingError) Error() string { return e.Key + ": " + e.Problem }
+
+// checker collects the problems of a settings file, each a *SettingError.
+type checker struct {
+	problems []error
+}
+
+func (c *checker) fail(key, format string, args ...any) {
+	c.problems = append(c.problems, &SettingError{key, fmt.Sprintf(format, args...)})
+}
+
+func (c *checker) address(key, value string) {
+	if value == "" {
+		c.fail(key, "is missing")
+		return
+	}
+	if _, port, err := net.SplitHostPort(value); err != nil || port == "" {
+		c.fail(key, "%q is not HOST:PORT", value)
+	}
+}
+
+func (c *checker) text(key, value string) {
+	if strings.TrimSpace(value) == "" {
+		c.fail(key, "is missing")
+	}
+}
+
+// unique checks that a name has not been seen before, and takes it for seen.
+func (c *checker) unique(key, name string, seen map[string]bool) {
+	if seen[name] {
+		c.fail(key, "%q stands twice", name)
+	}
+	seen[name] = true
+}
+
+// positive checks a rate or a time; what is not a number is refused too.
+func (c *checker) positive(key string, value float64) {
+	if !(value > 0 && value < constants.MaxAmount) {
+		c.fail(key, "must be above 0, is %v", value)
+	}
+}
+
+// amount checks a quantity that may be 0; what is not a number is refused too.
+func (c *checker) amount(key string, value float64) {
+	if !(value >= 0 && value < constants.MaxAmount) {
+		c.fail(key, "must be 0 or more, is %v", value)
+	}
+}
+
+// atLeast checks a count.
+func (c *checker) atLeast(key string, least, value int) {
+	if value < least {
+		c.fail(key, "must be %d or more, is %d", least, value)
+	}
+}
+
+// check names every problem of the settings, in the order of the file.
+func (s *Settings) check() error {
+	var c checker
+	c.text("label", s.NodeName)
+	c.text("site", s.Site)
+	c.address("listen", s.Listen)
+	c.address("mesh_addr", s.PeerListen)
+	c.address("services.cloud", s.Services.Cloud)
+	c.address("services.state", s.Services.State)
+	c.peers(s.NodeName, s.Peers)
+	c.atLeast("params.count", 1, s.Params.Count)
+	c.teams(s.Params.Teams)
+	for i, objective := range s.Params.SLOs {
+		c.slo(fmt.Sprintf("params.objectives[%d]", i), objective)
+	}
+	c.workerTimings(s.Params.Workers)
+	c.stateLimits(s.Params.State)
+	c.positive("params.cloud.rps", s.Params.Cloud.RPS)
+	c.amount("params.cloud.list_lag_s", s.Params.Cloud.ListLagS)
+	c.amount("params.machine_limits.cores", s.Params.MachineLimits.Cores)
+	c.amount("params.machine_limits.mem_mb", s.Params.MachineLimits.MemMB)
+	c.atLeast("params.machine_limits.sockets", 0, s.Params.MachineLimits.Sockets)
+	return errors.Join(c.problems...)
+}
+
+func (c *checker) peers(ownName string, peers []Peer) {
+	seen := map[string]bool{ownName: true}
+	for i, peer := range peers {
+		key := fmt.Sprintf("known[%d]", i)
+		c.text(key+".label", peer.Name)
+		c.address(key+".addr", peer.Addr)
+		c.unique(key+".label", peer.Name, seen)
+	}
+}
+
+func (c *checker) teams(teams []Team) {
+	if len(teams) == 0 {
+		c.fail("params.teams", "is missing")
+	}
+	seen := map[string]bool{}
+	for i, team := range teams {
+		key := fmt.Sprintf("params.teams[%d]", i)
+		c.text(key+".name", team.Name)
+		c.unique(key+".name", team.Name, seen)
+		c.amount(key+".cpus", team.GuaranteedCPUs)
+		c.amount(key+".cpus_max", team.MaxCPUs)
+		c.amount(key+".gpus", team.GuaranteedGPUs)
+		c.amount(key+".gpus_max", team.MaxGPUs)
+		if team.MaxCPUs > 0 && team.GuaranteedCPUs > team.MaxCPUs {
+			c.fail(key+".cpus", "is above cpus_max")
+		}
+		if team.MaxGPUs > 0 && team.GuaranteedGPUs > team.MaxGPUs {
+			c.fail(key+".gpus", "is above gpus_max")
+		}
+	}
+}
+
+// slo checks an objective of a known kind.
+func (c *checker) slo(key string, objective SLO) {
+	switch objective.Kind {
+	case SLOWait, SLOCompletion, SLOGuarantee:
+		c.positive(key+".within_s", objective.WithinS)
+	case SLODeadline:
+		if objective.DueTimeFactor != nil {
+			c.positive(key+".times", *objective.DueTimeFactor)
+		}
+	default:
+		return
+	}
+	if objective.Kind != SLOGuarantee {
+		c.text(key+".class", objective.Class)
+	}
+	switch {
+	case objective.Share == nil:
+		c.fail(key+".share", "is missing")
+	case !(*objective.Share > 0 && *objective.Share <= 1):
+		c.fail(key+".share", "must be above 0 and at most 1, is %v", *objective.Share)
+	}
+}
+
+func (c *checker) workerTimings(timings WorkerTimings) {
+	c.positive("params.workers.report_s", timings.HeartbeatS)
+	c.positive("params.workers.lease_s", timings.LeaseS)
+	c.positive("params.workers.gang_wait_s", timings.GangWaitS)
+	c.positive("params.workers.gang_peer_s", timings.GangPeerS)
+	c.positive("params.workers.cancel_s", timings.CancelWithinS)
+	// A worker that is cut off keeps its tasks until its lease expires.
+	if timings.CancelWithinS > 0 && timings.CancelWithinS <= timings.LeaseS {
+		c.fail("params.workers.cancel_s", "must be above lease_s, or no cancellation can be kept")
+	}
+}
+
+func (c *checker) stateLimits(limits StateLimits) {
+	c.positive("params.state.rps", limits.RPS)
+	c.positive("params.state.write_rps", limits.WriteRPS)
+	c.positive("params.state.value_kb", limits.ValueKB)
+	c.atLeast("params.state.txn_ops", constants.MinTxnOps, limits.TxnOps)
+	next := limits.Next
+	if next == nil {
+		return
+	}
+	c.optionalPositive("params.state.next.rps", next.RPS)
+	c.optionalPositive("params.state.next.write_rps", next.WriteRPS)
+	c.optionalPositive("params.state.next.value_kb", next.ValueKB)
+	if next.TxnOps != nil {
+		c.atLeast("params.state.next.txn_ops", constants.MinTxnOps, *next.TxnOps)
+	}
+}
+
+func (c *checker) optionalPositive(key string, value *float64) {
+	if value != nil {
+		c.positive(key, *value)
+	}
+}
