--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -43,13 +43,30 @@
 	}
 }
 
+// directCommandState is what the leader knows of the direct commands to one worker.
+type directCommandState struct {
+	inFlight bool
+	lastSent time.Time // zero if none was sent, or the next is to go out at once
+}
+
+func (d *directCommandState) begin(now time.Time) { d.inFlight, d.lastSent = true, now }
+
+// end notes that a command was answered, or failed.
+func (d *directCommandState) end() { d.inFlight = false }
+
+// hurry has the next probe sent without a pause.
+func (d *directCommandState) hurry() { d.lastSent = time.Time{} }
+
+// sinceLast is how long ago a command was last sent.
+func (d *directCommandState) sinceLast(now time.Time) time.Duration { return now.Sub(d.lastSent) }
+
 // sendCommand sends commands to a worker's own address. They may arrive minutes
 // late, so only stops go this way: a late stop names an attempt that is never
 // started again. Without any it shows the worker our token and asks for its status.
 // It reports false when the commands have to wait for others.
 func (l *Leader) sendCommand(machine *machineState, stops []workers.Command, now time.Time) bool {
 	agent := machine.agent
-	if agent.Endpoint == "" || agent.Epoch == 0 || machine.commandInFlight && len(stops) == 0 {
+	if agent.Endpoint == "" || agent.Epoch == 0 || machine.direct.inFlight && len(stops) == 0 {
 		return true // nowhere to send it, or its news is under way already
 	}
 	silent := l.isSilent(machine, now)
@@ -57,7 +74,7 @@
 		l.counts.PostponedCommands++
 		return false
 	}
-	machine.commandInFlight, machine.lastCommandAt = true, now
+	machine.direct.begin(now)
 	l.counts.DirectCommands++
 	if stops == nil {
 		stops = []workers.Command{} // the protocol wants a list
@@ -67,7 +84,7 @@
 	l.calls.queue(func(ctx context.Context) func() {
 		status, err := l.deps.Workers.Send(ctx, endpoint, batch)
 		return func() {
-			machine.commandInFlight = false
+			machine.direct.end()
 			l.commands.release(silent)
 			if err != nil || status == nil {
 				l.deps.Log.Debug("direct command failed", "machine", agent.Name, "error", err)
@@ -124,7 +141,7 @@
 
 // probeAgent tries to reach a worker directly: an answer shows that it hears.
 func (l *Leader) probeAgent(machine *machineState, now time.Time) {
-	if now.Sub(machine.lastCommandAt) >= constants.ProbeInterval {
+	if machine.direct.sinceLast(now) >= constants.ProbeInterval {
 		l.sendCommand(machine, nil, now)
 	}
 }
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -6,8 +6,6 @@
 	"slices"
 	"strings"
 	"time"
-
-	"thornnotch/internal/workers"
 )
 
 // fleet is the machines known in this term. It belongs to the leader's routine.
@@ -29,7 +27,7 @@
 func (f *fleet) getOrAdd(name string, now time.Time) *machineState {
 	machine := f.byName[name]
 	if machine == nil {
-		machine = &machineState{agent: workers.NewAgent(name), addedAt: now, idleSince: now, stale: true}
+		machine = newMachineState(name, now)
 		f.byName[name] = machine
 		f.sorted = nil
 	}
--- a/internal/leader/gang_recovery_test.go
+++ b/internal/leader/gang_recovery_test.go
@@ -54,7 +54,7 @@
 		}
 		lost := seats[1].machine
 		l.applyEvents(lost, lost.agent.MarkTerminated(), now)
-		lost.leaving = true
+		lost.lifecycle.leaving = true
 		l.runSchedulingPass(now)
 		commitAll(l, epoch)
 		if status == workers.StatusRunning {
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -182,7 +182,7 @@
 	agent.ConfirmEpoch(l.lease, now)
 	if agent.EpochUnconfirmed != epochWasUnconfirmed {
 		if agent.EpochUnconfirmed {
-			machine.lastCommandAt = time.Time{} // probe it at once
+			machine.direct.hurry()
 		}
 		l.passes.request()
 	}
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -10,36 +10,39 @@
 	"thornnotch/internal/workers"
 )
 
-// machineState is one machine: its agent and what the leader keeps of it.
+// machineState is one machine: its agent and what the leader keeps of it, by component.
 type machineState struct {
 	agent   *workers.Agent
-	addedAt time.Time
+	addedAt time.Time // when this term learnt of it
 
-	// metadataLogged is set once its type, place and so on are in the log.
+	lifecycle machineLifecycle
+	health    health.Machine
+	direct    directCommandState
+	images    imageCache
+	// startOverdue is set while a start that it was sent is missing from its heartbeats.
+	startOverdue bool
+	// heartbeatGap is set while a heartbeat is applied that came after a long silence.
+	heartbeatGap bool
+
+	// metadataLogged is set once its type, zone and so on are in the log, and
+	// loggedMetadata is what was logged last.
 	metadataLogged bool
-	loggedMetadata wal.Machine // as it was noted last
+	loggedMetadata wal.Machine
 
-	// view is the machine as placement sees it, made at viewAt; stale is set
-	// when it must be made anew. counted is what it adds to the teams' use.
+	// view is the machine as placement sees it, made at viewAt; stale is set when it
+	// must be made anew. countedUsage is what it adds to the teams' usage.
 	view         *placement.Machine
 	viewAt       time.Time
 	stale        bool
 	countedUsage []teamUse
+}
 
-	images  imageCache // least recently used first
-	health  health.Machine
-	leaving bool // being returned; it gets no more tasks
-	// leavingRecorded is set once the record says so, or none exists.
-	leavingRecorded bool
-	idleSince       time.Time
-	// commandInFlight is set while a direct order is under way; called is when the
-	// last one was sent.
-	commandInFlight bool
-	lastCommandAt   time.Time
-	// startOverdue is set while a start it was sent is missing from its reports.
-	startOverdue bool
-	// heartbeatGap is set while a report is taken in that came after a long silence.
-	heartbeatGap bool
+// newMachineState is a machine of which nothing is known but its name.
+func newMachineState(name string, now time.Time) *machineState {
+	return &machineState{
+		agent: workers.NewAgent(name), addedAt: now, stale: true,
+		lifecycle: machineLifecycle{idleSince: now},
+	}
 }
 
 // removeMachine drops a machine that is no more.
@@ -61,7 +64,7 @@
 
 // schedulable tells whether new tasks may be put on the machine.
 func (m *machineState) schedulable(now time.Time) bool {
-	if m.leaving || !m.health.AcceptsTasks(now) || m.startOverdue {
+	if m.lifecycle.isLeaving() || !m.health.AcceptsTasks(now) || m.startOverdue {
 		return false
 	}
 	agent := m.agent
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -62,7 +62,7 @@
 	agent := machine.agent
 	record := wal.Machine{
 		Type: agent.MachineType, Zone: agent.Zone, Spot: agent.Spot,
-		Endpoint: agent.Endpoint, Epoch: agent.Epoch, Leaving: machine.leaving,
+		Endpoint: agent.Endpoint, Epoch: agent.Epoch, Leaving: machine.lifecycle.isLeaving(),
 	}
 	for _, h := range l.reservations.OnMachine(agent.Name) {
 		record.Holds = append(record.Holds, recordHold(h))
--- a/internal/leader/restore.go
+++ b/internal/leader/restore.go
@@ -12,7 +12,7 @@
 func (l *Leader) restoreMachine(name string, record *wal.Machine, now time.Time) error {
 	machine := l.fleet.getOrAdd(name, now)
 	machine.metadataLogged = true
-	machine.leaving, machine.leavingRecorded = record.Leaving, record.Leaving
+	machine.lifecycle.restore(record.Leaving)
 	agent := machine.agent
 	agent.MachineType, agent.Zone, agent.Spot = record.Type, record.Zone, record.Spot
 	agent.Endpoint, agent.Epoch = record.Endpoint, record.Epoch
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -62,7 +62,7 @@
 func (l *Leader) scale(now time.Time) {
 	for machine := range l.fleet.all() {
 		if len(machine.agent.Attempts) > 0 {
-			machine.idleSince = now
+			machine.lifecycle.noteBusy(now)
 		}
 	}
 	l.scaling.forget(now)
@@ -109,5 +109,5 @@
 		l.deps.Log.Info("machine up", "machine", agent.Name, "zone", agent.Zone, "spot", agent.Spot, "after_s", now.Sub(booting.rentedAt).Round(time.Second).Seconds())
 		delete(l.scaling.booting, agent.Name)
 	}
-	machine.idleSince = now
+	machine.lifecycle.noteBusy(now)
 }
--- a/internal/leader/scaling_list.go
+++ b/internal/leader/scaling_list.go
@@ -77,7 +77,7 @@
 			machine.agent.MachineType, machine.agent.Zone, machine.agent.Spot = instance.MachineType, instance.Zone, instance.Spot
 		}
 		delete(l.scaling.booting, instance.Name)
-		if !machine.leaving {
+		if !machine.lifecycle.isLeaving() {
 			l.beginLeaving(machine, "failed", now)
 		}
 	case machine != nil:
--- a/internal/leader/scaling_return.go
+++ b/internal/leader/scaling_return.go
@@ -12,7 +12,7 @@
 func (l *Leader) retireMachines(now time.Time) {
 	unreachable := l.unreachableZones(now)
 	for machine := range l.fleet.all() {
-		if machine.leaving {
+		if machine.lifecycle.isLeaving() {
 			continue
 		}
 		patience := constants.SilentReturnAfter
@@ -32,10 +32,9 @@
 // cloud is told.
 func (l *Leader) beginLeaving(machine *machineState, reason string, now time.Time) {
 	l.deps.Log.Info("machine to be returned", "machine", machine.agent.Name, "zone", machine.agent.Zone, "reason", reason)
-	machine.leaving = true
-	machine.leavingRecorded = false
+	machine.lifecycle.beginLeaving()
 	l.reservations.RemoveMachine(machine.agent.Name)
-	l.logMetadata(machine, func() { machine.leavingRecorded = machine.leaving })
+	l.logMetadata(machine, machine.lifecycle.leavingStands)
 	machine.markStale()
 	l.drain(machine, now)
 	l.passes.request()
@@ -44,7 +43,7 @@
 // machinesToReturn names the machines to give back now, as many as one call may name.
 func (l *Leader) machinesToReturn(now time.Time) (names []string) {
 	for machine := range l.fleet.all() {
-		if machine.leaving && machine.leavingRecorded && !l.mayStillSave(machine, now) {
+		if machine.lifecycle.mayBeReturned() && !l.mayStillSave(machine, now) {
 			names = append(names, machine.agent.Name)
 		}
 	}
--- a/internal/leader/scaling_surplus.go
+++ b/internal/leader/scaling_surplus.go
@@ -28,7 +28,7 @@
 		if !machine.schedulable(now) || len(machine.agent.Attempts) > 0 || len(l.reservations.OnMachine(name)) > 0 {
 			continue
 		}
-		if now.Sub(machine.idleSince) > constants.IdleReturnAfter {
+		if machine.lifecycle.idleFor(now) > constants.IdleReturnAfter {
 			idle = append(idle, autoscaling.IdleMachine{Name: name, Pool: machine.pool(), Images: len(machine.images)})
 		}
 	}
--- a/internal/leader/scaling_test.go
+++ b/internal/leader/scaling_test.go
@@ -108,8 +108,8 @@
 	l.fleet.get("m-w0").agent.LastHeartbeat = t0 // one machine of the other zone died
 	l.retireMachines(now)
 	for name, machine := range l.fleet.byName {
-		if want := name == "m-w0"; machine.leaving != want {
-			t.Errorf("%s: leaving %v, want %v", name, machine.leaving, want)
+		if want := name == "m-w0"; machine.lifecycle.leaving != want {
+			t.Errorf("%s: leaving %v, want %v", name, machine.lifecycle.leaving, want)
 		}
 	}
 	v := l.scalingSnapshot(now)
@@ -125,19 +125,19 @@
 		l.fleet.get(fmt.Sprint("m-e", i)).agent.LastHeartbeat = back
 	}
 	l.retireMachines(back.Add(time.Second))
-	if l.fleet.get("m-e3").leaving {
+	if l.fleet.get("m-e3").lifecycle.leaving {
 		t.Errorf("the last one is given up as the cut heals")
 	}
 	l.retireMachines(back.Add(constants.UnreachableHold + l.lease + constants.SilentReturnAfter))
-	if !l.fleet.get("m-e3").leaving {
+	if !l.fleet.get("m-e3").lifecycle.leaving {
 		t.Errorf("one that does not come back with the others is never given up")
 	}
 	for i := range 4 {
 		machine := l.fleet.get(fmt.Sprint("m-e", i))
-		machine.agent.LastHeartbeat, machine.leaving = t0, false
+		machine.agent.LastHeartbeat, machine.lifecycle.leaving = t0, false
 	}
 	l.retireMachines(t0.Add(l.lease + constants.UnreachableReturnAfter + time.Second))
-	if !l.fleet.get("m-e0").leaving {
+	if !l.fleet.get("m-e0").lifecycle.leaving {
 		t.Errorf("a zone that stays dark is never given up")
 	}
 }
--- a/internal/leader/stall_test.go
+++ b/internal/leader/stall_test.go
@@ -87,7 +87,7 @@
 		t.Errorf("the cloud was called before the term was looked at: %+v", *cloud)
 	}
 	for name, machine := range l.fleet.byName {
-		if machine.leaving {
+		if machine.lifecycle.leaving {
 			t.Errorf("%s is given up for silence that was ours", name)
 		}
 	}
--- a/internal/leader/status_view.go
+++ b/internal/leader/status_view.go
@@ -50,7 +50,7 @@
 			pool = &PoolStatus{Type: k.machineType, Zone: k.zone, Spot: k.spot}
 			byPool[k] = pool
 		}
-		if machine.leaving {
+		if machine.lifecycle.isLeaving() {
 			leaving++
 		}
 		l.countMachine(pool, machine)
@@ -66,7 +66,7 @@
 
 // countMachine adds a machine to its pool.
 func (l *Leader) countMachine(pool *PoolStatus, machine *machineState) {
-	if !machine.leaving && machine.agent.Registered {
+	if !machine.lifecycle.isLeaving() && machine.agent.Registered {
 		pool.Up++
 	}
 	if machine.inUse() {
--- a/internal/leader/stragglers.go
+++ b/internal/leader/stragglers.go
@@ -13,7 +13,7 @@
 	for _, machine := range l.fleet.sortedByName() {
 		// Of a machine that can't be heard nothing is known: its tasks may be
 		// over, and a cut must not make all machines behind it slow.
-		if machine.health.Slow(now) || machine.leaving || l.isSilent(machine, now) {
+		if machine.health.Slow(now) || machine.lifecycle.isLeaving() || l.isSilent(machine, now) {
 			continue
 		}
 		if l.slowSignals(machine, now) < constants.StragglerSignals {
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -55,7 +55,7 @@
 // needsToken tells whether an agent is to be shown this term's token, so that it turns to
 // this node soon and drops an older leader's replies.
 func (l *Leader) needsToken(machine *machineState, now time.Time) bool {
-	return machine.agent.Token < l.term.number() && !machine.commandInFlight && now.Sub(machine.lastCommandAt) >= l.lease/2
+	return machine.agent.Token < l.term.number() && !machine.direct.inFlight && machine.direct.sinceLast(now) >= l.lease/2
 }
 
 // expireReservations ends the holds whose time is over.
--- a/internal/leader/unreachable_zones.go
+++ b/internal/leader/unreachable_zones.go
@@ -36,7 +36,7 @@
 func (l *Leader) unreachableZones(now time.Time) map[string]bool {
 	machines, silent := make(map[string]int), make(map[string]int)
 	for machine := range l.fleet.all() {
-		if machine.leaving {
+		if machine.lifecycle.isLeaving() {
 			continue
 		}
 		machines[machine.agent.Zone]++
