--- /dev/null
+++ b/internal/autoscaling/client_test.go
@@ -0,0 +1,57 @@
+package autoscaling
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+)
+
+// TestOutcomesAreToldApart: each answer of the cloud is the error that callers act on, and
+// names the call.
+func TestOutcomesAreToldApart(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		status int
+		body   string
+		want   error
+	}{
+		{"rented", http.StatusOK, `{"rigs":["m-1"]}`, nil},
+		{"not JSON", http.StatusOK, "<html>", ErrOutcomeUnknown},
+		{"no capacity", http.StatusServiceUnavailable, `{"error":"no capacity"}`, ErrNoCapacity},
+		{"unavailable", http.StatusServiceUnavailable, "later", ErrRejected},
+		{"too many calls", http.StatusTooManyRequests, "", ErrRejected},
+		{"failed", http.StatusInternalServerError, "oops", ErrOutcomeUnknown},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			cloud := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+				w.WriteHeader(c.status)
+				_, _ = w.Write([]byte(c.body)) // the client's reading is what is tested
+			}))
+			defer cloud.Close()
+			client := NewCloudClient(cloud.Listener.Addr().String(), 10, (&net.Dialer{}).DialContext)
+			names, err := client.Rent(context.Background(), RentRequest{ID: "r-1", MachineType: "g4", Count: 1})
+			if !errors.Is(err, c.want) {
+				t.Fatalf("got %v, want %v", err, c.want)
+			}
+			if c.want == nil && (len(names) != 1 || names[0] != "m-1") {
+				t.Errorf("rented %v", names)
+			}
+			if c.want != nil && !strings.Contains(err.Error(), "POST /hosts") {
+				t.Errorf("%q does not name the call", err)
+			}
+		})
+	}
+}
+
+// TestNoAnswerIsUnknown: a call that can't be made may still have taken effect.
+func TestNoAnswerIsUnknown(t *testing.T) {
+	refuse := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("unreachable") }
+	client := NewCloudClient("cloud.example", 10, refuse)
+	if _, _, err := client.List(context.Background(), ""); !errors.Is(err, ErrOutcomeUnknown) {
+		t.Errorf("got %v, want %v", err, ErrOutcomeUnknown)
+	}
+}
--- /dev/null
+++ b/internal/autoscaling/scaleout.go
@@ -0,0 +1,92 @@
+package autoscaling
+
+import (
+	"slices"
+	"strings"
+
+	"thornnotch/internal/constants"
+)
+
+// ScaleOut picks the next request, if more machines are wanted than there are. What spot
+// machines can't be had for is rented on demand.
+func ScaleOut(s Snapshot, spare float64) (RentRequest, bool) {
+	types := slices.Clone(s.Catalog.MachineTypes)
+	slices.SortFunc(types, func(a, b MachineType) int { return strings.Compare(a.Name, b.Name) })
+	for _, machineType := range types {
+		if request, ok := s.rentForFloors(machineType); ok {
+			return request, true
+		}
+		if request, ok := s.rentForDesired(machineType, DesiredFor(s, machineType, spare)); ok {
+			return request, true
+		}
+	}
+	return RentRequest{}, false
+}
+
+// rentForFloors picks a request for a zone that has less than its floor.
+func (s Snapshot) rentForFloors(machineType MachineType) (RentRequest, bool) {
+	floors := s.zoneFloors(machineType)
+	for _, zone := range machineType.Zones {
+		floor := floors[zone]
+		onDemandPool, spotPool := InstancePool{machineType.Name, zone, false}, InstancePool{machineType.Name, zone, true}
+		onDemand, spot := s.Machines[onDemandPool], s.Machines[spotPool]
+		if missing := floor.onDemand - onDemand; missing > 0 && !s.Refused[onDemandPool] {
+			return rentRequest(onDemandPool, missing), true
+		}
+		missing := floor.total - max(onDemand, floor.onDemand) - spot
+		switch {
+		case missing <= 0:
+		case !s.Refused[spotPool]:
+			return rentRequest(spotPool, missing), true
+		case !s.Refused[onDemandPool]:
+			return rentRequest(onDemandPool, missing), true
+		}
+	}
+	return RentRequest{}, false
+}
+
+// rentForDesired picks a request for the desired capacity: on-demand machines for what
+// can't run elsewhere, then spot ones, then on-demand ones in place of spot ones.
+func (s Snapshot) rentForDesired(machineType MachineType, desired DesiredCapacity) (RentRequest, bool) {
+	onDemand, spot := s.machinesOf(machineType.Name)
+	wantedOnDemand := int(desired.OnDemand)
+	if request, ok := s.rentInZone(machineType, wantedOnDemand-onDemand, false); ok {
+		return request, true
+	}
+	if request, ok := s.rentInZone(machineType, int(desired.Total)-max(onDemand, wantedOnDemand)-spot, true); ok {
+		return request, true
+	}
+	return s.rentInZone(machineType, wantedOnDemand+desired.overflow(spot)-onDemand, false)
+}
+
+// rentInZone picks a request for so many machines in a zone where they can be had.
+func (s Snapshot) rentInZone(machineType MachineType, missing int, spot bool) (RentRequest, bool) {
+	if missing <= 0 {
+		return RentRequest{}, false
+	}
+	zone, found := s.leastUsedZone(machineType, spot)
+	if !found {
+		return RentRequest{}, false
+	}
+	return rentRequest(InstancePool{machineType.Name, zone, spot}, missing), true
+}
+
+func rentRequest(pool InstancePool, missing int) RentRequest {
+	return RentRequest{MachineType: pool.Type, Zone: pool.Zone, Spot: pool.Spot, Count: min(missing, constants.RentBatch)}
+}
+
+// leastUsedZone is the zone with the fewest machines of the type, so that the loss of one
+// hurts least.
+func (s Snapshot) leastUsedZone(machineType MachineType, spot bool) (best string, found bool) {
+	fewest := 0
+	for _, zone := range machineType.Zones {
+		if s.Refused[InstancePool{machineType.Name, zone, spot}] {
+			continue
+		}
+		count := s.Machines[InstancePool{machineType.Name, zone, true}] + s.Machines[InstancePool{machineType.Name, zone, false}]
+		if !found || count < fewest {
+			best, found, fewest = zone, true, count
+		}
+	}
+	return best, found
+}
--- a/internal/constants/cloud.go
+++ b/internal/constants/cloud.go
@@ -14,6 +14,8 @@
 	// are few calls a second.
 	CloudConns     = 4
 	CloudIdleConns = 2
+	// CloudErrorExcerpt is how much of an unexpected answer an error quotes (characters).
+	CloudErrorExcerpt = 120
 	// CatalogInterval is the time between two reads of the catalog, for the prices.
 	CatalogInterval = 60 * time.Second
 	// CatalogRetry is the pause before asking again while no catalog is known.
