--- a/internal/leader/gap_test.go
+++ b/internal/leader/certainty_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"errors"
-	"fmt"
 	"math/rand/v2"
 	"testing"
 	"testing/synctest"
@@ -11,7 +9,6 @@
 
 	"thornnotch/internal/config"
 	"thornnotch/internal/constants"
-	"thornnotch/internal/election"
 	"thornnotch/internal/leader/certainty"
 	"thornnotch/internal/statestore"
 	"thornnotch/internal/workers"
@@ -124,95 +121,3 @@
 		t.Errorf("remembered for ever: %v", l.jobs.removed)
 	}
 }
-
-// raised is a state service where another node has raised the term, and has not
-// written to the log yet.
-type raised struct {
-	Store
-	wrote int
-}
-
-func (s *raised) Txn(_ context.Context, _ statestore.Class, when []statestore.Condition, writes []statestore.Write) (uint64, error) {
-	for _, c := range when {
-		if c.Key == election.TermKey {
-			return 0, &statestore.ConflictError{FailedKeys: []string{c.Key}} // its revision has changed
-		}
-	}
-	s.wrote += len(writes)
-	return 99, nil
-}
-
-// TestDeposedLeaderWritesNothing: what a deposed leader sends is refused also while
-// its successor, which has read the log, has not begun to write: the log's head
-// alone would let it through, and the successor would not know of the attempt.
-func TestDeposedLeaderWritesNothing(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		now := time.Now()
-		l := testLeader(t)
-		store := &raised{}
-		l.deps.Store = store
-		addMachine(l, "m-1", "east", now)
-		addJob(t, l, arraySpec("j-1", 1), now)
-		l.runSchedulingPass(now)
-		l.commit(now.Add(time.Second))
-		runNextEvent(t, l)
-		if store.wrote != 0 || !errors.Is(l.term.err(), ErrDeposed) {
-			t.Errorf("%d writes, ended %v", store.wrote, l.term.err())
-		}
-	})
-}
-
-// direct is workers that note what goes straight to them.
-type direct struct{ orders chan []workers.Command }
-
-func (d direct) Send(_ context.Context, _ string, a workers.CommandBatch) (*workers.Heartbeat, error) {
-	d.orders <- a.Commands
-	return nil, context.Canceled
-}
-
-// TestOnlyStopsGoStraight: a direct order may be held up for minutes and is carried
-// out all the same, so it starts nothing, and forgets nothing.
-func TestOnlyStopsGoStraight(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		now := time.Now()
-		l := testLeader(t)
-		d := direct{make(chan []workers.Command, 1)}
-		l.deps.Workers = d
-		machine := addMachine(l, "m-1", "east", now)
-		machine.agent.Endpoint = "m-1:1"
-		j := addJob(t, l, arraySpec("j-1", 3), now)
-		l.runSchedulingPass(now)
-		for _, s := range j.attempts.sorted() {
-			s.attempt.Committed, s.attempt.StartAllowed = true, true
-		}
-		if n := len(machine.agent.Commands(true, now)); n != 3 {
-			t.Fatalf("%d starts", n)
-		}
-		seats := j.attempts.sorted()
-		seats[0].attempt.StopRequested, seats[0].attempt.StopRequestedAt = true, now // to be stopped
-		seats[1].attempt.Status, seats[1].attempt.ExitRecorded = workers.StatusExited, true
-		l.sendStops(machine, now)
-		runNextEvent(t, l)
-		if got := <-d.orders; len(got) != 1 || got[0].Verb != workers.VerbStop {
-			t.Errorf("straight to the worker went %+v", got)
-		}
-	})
-}
-
-// TestRefusedTransactionEndsTheTerm: a transaction that the state service takes for
-// too large must not be sent for ever; the term ends, and with it whatever of the
-// transaction may still be under way.
-func TestRefusedTransactionEndsTheTerm(t *testing.T) {
-	now := time.Now()
-	l := testLeader(t)
-	addMachine(l, "m-1", "east", now)
-	addJob(t, l, arraySpec("j-1", 1), now)
-	l.runSchedulingPass(now)
-	if l.commits.next() == nil {
-		t.Fatal("nothing to write")
-	}
-	l.committed(commitResult{err: fmt.Errorf("multi: %w", statestore.ErrRejected)})
-	if !errors.Is(l.term.err(), ErrTxnTooLarge) {
-		t.Errorf("ended: %v", l.term.err())
-	}
-}
--- a/internal/leader/commit_test.go
+++ b/internal/leader/commit_test.go
@@ -1,12 +1,16 @@
 package leader
 
 import (
+	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"thornnotch/internal/constants"
+	"thornnotch/internal/election"
 	"thornnotch/internal/leader/wal"
 	"thornnotch/internal/statestore"
 	"thornnotch/internal/workers"
@@ -150,3 +154,58 @@
 		t.Errorf("the job is not closed")
 	}
 }
+
+// raised is a state service where another node has raised the term, and has not
+// written to the log yet.
+type raised struct {
+	Store
+	wrote int
+}
+
+func (s *raised) Txn(_ context.Context, _ statestore.Class, when []statestore.Condition, writes []statestore.Write) (uint64, error) {
+	for _, c := range when {
+		if c.Key == election.TermKey {
+			return 0, &statestore.ConflictError{FailedKeys: []string{c.Key}} // its revision has changed
+		}
+	}
+	s.wrote += len(writes)
+	return 99, nil
+}
+
+// TestDeposedLeaderWritesNothing: what a deposed leader sends is refused also while
+// its successor, which has read the log, has not begun to write: the log's head
+// alone would let it through, and the successor would not know of the attempt.
+func TestDeposedLeaderWritesNothing(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		now := time.Now()
+		l := testLeader(t)
+		store := &raised{}
+		l.deps.Store = store
+		addMachine(l, "m-1", "east", now)
+		addJob(t, l, arraySpec("j-1", 1), now)
+		l.runSchedulingPass(now)
+		l.commit(now.Add(time.Second))
+		runNextEvent(t, l)
+		if store.wrote != 0 || !errors.Is(l.term.err(), ErrDeposed) {
+			t.Errorf("%d writes, ended %v", store.wrote, l.term.err())
+		}
+	})
+}
+
+// TestRefusedTransactionEndsTheTerm: a transaction that the state service takes for
+// too large must not be sent for ever; the term ends, and with it whatever of the
+// transaction may still be under way.
+func TestRefusedTransactionEndsTheTerm(t *testing.T) {
+	now := time.Now()
+	l := testLeader(t)
+	addMachine(l, "m-1", "east", now)
+	addJob(t, l, arraySpec("j-1", 1), now)
+	l.runSchedulingPass(now)
+	if l.commits.next() == nil {
+		t.Fatal("nothing to write")
+	}
+	l.committed(commitResult{err: fmt.Errorf("multi: %w", statestore.ErrRejected)})
+	if !errors.Is(l.term.err(), ErrTxnTooLarge) {
+		t.Errorf("ended: %v", l.term.err())
+	}
+}
--- a/internal/leader/stragglers_test.go
+++ b/internal/leader/stragglers_test.go
@@ -1,6 +1,7 @@
 package leader
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
@@ -65,3 +66,47 @@
 		}
 	}
 }
+
+// TestSilentMachinesAreNotSlow guards against what the zone day at 2,100
+// machines showed: behind a cut, tasks seemed to run on for ever, so their
+// machines were taken for slow and got no work for 45 s after the cut had
+// healed; and tasks that had ended meanwhile seemed to have run all the time.
+func TestSilentMachinesAreNotSlow(t *testing.T) {
+	for _, cut := range []bool{false, true} {
+		t.Run(fmt.Sprint("cut ", cut), func(t *testing.T) {
+			now := time.Now()
+			l := testLeader(t)
+			offline(t, l)
+			a, b := addMachine(l, "m-a", "east", now), addMachine(l, "m-b", "west", now)
+			j := addJob(t, l, arraySpec("j-1", 8), now)
+			l.runSchedulingPass(now)
+			commitAll(l, 100)
+			for _, machine := range []*machineState{a, b} {
+				machine.agent.Commands(true, now)
+				l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusRunning, ""), false, now)
+			}
+			// One machine's tasks end after 10 s, the other's go on for 60.
+			for range 5 {
+				now = now.Add(2 * time.Second)
+				l.applyHeartbeat(a, nextHeartbeat(l, a, workers.StatusRunning, ""), false, now)
+				l.applyHeartbeat(b, nextHeartbeat(l, b, workers.StatusRunning, ""), false, now)
+			}
+			l.applyHeartbeat(a, nextHeartbeat(l, a, workers.StatusExited, workers.CauseDone), false, now)
+			if _, ok := j.runtimes.Typical(8); !ok {
+				t.Fatal("no run times to compare with")
+			}
+			for range 50 {
+				now = now.Add(time.Second)
+				if !cut {
+					l.applyHeartbeat(b, nextHeartbeat(l, b, workers.StatusRunning, ""), false, now)
+				}
+				l.detectStragglers(now)
+			}
+			l.applyHeartbeat(b, nextHeartbeat(l, b, workers.StatusExited, workers.CauseDone), false, now)
+			l.detectStragglers(now)
+			if slow := b.health.Slow(now); slow == cut {
+				t.Errorf("slow: %v", slow)
+			}
+		})
+	}
+}
