--- /dev/null
+++ b/internal/workers/commands_test.go
@@ -0,0 +1,33 @@
+package workers
+
+import (
+	"testing"
+	"time"
+)
+
+// TestRunWaitsForRecord: `run` waits until the attempt is recorded and may start, and goes
+// only into the reply to a heartbeat.
+func TestRunWaitsForRecord(t *testing.T) {
+	now := time.Unix(1000, 0)
+	agent := NewAgent("m-1")
+	agent.Observe(newHeartbeat(1, 1), ownTerm, false, now)
+	attempt := &Attempt{ID: AttemptID{TaskID{"j-1", 0}, 1}, Epoch: 1}
+	agent.Attempts[attempt.ID] = attempt
+	for _, c := range []struct {
+		committed, startAllowed bool
+		commands                int
+	}{
+		{false, false, 0},
+		{true, false, 0},
+		{false, true, 0},
+		{true, true, 1},
+	} {
+		attempt.Committed, attempt.StartAllowed = c.committed, c.startAllowed
+		if got := len(agent.Commands(false, now)); got != 0 {
+			t.Errorf("committed %v allowed %v: a start went out beside a reply", c.committed, c.startAllowed)
+		}
+		if got := len(agent.Commands(true, now)); got != c.commands {
+			t.Errorf("committed %v allowed %v: %d commands, want %d", c.committed, c.startAllowed, got, c.commands)
+		}
+	}
+}
