--- a/internal/leader/demand_propagation_test.go
+++ b/internal/leader/demand_propagation_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
@@ -12,76 +13,113 @@
 	"thornnotch/internal/jobs"
 )
 
+// demandModel is a random graph of jobs that depend on earlier ones, and a leader that
+// knows them. It tells what each must inherit, computed anew over the whole graph.
+type demandModel struct {
+	leader *Leader
+	now    time.Time
+	nodes  []*demandNode
+}
+
+type demandNode struct {
+	job       *jobState
+	upstreams []int // nodes that it depends on
+}
+
+func newDemandModel(t *testing.T) *demandModel {
+	t.Helper()
+	m := &demandModel{leader: testLeader(t), now: time.Now()}
+	m.leader.certainty.Watched(m.now)
+	return m
+}
+
+// drawSpec draws the next job: its priority, its due time, and on which of the earlier
+// ones it depends.
+func (m *demandModel) drawSpec(rt *rapid.T) (spec jobs.Spec, upstreams []int) {
+	spec = jobs.Spec{
+		ID: fmt.Sprintf("j-%d", len(m.nodes)), Class: "w", Team: "a", Kind: jobs.KindArray, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i",
+		PriorityClass: rapid.SampledFrom([]string{"idle", "standard", "urgent", "production"}).Draw(rt, "priority"),
+		ExpectedS:     float64(rapid.IntRange(1, 60).Draw(rt, "expected")),
+	}
+	if rapid.Bool().Draw(rt, "due") {
+		due := float64(rapid.IntRange(10, 500).Draw(rt, "dueS"))
+		spec.DueS = &due
+	}
+	for i, node := range m.nodes {
+		if node.job.removed || rapid.IntRange(0, 3).Draw(rt, "dependsOn") > 0 {
+			continue
+		}
+		upstreams = append(upstreams, i)
+		spec.DependsOn = append(spec.DependsOn, node.job.spec.ID)
+	}
+	return spec, upstreams
+}
+
+// submit gives the leader a job, submitted some time ago.
+func (m *demandModel) submit(rt *rapid.T, spec jobs.Spec, upstreams []int) {
+	rt.Helper()
+	n := len(m.nodes)
+	submitted := m.now.Add(-time.Duration(n) * time.Second)
+	raw, err := json.Marshal(jobs.Record{Spec: spec, AcceptedAtMS: submitted.UnixMilli()})
+	if err != nil {
+		rt.Fatal(err)
+	}
+	m.leader.addJob(jobs.OpenPrefix+spec.ID, raw, uint64(100+n), m.now)
+	m.nodes = append(m.nodes, &demandNode{m.leader.jobs.get(spec.ID), upstreams})
+}
+
+// mayCancel cancels some job, one time in six.
+func (m *demandModel) mayCancel(rt *rapid.T) {
+	if rapid.IntRange(0, 5).Draw(rt, "cancel") > 0 {
+		return
+	}
+	node := m.nodes[rapid.IntRange(0, len(m.nodes)-1).Draw(rt, "which")]
+	if !node.job.removed {
+		m.leader.removeJob(node.job, m.now)
+	}
+}
+
+// want is the priority and the latest start that a job must have for those that depend on
+// it, given that theirs are right.
+func (m *demandModel) want(i int) (priority int, latestStart time.Time) {
+	spec := m.nodes[i].job.spec
+	priority = jobs.Priority(spec.PriorityClass)
+	for _, downstream := range m.nodes[i+1:] {
+		if downstream.job.removed || !slices.Contains(downstream.upstreams, i) {
+			continue
+		}
+		priority = max(priority, downstream.job.view.Priority)
+		if at := m.leader.latestStart(downstream.job); !at.IsZero() {
+			at = at.Add(-time.Duration(spec.ExpectedS)*time.Second - constants.ChainStep)
+			if latestStart.IsZero() || at.Before(latestStart) {
+				latestStart = at
+			}
+		}
+	}
+	return priority, latestStart
+}
+
 // TestInheritance: whatever the graph, and in whatever order jobs come and are
 // cancelled, each job has the highest priority of all that need it, and the latest
-// start that lets the longest path to any due time be kept; reckoned by change, it
-// equals a full reckoning.
+// start that lets the longest path to any due time be kept; computed by change, it
+// equals a full computation.
 func TestInheritance(t *testing.T) {
-	outer := t
-	rapid.Check(t, func(t *rapid.T) {
-		now := time.Now()
-		l := testLeader(outer)
-		l.certainty.Watched(now)
-		type node struct {
-			j    *jobState
-			need []int
-		}
-		var all []*node
-		for n := range rapid.IntRange(1, 14).Draw(t, "jobs") {
-			spec := jobs.Spec{
-				ID: fmt.Sprintf("j-%d", n), Class: "w", Team: "a", Kind: jobs.KindArray, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i",
-				PriorityClass: rapid.SampledFrom([]string{"idle", "standard", "urgent", "production"}).Draw(t, "urgency"), ExpectedS: float64(rapid.IntRange(1, 60).Draw(t, "expect")),
-			}
-			if rapid.Bool().Draw(t, "due") {
-				due := float64(rapid.IntRange(10, 500).Draw(t, "dueS"))
-				spec.DueS = &due
-			}
-			nd := &node{}
-			for k := range n {
-				if all[k].j.removed || rapid.IntRange(0, 3).Draw(t, "needs") > 0 {
-					continue
-				}
-				nd.need = append(nd.need, k)
-				spec.DependsOn = append(spec.DependsOn, all[k].j.spec.ID)
-			}
-			raw, err := json.Marshal(jobs.Record{Spec: spec, AcceptedAtMS: now.Add(-time.Duration(n) * time.Second).UnixMilli()})
-			if err != nil {
-				t.Fatal(err)
-			}
-			l.addJob(jobs.OpenPrefix+spec.ID, raw, uint64(100+n), now)
-			nd.j = l.jobs.get(spec.ID)
-			all = append(all, nd)
-			if rapid.IntRange(0, 5).Draw(t, "cancel") == 0 {
-				if last := all[rapid.IntRange(0, n).Draw(t, "which")]; !last.j.removed {
-					l.removeJob(last.j, now)
-				}
-			}
+	rapid.Check(t, func(rt *rapid.T) {
+		m := newDemandModel(t)
+		for range rapid.IntRange(1, 14).Draw(rt, "jobs") {
+			spec, upstreams := m.drawSpec(rt)
+			m.submit(rt, spec, upstreams)
+			m.mayCancel(rt)
 		}
-		// The full reckoning, from the last to the first: needs go backwards only.
-		for i := len(all) - 1; i >= 0; i-- {
-			a := all[i]
-			if a.j.removed {
+		// From the last to the first: jobs depend on earlier ones only.
+		for i, node := range slices.Backward(m.nodes) {
+			if node.job.removed {
 				continue
 			}
-			prio, start := jobs.Priority(a.j.spec.PriorityClass), time.Time{}
-			for _, b := range all[i+1:] {
-				if b.j.removed {
-					continue
-				}
-				for _, k := range b.need {
-					if k != i {
-						continue
-					}
-					prio = max(prio, b.j.view.Priority)
-					if at := l.latestStart(b.j); !at.IsZero() {
-						if at = at.Add(-time.Duration(a.j.spec.ExpectedS)*time.Second - constants.ChainStep); start.IsZero() || at.Before(start) {
-							start = at
-						}
-					}
-				}
-			}
-			if a.j.view.Priority != prio || !a.j.downstreamDemand.latestStart.Equal(start) {
-				t.Fatalf("job %d: priority %d and start %v, want %d and %v", i, a.j.view.Priority, a.j.downstreamDemand.latestStart, prio, start)
+			priority, latestStart := m.want(i)
+			got := node.job
+			if got.view.Priority != priority || !got.downstreamDemand.latestStart.Equal(latestStart) {
+				rt.Fatalf("job %d: priority %d and start %v, want %d and %v", i, got.view.Priority, got.downstreamDemand.latestStart, priority, latestStart)
 			}
 		}
 	})
--- a/internal/leader/team_usage_test.go
+++ b/internal/leader/team_usage_test.go
@@ -12,94 +12,141 @@
 	"thornnotch/internal/workers"
 )
 
+// usageModel drives a leader through random changes of what runs on its machines.
+type usageModel struct {
+	leader         *Leader
+	now            time.Time
+	revision       uint64
+	jobs, machines int // added so far
+}
+
+func newUsageModel(t *testing.T) *usageModel {
+	t.Helper()
+	m := &usageModel{leader: testLeader(t), now: time.Now(), revision: 100}
+	m.leader.certainty.Watched(m.now)
+	m.leader.teams = append(m.leader.teams, config.Team{Name: "b", GuaranteedGPUs: 4, MaxGPUs: 12})
+	return m
+}
+
+// drawMachine picks a machine, if there is one.
+func (m *usageModel) drawMachine(rt *rapid.T) *machineState {
+	machines := m.leader.fleet.sortedByName()
+	if len(machines) == 0 {
+		rt.Skip()
+	}
+	return rapid.SampledFrom(machines).Draw(rt, "machine")
+}
+
+func (m *usageModel) addMachine(rt *rapid.T) {
+	m.machines++
+	if m.machines > 6 {
+		rt.Skip()
+	}
+	zone := []string{"east", "west"}[m.machines%2]
+	addMachine(m.leader, fmt.Sprint("m-", m.machines), zone, m.now)
+}
+
+// addJob submits a job of either team, maybe a gang, maybe one that depends on an earlier
+// one.
+func (m *usageModel) addJob(t *testing.T, rt *rapid.T) {
+	t.Helper()
+	m.jobs++
+	spec := arraySpec(fmt.Sprint("j-", m.jobs), rapid.IntRange(1, 5).Draw(rt, "tasks"))
+	spec.Team = rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "team")
+	if rapid.Bool().Draw(rt, "gang") {
+		spec.Kind, spec.SameZone, spec.Tasks = jobs.KindGang, true, 2
+	}
+	if m.jobs > 1 && rapid.Bool().Draw(rt, "depends") {
+		spec.DependsOn = []string{fmt.Sprint("j-", rapid.IntRange(1, m.jobs-1).Draw(rt, "on"))}
+	}
+	addJob(t, m.leader, spec, m.now)
+}
+
+func (m *usageModel) cancelJob(rt *rapid.T) {
+	if m.jobs > 0 {
+		m.leader.jobRecordDeleted(fmt.Sprint("j-", rapid.IntRange(1, m.jobs).Draw(rt, "job")), m.now)
+	}
+}
+
+// report has a machine report its tasks in some state, now and then only half of them.
+func (m *usageModel) report(rt *rapid.T) {
+	machine := m.drawMachine(rt)
+	status := rapid.SampledFrom([]workers.TaskStatus{workers.StatusFetching, workers.StatusRunning, workers.StatusExited}).Draw(rt, "status")
+	var cause workers.ExitCause
+	if status == workers.StatusExited {
+		cause = rapid.SampledFrom([]workers.ExitCause{workers.CauseDone, "halted", workers.CauseError}).Draw(rt, "cause")
+	}
+	heartbeat := nextHeartbeat(m.leader, machine, status, cause)
+	if rapid.IntRange(0, 4).Draw(rt, "half") == 0 {
+		heartbeat.Tasks = heartbeat.Tasks[:len(heartbeat.Tasks)/2]
+	}
+	machine.agent.Commands(true, m.now)
+	m.leader.applyHeartbeat(machine, heartbeat, false, m.now)
+}
+
+// beginEpoch has a machine's agent start anew, without its tasks.
+func (m *usageModel) beginEpoch(rt *rapid.T) {
+	machine := m.drawMachine(rt)
+	heartbeat := nextHeartbeat(m.leader, machine, workers.StatusRunning, "")
+	heartbeat.Epoch, heartbeat.Tasks = heartbeat.Epoch+1, nil
+	m.leader.applyHeartbeat(machine, heartbeat, false, m.now)
+}
+
+// returnMachine has the cloud confirm a machine's end.
+func (m *usageModel) returnMachine(rt *rapid.T) {
+	machine := m.drawMachine(rt)
+	m.leader.applyEvents(machine, machine.agent.MarkTerminated(), m.now)
+	m.leader.removeMachine(machine)
+	m.leader.wal.MachineRemoved(machine.agent.Name)
+}
+
+func (m *usageModel) passTime(rt *rapid.T) {
+	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 20).Draw(rt, "s")) * time.Second)
+}
+
+// countGPUs counts in full what may be on machines, and what is reserved there.
+func (m *usageModel) countGPUs() map[string]float64 {
+	gpus := make(map[string]float64)
+	for machine := range m.leader.fleet.all() {
+		for _, attempt := range machine.agent.Attempts {
+			if attempt.Live() {
+				gpus[m.leader.jobs.teamOf(attempt)] += m.leader.jobs.resourcesOf(attempt).GPUs
+			}
+		}
+		for _, hold := range m.leader.reservations.OnMachine(machine.agent.Name) {
+			gpus[hold.Pipeline.Team] += hold.Resources.GPUs
+		}
+	}
+	return gpus
+}
+
+// check compares the running sums, as placement is shown them, with a full count.
+func (m *usageModel) check(rt *rapid.T) {
+	snapshot := m.leader.snapshotForPlacement(m.now)
+	want := m.countGPUs()
+	for name, team := range snapshot.Teams {
+		if d := team.Used.GPUs - want[name]; d > 1e-6 || d < -1e-6 {
+			rt.Fatalf("team %s: %v counted, %v there", name, team.Used.GPUs, want[name])
+		}
+	}
+}
+
 // TestUseIsCountedByChange: whatever happens, in whatever order, the running
-// sums of the teams' use equal a full count of what may be on machines.
+// sums of the teams' usage equal a full count of what may be on machines.
 func TestUseIsCountedByChange(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		now := time.Now()
-		l := testLeader(t)
-		l.certainty.Watched(now)
-		l.teams = append(l.teams, config.Team{Name: "b", GuaranteedGPUs: 4, MaxGPUs: 12})
-		epoch, jobCount, machines := uint64(100), 0, 0
-		pick := func() *machineState {
-			list := l.fleet.sortedByName()
-			if len(list) == 0 {
-				rt.Skip()
-			}
-			return rapid.SampledFrom(list).Draw(rt, "rig")
-		}
+		m := newUsageModel(t)
 		rt.Repeat(map[string]func(*rapid.T){
-			"machine": func(*rapid.T) {
-				if machines++; machines > 6 {
-					rt.Skip()
-				}
-				addMachine(l, fmt.Sprint("m-", machines), []string{"east", "west"}[machines%2], now)
-			},
-			"job": func(*rapid.T) {
-				jobCount++
-				spec := arraySpec(fmt.Sprint("j-", jobCount), rapid.IntRange(1, 5).Draw(rt, "pieces"))
-				spec.Team = rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "owner")
-				if rapid.Bool().Draw(rt, "gang") {
-					spec.Kind, spec.SameZone, spec.Tasks = jobs.KindGang, true, 2
-				}
-				if jobCount > 1 && rapid.Bool().Draw(rt, "waits") {
-					spec.DependsOn = []string{fmt.Sprint("j-", rapid.IntRange(1, jobCount-1).Draw(rt, "for"))}
-				}
-				addJob(t, l, spec, now)
-			},
-			"pass":   func(*rapid.T) { l.runSchedulingPass(now) },
-			"commit": func(*rapid.T) { epoch = commitAll(l, epoch) },
-			"report": func(*rapid.T) {
-				machine := pick()
-				status := rapid.SampledFrom([]workers.TaskStatus{workers.StatusFetching, workers.StatusRunning, workers.StatusExited}).Draw(rt, "status")
-				var cause workers.ExitCause
-				if status == workers.StatusExited {
-					cause = rapid.SampledFrom([]workers.ExitCause{workers.CauseDone, "halted", workers.CauseError}).Draw(rt, "cause")
-				}
-				rep := nextHeartbeat(l, machine, status, cause)
-				if rapid.IntRange(0, 4).Draw(rt, "some") == 0 {
-					rep.Tasks = rep.Tasks[:len(rep.Tasks)/2]
-				}
-				machine.agent.Commands(true, now)
-				l.applyHeartbeat(machine, rep, false, now)
-			},
-			"cancel": func(*rapid.T) {
-				if jobCount > 0 {
-					l.jobRecordDeleted(fmt.Sprint("j-", rapid.IntRange(1, jobCount).Draw(rt, "job")), now)
-				}
-			},
-			"session": func(*rapid.T) {
-				machine := pick()
-				rep := nextHeartbeat(l, machine, workers.StatusRunning, "")
-				rep.Epoch, rep.Tasks = rep.Epoch+1, nil
-				l.applyHeartbeat(machine, rep, false, now)
-			},
-			"returned": func(*rapid.T) {
-				machine := pick()
-				l.applyEvents(machine, machine.agent.MarkTerminated(), now)
-				l.removeMachine(machine)
-				l.wal.MachineRemoved(machine.agent.Name)
-			},
-			"time": func(*rapid.T) { now = now.Add(time.Duration(rapid.IntRange(1, 20).Draw(rt, "s")) * time.Second) },
-			"": func(*rapid.T) {
-				w := l.snapshotForPlacement(now)
-				want := map[string]float64{}
-				for machine := range l.fleet.all() {
-					for _, a := range machine.agent.Attempts {
-						if a.Live() {
-							want[l.jobs.teamOf(a)] += l.jobs.resourcesOf(a).GPUs
-						}
-					}
-					for _, h := range l.reservations.OnMachine(machine.agent.Name) {
-						want[h.Pipeline.Team] += h.Resources.GPUs
-					}
-				}
-				for name, team := range w.Teams {
-					if d := team.Used.GPUs - want[name]; d > 1e-6 || d < -1e-6 {
-						rt.Fatalf("team %s: %v counted, %v there", name, team.Used.GPUs, want[name])
-					}
-				}
-			},
+			"machine":  m.addMachine,
+			"job":      func(rt *rapid.T) { m.addJob(t, rt) },
+			"pass":     func(*rapid.T) { m.leader.runSchedulingPass(m.now) },
+			"commit":   func(*rapid.T) { m.revision = commitAll(m.leader, m.revision) },
+			"report":   m.report,
+			"cancel":   m.cancelJob,
+			"epoch":    m.beginEpoch,
+			"returned": m.returnMachine,
+			"time":     m.passTime,
+			"":         m.check,
 		})
 	})
 }
