--- a/internal/node/dependencies_test.go
+++ b/internal/node/dependencies_test.go
@@ -151,14 +151,14 @@
 				m.t.Errorf("%s: %q", id, st)
 			}
 		}
-		m.state.SetDown(true)
+		m.state.SetOutage(true)
 		time.Sleep(m.span(time.Second, 5*time.Second))
 		for label := range m.nodes {
 			m.kill(label)
 		}
 		time.Sleep(m.judge.late)
 		m.start(number(lead))
-		m.state.SetDown(false)
+		m.state.SetOutage(false)
 		m.until(20*time.Second, "an answer", func() bool { c, _ := m.poll(number(lead), after[0]); return c == http.StatusOK })
 		for _, id := range after {
 			m.until(10*time.Second, id+" answered", func() bool { c, _ := m.poll(number(lead), id); return c == http.StatusOK })
@@ -268,11 +268,11 @@
 			}
 		}
 		m.judge.mu.Unlock()
-		m.state.SetDown(true)
+		m.state.SetOutage(true)
 		if code, _ := m.submitted(1, names(720, "j-777777")); code != http.StatusServiceUnavailable {
 			m.t.Errorf("without the state service a name that can't be checked got %d", code)
 		}
-		m.state.SetDown(false)
+		m.state.SetOutage(false)
 		m.users.cancel(runs)
 	})
 }
@@ -350,7 +350,7 @@
 			lay.params.State.ValueKB, lay.params.State.TxnOps = kb, ops // as the settings are read
 			meetOnce(t, lay, seed, nil, func(m *scenario) {
 				m.chains(3)
-				m.state.SetLimits(simulator.StateLimits{ValueBytes: 2048, Ops: 4, Writes: rate})
+				m.state.SetLimits(simulator.RequestLimits{ValueBytes: 2048, WritesPerTxn: 4, WritesPerSecond: rate})
 				for n := range 60 {
 					j := testJob(0, []string{"a", "b"}[n%2], jobs.KindArray, 1)
 					j.ExpectedS = 1
@@ -376,7 +376,7 @@
 	meetOnce(t, small(), 7, nil, func(m *scenario) {
 		m.chains(2)
 		m.state.SetFate(func(_ string, writes int) simulator.Fate { return simulator.Fate{Lost: writes > 2 && m.intn(4) == 0} })
-		m.state.SetLimits(simulator.StateLimits{ValueBytes: 4096, Ops: 4})
+		m.state.SetLimits(simulator.RequestLimits{ValueBytes: 4096, WritesPerTxn: 4})
 		for n := range 10 {
 			m.run(testJob(0, []string{"a", "b"}[n%2], jobs.KindArray, 6))
 		}
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -35,7 +35,7 @@
 		defer s.wait.Wait()
 		defer cancel()
 		defer s.state.Close()
-		s.cloud.Fill(lay.machines)
+		s.cloud.AddRunning(lay.machines)
 		for i := range lay.nodes {
 			s.start(i)
 		}
@@ -161,11 +161,11 @@
 			time.Sleep(time.Second)
 		}
 		time.Sleep(max(0, 37*time.Second-time.Since(at)))
-		hosts := s.cloud.Hosts()
+		hosts := s.cloud.RentedCount()
 		goOn()
 		s.nodes[old] = p
 		s.until(10*time.Second, "the old leader to see that it leads no more", func() bool { return p.node.leading.Load() == nil })
-		if n := s.cloud.Hosts(); n > hosts+2 {
+		if n := s.cloud.RentedCount(); n > hosts+2 {
 			t.Errorf("it rented for machines that only it had not heard: %d, then %d", hosts, n)
 		}
 		add(testJob(20, "a", jobs.KindArray, 3))
@@ -197,7 +197,7 @@
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			for name := range names {
-				s.workers[name].SetHang(on)
+				s.workers[name].SetHanging(on)
 			}
 		}
 		hang(true)
@@ -220,7 +220,7 @@
 			s.t.Fatalf("only %d machines at work", len(names))
 		}
 		for name := range names {
-			s.cloud.Die(name)
+			s.cloud.Fail(name)
 		}
 		for n := range 3 {
 			add(testJob(20+n, "a", jobs.KindArray, 3))
--- a/internal/node/large_fleet_test.go
+++ b/internal/node/large_fleet_test.go
@@ -35,7 +35,7 @@
 
 // logHead is the head of the leader's log as it stands.
 func (s *site) logHead() (head wal.Head) {
-	_ = json.Unmarshal(s.state.Value(wal.HeadKey), &head)
+	_ = json.Unmarshal(s.state.Get(wal.HeadKey), &head)
 	return head
 }
 
@@ -84,9 +84,9 @@
 		defer s.wait.Wait()
 		defer cancel()
 		defer s.state.Close()
-		limits := simulator.StateLimits{ValueBytes: int(lay.params.State.ValueKB * 1024), Ops: lay.params.State.TxnOps}
+		limits := simulator.RequestLimits{ValueBytes: int(lay.params.State.ValueKB * 1024), WritesPerTxn: lay.params.State.TxnOps}
 		s.state.SetLimits(limits)
-		s.cloud.Fill(lay.machines)
+		s.cloud.AddRunning(lay.machines)
 		for i := range lay.nodes {
 			s.start(i)
 		}
@@ -116,13 +116,13 @@
 		s.sameTasks(before)
 
 		// The cloud is away, so that nobody replaces the zone's machines.
-		s.cloud.SetDown(true)
+		s.cloud.SetOutage(true)
 		label = s.leader()
 		cut := fmt.Sprintf("rig-%d", (int(label[4]-'0')+1)%lay.nodes)
 		s.cutZone(cut)
 		time.Sleep(45 * time.Second)
 		s.heal()
-		s.cloud.SetDown(false)
+		s.cloud.SetOutage(false)
 		s.until(30*time.Second, "all workers heard after the cut", func() bool { return s.workersHeard() == lay.machines })
 		s.until(3*time.Minute, "all tasks running after the cut", func() bool { return len(s.running()) == jobCount*tasks })
 		before = s.running()
@@ -173,7 +173,7 @@
 			t.Errorf("%d calls were refused for their size", c.TooLarge)
 		}
 		for label, p := range s.nodes {
-			if most := p.host.Most(); most > lay.params.MachineLimits.Sockets {
+			if most := p.host.MaxOpenConns(); most > lay.params.MachineLimits.Sockets {
 				t.Errorf("%s had %d connections of %d", label, most, lay.params.MachineLimits.Sockets)
 			}
 		}
--- a/internal/node/meetings_cancellations_test.go
+++ b/internal/node/meetings_cancellations_test.go
@@ -36,8 +36,8 @@
 			if m.intn(2) == 0 {
 				m.cutMachines(name)
 			} else {
-				m.worker(name).SetHang(true)
-				m.later(m.span(3*time.Second, 30*time.Second), func() { m.worker(name).SetHang(false) })
+				m.worker(name).SetHanging(true)
+				m.later(m.span(3*time.Second, 30*time.Second), func() { m.worker(name).SetHanging(false) })
 			}
 		}
 		m.later(m.span(0, 3*time.Second), func() { m.users.cancel(ids[0]) })
@@ -61,9 +61,9 @@
 			case 0:
 				m.cutMachines(name)
 			case 1:
-				m.worker(name).SetMute(true)
+				m.worker(name).CutOutgoing(true)
 			default:
-				m.worker(name).SetDeaf(true)
+				m.worker(name).CutIncoming(true)
 			}
 		}
 		old := m.lead("")
@@ -147,9 +147,9 @@
 		for _, id := range ids {
 			m.stands(id)
 			for _, name := range slices.Compact(m.machinesOf(id))[:1] {
-				m.worker(name).SetHang(true)
+				m.worker(name).SetHanging(true)
 				hung++
-				m.later(m.span(time.Second, 16*time.Second), func() { m.worker(name).SetHang(false) })
+				m.later(m.span(time.Second, 16*time.Second), func() { m.worker(name).SetHanging(false) })
 			}
 			m.later(m.span(0, 3*time.Second), func() { m.users.cancel(id) })
 		}
--- a/internal/node/meetings_leaders_test.go
+++ b/internal/node/meetings_leaders_test.go
@@ -21,7 +21,7 @@
 		machines := m.machinesOf(id)
 		m.cutMachines(machines[0])
 		deaf := m.machinesOf(gang)[0]
-		m.later(m.span(0, time.Second), func() { m.worker(deaf).SetDeaf(true) })
+		m.later(m.span(0, time.Second), func() { m.worker(deaf).CutIncoming(true) })
 		old := m.leader()
 		time.Sleep(m.span(0, 2*time.Second))
 		m.endNode(old, m.span(50*time.Millisecond, 4*time.Second))
@@ -64,7 +64,7 @@
 		begun, changes := time.Now(), 0
 		for n := range 10 {
 			if n == 4 {
-				m.state.SetDown(true)
+				m.state.SetOutage(true)
 			}
 			label := m.leader()
 			if label == "" {
@@ -76,7 +76,7 @@
 			}
 			time.Sleep(m.span(time.Second, 8*time.Second))
 			if n == 6 {
-				m.state.SetDown(false)
+				m.state.SetOutage(false)
 				m.run(testJob(0, "a", jobs.KindArray, 2))
 			}
 		}
--- a/internal/node/meetings_machines_test.go
+++ b/internal/node/meetings_machines_test.go
@@ -63,16 +63,16 @@
 			m.run(testJob(0, "b", jobs.KindArray, 2))
 		}
 		for _, name := range names {
-			m.worker(name).SetMute(true) // what it keeps stays the old
+			m.worker(name).CutOutgoing(true) // what it keeps stays the old
 		}
 		time.Sleep(m.span(0, 14*time.Second))
 		sent := 0
 		for _, name := range names {
-			sent += m.worker(name).Again(m.users.ctx, fmt.Sprintf("node-%d:80", number(next)))
+			sent += m.worker(name).ResendHeartbeats(m.users.ctx, fmt.Sprintf("node-%d:80", number(next)))
 		}
 		m.took(sent > 0, "no report came late")
 		for _, name := range names {
-			m.worker(name).SetMute(false)
+			m.worker(name).CutOutgoing(false)
 		}
 		m.start(number(old))
 		m.waitGone()
@@ -95,7 +95,7 @@
 			for _, name := range names {
 				m.later(0, func() {
 					for i := range 3 {
-						m.worker(name).Again(m.users.ctx, fmt.Sprintf("node-%d:80", i))
+						m.worker(name).ResendHeartbeats(m.users.ctx, fmt.Sprintf("node-%d:80", i))
 					}
 				})
 				sent++
@@ -124,7 +124,7 @@
 		lost := 0
 		for _, name := range slices.Compact(append(m.machinesOf(ids[0]), m.machinesOf(ids[1])...)) {
 			if lost < 2 {
-				m.cloud.Die(name)
+				m.cloud.Fail(name)
 				lost++
 				time.Sleep(m.span(0, 3*time.Second))
 			}
@@ -146,11 +146,11 @@
 		// Machines that lose their lease begin new sessions and attempts.
 		deaf := m.machinesOf(id)[:2]
 		for _, name := range deaf {
-			m.worker(name).SetDeaf(true)
+			m.worker(name).CutIncoming(true)
 		}
 		time.Sleep(m.span(13*time.Second, 20*time.Second))
 		for _, name := range deaf {
-			m.worker(name).SetDeaf(false)
+			m.worker(name).CutIncoming(false)
 		}
 		time.Sleep(m.span(0, 6*time.Second))
 		m.endNode(m.lead(""), m.span(100*time.Millisecond, 3*time.Second))
@@ -173,7 +173,7 @@
 		m.stands(gang)
 		mute := slices.Compact(append(m.machinesOf(id)[:2], m.machinesOf(gang)...))
 		for _, name := range mute {
-			m.worker(name).SetMute(true)
+			m.worker(name).CutOutgoing(true)
 		}
 		m.later(m.span(0, 15*time.Second), func() { m.users.cancel(gang) })
 		if m.intn(2) == 0 {
--- a/internal/node/meetings_statestore_test.go
+++ b/internal/node/meetings_statestore_test.go
@@ -32,7 +32,7 @@
 					time.Sleep(3 * time.Second)
 				}
 				old := m.lead("")
-				m.state.Refuse(old, true)
+				m.state.RefuseHost(old, true)
 				refused := time.Now()
 				// Nearer together and further apart, also beyond an election.
 				apart := []time.Duration{300 * time.Millisecond, time.Second, 2 * time.Second, 2600 * time.Millisecond, 3 * time.Second, 3500 * time.Millisecond, 5 * time.Second, 8 * time.Second}[seed]
@@ -45,10 +45,10 @@
 					})
 				}
 				hang := m.machinesOf(ids[3])[0]
-				m.later(m.span(0, apart), func() { m.worker(hang).SetHang(true) })
-				m.later(apart+m.span(5*time.Second, 30*time.Second), func() { m.worker(hang).SetHang(false) })
+				m.later(m.span(0, apart), func() { m.worker(hang).SetHanging(true) })
+				m.later(apart+m.span(5*time.Second, 30*time.Second), func() { m.worker(hang).SetHanging(false) })
 				time.Sleep(apart)
-				m.state.SetDown(true)
+				m.state.SetOutage(true)
 				early := 0
 				for _, id := range ids[:4] {
 					if m.heard(id) == jobs.StatusCancelled {
@@ -70,8 +70,8 @@
 				m.judge.look()
 				m.took(early > 0 || apart < time.Second || seed%2 == 1, "nothing was confirmed before the outage")
 				m.took(m.state.Counts().Refused > 0, "the state service refused nobody")
-				m.state.SetDown(false)
-				m.state.Refuse(old, false)
+				m.state.SetOutage(false)
+				m.state.RefuseHost(old, false)
 				m.state.SetFate(nil)
 				time.Sleep(3 * time.Second)
 				m.cancelAll(ids)
@@ -92,7 +92,7 @@
 		m.judge.mu.Lock()
 		before := m.judge.begun
 		m.judge.mu.Unlock()
-		m.state.SetDown(true)
+		m.state.SetOutage(true)
 		time.Sleep(m.span(60*time.Second, 100*time.Second))
 		for _, id := range ids {
 			if n := len(m.machinesOf(id)); n == 0 {
@@ -104,7 +104,7 @@
 			m.t.Errorf("%d tasks began in the outage", m.judge.begun-before)
 		}
 		m.judge.mu.Unlock()
-		m.state.SetDown(false)
+		m.state.SetOutage(false)
 	})
 }
 
--- a/internal/node/meetings_users_test.go
+++ b/internal/node/meetings_users_test.go
@@ -13,10 +13,10 @@
 	meet(t, nil, func(m *scenario) {
 		slow := func() time.Duration { return m.span(2*time.Millisecond, 60*time.Millisecond) }
 		for _, p := range m.nodes {
-			p.host.Delay(slow)
+			p.host.DelayPackets(slow)
 		}
 		for _, name := range m.all() {
-			m.places[name].host.Delay(slow)
+			m.places[name].host.DelayPackets(slow)
 		}
 		most := 0
 		for n := range 16 {
@@ -114,9 +114,9 @@
 		})
 		m.endNode(m.lead(""), m.span(50*time.Millisecond, 3*time.Second))
 		time.Sleep(m.span(0, 3*time.Second))
-		m.state.SetDown(true)
+		m.state.SetOutage(true)
 		time.Sleep(5 * time.Second)
-		m.state.SetDown(false)
+		m.state.SetOutage(false)
 		time.Sleep(5 * time.Second)
 		m.users.mu.Lock()
 		defer m.users.mu.Unlock()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-func (j *judge) Began(machine, zone string, spot bool, t workers.TaskID, try uint64, job *jobs.Spec) {
+func (j *judge) TaskStarted(machine, zone string, spot bool, t workers.TaskID, try uint64, job *jobs.Spec) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.begun++
@@ -126,7 +126,7 @@
 	}
 }
 
-func (j *judge) Ended(machine string, t workers.TaskID, _ uint64, done bool) {
+func (j *judge) TaskEnded(machine string, t workers.TaskID, _ uint64, done bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.overdue(t, machine, "ended")
@@ -164,7 +164,7 @@
 	layout
 	t     *testing.T
 	net   *simulator.Network
-	state *simulator.State
+	state *simulator.StateService
 	cloud *simulator.Cloud
 	judge *judge
 	jobs  sync.Map
@@ -210,7 +210,7 @@
 
 func newSiteOf(t *testing.T, ctx context.Context, lay layout) *site {
 	s := &site{
-		layout: lay, t: t, net: simulator.NewNetwork(), state: simulator.NewState(), nodes: make(map[string]*process), ctx: ctx,
+		layout: lay, t: t, net: simulator.NewNetwork(), state: simulator.NewStateService(), nodes: make(map[string]*process), ctx: ctx,
 		workers: make(map[string]*simulator.Worker), places: make(map[string]place),
 		judge: &judge{
 			on: map[workers.TaskID]string{}, gpus: map[string]float64{}, zones: map[string]map[string]int{},
@@ -219,14 +219,14 @@
 		},
 	}
 	s.placed = placements{slog.NewTextHandler(io.Discard, nil), new(sync.Mutex), make(map[string]int), make(map[string]bool)}
-	s.judge.jobs, s.judge.record = s.Job, s.state.Value
+	s.judge.jobs, s.judge.record = s.Job, s.state.Get
 	for _, team := range lay.params.Teams {
 		s.judge.limits[team.Name] = team.MaxGPUs
 	}
 	if testing.Verbose() {
 		s.placed.Handler = slog.NewTextHandler(os.Stderr, nil)
 	}
-	meet := simulator.NewMeeting()
+	meet := simulator.NewGangRegistry()
 	cat := autoscaling.Catalog{MachineTypes: []autoscaling.MachineType{{
 		Name: "g4", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 80, FetchGBPerS: 1,
 		OnDemandPrice: 10, SpotPrice: 5, BootS: lay.boots.Seconds(), Zones: zones,
@@ -242,9 +242,9 @@
 		host := s.net.Host(h.Name)
 		defer host.Kill()
 		w := simulator.NewWorker(simulator.WorkerOptions{
-			Name: h.Name, Addr: h.Endpoint, Type: h.MachineType, Zone: h.Zone, Spot: h.Spot,
-			Nodes: addrs, Labels: labels, Report: config.Seconds(w.HeartbeatS), Lease: config.Seconds(w.LeaseS), Fetch: 3 * time.Second,
-			GangWait: config.Seconds(w.GangWaitS), Copies: s.copies, Keep: s.keep, Runs: s.runs, Step: lay.step,
+			Name: h.Name, Addr: h.Endpoint, MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot,
+			Nodes: addrs, NodeByLabel: labels, HeartbeatInterval: config.Seconds(w.HeartbeatS), Lease: config.Seconds(w.LeaseS), FetchTime: 3 * time.Second,
+			GangWait: config.Seconds(w.GangWaitS), DuplicateAfter: s.copies, KeepHeartbeats: s.keep, RunTime: s.runs, Step: lay.step,
 		}, host, s, s.judge, meet)
 		s.mu.Lock()
 		s.workers[h.Name] = w
@@ -287,7 +287,7 @@
 		}
 	}
 	host := s.net.Host(label)
-	host.Limit(s.params.MachineLimits.Sockets)
+	host.LimitConns(s.params.MachineLimits.Sockets)
 	for addr := range s.away {
 		host.Cut(addr)
 	}
@@ -452,7 +452,7 @@
 		})
 		cancelled := time.Now()
 
-		s.state.SetDown(true)
+		s.state.SetOutage(true)
 		if c := s.submit(1, testJob(12, "a", jobs.KindArray, 2)); c != http.StatusServiceUnavailable {
 			t.Errorf("a submission during the outage got %d", c)
 		}
@@ -464,7 +464,7 @@
 		for i := range 3 {
 			s.start(i)
 		}
-		s.state.SetDown(false)
+		s.state.SetOutage(false)
 		time.Sleep(max(0, 37*time.Second-time.Since(cancelled)))
 		s.judge.mu.Lock()
 		for task := range s.judge.on {
@@ -492,6 +492,6 @@
 			t.Errorf("rule broken: %s", b)
 		}
 		// With nothing left to do, the machines are given back but a few.
-		s.until(5*time.Minute, "idle machines returned", func() bool { return s.cloud.Hosts() <= 2 })
+		s.until(5*time.Minute, "idle machines returned", func() bool { return s.cloud.RentedCount() <= 2 })
 	})
 }
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -143,7 +143,7 @@
 func TestOneWayCut(t *testing.T) {
 	trouble(t, nil, func(s *site, add func(*jobs.Spec)) {
 		name := s.on()
-		s.worker(name).SetDeaf(true)
+		s.worker(name).CutIncoming(true)
 		time.Sleep(30 * time.Second) // its lease is over, and it has gone round all nodes
 		before := s.placed.on(name)
 		s.mu.Lock()
@@ -165,7 +165,7 @@
 		if n := s.placed.on(name) - before; n > 0 {
 			t.Errorf("the deaf machine was given %d more tasks", n)
 		}
-		s.worker(name).SetDeaf(false)
+		s.worker(name).CutIncoming(false)
 	})
 }
 
@@ -293,8 +293,8 @@
 		victim.ExpectedS, victim.Zone = 400, zone
 		add(victim)
 		s.until(90*time.Second, "the victim running", func() bool { return s.status(0, victim.ID) == jobs.StatusRunning })
-		s.cloud.SetDown(true) // nobody can take the machines back
-		defer s.cloud.SetDown(false)
+		s.cloud.SetOutage(true) // nobody can take the machines back
+		defer s.cloud.SetOutage(false)
 		s.cutZone(lead)
 		other := (int(lead[4]-'0') + 1) % 3
 		s.until(8*time.Second, "the cancellation", func() bool {
@@ -485,7 +485,7 @@
 			}
 			if n > 0 {
 				met++
-				s.until(time.Minute, name+" found and given back", func() bool { return s.placed.found(name) && !s.cloud.Has(name) })
+				s.until(time.Minute, name+" found and given back", func() bool { return s.placed.found(name) && !s.cloud.IsRented(name) })
 			}
 		}
 		if met == 0 {
@@ -520,7 +520,7 @@
 			}
 			return out
 		}
-		simulator.Part(side(near), side(far))
+		simulator.Partition(side(near), side(far))
 		for n := 60; n < 66; n++ {
 			add(testJob(n, "a", []string{jobs.KindArray, jobs.KindGang}[n%2], 3))
 		}
--- a/internal/node/scenario_test.go
+++ b/internal/node/scenario_test.go
@@ -202,25 +202,25 @@
 // calm ends all troubles.
 func (m *scenario) calm() {
 	m.state.SetFate(nil)
-	m.state.SetDown(false)
-	m.cloud.SetDown(false)
+	m.state.SetOutage(false)
+	m.cloud.SetOutage(false)
 	m.away = nil
 	for i := range m.layout.nodes {
-		m.state.Refuse(fmt.Sprint("rig-", i), false)
+		m.state.RefuseHost(fmt.Sprint("rig-", i), false)
 		if m.nodes[fmt.Sprint("rig-", i)] == nil {
 			m.start(i)
 		}
 	}
 	for _, p := range m.nodes {
-		p.host.Delay(nil)
+		p.host.DelayPackets(nil)
 	}
 	m.heal()
 	for _, name := range m.all() {
 		w := m.worker(name)
-		w.SetDeaf(false)
-		w.SetMute(false)
-		w.SetHang(false)
-		m.places[name].host.Delay(nil)
+		w.CutIncoming(false)
+		w.CutOutgoing(false)
+		w.SetHanging(false)
+		m.places[name].host.DelayPackets(nil)
 	}
 }
 
--- a/internal/node/upgrade_test.go
+++ b/internal/node/upgrade_test.go
@@ -144,7 +144,7 @@
 		id := m.run(long("a", jobs.KindArray, 3, 40))
 		var ours jobs.Record
 		var theirs productionRecord
-		raw := m.state.Value(jobs.OpenPrefix + id)
+		raw := m.state.Get(jobs.OpenPrefix + id)
 		for _, into := range []any{&ours, &theirs} {
 			d := json.NewDecoder(bytes.NewReader(raw))
 			d.DisallowUnknownFields()
@@ -157,7 +157,7 @@
 		}
 		m.until(2*time.Minute, "done", func() bool { return m.heard(id) == jobs.StatusDone })
 		var f productionFinal
-		if err := json.Unmarshal(m.state.Value(jobs.FinalPrefix+id), &f); err != nil || f.Status != jobs.StatusDone || f.Pieces != 3 {
+		if err := json.Unmarshal(m.state.Get(jobs.FinalPrefix+id), &f); err != nil || f.Status != jobs.StatusDone || f.Pieces != 3 {
 			t.Errorf("%+v %v", f, err)
 		}
 	})
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -13,13 +13,13 @@
 )
 
 // Boot starts a machine's worker once it is up; the worker ends with ctx.
-type Boot func(ctx context.Context, h autoscaling.Instance)
+type BootWorker func(ctx context.Context, h autoscaling.Instance)
 
 // Cloud is a cloud that boots machines after their catalog time.
 type Cloud struct {
 	ctx     context.Context
 	catalog autoscaling.Catalog
-	boot    Boot
+	boot    BootWorker
 	mu      sync.Mutex
 	next    int
 	hosts   map[string]*host
@@ -36,26 +36,26 @@
 }
 
 // NewCloud makes a cloud with room for so many machines.
-func NewCloud(ctx context.Context, catalog autoscaling.Catalog, room int, boot Boot) *Cloud {
+func NewCloud(ctx context.Context, catalog autoscaling.Catalog, room int, boot BootWorker) *Cloud {
 	return &Cloud{ctx: ctx, catalog: catalog, boot: boot, room: room, hosts: make(map[string]*host), hires: make(map[string][]string)}
 }
 
 // SetDown begins or ends an outage.
-func (c *Cloud) SetDown(down bool) {
+func (c *Cloud) SetOutage(down bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.down = down
 }
 
 // Hosts counts the machines rented now.
-func (c *Cloud) Hosts() int {
+func (c *Cloud) RentedCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.hosts)
 }
 
 // Has tells whether a machine is rented.
-func (c *Cloud) Has(name string) bool {
+func (c *Cloud) IsRented(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.hosts[name] != nil
@@ -63,7 +63,7 @@
 
 // Die ends a machine with all that is on it. It is listed as running for a
 // while yet, and then as failed.
-func (c *Cloud) Die(name string) {
+func (c *Cloud) Fail(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	h := c.hosts[name]
@@ -86,7 +86,7 @@
 }
 
 // Fill has so many machines up from the start, in the catalog's zones by turns.
-func (c *Cloud) Fill(n int) {
+func (c *Cloud) AddRunning(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	typ := c.catalog.MachineTypes[0]
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -134,14 +134,14 @@
 }
 
 // Limit bounds the connections that the host may have open.
-func (h *Host) Limit(n int) {
+func (h *Host) LimitConns(n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.limit = n
 }
 
 // Most is the greatest number of connections that were open at once.
-func (h *Host) Most() int {
+func (h *Host) MaxOpenConns() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.most
@@ -221,7 +221,7 @@
 
 // Delay has each packet that the host sends take as long as is drawn; nil: no
 // time at all.
-func (h *Host) Delay(draw func() time.Duration) {
+func (h *Host) DelayPackets(draw func() time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.delay = draw
@@ -265,7 +265,7 @@
 
 // Part cuts two sides off from each other, in both directions, as when two zones
 // can't reach each other; both reach everybody else as before.
-func Part(a, b Side) {
+func Partition(a, b Side) {
 	for _, h := range a.Hosts {
 		h.Cut(b.Addrs...)
 	}
--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -20,16 +20,16 @@
 // logJudge logs what runs where.
 type logJudge struct{ log *slog.Logger }
 
-func (l logJudge) Began(machine, zone string, _ bool, t workers.TaskID, try uint64, _ *jobs.Spec) {
+func (l logJudge) TaskStarted(machine, zone string, _ bool, t workers.TaskID, try uint64, _ *jobs.Spec) {
 	l.log.Info("task on machine", "piece", t, "try", try, "rig", machine, "zone", zone)
 }
 
-func (l logJudge) Ended(machine string, t workers.TaskID, try uint64, done bool) {
+func (l logJudge) TaskEnded(machine string, t workers.TaskID, try uint64, done bool) {
 	l.log.Info("task off machine", "piece", t, "try", try, "rig", machine, "done", done)
 }
 
 // stored lets workers find a job's description where the nodes keep it.
-type stored struct{ s *State }
+type stored struct{ s *StateService }
 
 func (j stored) Job(id string) (*jobs.Spec, bool) {
 	j.s.mu.Lock()
@@ -72,13 +72,13 @@
 // users' addresses are given by label, for the workers. Of the transactions to the state
 // service that write, the part lost gets no answer.
 func ServeSite(ctx context.Context, set *config.Settings, nodes map[string]string, lost float64, log *slog.Logger) error {
-	state := NewState()
+	state := NewStateService()
 	defer state.Close()
 	if lost > 0 {
 		state.SetFate(losses(lost, log))
 	}
 	w := set.Params.Workers
-	meet := NewMeeting()
+	meet := NewGangRegistry()
 	var addrs []string
 	for _, a := range nodes {
 		addrs = append(addrs, a)
@@ -89,8 +89,8 @@
 	}}}
 	cloud := NewCloud(ctx, cat, 12, func(ctx context.Context, h autoscaling.Instance) {
 		wk := NewWorker(WorkerOptions{
-			Name: h.Name, Addr: h.Endpoint, Type: h.MachineType, Zone: h.Zone, Spot: h.Spot, Nodes: addrs, Labels: nodes,
-			Report: config.Seconds(w.HeartbeatS), Lease: config.Seconds(w.LeaseS), Fetch: time.Second, GangWait: config.Seconds(w.GangWaitS),
+			Name: h.Name, Addr: h.Endpoint, MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Nodes: addrs, NodeByLabel: nodes,
+			HeartbeatInterval: config.Seconds(w.HeartbeatS), Lease: config.Seconds(w.LeaseS), FetchTime: time.Second, GangWait: config.Seconds(w.GangWaitS),
 		},
 			system{&net.Dialer{}}, stored{state}, logJudge{log}, meet)
 		if err := wk.Run(ctx); err != nil && ctx.Err() == nil {
--- a/internal/simulator/state.go
+++ b/internal/simulator/state.go
@@ -28,7 +28,7 @@
 }
 
 // State is a state service.
-type State struct {
+type StateService struct {
 	mu      sync.Mutex
 	epoch   uint64
 	items   map[string]item
@@ -40,8 +40,8 @@
 	closed  bool
 	refused map[string]bool
 	fate    func(caller string, writes int) Fate
-	counts  StateCounts
-	limits  StateLimits
+	counts  FaultCounts
+	limits  RequestLimits
 	tokens  float64
 	filled  time.Time
 }
@@ -58,26 +58,26 @@
 
 // StateCounts tells what the service has done amiss, so that a test can say
 // whether the trouble that it wants took place.
-type StateCounts struct{ Refused, Lost, LateDone, LateFailed, TooLarge, TooMany int }
+type FaultCounts struct{ Refused, Lost, LateDone, LateFailed, TooLarge, TooMany int }
 
 // StateLimits are what the service takes; 0: anything.
-type StateLimits struct {
-	ValueBytes, Ops int
-	Writes          float64 // changes a second, with a burst of one second's worth
+type RequestLimits struct {
+	ValueBytes, WritesPerTxn int
+	WritesPerSecond          float64 // changes a second, with a burst of one second's worth
 }
 
 // SetLimits has the service refuse larger requests with 400, and changes beyond the
 // rate with 429. What is stored stays readable.
-func (s *State) SetLimits(l StateLimits) {
+func (s *StateService) SetLimits(l RequestLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.limits, s.tokens, s.filled = l, l.Writes, time.Now()
+	s.limits, s.tokens, s.filled = l, l.WritesPerSecond, time.Now()
 }
 
 // limited tells what a transaction is refused with for its size or the rate; 0 if
 // it is not.
-func (s *State) limited(in transaction) int {
-	if s.limits.Ops > 0 && (len(in.Writes) > s.limits.Ops || len(in.When) > 4*s.limits.Ops) {
+func (s *StateService) limited(in transaction) int {
+	if s.limits.WritesPerTxn > 0 && (len(in.Writes) > s.limits.WritesPerTxn || len(in.When) > 4*s.limits.WritesPerTxn) {
 		s.counts.TooLarge++
 		return http.StatusBadRequest
 	}
@@ -87,9 +87,9 @@
 			return http.StatusBadRequest
 		}
 	}
-	if s.limits.Writes > 0 {
+	if s.limits.WritesPerSecond > 0 {
 		now := time.Now()
-		s.tokens = min(s.limits.Writes, s.tokens+now.Sub(s.filled).Seconds()*s.limits.Writes)
+		s.tokens = min(s.limits.WritesPerSecond, s.tokens+now.Sub(s.filled).Seconds()*s.limits.WritesPerSecond)
 		s.filled = now
 		if s.tokens < float64(len(in.Writes)) {
 			s.counts.TooMany++
@@ -106,12 +106,12 @@
 }
 
 // NewState makes an empty state service.
-func NewState() *State {
-	return &State{items: make(map[string]item), tenures: make(map[uint64]*tenure), changed: make(chan struct{})}
+func NewStateService() *StateService {
+	return &StateService{items: make(map[string]item), tenures: make(map[uint64]*tenure), changed: make(chan struct{})}
 }
 
 // SetDown begins or ends an outage. Afterwards every lease has its full time.
-func (s *State) SetDown(down bool) {
+func (s *StateService) SetOutage(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
@@ -127,7 +127,7 @@
 
 // Refuse has the service answer one host with 503, and leave its open watches
 // waiting, while the others are served.
-func (s *State) Refuse(host string, refuse bool) {
+func (s *StateService) RefuseHost(host string, refuse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.refused == nil {
@@ -138,23 +138,23 @@
 }
 
 // SetFate has each transaction's fate drawn; nil: all are answered at once.
-func (s *State) SetFate(draw func(caller string, writes int) Fate) {
+func (s *StateService) SetFate(draw func(caller string, writes int) Fate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fate = draw
 }
 
 // Counts tells what went amiss so far.
-func (s *State) Counts() StateCounts {
+func (s *StateService) Counts() FaultCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-func (s *State) failing(host string) bool { return s.down || s.refused[host] }
+func (s *StateService) failing(host string) bool { return s.down || s.refused[host] }
 
 // Put stores a value, as if it had been written before.
-func (s *State) Put(key string, v json.RawMessage) {
+func (s *StateService) Put(key string, v json.RawMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.epoch++
@@ -162,14 +162,14 @@
 }
 
 // Value is what is stored under a key; nil if nothing is.
-func (s *State) Value(key string) json.RawMessage {
+func (s *StateService) Get(key string) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.items[key].V
 }
 
 // Keys lists all keys below a prefix.
-func (s *State) Keys(prefix string) (out []string) {
+func (s *StateService) Keys(prefix string) (out []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for k := range s.items {
@@ -182,7 +182,7 @@
 }
 
 // Close stops all leases' timers; what is still to be carried out is not.
-func (s *State) Close() {
+func (s *StateService) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
@@ -191,18 +191,18 @@
 	}
 }
 
-func (s *State) wake() {
+func (s *StateService) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *State) apply(c change) {
+func (s *StateService) apply(c change) {
 	c.Stamp = s.epoch
 	s.log = append(s.log, c)
 	s.wake()
 }
 
-func (s *State) end(id uint64) {
+func (s *StateService) end(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.tenures[id]; !ok || s.down {
@@ -211,7 +211,7 @@
 	s.endLocked(id)
 }
 
-func (s *State) endLocked(id uint64) {
+func (s *StateService) endLocked(id uint64) {
 	s.tenures[id].timer.Stop()
 	delete(s.tenures, id)
 	var gone []string
@@ -239,7 +239,7 @@
 type fields map[string]any
 
 // ServeHTTP answers the state service's interface.
-func (s *State) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *StateService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/follow" {
 		s.follow(w, r)
 		return
@@ -295,7 +295,7 @@
 	}
 }
 
-func (s *State) list(w http.ResponseWriter, r *http.Request) {
+func (s *StateService) list(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	limit, err := strconv.Atoi(q.Get("limit"))
 	if err != nil || limit < 1 || limit > 1000 {
@@ -330,7 +330,7 @@
 	} `json:"writes"`
 }
 
-func (s *State) multi(w http.ResponseWriter, r *http.Request) {
+func (s *StateService) multi(w http.ResponseWriter, r *http.Request) {
 	var in transaction
 	if json.NewDecoder(r.Body).Decode(&in) != nil {
 		reply(w, http.StatusBadRequest, fields{"error": "malformed"})
@@ -383,7 +383,7 @@
 }
 
 // carryOut does what a transaction asks for if its conditions hold.
-func (s *State) carryOut(in transaction) (int, fields) {
+func (s *StateService) carryOut(in transaction) (int, fields) {
 	failed := []string{}
 	for _, c := range in.When {
 		if s.items[c.K].Stamp != c.Stamp {
@@ -415,7 +415,7 @@
 	return http.StatusOK, fields{"epoch": s.epoch}
 }
 
-func (s *State) follow(w http.ResponseWriter, r *http.Request) {
+func (s *StateService) follow(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	from, _ := strconv.ParseUint(q.Get("from"), 10, 64)
 	block, _ := strconv.ParseInt(q.Get("blockMs"), 10, 64)
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -17,7 +17,7 @@
 )
 
 // Endpoint is how a stand-in reaches others and is reached.
-type Endpoint interface {
+type Transport interface {
 	Listen(network, addr string) (net.Listener, error)
 	DialContext(ctx context.Context, network, addr string) (net.Conn, error)
 }
@@ -28,28 +28,28 @@
 }
 
 // Judge is told what really happens on machines.
-type Judge interface {
-	Began(machine, zone string, spot bool, t workers.TaskID, try uint64, j *jobs.Spec)
-	Ended(machine string, t workers.TaskID, try uint64, done bool)
+type Observer interface {
+	TaskStarted(machine, zone string, spot bool, t workers.TaskID, try uint64, j *jobs.Spec)
+	TaskEnded(machine string, t workers.TaskID, try uint64, done bool)
 }
 
 // WorkerOptions describe one machine.
 type WorkerOptions struct {
-	Name, Addr, Type, Zone string
-	Spot                   bool
-	Nodes                  []string          // the controllers' addresses
-	Labels                 map[string]string // address by label, for redirects
-	Report, Lease          time.Duration
-	Fetch                  time.Duration // time to fetch any image
-	GangWait               time.Duration
+	Name, Addr, MachineType, Zone string
+	Spot                          bool
+	Nodes                         []string          // the controllers' addresses
+	NodeByLabel                   map[string]string // address by label, for redirects
+	HeartbeatInterval, Lease      time.Duration
+	FetchTime                     time.Duration // time to fetch any image
+	GangWait                      time.Duration
 	// Step is how often the machine looks at its tasks; 0: ten times a second.
 	Step time.Duration
 	// Copies are delays after which copies of every report arrive once more.
-	Copies []time.Duration
+	DuplicateAfter []time.Duration
 	// Runs tells how long a task runs; nil: each as long as its job expects.
-	Runs func(j *jobs.Spec, index int) time.Duration
+	RunTime func(j *jobs.Spec, index int) time.Duration
 	// Keep is how many of its last reports the machine keeps for Again.
-	Keep int
+	KeepHeartbeats int
 }
 
 type task struct {
@@ -68,10 +68,10 @@
 // protocol for tokens, sessions and orders; gangs meet through a Meeting.
 type Worker struct {
 	opt   WorkerOptions
-	end   Endpoint
+	end   Transport
 	jobs  Jobs
-	judge Judge
-	meet  *Meeting
+	judge Observer
+	meet  *GangRegistry
 	http  *http.Client
 
 	mu      sync.Mutex
@@ -93,19 +93,19 @@
 }
 
 // Meeting lets the tasks of a gang find one another.
-type Meeting struct {
+type GangRegistry struct {
 	mu   sync.Mutex
 	here map[string]map[int]bool // by job and try
 	done map[string]bool
 }
 
 // NewMeeting makes an empty meeting.
-func NewMeeting() *Meeting {
-	return &Meeting{here: make(map[string]map[int]bool), done: make(map[string]bool)}
+func NewGangRegistry() *GangRegistry {
+	return &GangRegistry{here: make(map[string]map[int]bool), done: make(map[string]bool)}
 }
 
 // NewWorker makes a machine; Run starts it.
-func NewWorker(opt WorkerOptions, end Endpoint, jobs Jobs, judge Judge, meet *Meeting) *Worker {
+func NewWorker(opt WorkerOptions, end Transport, jobs Jobs, judge Observer, meet *GangRegistry) *Worker {
 	return &Worker{
 		opt: opt, end: end, jobs: jobs, judge: judge, meet: meet, shift: 1,
 		tasks: make(map[workers.AttemptID]*task), images: make(map[string]bool), poke: make(chan struct{}, 1), over: make(chan struct{}),
@@ -115,7 +115,7 @@
 
 // SetDeaf begins or ends a cut of one direction: reports go out, answers and
 // commands do not arrive.
-func (w *Worker) SetDeaf(deaf bool) {
+func (w *Worker) CutIncoming(deaf bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.deaf = deaf
@@ -126,7 +126,7 @@
 //
 // Direct commands that come meanwhile are carried out when it goes on, whether
 // or not the sender still waits.
-func (w *Worker) SetHang(hangs bool) {
+func (w *Worker) SetHanging(hangs bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.hangs && !hangs {
@@ -140,7 +140,7 @@
 
 // SetMute begins or ends a cut of the other direction: no report leaves, while
 // direct commands arrive.
-func (w *Worker) SetMute(mute bool) {
+func (w *Worker) CutOutgoing(mute bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.mute = mute
@@ -148,7 +148,7 @@
 
 // Again sends copies of the reports that the machine has kept to a node, as
 // when the network delivers them once more.
-func (w *Worker) Again(ctx context.Context, addr string) (sent int) {
+func (w *Worker) ResendHeartbeats(ctx context.Context, addr string) (sent int) {
 	w.mu.Lock()
 	kept := slices.Clone(w.kept)
 	w.mu.Unlock()
@@ -161,7 +161,7 @@
 }
 
 // FailsAfter is how long a task runs on a faulty machine.
-const FailsAfter = 500 * time.Millisecond
+const FaultyRunTime = 500 * time.Millisecond
 
 // SetFaulty makes the machine fail every task that it starts from now on, or
 // mends it.
@@ -213,7 +213,7 @@
 		case <-answered:
 			busy = false
 		case <-w.poke:
-			if soon := time.Now().Add(w.opt.Report / 4); soon.Before(next) {
+			if soon := time.Now().Add(w.opt.HeartbeatInterval / 4); soon.Before(next) {
 				next = soon
 			}
 		case <-step.C:
@@ -225,7 +225,7 @@
 		hangs := w.hangs
 		w.mu.Unlock()
 		if now := time.Now(); !busy && !hangs && !now.Before(next) {
-			busy, next = true, now.Add(w.opt.Report)
+			busy, next = true, now.Add(w.opt.HeartbeatInterval)
 			go func() {
 				w.hello(ctx)
 				answered <- struct{}{}
@@ -249,7 +249,7 @@
 	}
 	if t.began {
 		t.began = false
-		w.judge.Ended(w.opt.Name, t.id.Task, t.id.Number, done)
+		w.judge.TaskEnded(w.opt.Name, t.id.Task, t.id.Number, done)
 	}
 	if t.job != nil && t.job.Kind == jobs.KindGang {
 		w.meet.leave(t, done)
@@ -258,7 +258,7 @@
 
 func gangKey(t *task) string { return t.id.Task.Job + "#" + time.Duration(t.id.Number).String() }
 
-func (m *Meeting) join(t *task) (complete bool) {
+func (m *GangRegistry) join(t *task) (complete bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	k := gangKey(t)
@@ -269,7 +269,7 @@
 	return len(m.here[k]) == t.job.Tasks
 }
 
-func (m *Meeting) leave(t *task, done bool) {
+func (m *GangRegistry) leave(t *task, done bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.here[gangKey(t)], t.id.Task.Index)
@@ -278,7 +278,7 @@
 	}
 }
 
-func (m *Meeting) state(t *task) (complete, done bool) {
+func (m *GangRegistry) state(t *task) (complete, done bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.here[gangKey(t)]) == t.job.Tasks, m.done[gangKey(t)]
@@ -305,12 +305,12 @@
 		t := w.tasks[id]
 		switch t.status {
 		case workers.StatusFetching:
-			if !w.images[t.job.Image] && now.Sub(t.since) < w.opt.Fetch {
+			if !w.images[t.job.Image] && now.Sub(t.since) < w.opt.FetchTime {
 				continue
 			}
 			w.images[t.job.Image] = true
 			t.began, t.fails = true, w.faulty
-			w.judge.Began(w.opt.Name, w.opt.Zone, w.opt.Spot, t.id.Task, t.id.Number, t.job)
+			w.judge.TaskStarted(w.opt.Name, w.opt.Zone, w.opt.Spot, t.id.Task, t.id.Number, t.job)
 			if t.job.Kind == jobs.KindGang {
 				w.meet.join(t)
 				w.set(t, workers.StatusWaiting, now)
@@ -326,7 +326,7 @@
 				w.exit(t, "alone", false, now)
 			}
 		case workers.StatusRunning:
-			if t.fails && now.Sub(t.since) >= FailsAfter {
+			if t.fails && now.Sub(t.since) >= FaultyRunTime {
 				w.exit(t, workers.CauseError, false, now)
 				continue
 			}
@@ -353,8 +353,8 @@
 }
 
 func (w *Worker) runs(t *task) time.Duration {
-	if w.opt.Runs != nil {
-		return w.opt.Runs(t.job, t.id.Task.Index)
+	if w.opt.RunTime != nil {
+		return w.opt.RunTime(t.job, t.id.Task.Index)
 	}
 	return time.Duration(t.job.ExpectedS * float64(time.Second))
 }
@@ -394,7 +394,7 @@
 func (w *Worker) report() workers.Heartbeat {
 	w.tick++
 	r := workers.Heartbeat{
-		Machine: w.opt.Name, Endpoint: w.opt.Addr, MachineType: w.opt.Type, Zone: w.opt.Zone, Spot: w.opt.Spot,
+		Machine: w.opt.Name, Endpoint: w.opt.Addr, MachineType: w.opt.MachineType, Zone: w.opt.Zone, Spot: w.opt.Spot,
 		Epoch: w.shift, Sequence: w.tick, Token: w.warrant,
 	}
 	for _, id := range w.order() {
@@ -412,7 +412,7 @@
 	sent := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 	defer cancel()
-	for _, d := range w.opt.Copies {
+	for _, d := range w.opt.DuplicateAfter {
 		go func() {
 			t := time.NewTimer(d)
 			defer t.Stop()
@@ -427,9 +427,9 @@
 	}
 	w.mu.Lock()
 	mute := w.mute
-	if w.opt.Keep > 0 {
+	if w.opt.KeepHeartbeats > 0 {
 		w.kept = append(w.kept, rep)
-		w.kept = w.kept[max(0, len(w.kept)-w.opt.Keep):]
+		w.kept = w.kept[max(0, len(w.kept)-w.opt.KeepHeartbeats):]
 	}
 	w.mu.Unlock()
 	if mute {
@@ -463,7 +463,7 @@
 		}
 		_ = json.Unmarshal(body, &f)
 		for i, n := range w.opt.Nodes {
-			if f.Foreman != "" && n == w.opt.Labels[f.Foreman] && n != addr {
+			if f.Foreman != "" && n == w.opt.NodeByLabel[f.Foreman] && n != addr {
 				w.target = i
 				w.changed()
 				return
