--- a/internal/statestore/budget.go
+++ b/internal/statestore/budget.go
@@ -10,150 +10,113 @@
 	"thornnotch/internal/constants"
 )
 
-// Class is the importance of a call. When tokens run short, the less
-// important classes wait first.
-type Class int
-
-// Classes of calls, most important first.
-const (
-	ClassLease Class = iota
-	ClassCancel
-	ClassSubmit
-	ClassRecord
-	ClassPoll
-	ClassOther
-)
-
-func (c Class) reserve() float64 {
-	switch c {
-	case ClassLease:
-		return constants.ReserveLease
-	case ClassCancel:
-		return constants.ReserveCancel
-	case ClassSubmit:
-		return constants.ReserveSubmit
-	case ClassRecord:
-		return constants.ReserveRecord
-	case ClassPoll:
-		return constants.ReservePoll
-	default:
-		return constants.ReserveOther
-	}
-}
-
-// Classes lists all classes, most important first.
-var Classes = [...]Class{ClassLease, ClassCancel, ClassSubmit, ClassRecord, ClassPoll, ClassOther}
-
-// String names the class, as in metrics.
-func (c Class) String() string {
-	switch c {
-	case ClassLease:
-		return "lease"
-	case ClassCancel:
-		return "cancel"
-	case ClassSubmit:
-		return "submit"
-	case ClassRecord:
-		return "record"
-	case ClassPoll:
-		return "poll"
-	default:
-		return "other"
-	}
+// Budget keeps this node's calls below its share of the state service's limits. It has a
+// token bucket for requests and one for writes (puts and deletes), each of one second's
+// worth. A call may draw only while the bucket keeps the reserve of its class for more
+// important calls. It is safe for concurrent use.
+type Budget struct {
+	mu       sync.Mutex // guards all below, so that both buckets are drawn on at once
+	requests *rate.Limiter
+	writes   *rate.Limiter
+	usage    [len(Classes)]Usage
 }
 
 // Usage is what the calls of one class have drawn so far.
 type Usage struct {
 	Requests, Writes uint64
-	WaitSeconds      float64 // time that they waited for tokens
+	// WaitSeconds is the time that calls waited for tokens, in all.
+	WaitSeconds float64
 }
 
-// Budget hands out tokens for requests and for changes. A call may draw only
-// while the bucket keeps the reserve of its class for more important calls.
-type Budget struct {
-	mu       sync.Mutex
-	requests *rate.Limiter
-	writes   *rate.Limiter
-	drawn    [len(Classes)]Usage
+// NewBudget makes a budget of so many requests and writes per second.
+func NewBudget(requestsPerSecond, writesPerSecond float64) *Budget {
+	return &Budget{
+		requests: rate.NewLimiter(rate.Limit(requestsPerSecond), burst(requestsPerSecond)),
+		writes:   rate.NewLimiter(rate.Limit(writesPerSecond), burst(writesPerSecond)),
+	}
 }
 
-// Usage tells what the calls of a class have drawn so far.
-func (b *Budget) Usage(c Class) Usage {
+// burst is the size of a bucket: one second's worth, as the service allows, and one token
+// at least.
+func burst(perSecond float64) int { return max(1, int(perSecond)) }
+
+// SetRates changes the rates, as when a node becomes leader or no longer is.
+func (b *Budget) SetRates(requestsPerSecond, writesPerSecond float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.drawn[c]
+	b.requests.SetLimit(rate.Limit(requestsPerSecond))
+	b.requests.SetBurst(burst(requestsPerSecond))
+	b.writes.SetLimit(rate.Limit(writesPerSecond))
+	b.writes.SetBurst(burst(writesPerSecond))
 }
 
-// NewBudget makes a budget of the given rates per second.
-func NewBudget(rps, writeRPS float64) *Budget {
-	return &Budget{
-		requests: rate.NewLimiter(rate.Limit(rps), max(1, int(rps))),
-		writes:   rate.NewLimiter(rate.Limit(writeRPS), max(1, int(writeRPS))),
-	}
+// Usage is what the calls of a class have drawn so far.
+func (b *Budget) Usage(class Class) Usage {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.usage[class]
 }
 
-// SetRates changes the rates, as when a node takes or loses the lead.
-func (b *Budget) SetRates(rps, writeRPS float64) {
+// Available is the number of tokens now in both buckets; it is negative while
+// ClassLease has drawn more than there were.
+func (b *Budget) Available() (requests, writes float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.requests.SetLimit(rate.Limit(rps))
-	b.requests.SetBurst(max(1, int(rps)))
-	b.writes.SetLimit(rate.Limit(writeRPS))
-	b.writes.SetBurst(max(1, int(writeRPS)))
+	return b.requests.Tokens(), b.writes.Tokens()
 }
 
-// Take draws one request and n changes, waiting for them as long as ctx lasts.
-func (b *Budget) Take(ctx context.Context, c Class, n int) error {
-	var began time.Time
-	defer func() {
-		if !began.IsZero() {
-			b.mu.Lock()
-			defer b.mu.Unlock()
-			b.drawn[c].WaitSeconds += time.Since(began).Seconds()
-		}
-	}()
+// Take draws one request and so many writes, and waits for them as long as ctx lasts. Its
+// error is that of ctx: nothing was drawn, and the call must not be made.
+func (b *Budget) Take(ctx context.Context, class Class, writes int) error {
+	if b.tryTake(class, writes) {
+		return nil
+	}
+	began := time.Now()
+	defer func() { b.noteWait(class, time.Since(began)) }()
 	for {
-		if b.try(c, n) {
-			return nil
-		}
-		if began.IsZero() {
-			began = time.Now()
-		}
-		t := time.NewTimer(constants.BudgetRetryInterval)
+		retry := time.NewTimer(constants.BudgetRetryInterval)
 		select {
 		case <-ctx.Done():
-			t.Stop()
+			retry.Stop()
 			return ctx.Err()
-		case <-t.C:
+		case <-retry.C:
+		}
+		if b.tryTake(class, writes) {
+			return nil
 		}
 	}
 }
 
-func (b *Budget) try(c Class, n int) bool {
+func (b *Budget) noteWait(class Class, waited time.Duration) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.usage[class].WaitSeconds += waited.Seconds()
+}
+
+// tryTake draws the tokens of a call if both buckets hold enough.
+func (b *Budget) tryTake(class Class, writes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	// A transaction larger than the bucket less its reserve may go out of a
-	// full bucket; otherwise it would wait for ever.
-	enough := func(l *rate.Limiter, n float64) bool {
-		burst := float64(l.Burst())
-		return l.TokensAt(now) >= min(n+c.reserve()*burst, burst)
-	}
-	if c != ClassLease && (!enough(b.requests, 1) || n > 0 && !enough(b.writes, float64(n))) {
-		return false
+	// A lease that is not renewed in time ends the term: its calls never wait.
+	if class != ClassLease {
+		if !holdsEnough(b.requests, now, 1, class) || writes > 0 && !holdsEnough(b.writes, now, writes, class) {
+			return false
+		}
 	}
-	b.drawn[c].Requests++
-	b.drawn[c].Writes += uint64(n)
+	b.usage[class].Requests++
+	b.usage[class].Writes += uint64(writes)
 	b.requests.ReserveN(now, 1)
-	if n > 0 {
-		b.writes.ReserveN(now, min(n, b.writes.Burst()))
+	if writes > 0 {
+		b.writes.ReserveN(now, min(writes, b.writes.Burst()))
 	}
 	return true
 }
 
-// Available tells the tokens now in both buckets.
-func (b *Budget) Available() (requests, writes float64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.requests.Tokens(), b.writes.Tokens()
+// holdsEnough tells whether a bucket holds so many tokens on top of the reserve of the
+// class. A call larger than the bucket less its reserve may go out of a full bucket:
+// otherwise it would wait for ever.
+func holdsEnough(bucket *rate.Limiter, now time.Time, tokens int, class Class) bool {
+	full := float64(bucket.Burst())
+	return bucket.TokensAt(now) >= min(float64(tokens)+class.reserve()*full, full)
 }
--- a/internal/statestore/budget_test.go
+++ b/internal/statestore/budget_test.go
@@ -11,27 +11,28 @@
 // last ones to important calls, and the lease is always renewed.
 func TestImportantCallsFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := NewBudget(10, 10)
+		budget := NewBudget(10, 10)
 		drawn := map[Class]int{}
-		for _, c := range []Class{ClassOther, ClassPoll, ClassRecord, ClassSubmit, ClassCancel} {
-			for b.try(c, 1) {
-				drawn[c]++
+		for _, class := range []Class{ClassOther, ClassPoll, ClassRecord, ClassSubmit, ClassCancel} {
+			for budget.tryTake(class, 1) {
+				drawn[class]++
 			}
 		}
 		if drawn[ClassOther] == 0 || drawn[ClassPoll] == 0 {
 			t.Errorf("a full bucket refuses: %v", drawn)
 		}
-		left, _ := b.Available()
+		left, _ := budget.Available()
 		if left < ClassCancel.reserve()*10 {
 			t.Errorf("%v tokens left, below the reserve of the most important", left)
 		}
-		if !b.try(ClassLease, 0) {
+		if !budget.tryTake(ClassLease, 0) {
 			t.Errorf("a lease renewal was refused")
 		}
+
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
 		start := time.Now()
-		if err := b.Take(ctx, ClassOther, 1); err != nil || time.Since(start) > time.Second {
+		if err := budget.Take(ctx, ClassOther, 1); err != nil || time.Since(start) > time.Second {
 			t.Errorf("tokens do not come back: %v after %v", err, time.Since(start))
 		}
 	})
@@ -40,11 +41,11 @@
 // TestRateIsKept: over time no more goes out than the rate allows.
 func TestRateIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := NewBudget(50, 20)
+		budget := NewBudget(50, 20)
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
 		calls, writes := 0, 0
-		for b.Take(ctx, ClassRecord, 3) == nil {
+		for budget.Take(ctx, ClassRecord, 3) == nil {
 			calls++
 			writes += 3
 		}
@@ -60,18 +61,21 @@
 // TestDrawnByClass: what is drawn and waited for is counted by class.
 func TestDrawnByClass(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := NewBudget(10, 4)
+		budget := NewBudget(10, 4)
 		for range 2 {
-			if err := b.Take(t.Context(), ClassRecord, 3); err != nil {
+			if err := budget.Take(t.Context(), ClassRecord, 3); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if err := b.Take(t.Context(), ClassPoll, 0); err != nil {
+		if err := budget.Take(t.Context(), ClassPoll, 0); err != nil {
 			t.Fatal(err)
 		}
-		r, p := b.Usage(ClassRecord), b.Usage(ClassPoll)
-		if r.Requests != 2 || r.Writes != 6 || r.WaitSeconds <= 0 || p.Requests != 1 || p.Writes != 0 || p.WaitSeconds != 0 {
-			t.Errorf("record %+v, poll %+v", r, p)
+		record, poll := budget.Usage(ClassRecord), budget.Usage(ClassPoll)
+		if record.Requests != 2 || record.Writes != 6 || record.WaitSeconds <= 0 {
+			t.Errorf("records have drawn %+v", record)
+		}
+		if poll.Requests != 1 || poll.Writes != 0 || poll.WaitSeconds != 0 {
+			t.Errorf("polls have drawn %+v", poll)
 		}
 	})
 }
--- a/internal/statestore/client_test.go
+++ b/internal/statestore/client_test.go
@@ -1,7 +1,6 @@
 package statestore
 
 import (
-	"context"
 	"errors"
 	"net"
 	"net/http"
@@ -12,128 +11,112 @@
 	"testing"
 	"time"
 
-	"pgregory.net/rapid"
-
 	"thornnotch/internal/constants"
 )
 
+// newTestClient makes a client of a service with this handler, and ample budget.
+func newTestClient(t *testing.T, handler http.HandlerFunc) *Client {
+	t.Helper()
+	server := httptest.NewServer(handler)
+	t.Cleanup(server.Close)
+	return New(strings.TrimPrefix(server.URL, "http://"), NewBudget(10000, 10000), new(net.Dialer).DialContext)
+}
+
+// cannedAnswer is a service that answers everything alike.
+type cannedAnswer struct {
+	status int
+	body   string
+}
+
+func (a *cannedAnswer) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+	w.WriteHeader(a.status)
+	_, _ = w.Write([]byte(a.body)) // a client that is gone fails its own check
+}
+
 // TestImpossibleAnswers: whatever the state service says that the protocol does
 // not know counts as no answer.
 func TestImpossibleAnswers(t *testing.T) {
-	status, body := 200, ""
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		w.WriteHeader(status)
-		_, _ = w.Write([]byte(body))
-	}))
-	defer srv.Close()
-	c := New(strings.TrimPrefix(srv.URL, "http://"), NewBudget(10000, 10000), new(net.Dialer).DialContext)
+	var canned cannedAnswer
+	client := newTestClient(t, canned.ServeHTTP)
 	ctx := t.Context()
 	calls := map[string]func() error{
-		"get":    func() error { _, _, err := c.Get(ctx, ClassRecord, "k"); return err },
-		"list":   func() error { _, _, err := c.List(ctx, ClassRecord, "k/"); return err },
-		"multi":  func() error { _, err := c.Txn(ctx, ClassRecord, nil, nil); return err },
-		"lease":  func() error { _, err := c.GrantLease(ctx, 1e9); return err },
-		"renew":  func() error { return c.RenewLease(ctx, 1) },
-		"follow": func() error { _, _, err := c.Watch(ctx, "k/", 1, 0); return err },
+		"get":    func() error { _, _, err := client.Get(ctx, ClassRecord, "k"); return err },
+		"list":   func() error { _, _, err := client.List(ctx, ClassRecord, "k/"); return err },
+		"multi":  func() error { _, err := client.Txn(ctx, ClassRecord, nil, nil); return err },
+		"lease":  func() error { _, err := client.GrantLease(ctx, time.Second); return err },
+		"renew":  func() error { return client.RenewLease(ctx, 1) },
+		"follow": func() error { _, _, err := client.Watch(ctx, "k/", 1, 0); return err },
 	}
-	for _, a := range []struct {
-		status int
-		body   string
+	for _, test := range []struct {
+		answer cannedAnswer
 		want   error
 	}{
-		{200, "<html>", ErrOutcomeUnknown},
-		{200, `{"epoch":"x","tenure":"x","stamp":"x","rows":1,"log":1}`, ErrOutcomeUnknown},
-		{500, "oops", ErrOutcomeUnknown},
-		{503, `{"error":"trouble"}`, ErrUnavailable},
-		{429, "", ErrUnavailable},
-		{418, "{}", ErrOutcomeUnknown},
+		{cannedAnswer{200, "<html>"}, ErrOutcomeUnknown},
+		{cannedAnswer{200, `{"epoch":"x","tenure":"x","stamp":"x","rows":1,"log":1}`}, ErrOutcomeUnknown},
+		{cannedAnswer{500, "oops"}, ErrOutcomeUnknown},
+		{cannedAnswer{503, `{"error":"trouble"}`}, ErrUnavailable},
+		{cannedAnswer{429, ""}, ErrUnavailable},
+		{cannedAnswer{418, "{}"}, ErrOutcomeUnknown},
 	} {
-		status, body = a.status, a.body
+		canned = test.answer
 		for name, call := range calls {
-			if name == "renew" && a.status == 200 {
+			if name == "renew" && test.answer.status == 200 {
 				continue // its answer has no content that matters
 			}
-			if err := call(); !errors.Is(err, a.want) {
-				t.Errorf("%s: %d %s: %v", name, a.status, a.body, err)
+			if err := call(); !errors.Is(err, test.want) {
+				t.Errorf("%s: %d %s: %v", name, test.answer.status, test.answer.body, err)
 			}
 		}
 	}
-	status, body = 409, `{"failed":["a"]}`
+}
+
+// TestConflictNamesItsKeys: a conflict tells which conditions failed; one on none makes no
+// sense and counts as no answer.
+func TestConflictNamesItsKeys(t *testing.T) {
+	canned := cannedAnswer{409, `{"failed":["a"]}`}
+	client := newTestClient(t, canned.ServeHTTP)
 	var conflict *ConflictError
-	if _, err := c.Txn(context.Background(), ClassRecord, nil, nil); !errors.As(err, &conflict) || !conflict.HasKey("a") || conflict.HasKey("b") {
+	if _, err := client.Txn(t.Context(), ClassRecord, nil, nil); !errors.As(err, &conflict) || !conflict.HasKey("a") || conflict.HasKey("b") {
 		t.Errorf("a conflict is not told: %v", err)
 	}
-	status, body = 409, `{"failed":[]}`
-	if _, err := c.Txn(context.Background(), ClassRecord, nil, nil); !errors.Is(err, ErrOutcomeUnknown) {
+	canned = cannedAnswer{409, `{"failed":[]}`}
+	if _, err := client.Txn(t.Context(), ClassRecord, nil, nil); !errors.Is(err, ErrOutcomeUnknown) {
 		t.Errorf("a conflict on nothing: %v", err)
 	}
 }
 
-// TestPatience: however slow the service is, within what one request may take, all but
-// the first transaction hear its answer; lost answers are waited for no longer than
-// that, and where answers are quick soon for the least again.
-func TestPatience(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		var p txnTimeout
-		takes := time.Duration(rapid.IntRange(1, int(constants.StateTimeout/time.Millisecond)).Draw(t, "ms")) * time.Millisecond
-		unheard := 0
-		for range 30 {
-			if takes > p.next() {
-				unheard++
-				p.lost()
-				continue
-			}
-			p.answered(takes)
-		}
-		if unheard > 1 {
-			t.Fatalf("of a service that takes %v %d answers are not heard", takes, unheard)
-		}
-		p.lost()
-		if p.next() != constants.StateTimeout {
-			t.Fatalf("after a loss it waits %v", p.next())
-		}
-		quick := time.Duration(rapid.IntRange(1, 200).Draw(t, "quick")) * time.Millisecond
-		p.answered(quick)
-		p.answered(quick)
-		if p.next() != constants.TxnTimeout {
-			t.Fatalf("after two answers in %v it waits %v", quick, p.next())
-		}
-	})
-}
-
 // TestRenewalsDoNotWaitForOthers: however many calls hang, those that the lead depends
 // on find a connection at once, before any of the others has been given up.
 func TestRenewalsDoNotWaitForOthers(t *testing.T) {
-	hang := make(chan struct{})
+	release := make(chan struct{})
 	var hanging sync.WaitGroup
 	hanging.Add(constants.StateConns)
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	client := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/store/") {
 			hanging.Done()
-			<-hang
+			<-release
 		}
-		_, _ = w.Write([]byte(`{"tenure":7}`))
-	}))
-	defer srv.Close()
-	c := New(strings.TrimPrefix(srv.URL, "http://"), NewBudget(10000, 10000), new(net.Dialer).DialContext)
+		_, _ = w.Write([]byte(`{"tenure":7}`)) // a client that is gone fails its own check
+	})
 	var calls sync.WaitGroup
-	var over atomic.Int64
+	var finished atomic.Int64
 	defer calls.Wait()
-	defer close(hang)
+	defer close(release)
 	for range constants.StateConns {
 		calls.Go(func() {
-			_, _, _ = c.Get(t.Context(), ClassPoll, "k")
-			over.Add(1)
+			_, _, _ = client.Get(t.Context(), ClassPoll, "k") // it only takes a connection
+			finished.Add(1)
 		})
 	}
 	hanging.Wait() // all their connections are taken
-	if err := c.RenewLease(t.Context(), 7); err != nil {
+
+	if err := client.RenewLease(t.Context(), 7); err != nil {
 		t.Errorf("renewal: %v", err)
 	}
-	if _, err := c.GrantLease(t.Context(), time.Second); err != nil {
+	if _, err := client.GrantLease(t.Context(), time.Second); err != nil {
 		t.Errorf("acquisition: %v", err)
 	}
-	if n := over.Load(); n > 0 {
-		t.Errorf("they waited for %d others to be given up", n)
+	if count := finished.Load(); count > 0 {
+		t.Errorf("they waited for %d others to be given up", count)
 	}
 }
