--- a/internal/leader/class_stats.go
+++ b/internal/leader/class_stats.go
@@ -8,6 +8,29 @@
 	"thornnotch/internal/jobs"
 )
 
+// classStats is how the jobs of each class have come and fared of late.
+type classStats struct {
+	arrivals       classArrivals
+	placementRates placementRates
+	runtimeRatios  runtimeRatios
+	gangWaits      gangWaits
+}
+
+func newClassStats() classStats {
+	return classStats{
+		arrivals:       make(classArrivals),
+		placementRates: make(placementRates),
+		runtimeRatios:  make(runtimeRatios),
+		gangWaits:      make(gangWaits),
+	}
+}
+
+// fade has what was counted count for less after some time.
+func (s *classStats) fade(elapsed time.Duration) {
+	s.arrivals.fade(elapsed)
+	s.placementRates.fade(elapsed)
+}
+
 // classArrivals counts the jobs of each class, older ones for less.
 type classArrivals map[string]float64
 
--- a/internal/leader/demand_propagation.go
+++ b/internal/leader/demand_propagation.go
@@ -51,7 +51,7 @@
 		}
 		asked.priority = max(asked.priority, downstream.view.Priority)
 		if latest := l.latestStart(downstream); !latest.IsZero() {
-			latest = latest.Add(-l.runtimeRatios.expected(upstream.spec) - constants.ChainStep)
+			latest = latest.Add(-l.classes.runtimeRatios.expected(upstream.spec) - constants.ChainStep)
 			asked.latestStart = earlier(asked.latestStart, latest)
 		}
 	}
--- a/internal/leader/demand_propagation_test.go
+++ b/internal/leader/demand_propagation_test.go
@@ -132,20 +132,20 @@
 	l := testLeader(t)
 	j := addJob(t, l, arraySpec("j-1", 1), now)
 	j.spec.ExpectedS = 10
-	if l.runtimeRatios.expected(j.spec) != 10*time.Second {
-		t.Errorf("at first %v", l.runtimeRatios.expected(j.spec))
+	if l.classes.runtimeRatios.expected(j.spec) != 10*time.Second {
+		t.Errorf("at first %v", l.classes.runtimeRatios.expected(j.spec))
 	}
 	for range 100 {
-		l.runtimeRatios.record(j.spec, 15*time.Second)
+		l.classes.runtimeRatios.record(j.spec, 15*time.Second)
 	}
-	if d := l.runtimeRatios.expected(j.spec) - 15*time.Second; d < -100*time.Millisecond || d > 100*time.Millisecond {
-		t.Errorf("corrected to %v", l.runtimeRatios.expected(j.spec))
+	if d := l.classes.runtimeRatios.expected(j.spec) - 15*time.Second; d < -100*time.Millisecond || d > 100*time.Millisecond {
+		t.Errorf("corrected to %v", l.classes.runtimeRatios.expected(j.spec))
 	}
 	for range 100 {
-		l.runtimeRatios.record(j.spec, 900*time.Second)
+		l.classes.runtimeRatios.record(j.spec, 900*time.Second)
 	}
-	if l.runtimeRatios.expected(j.spec) > 31*time.Second {
-		t.Errorf("without bounds: %v", l.runtimeRatios.expected(j.spec))
+	if l.classes.runtimeRatios.expected(j.spec) > 31*time.Second {
+		t.Errorf("without bounds: %v", l.classes.runtimeRatios.expected(j.spec))
 	}
 }
 
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -17,7 +17,7 @@
 	job.upstreams.unknown, job.upstreams.declared = true, true
 	if dependencies.Split != nil || !l.failover.recordsLoaded() {
 		// Not all names are known, or not all open jobs.
-		l.dependencies.unlinked[job] = dependencies
+		l.dependencies.addUnlinked(job, dependencies)
 		return
 	}
 	l.linkUpstreams(job, dependencies.DependsOn)
@@ -25,11 +25,8 @@
 
 // linkLoadedJobs links the jobs that were read during the failover, once all are known.
 func (l *Leader) linkLoadedJobs(now time.Time) {
-	for job, dependencies := range l.dependencies.unlinked {
-		if dependencies.Split == nil {
-			delete(l.dependencies.unlinked, job)
-			l.linkUpstreams(job, dependencies.DependsOn)
-		}
+	for job, names := range l.dependencies.takeListed() {
+		l.linkUpstreams(job, names)
 	}
 	l.readFinalRecords(now)
 }
--- a/internal/leader/dependency_tracker.go
+++ b/internal/leader/dependency_tracker.go
@@ -63,6 +63,35 @@
 	}
 }
 
+// addUnlinked notes a job that can't be linked yet.
+func (d *dependencyTracker) addUnlinked(job *jobState, dependencies jobs.Dependencies) {
+	d.unlinked[job] = dependencies
+}
+
+// takeUnlinked takes a job off those that are not linked yet. It tells whether it was one.
+func (d *dependencyTracker) takeUnlinked(job *jobState) bool {
+	_, found := d.unlinked[job]
+	delete(d.unlinked, job)
+	return found
+}
+
+// takeListed hands over the jobs that are not linked yet and whose names are all known.
+func (d *dependencyTracker) takeListed() map[*jobState][]string {
+	listed := make(map[*jobState][]string)
+	for job, dependencies := range d.unlinked {
+		if dependencies.Split == nil {
+			listed[job] = dependencies.DependsOn
+			delete(d.unlinked, job)
+		}
+	}
+	return listed
+}
+
+// startRead notes a read under way, endRead its end.
+func (d *dependencyTracker) startRead(read finalRead) { d.reading[read] = true }
+
+func (d *dependencyTracker) endRead(read finalRead) { delete(d.reading, read) }
+
 // readsDue tells whether anything may be read now.
 func (d *dependencyTracker) readsDue(now time.Time) bool {
 	return len(d.finalsWanted)+len(d.unlinked) > 0 && !now.Before(d.retryAt)
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -15,7 +15,7 @@
 		ran = now.Sub(attempt.RunningSince)
 	}
 	job.retry.avoidMachine(machine.agent.Name, now.Add(constants.AvoidFor))
-	job.stale = true
+	job.markStale()
 	task := attempt.ID.Task.Index
 	pause, taskOnly := job.failures.Record(machine.agent.Name, task, ran, job.retry.backingOff(now), now)
 	if taskOnly {
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -49,7 +49,7 @@
 				}
 			case workers.VerbStop:
 				if k := here[id]; k != nil && k.status != workers.StatusExited {
-					k.status, k.cause = workers.StatusExited, "halted"
+					k.status, k.cause = workers.StatusExited, workers.CauseStopped
 				}
 			case workers.VerbForget:
 				delete(here, id)
--- a/internal/leader/final_records.go
+++ b/internal/leader/final_records.go
@@ -38,11 +38,11 @@
 // readFinal reads the final record of a job.
 func (l *Leader) readFinal(id string) {
 	read := finalRead{job: id}
-	l.dependencies.reading[read] = true
+	l.dependencies.startRead(read)
 	l.calls.queue(func(ctx context.Context) func() {
 		row, found, err := l.deps.Store.Get(ctx, statestore.ClassRecord, jobs.FinalPrefix+id)
 		return func() {
-			delete(l.dependencies.reading, read)
+			l.dependencies.endRead(read)
 			var final jobs.FinalRecord
 			if err == nil && found {
 				err = json.Unmarshal(row.Value, &final)
@@ -76,18 +76,17 @@
 func (l *Leader) readDependencyList(job *jobState, dependencies jobs.Dependencies) {
 	id := job.spec.ID
 	read := finalRead{id, true}
-	l.dependencies.reading[read] = true
+	l.dependencies.startRead(read)
 	l.calls.queue(func(ctx context.Context) func() {
 		names, err := dependencies.Load(ctx, l.deps.Store, statestore.ClassRecord, id)
 		return func() {
-			delete(l.dependencies.reading, read)
+			l.dependencies.endRead(read)
 			if err != nil {
 				l.deps.Log.Info("dependencies can't be read", "job", id, "error", err)
 				l.dependencies.readFailed(time.Now())
 				return
 			}
-			if _, still := l.dependencies.unlinked[job]; still {
-				delete(l.dependencies.unlinked, job)
+			if l.dependencies.takeUnlinked(job) {
 				l.linkUpstreams(job, names)
 				l.readFinalRecords(time.Now())
 			}
--- a/internal/leader/gang_recovery.go
+++ b/internal/leader/gang_recovery.go
@@ -16,7 +16,8 @@
 		return
 	}
 	if replace && l.mayReplaceTask(job, attempt) {
-		job.gang.replacingTask, job.stale = true, true
+		job.gang.replacingTask = true
+		job.markStale()
 		job.retry.avoidMachine(machine.agent.Name, now.Add(constants.AvoidFor))
 		l.deps.Log.Debug("task of a waiting gang to be replaced", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.agent.Name)
 		return
--- a/internal/leader/gang_recovery_test.go
+++ b/internal/leader/gang_recovery_test.go
@@ -83,7 +83,7 @@
 			replacement.machine.agent.Zone != rest.machine.agent.Zone || !replacement.attempt.StartAllowed {
 			t.Errorf("replaced by %+v on %s", replacement.attempt, replacement.machine.agent.Name)
 		}
-		l.applyHeartbeat(rest.machine, nextHeartbeat(l, rest.machine, workers.StatusExited, "mates_gone"), false, now)
+		l.applyHeartbeat(rest.machine, nextHeartbeat(l, rest.machine, workers.StatusExited, workers.CauseGangLost), false, now)
 		if len(gang.attempts) != 0 && !gang.attempts.sorted()[0].attempt.StopRequested {
 			t.Errorf("the replacement outlives its gang")
 		}
--- a/internal/leader/gang_starvation_test.go
+++ b/internal/leader/gang_starvation_test.go
@@ -23,34 +23,34 @@
 		j := addJob(t, l, spec, now)
 		if began > 0 {
 			j.started = now.Add(began)
-			l.gangWaits.observe(j, now.Add(began))
+			l.classes.gangWaits.observe(j, now.Add(began))
 		} else {
-			l.gangWaits.observe(j, now.Add(constants.LargeGangLateAfter+time.Second)) // it still waits
+			l.classes.gangWaits.observe(j, now.Add(constants.LargeGangLateAfter+time.Second)) // it still waits
 		}
 	}
 	add(8, 20*time.Second)
 	add(2, 0) // a small one that is late does not count
-	if len(l.gangWaits.boostedClasses()) != 0 {
-		t.Fatalf("lifted although all is well: %v", l.gangWaits.boostedClasses())
+	if len(l.classes.gangWaits.boostedClasses()) != 0 {
+		t.Fatalf("lifted although all is well: %v", l.classes.gangWaits.boostedClasses())
 	}
 	add(8, 0)
-	if len(l.gangWaits.boostedClasses()) != 0 {
-		t.Fatalf("one that is late is enough to lift them: %+v", l.gangWaits["x"])
+	if len(l.classes.gangWaits.boostedClasses()) != 0 {
+		t.Fatalf("one that is late is enough to lift them: %+v", l.classes.gangWaits["x"])
 	}
 	want := []placement.Boost{placement.BoostWithinPriority, placement.BoostAboveAll}
 	for i := 0; i < 10 && len(want) > 0; i++ {
 		add(8, 0)
-		if got := l.gangWaits.boostedClasses()["x"]; got.Boost == want[0] && got.Size == 8 {
+		if got := l.classes.gangWaits.boostedClasses()["x"]; got.Boost == want[0] && got.Size == 8 {
 			want = want[1:]
 		}
 	}
 	if len(want) != 0 {
-		t.Fatalf("late ones are not lifted: %+v", l.gangWaits["x"])
+		t.Fatalf("late ones are not lifted: %+v", l.classes.gangWaits["x"])
 	}
 	for range 12 {
 		add(8, 30*time.Second)
 	}
-	if len(l.gangWaits.boostedClasses()) != 0 {
-		t.Errorf("lifted for ever: %+v", l.gangWaits["x"])
+	if len(l.classes.gangWaits.boostedClasses()) != 0 {
+		t.Errorf("lifted for ever: %+v", l.classes.gangWaits["x"])
 	}
 }
--- a/internal/leader/job_admission.go
+++ b/internal/leader/job_admission.go
@@ -26,8 +26,8 @@
 	job := newJobState(&spec, revision, submittedAt(&record, now), now)
 	job.view.Targets = l.startTargets(&spec, 0)
 	l.jobs.add(job)
-	l.arrivals.add(spec.Class)
-	l.gangWaits.addJob(&spec)
+	l.classes.arrivals.add(spec.Class)
+	l.classes.gangWaits.addJob(&spec)
 	if dependencies := (jobs.Dependencies{DependsOn: spec.DependsOn, Split: record.Split}); !dependencies.Empty() {
 		l.addDependencies(job, dependencies)
 	} else {
--- a/internal/leader/job_attempts.go
+++ b/internal/leader/job_attempts.go
@@ -23,7 +23,8 @@
 
 // stopGang stops all attempts of a gang together.
 func (l *Leader) stopGang(job *jobState, grace float64, now time.Time) {
-	job.gang.replacingTask, job.stale = false, true
+	job.gang.replacingTask = false
+	job.markStale()
 	all := job.attempts.sorted()
 	for _, placed := range all {
 		l.stopAttempt(placed.machine, placed.attempt, grace, now)
@@ -40,7 +41,7 @@
 	if job == nil || attempt.ID.Task.Index >= job.spec.Tasks {
 		return
 	}
-	job.stale = true
+	job.markStale()
 	job.attempts.add(machine, attempt)
 	job.placed = true
 }
@@ -54,7 +55,7 @@
 		l.jobs.endedAttemptGone(attempt.ID.Task.Job)
 		return
 	}
-	job.stale = true
+	job.markStale()
 	job.attempts.remove(attempt)
 	job.progress.mayWaitFrom(attempt.ID.Task.Index)
 }
--- a/internal/leader/job_state.go
+++ b/internal/leader/job_state.go
@@ -53,6 +53,10 @@
 	removed    bool // cancelled or ended
 }
 
+// markStale has the job's view made anew for the next pass. Whatever changes its tasks or
+// attempts must call it.
+func (j *jobState) markStale() { j.stale = true }
+
 // gangState is what is kept of a gang beside its attempts.
 type gangState struct {
 	// attemptNumber is the number of its present attempt. replacingTask is set while a
--- a/internal/leader/job_test.go
+++ b/internal/leader/job_test.go
@@ -60,7 +60,7 @@
 	if len(rec.Attempts) != 3 || rec.Jobs["j-1"].Team != "a" || resourcesFromRecord(rec.Jobs["j-1"].Resources).GPUs != 1 {
 		t.Errorf("the record does not carry them: %+v", rec)
 	}
-	l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusExited, "halted"), false, now)
+	l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusExited, workers.CauseStopped), false, now)
 	if w = l.snapshotForPlacement(now); w.Teams["a"].Used.GPUs != 0 {
 		t.Errorf("they count for ever")
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -82,15 +82,9 @@
 	passes       passTimer
 	lastSummary  time.Time
 	scaling      scalingState
-	gangWaits    gangWaits
 	// dependencies is what the jobs that wait for others wait for.
 	dependencies dependencyTracker
-	// runtimeRatios is, by class, how long tasks ran lately against what was expected.
-	runtimeRatios runtimeRatios
-	// arrivals counts the jobs of each class, older ones for less.
-	arrivals classArrivals
-	// placementRates are the tasks of each class placed a second, of late.
-	placementRates placementRates
+	classes      classStats
 }
 
 // New makes a leader for the granted term. Run must be called next.
@@ -104,15 +98,12 @@
 			Enabled: d.Operator.Holds.Enabled, Alpha: d.Operator.Holds.Alpha,
 			P: d.Operator.Holds.P, Threshold: d.Operator.Holds.Threshold,
 		}),
-		arrivals:       make(classArrivals),
-		runtimeRatios:  make(runtimeRatios),
-		placementRates: make(placementRates),
-		dependencies:   newDependencyTracker(),
-		gangWaits:      make(gangWaits),
-		teamUsage:      make(teamUsage),
-		replies:        newHeldReplies(),
-		load:           loadLog{usage: d.Usage},
-		metadata:       newMetadataQueue(d.Settings.Params.State, d.Operator.Budgets),
+		dependencies: newDependencyTracker(),
+		classes:      newClassStats(),
+		teamUsage:    make(teamUsage),
+		replies:      newHeldReplies(),
+		load:         loadLog{usage: d.Usage},
+		metadata:     newMetadataQueue(d.Settings.Params.State, d.Operator.Budgets),
 	}
 	l.commits = newGroupCommit(d.Log, l.beginCheckpoint)
 	l.openLog(wal.Head{}, 0)
--- a/internal/leader/placement_snapshot.go
+++ b/internal/leader/placement_snapshot.go
@@ -10,7 +10,7 @@
 // snapshotForPlacement shows the present state to placement. Machines and jobs that have
 // not changed are shown as before.
 func (l *Leader) snapshotForPlacement(now time.Time) *placement.Snapshot {
-	snapshot := &placement.Snapshot{Now: now, StartRate: l.placementRates}
+	snapshot := &placement.Snapshot{Now: now, StartRate: l.classes.placementRates}
 	startable := l.startableJobViews(now)
 	// The teams' usage is brought up to date with the machines' views.
 	snapshot.Machines = l.machineViews(now)
@@ -18,7 +18,7 @@
 	l.addReservationEdges(snapshot)
 	snapshot.ReservedMachines = l.reservedMachines(snapshot.Machines, now)
 	placement.MarkGuaranteed(startable, snapshot.Teams)
-	placement.MarkStarving(startable, l.gangWaits.boostedClasses(), now)
+	placement.MarkStarving(startable, l.classes.gangWaits.boostedClasses(), now)
 	for _, view := range startable {
 		if len(view.WaitingTasks) > 0 {
 			snapshot.Jobs = append(snapshot.Jobs, view)
@@ -34,7 +34,7 @@
 		if job.complete || job.upstreams.blocked() {
 			continue
 		}
-		job.refreshView(l.arrivals.share(job.spec.Class), now)
+		job.refreshView(l.classes.arrivals.share(job.spec.Class), now)
 		views = append(views, &job.view)
 	}
 	return views
--- a/internal/leader/plan_execution.go
+++ b/internal/leader/plan_execution.go
@@ -94,7 +94,7 @@
 	attempt := &workers.Attempt{ID: id, Epoch: machine.agent.Epoch, PlacedAt: now}
 	machine.agent.Attempts[id] = attempt
 	job.servedAt = now
-	l.placementRates.add(job.spec.Class)
+	l.classes.placementRates.add(job.spec.Class)
 	l.addAttempt(machine, attempt)
 	l.logAttempt(machine, attempt)
 	if l.reservations.Consume(machine.agent.Name, job.view.Owns) {
--- a/internal/leader/restore.go
+++ b/internal/leader/restore.go
@@ -54,5 +54,5 @@
 		return
 	}
 	job.progress.restore(tasks)
-	job.stale = true
+	job.markStale()
 }
--- a/internal/leader/scheduling_pass.go
+++ b/internal/leader/scheduling_pass.go
@@ -39,7 +39,7 @@
 func (l *Leader) markPlannedStale(plan *placement.Plan) {
 	for _, start := range plan.Starts {
 		l.fleet.get(start.Machine.Name).markStale()
-		l.jobs.get(start.Job.Spec.ID).stale = true
+		l.jobs.get(start.Job.Spec.ID).markStale()
 	}
 	for _, preemption := range plan.Preemptions {
 		l.fleet.get(preemption.Machine.Name).markStale()
--- a/internal/leader/start_targets.go
+++ b/internal/leader/start_targets.go
@@ -55,7 +55,7 @@
 // be in time; zero if nothing is due.
 func (l *Leader) latestStart(job *jobState) (at time.Time) {
 	if job.spec.DueS != nil {
-		at = job.acceptedAt.Add(config.Seconds(*job.spec.DueS) - l.runtimeRatios.expected(job.spec))
+		at = job.acceptedAt.Add(config.Seconds(*job.spec.DueS) - l.classes.runtimeRatios.expected(job.spec))
 	}
 	return earlier(at, job.downstreamDemand.latestStart)
 }
@@ -76,6 +76,6 @@
 		job.view.Targets = append(job.view.Targets, latestStart.Sub(job.view.Submitted))
 		slices.Sort(job.view.Targets)
 	}
-	job.stale = true
+	job.markStale()
 	l.passes.request()
 }
--- a/internal/leader/stragglers.go
+++ b/internal/leader/stragglers.go
@@ -73,5 +73,5 @@
 	ran := now.Sub(attempt.RunningSince)
 	machine.health.AddSlowSignals(job.runtimes.SlowSignals(ran, job.spec.Tasks), now)
 	job.runtimes.Add(ran)
-	l.runtimeRatios.record(job.spec, ran)
+	l.classes.runtimeRatios.record(job.spec, ran)
 }
--- a/internal/leader/task_events.go
+++ b/internal/leader/task_events.go
@@ -62,7 +62,7 @@
 	l.deps.Log.Debug("task status changed", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.agent.Name, "status", attempt.Status)
 	if job != nil && attempt.Status == workers.StatusRunning && job.started.IsZero() {
 		job.started = now
-		l.gangWaits.observe(job, now)
+		l.classes.gangWaits.observe(job, now)
 	}
 }
 
@@ -80,7 +80,7 @@
 		return
 	case workers.CauseError:
 		l.taskFailed(machine, job, attempt, now)
-	case "alone", "mates_gone", "halted":
+	case workers.CauseGangIncomplete, workers.CauseGangLost, workers.CauseStopped:
 		job.restartedTasks[attempt.ID.Task.Index] = true
 	default:
 		// Refused: the worker knows better than our books; look again soon.
@@ -96,7 +96,8 @@
 func (l *Leader) taskCompleted(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
 	task, isGang := attempt.ID.Task.Index, job.spec.Kind == jobs.KindGang
 	first := !job.progress.isDone(task)
-	job.unrecordedExits[attempt], job.stale = machine, true
+	job.unrecordedExits[attempt] = machine
+	job.markStale()
 	l.noteStragglerSignal(machine, job, attempt, now)
 	switch {
 	case first && isGang:
--- a/internal/leader/team_usage_test.go
+++ b/internal/leader/team_usage_test.go
@@ -74,7 +74,7 @@
 	status := rapid.SampledFrom([]workers.TaskStatus{workers.StatusFetching, workers.StatusRunning, workers.StatusExited}).Draw(rt, "status")
 	var cause workers.ExitCause
 	if status == workers.StatusExited {
-		cause = rapid.SampledFrom([]workers.ExitCause{workers.CauseDone, "halted", workers.CauseError}).Draw(rt, "cause")
+		cause = rapid.SampledFrom([]workers.ExitCause{workers.CauseDone, workers.CauseStopped, workers.CauseError}).Draw(rt, "cause")
 	}
 	heartbeat := nextHeartbeat(m.leader, machine, status, cause)
 	if rapid.IntRange(0, 4).Draw(rt, "half") == 0 {
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -8,8 +8,7 @@
 
 // tick does what only time brings about.
 func (l *Leader) tick(now time.Time) {
-	l.arrivals.fade(constants.TickInterval)
-	l.placementRates.fade(constants.TickInterval)
+	l.classes.fade(constants.TickInterval)
 	l.trackFailover(now)
 	l.published.update(l.failover.progress, l.fleet.len())
 	l.superviseMachines(now)
@@ -71,7 +70,7 @@
 // reviewJobs follows how long gangs wait, and ends the pauses of jobs that had to wait.
 func (l *Leader) reviewJobs(now time.Time) {
 	for job := range l.jobs.all() {
-		l.gangWaits.observe(job, now)
+		l.classes.gangWaits.observe(job, now)
 		if job.retry.resume(now) {
 			l.passes.request()
 		}
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -323,7 +323,7 @@
 			case complete:
 				w.set(t, workers.StatusRunning, now)
 			case now.Sub(t.since) > w.opt.GangWait:
-				w.exit(t, "alone", false, now)
+				w.exit(t, workers.CauseGangIncomplete, false, now)
 			}
 		case workers.StatusRunning:
 			if t.fails && now.Sub(t.since) >= FaultyRunTime {
@@ -333,7 +333,7 @@
 			if t.job.Kind == jobs.KindGang {
 				complete, done := w.meet.state(t)
 				if !complete && !done {
-					w.exit(t, "mates_gone", false, now)
+					w.exit(t, workers.CauseGangLost, false, now)
 					continue
 				}
 				if done {
@@ -346,7 +346,7 @@
 			}
 		case workers.StatusSaving:
 			if now.Sub(t.stopped).Seconds() >= t.job.SaveS {
-				w.exit(t, "halted", true, now)
+				w.exit(t, workers.CauseStopped, true, now)
 			}
 		}
 	}
@@ -525,7 +525,7 @@
 				w.set(t, workers.StatusSaving, now)
 			case t.status == workers.StatusSaving && o.GraceS != nil && *o.GraceS > 0:
 			default:
-				w.exit(t, "halted", false, now)
+				w.exit(t, workers.CauseStopped, false, now)
 			}
 		case workers.VerbForget:
 			if t != nil && t.status == workers.StatusExited {
--- a/internal/workers/wire.go
+++ b/internal/workers/wire.go
@@ -33,10 +33,13 @@
 
 // Causes of an exit that the leader tells apart; workers report others as well.
 const (
-	CauseDone  ExitCause = "done"
-	CauseError ExitCause = "error"
-	CauseFull  ExitCause = "full"   // start refused: the machine has no room
-	CauseInUse ExitCause = "in_use" // start refused: the task is there with another attempt
+	CauseDone           ExitCause = "done"
+	CauseError          ExitCause = "error"
+	CauseStopped        ExitCause = "halted"     // on command
+	CauseGangIncomplete ExitCause = "alone"      // the gang's other tasks did not come in time
+	CauseGangLost       ExitCause = "mates_gone" // another task of the running gang is gone
+	CauseFull           ExitCause = "full"       // start refused: the machine has no room
+	CauseInUse          ExitCause = "in_use"     // start refused: the task is there with another attempt
 )
 
 // Verb is what a command tells a worker to do with a task.
