--- /dev/null
+++ b/internal/placement/limitpromise_test.go
@@ -0,0 +1,134 @@
+package placement
+
+import (
+	"testing"
+	"time"
+)
+
+// TestLiftedGangGetsItsLimit: a boosted gang has lower tasks of its team preempted as far
+// as its team's limit needs, and no task of equal priority or of another team; one that is
+// not boosted waits while smaller jobs go on.
+func TestLiftedGangGetsItsLimit(t *testing.T) {
+	for _, c := range []struct {
+		name            string
+		runningPriority int
+		boost           Boost
+		preempted       int
+		lowerStarts     bool // the lower job behind the gang
+	}{
+		{"lower runs", 0, BoostWithinPriority, 4, false},
+		{"equal runs", 1, BoostWithinPriority, 0, true}, // may use the rest until the gang can start
+		{"not boosted", 0, NoBoost, 0, true},
+	} {
+		gang := gangJob("j-1", 1, 2)
+		gang.Order, gang.Boost = 1, c.boost
+		running, lower, otherTeam := arrayJob("j-2", "a", c.runningPriority), arrayJob("j-3", "a", 0), arrayJob("j-4", "b", 0)
+		for i, job := range []*Job{running, lower, otherTeam} {
+			job.Spec.GPUs, job.Order = 1, uint64(2+i)
+		}
+		running.WaitingTasks = nil
+		snapshot := &Snapshot{
+			Machines: testMachines(8), Jobs: []*Job{gang, lower, otherTeam},
+			Teams: map[string]*Team{
+				"a": {Limit: Resources{GPUs: 16}, Used: Resources{GPUs: 12}},
+				"b": {Limit: Resources{GPUs: 16}},
+			},
+		}
+		for i, machine := range snapshot.Machines[:3] {
+			for k := range 4 {
+				machine.RunningTasks = append(machine.RunningTasks, RunningTask{
+					Job: running, Index: 4*i + k, Attempt: 1, Resources: Resources{1, 1, 1}, StopCost: time.Duration(1+k) * time.Second,
+				})
+			}
+		}
+		plan := Schedule(snapshot)
+		if len(plan.Preemptions) != c.preempted {
+			t.Errorf("%s: %d preempted, want %d", c.name, len(plan.Preemptions), c.preempted)
+		}
+		for _, preemption := range plan.Preemptions {
+			if preemption.Victim.Job != running || preemption.Victim.StopCost > 2*time.Second {
+				t.Errorf("%s: preempted %v, which loses more than others", c.name, preemption.Victim)
+			}
+		}
+		started := startedTasks(plan)
+		if started["j-1"] > 0 || (started["j-3"] > 0) != c.lowerStarts || started["j-4"] == 0 {
+			t.Errorf("%s: started %v", c.name, started)
+		}
+	}
+}
+
+// TestLimitStaysForPreparedGang guards against Peakdale's day with a partition: tasks were
+// preempted for a gang, a small job of its team took some of the limit before they had
+// ended, and the gang could not start; what was preempted began anew there and was
+// preempted again, six thousand tasks in half a minute.
+func TestLimitStaysForPreparedGang(t *testing.T) {
+	for _, c := range []struct {
+		name          string
+		smallPriority int
+		gangKeeps     bool
+	}{{"lower", 0, true}, {"equal", 1, true}, {"higher", 2, false}} {
+		gang := gangJob("j-1", 1, 2)
+		gang.Order = 1
+		lower := arrayJob("j-2", "b", 0)
+		lower.WaitingTasks = nil
+		machines := testMachines(3)
+		for i, machine := range machines[:2] {
+			machine.RunningTasks = []RunningTask{{Job: lower, Index: i, Attempt: 1, Resources: TaskResources(lower.Spec), StopCost: time.Second}}
+		}
+		machines[2].Spot = true
+		teams := func() map[string]*Team {
+			return map[string]*Team{
+				"a": {Limit: Resources{GPUs: 8}},
+				"b": {Limit: Resources{GPUs: 16}, Used: Resources{GPUs: 8}},
+			}
+		}
+		plan := Schedule(&Snapshot{Machines: machines, Jobs: []*Job{gang}, Teams: teams()})
+		if len(plan.Preemptions) != 2 || len(plan.Draining) != 1 || plan.Draining[0] != gang {
+			t.Fatalf("%s: %d preempted, %d draining", c.name, len(plan.Preemptions), len(plan.Draining))
+		}
+
+		gang.Draining, gang.ClaimedMachines = true, map[string]bool{"m-0": true, "m-1": true}
+		// That it has missed its targets by now must not have it give up and begin anew.
+		gang.Late, gang.Targets = true, []time.Duration{time.Second}
+		// A small job of the team comes, with a place of its own.
+		small := arrayJob("j-3", "a", c.smallPriority)
+		small.Spec.GPUs, small.Spec.AllowSpot, small.Order = 1, true, 3
+		plan = Schedule(&Snapshot{Machines: machines, Jobs: []*Job{gang, small}, Teams: teams()})
+		if (len(plan.Starts) == 0) != c.gangKeeps {
+			t.Errorf("%s: a small job starts: %v", c.name, len(plan.Starts) > 0)
+		}
+		if (len(plan.Draining) == 1) != c.gangKeeps {
+			t.Errorf("%s: %d draining", c.name, len(plan.Draining))
+		}
+	}
+}
+
+// TestLimitIsKeptForLiftedGang guards against a recorded day: a team at its limit gave
+// each GPU that came free to its job arrays, and its gangs waited for eight minutes. Once
+// a gang is boosted what comes free of the limit is kept for it, but from nobody that
+// stands before it, and from no other team.
+func TestLimitIsKeptForLiftedGang(t *testing.T) {
+	for _, boost := range []Boost{NoBoost, BoostWithinPriority, BoostAboveAll} {
+		before, gang, behind, otherTeam := arrayJob("j-1", "a", 2), gangJob("j-2", 1, 2), arrayJob("j-3", "a", 1), arrayJob("j-4", "b", 1)
+		gang.Boost = boost
+		for i, job := range []*Job{before, gang, behind, otherTeam} {
+			job.Order = uint64(1 + i)
+		}
+		for _, job := range []*Job{before, behind, otherTeam} {
+			job.Spec.GPUs = 1
+		}
+		started := startedTasks(Schedule(&Snapshot{
+			Machines: testMachines(6), Jobs: []*Job{gang, before, behind, otherTeam},
+			Teams: map[string]*Team{
+				"a": {Limit: Resources{GPUs: 16}, Used: Resources{GPUs: 9}},
+				"b": {Limit: Resources{GPUs: 16}},
+			},
+		}))
+		want := map[string]bool{"j-1": boost != BoostAboveAll, "j-2": false, "j-3": boost == NoBoost, "j-4": true}
+		for job, starts := range want {
+			if (started[job] > 0) != starts {
+				t.Errorf("boost %d: started %v, want %v", boost, started, want)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/placement/queue_test.go
@@ -0,0 +1,25 @@
+package placement
+
+import (
+	"testing"
+	"time"
+)
+
+// TestOrderAmongEquals: who must start soonest goes first; a job that can meet no target
+// any more stands behind, but not for ever.
+func TestOrderAmongEquals(t *testing.T) {
+	now := time.Unix(100000, 0)
+	jobOfAge := func(id string, age time.Duration, targets ...time.Duration) *Job {
+		job := arrayJob(id, "a", 1)
+		job.Submitted, job.Targets = now.Add(-age), targets
+		job.UpdateSlack(now, 1)
+		return job
+	}
+	tight := jobOfAge("j-1", 10*time.Second, 50*time.Second)
+	loose := jobOfAge("j-2", 60*time.Second, 40*time.Second, 120*time.Second)
+	late := jobOfAge("j-3", 70*time.Second, 40*time.Second)
+	ancient := jobOfAge("j-4", time.Hour, 40*time.Second)
+	if !Before(tight, loose) || !Before(loose, late) || !Before(ancient, tight) {
+		t.Errorf("slacks %v, %v, %v, %v", tight.Slack, loose.Slack, late.Slack, ancient.Slack)
+	}
+}
--- /dev/null
+++ b/internal/placement/quota_test.go
@@ -0,0 +1,36 @@
+package placement
+
+import (
+	"testing"
+	"time"
+)
+
+// TestMissedLeaveTheLimit guards against Peakdale's days: large gangs that had long missed
+// their targets took the limit from their team's job arrays, which then missed theirs.
+// Where the limit is not short, or the arrays are late too, priority decides.
+func TestMissedLeaveTheLimit(t *testing.T) {
+	for _, c := range []struct {
+		name                string
+		gangLate, arrayLate bool
+		limit               float64
+		want                string // beside the other team's job, which always starts
+	}{
+		{"both in time", false, false, 8, "j-1 j-3"},
+		{"gang late", true, false, 8, "j-2 j-3"},
+		{"both late", true, true, 8, "j-1 j-3"},
+		{"limit is enough", true, false, 64, "j-1 j-2 j-3"},
+	} {
+		gang, array, other := gangJob("j-1", 1, 2), arrayJob("j-2", "a", 0), arrayJob("j-3", "b", 0)
+		snapshot := &Snapshot{
+			Machines: testMachines(4), Jobs: []*Job{gang, array, other},
+			Teams: map[string]*Team{"a": {Limit: Resources{GPUs: c.limit}}, "b": {Limit: Resources{GPUs: 8}}},
+		}
+		for i, job := range snapshot.Jobs {
+			job.Order, job.Targets = uint64(i), []time.Duration{time.Minute}
+		}
+		gang.Late, array.Late = c.gangLate, c.arrayLate
+		if started := startedJobs(Schedule(snapshot)); started != c.want {
+			t.Errorf("%s: started %s, want %s", c.name, started, c.want)
+		}
+	}
+}
--- a/internal/placement/sizeclass_test.go
+++ b/internal/placement/sizeclass_test.go
@@ -6,39 +6,51 @@
 )
 
 // TestLargeTasksLookAtFewMachines: small tasks keep nearly every machine of a full fleet
-// among those with room for some task. Gangs of whole machines look at those that have
+// among those with room for some task. Gangs of whole machines examine those that have
 // room for them alone, however many the others are: on a trial day at 6,000 machines 60
-// gangs looked at all of them in every pass, which took most of its time.
+// gangs examined all of them in every pass, which took most of its time.
 func TestLargeTasksLookAtFewMachines(t *testing.T) {
 	const gangs, empty = 50, 8
-	looked := make(map[int]int)
+	examined := make(map[int]int)
 	for _, machines := range []int{500, 6000} {
-		w := &Snapshot{Teams: map[string]*Team{"a": {Limit: Resources{GPUs: 1e6}}}}
-		busy := sweepJob("j-0", "a", 1)
-		for i := range machines {
-			r := oneRig()
-			r.Name = fmt.Sprintf("m-%06d", i)
-			if i >= empty {
-				r.RunningTasks = []RunningTask{{Job: busy, Resources: Resources{CPUs: r.Total.CPUs / 2, GPUs: r.Total.GPUs, MemoryGB: 1}}}
-			}
-			w.Machines = append(w.Machines, r)
-		}
-		for i := range gangs {
-			j := sweepJob(fmt.Sprintf("j-1%03d", i), "a", 1)
-			j.Spec.Kind, j.Spec.Tasks, j.Spec.GPUs, j.Order = "gang", 20, w.Machines[0].Total.GPUs, uint64(i)
-			j.WaitingTasks = make([]int, 20)
-			w.Jobs = append(w.Jobs, j)
-		}
-		small := sweepJob("j-2000", "a", 1)
-		small.Spec.CPUs, small.Spec.GPUs, small.Order = 1, 0, 1000
-		w.Jobs = append(w.Jobs, small)
-		plan := Schedule(w)
+		snapshot := nearlyFullCluster(machines, empty)
+		addLargeGangs(snapshot, gangs)
+		small := arrayJob("j-2000", "a", 1)
+		small.Spec.GPUs, small.Order = 0, 1000
+		snapshot.Jobs = append(snapshot.Jobs, small)
+
+		plan := Schedule(snapshot)
 		if len(plan.Starts) != 1 {
 			t.Errorf("%d machines: %d starts", machines, len(plan.Starts))
 		}
-		looked[machines] = plan.Examined - machines // the small one looks at all
+		examined[machines] = plan.Examined - machines // the small job examines all
+	}
+	if examined[500] != examined[6000] || examined[6000] != gangs*empty {
+		t.Errorf("%d gangs examined %d machines of 500 and %d of 6,000, want %d", gangs, examined[500], examined[6000], gangs*empty)
+	}
+}
+
+// nearlyFullCluster has some empty machines; on the others all GPUs and half the CPUs are
+// used.
+func nearlyFullCluster(machines, empty int) *Snapshot {
+	snapshot := &Snapshot{Teams: map[string]*Team{"a": {Limit: Resources{GPUs: 1e6}}}}
+	busy := arrayJob("j-0", "a", 1)
+	for i := range machines {
+		machine := testMachine(fmt.Sprintf("m-%06d", i))
+		if i >= empty {
+			used := Resources{CPUs: machine.Total.CPUs / 2, GPUs: machine.Total.GPUs, MemoryGB: 1}
+			machine.RunningTasks = []RunningTask{{Job: busy, Resources: used}}
+		}
+		snapshot.Machines = append(snapshot.Machines, machine)
 	}
-	if looked[500] != looked[6000] || looked[6000] != gangs*empty {
-		t.Errorf("%d gangs looked at %d machines of 500 and %d of 6,000, want %d", gangs, looked[500], looked[6000], gangs*empty)
+	return snapshot
+}
+
+// addLargeGangs adds gangs that need more whole machines than are empty.
+func addLargeGangs(snapshot *Snapshot, gangs int) {
+	for i := range gangs {
+		gang := gangJob(fmt.Sprintf("j-1%03d", i), 1, 20)
+		gang.Spec.GPUs, gang.Order = snapshot.Machines[0].Total.GPUs, uint64(i)
+		snapshot.Jobs = append(snapshot.Jobs, gang)
 	}
 }
