--- a/internal/leader/growth_test.go
+++ b/internal/leader/growth_test.go
@@ -7,37 +7,37 @@
 	"thornnotch/internal/workers"
 )
 
-// TestWorkFollowsChange: what a report, a change and its record cost does not grow with
+// TestWorkFollowsChange: what a heartbeat, a change and its record cost does not grow with
 // the fleet. Counted are allocations, views made anew, bytes and transactions, which
-// don't hang on how fast the machine is; a pass itself still walks all machines
+// don't depend on how fast the machine is; a pass itself still walks all machines
 // (BenchmarkPass).
 func TestWorkFollowsChange(t *testing.T) {
 	const changes = 20
 	type work struct {
-		report       float64 // allocations
+		heartbeat    float64 // allocations
 		views        uint64
 		entryBytes   uint64
 		transactions int
 	}
 	measure := func(machines int) (w work) {
-		l, list := grown(t, machines)
+		l, fleet := largeFleet(t, machines)
 		now := time.Now()
-		ch := make(chan Reply, 1)
+		reply := make(chan Reply, 1)
 		next := 0
-		w.report = testing.AllocsPerRun(200, func() {
-			machine := list[next%len(list)]
+		w.heartbeat = testing.AllocsPerRun(200, func() {
+			machine := fleet[next%len(fleet)]
 			next += 7
-			l.heartbeat(nextHeartbeat(l, machine, workers.StatusRunning, ""), now, ch)
+			l.heartbeat(nextHeartbeat(l, machine, workers.StatusRunning, ""), now, reply)
 			l.replies.byMachine[machine].until = now
 			l.replies.wake(machine)
 			l.flushReplies(now)
-			<-ch
+			<-reply
 		})
 		commitAll(l, 1000)
 		now = time.Now()
 		l.runSchedulingPass(now)
 		commitAll(l, 2000)
-		for _, machine := range list[:changes] {
+		for _, machine := range fleet[:changes] {
 			l.logMetadata(machine, nil)
 			machine.markStale()
 		}
@@ -52,8 +52,8 @@
 		return w
 	}
 	small, large := measure(500), measure(4000)
-	if large.report > 1.1*small.report {
-		t.Errorf("a report costs %.0f allocations at 500 machines, %.0f at 4,000", small.report, large.report)
+	if large.heartbeat > 1.1*small.heartbeat {
+		t.Errorf("a heartbeat costs %.0f allocations at 500 machines, %.0f at 4,000", small.heartbeat, large.heartbeat)
 	}
 	if small.views != changes || large.views != changes {
 		t.Errorf("%d changes had %d views made anew at 500 machines, %d at 4,000", changes, small.views, large.views)
