--- a/internal/leader/attempt_records.go
+++ b/internal/leader/attempt_records.go
@@ -5,59 +5,59 @@
 	"thornnotch/internal/workers"
 )
 
-// logAttempt has an attempt recorded; its `run` leaves only once that stands.
-func (l *Leader) logAttempt(machine *machineState, a *workers.Attempt) {
+// logAttempt has an attempt recorded. Its run command leaves only once that is committed.
+func (l *Leader) logAttempt(machine *machineState, attempt *workers.Attempt) {
 	if !machine.metadataLogged {
 		l.logMetadata(machine, nil)
 	}
-	l.wal.AttemptPlaced(machine.agent.Name, recordAttempt(a), a.ID.Task.Job, l.recordUse(a), func() {
-		if !a.Committed {
-			a.Committed = true
-			l.allowStart(machine, a)
+	l.wal.AttemptPlaced(machine.agent.Name, recordAttempt(attempt), attempt.ID.Task.Job, l.recordUse(attempt), func() {
+		if !attempt.Committed {
+			attempt.Committed = true
+			l.allowStart(machine, attempt)
 		}
 	})
 }
 
-// allowStart lets a committed attempt start. A gang waits until the records of all
-// its tasks stand.
-func (l *Leader) allowStart(machine *machineState, a *workers.Attempt) {
-	j := l.jobs.get(a.ID.Task.Job)
-	if j == nil {
+// allowStart lets a committed attempt start. A gang waits until all its tasks' attempts are
+// committed.
+func (l *Leader) allowStart(machine *machineState, attempt *workers.Attempt) {
+	job := l.jobs.get(attempt.ID.Task.Job)
+	if job == nil {
 		return
 	}
-	if j.spec.Kind != jobs.KindGang {
-		a.StartAllowed = true
+	if job.spec.Kind != jobs.KindGang {
+		attempt.StartAllowed = true
 		l.replies.wake(machine)
 		return
 	}
-	seats := j.attempts.sorted()
-	for _, s := range seats {
-		if s.attempt.ID.Number == a.ID.Number && !s.attempt.Committed {
+	placed := job.attempts.sorted()
+	for _, p := range placed {
+		if p.attempt.ID.Number == attempt.ID.Number && !p.attempt.Committed {
 			return
 		}
 	}
-	for _, s := range seats {
-		if s.attempt.ID.Number == a.ID.Number {
-			s.attempt.StartAllowed = true
-			l.replies.wake(s.machine)
+	for _, p := range placed {
+		if p.attempt.ID.Number == attempt.ID.Number {
+			p.attempt.StartAllowed = true
+			l.replies.wake(p.machine)
 		}
 	}
 }
 
 // allowForget lets a worker forget an exit that is recorded, or of no interest.
-func (l *Leader) allowForget(machine *machineState, a *workers.Attempt) {
-	if !a.ExitRecorded {
-		a.ExitRecorded = true
+func (l *Leader) allowForget(machine *machineState, attempt *workers.Attempt) {
+	if !attempt.ExitRecorded {
+		attempt.ExitRecorded = true
 		l.replies.wake(machine)
 	}
 }
 
 // releaseRecordedExits lets workers forget the exits of a job's tasks that are recorded.
-func (l *Leader) releaseRecordedExits(j *jobState) {
-	for a, machine := range j.unrecordedExits {
-		if j.progress.isRecorded(a.ID.Task.Index) {
-			l.allowForget(machine, a)
-			delete(j.unrecordedExits, a)
+func (l *Leader) releaseRecordedExits(job *jobState) {
+	for attempt, machine := range job.unrecordedExits {
+		if job.progress.isRecorded(attempt.ID.Task.Index) {
+			l.allowForget(machine, attempt)
+			delete(job.unrecordedExits, attempt)
 		}
 	}
 }
--- a/internal/leader/commit_test.go
+++ b/internal/leader/commit_test.go
@@ -20,33 +20,19 @@
 // as that one stands. With four changes a transaction, one every CommitInterval recorded
 // some 40 values a second, whatever rate the state service allowed: starts of 4,000
 // machines waited a minute for their record. Little is gathered as before, and the
-// routine does not spin when what was left has become needless.
+// loop does not spin when what was left has become needless.
 func TestFullTransactionsFollowAtOnce(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
 	offline(t, l)
 	l.deps.Settings.Params.State.TxnOps, l.deps.Settings.Params.State.ValueKB = constants.MinTxnOps, 1
 	l.openLog(l.wal.Head(), 0)
-	plan := func(i int) *workers.Attempt {
-		machine := addMachine(l, fmt.Sprintf("m-%04d", i), "east", now)
-		a := &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: "j-1", Index: i}, Number: uint64(i)}, Epoch: 1, PlacedAt: now}
-		machine.agent.Attempts[a.ID] = a
-		l.logAttempt(machine, a)
-		return a
-	}
 	for i := range 100 {
-		plan(i)
-	}
-	// send has the next transaction sent and carried out, as Run's routines would.
-	send := func() {
-		l.commits.lastCommitAt = now
-		if t := l.commits.next(); t != nil {
-			l.commits.setMore(l.commits.hasRemaining(), now)
-			l.committed(commitResult{revision: 1})
-		}
+		logAttemptOn(l, i, now)
 	}
+
 	sent := 0
-	for send(); l.commits.hasMore; send() {
+	for commitNext(l, now); l.commits.hasMore; commitNext(l, now) {
 		sent++
 		if due := l.commits.due(); due.After(now) {
 			t.Fatalf("transaction %d: the next waits for %v", sent, due.Sub(now))
@@ -58,14 +44,35 @@
 	if due := l.commits.due(); !due.IsZero() {
 		t.Errorf("nothing is left, and due at %v", due)
 	}
-	plan(200)
+
+	logAttemptOn(l, 200, now)
 	if due := l.commits.due(); !due.Equal(now.Add(constants.CommitInterval)) {
 		t.Errorf("little waits for %v", due.Sub(now))
 	}
-	send()
+	commitNext(l, now)
 	l.commits.hasMore = true // what had remained has become needless
 	if l.commit(now); l.commits.hasMore || !l.commits.due().IsZero() {
-		t.Error("the routine would spin")
+		t.Error("the loop would spin")
+	}
+}
+
+// logAttemptOn has an attempt on a machine of its own recorded.
+func logAttemptOn(l *Leader, index int, now time.Time) {
+	machine := addMachine(l, fmt.Sprintf("m-%04d", index), "east", now)
+	attempt := &workers.Attempt{
+		ID:    workers.AttemptID{Task: workers.TaskID{Job: "j-1", Index: index}, Number: uint64(index)},
+		Epoch: 1, PlacedAt: now,
+	}
+	machine.agent.Attempts[attempt.ID] = attempt
+	l.logAttempt(machine, attempt)
+}
+
+// commitNext has the next transaction sent and carried out, as Run's goroutines would.
+func commitNext(l *Leader, now time.Time) {
+	l.commits.lastCommitAt = now
+	if l.commits.next() != nil {
+		l.commits.setMore(l.commits.hasRemaining(), now)
+		l.committed(commitResult{revision: 1})
 	}
 }
 
@@ -82,8 +89,7 @@
 	if l.commits.backoff == 0 || len(machine.agent.Commands(true, now)) != 0 {
 		t.Fatalf("an unknown outcome counts as success")
 	}
-	again := l.commits.next()
-	if again != first {
+	if again := l.commits.next(); again != first {
 		t.Fatalf("another transaction is sent in place of the first")
 	}
 	var head wal.Head
@@ -110,51 +116,58 @@
 // TestLargeJobFitsItsLimits: a job of the largest size, nearly done, keeps
 // every value and transaction within the state service's limits.
 func TestLargeJobFitsItsLimits(t *testing.T) {
+	const valueKB, txnOps = 8, 4
 	now := time.Now()
 	l := testLeader(t)
-	l.deps.Settings.Params.State.ValueKB, l.deps.Settings.Params.State.TxnOps = 8, 4
+	l.deps.Settings.Params.State.ValueKB, l.deps.Settings.Params.State.TxnOps = valueKB, txnOps
 	l.openLog(wal.Head{}, 0)
 	for i := range 3 {
 		addMachine(l, fmt.Sprint("m-", i), "east", now)
 	}
 	spec := arraySpec("j-00000000000000000001", constants.MaxTasks)
 	spec.CPUs, spec.GPUs, spec.MemoryGB = 0.01, 0, 0.01
-	j := addJob(t, l, spec, now)
+	job := addJob(t, l, spec, now)
 	for i := range spec.Tasks - 300 {
-		j.progress.complete(i)
+		job.progress.complete(i)
 	}
-	j.stale = true
+	job.stale = true
 	l.runSchedulingPass(now)
-	check := func() (n int) {
-		for txn := l.commits.next(); txn != nil; txn = l.commits.next() {
-			if len(txn.Writes) > 4 {
-				t.Fatalf("%d changes in one transaction", len(txn.Writes))
-			}
-			n += len(txn.Writes) - 1
-			for _, w := range txn.Writes {
-				if len(w.Value) > 8<<10 {
-					t.Fatalf("%s has %d bytes", w.Put, len(w.Value))
-				}
-			}
-			l.committed(commitResult{revision: uint64(1000 + n)})
-		}
-		return n
-	}
-	check()
+	commitWithinLimits(t, l, valueKB<<10, txnOps)
+
 	l.beginCheckpoint()
-	if n := check(); n < 3 || l.wal.Checkpointing() {
-		t.Errorf("not all that is done was written: %d parts", n)
+	if parts := commitWithinLimits(t, l, valueKB<<10, txnOps); parts < 3 || l.wal.Checkpointing() {
+		t.Errorf("not all that is done was written: %d parts", parts)
 	}
+
 	for i := range spec.Tasks {
-		j.progress.complete(i)
+		job.progress.complete(i)
 	}
-	l.checkComplete(j)
-	check()
+	l.checkComplete(job)
+	commitWithinLimits(t, l, valueKB<<10, txnOps)
 	if l.jobs.get(spec.ID) != nil {
 		t.Errorf("the job is not closed")
 	}
 }
 
+// commitWithinLimits carries out all transactions, and fails if one is larger than the state
+// service takes. It returns the number of their changes, without the log's head.
+func commitWithinLimits(t *testing.T, l *Leader, valueBytes, txnOps int) (changes int) {
+	t.Helper()
+	for txn := l.commits.next(); txn != nil; txn = l.commits.next() {
+		if len(txn.Writes) > txnOps {
+			t.Fatalf("%d changes in one transaction", len(txn.Writes))
+		}
+		changes += len(txn.Writes) - 1
+		for _, write := range txn.Writes {
+			if len(write.Value) > valueBytes {
+				t.Fatalf("%s has %d bytes", write.Put, len(write.Value))
+			}
+		}
+		l.committed(commitResult{revision: uint64(1000 + changes)})
+	}
+	return changes
+}
+
 // raised is a state service where another node has raised the term, and has not
 // written to the log yet.
 type raised struct {
@@ -162,8 +175,8 @@
 	wrote int
 }
 
-func (s *raised) Txn(_ context.Context, _ statestore.Class, when []statestore.Condition, writes []statestore.Write) (uint64, error) {
-	for _, c := range when {
+func (s *raised) Txn(_ context.Context, _ statestore.Class, conditions []statestore.Condition, writes []statestore.Write) (uint64, error) {
+	for _, c := range conditions {
 		if c.Key == election.TermKey {
 			return 0, &statestore.ConflictError{FailedKeys: []string{c.Key}} // its revision has changed
 		}
--- a/internal/leader/metadata_test.go
+++ b/internal/leader/metadata_test.go
@@ -15,23 +15,14 @@
 // starts and ends needed, and starts waited for a minute.
 func TestHintsAreBounded(t *testing.T) {
 	for _, c := range []struct {
-		changes float64
-		want    float64 // values a second
+		writesPerSecond float64 // that the state service takes
+		valuesPerSecond float64 // that metadata may take of it
 	}{{35, constants.MetadataWriteShare * constants.LeaderWriteShare * constants.BudgetUse * 35}, {10, 1}} {
 		const machines, seconds = 3000, 60
 		now := time.Now()
-		l := testLeader(t)
-		state := config.StateLimits{WriteRPS: 100, ValueKB: 2, TxnOps: 10, Next: &config.UpcomingStateLimits{WriteRPS: &c.changes}}
-		l.deps.Settings.Params.State = state
-		l.metadata = newMetadataQueue(state, config.DefaultOperator().Budgets)
-		l.openLog(l.wal.Head(), 0)
-		for i := range machines {
-			machine := addMachine(l, fmt.Sprintf("m-%06d", i), "east", now)
-			for k := range 6 {
-				machine.images.use(fmt.Sprintf("img-%02d-%06d", k, i), 5, true, 0)
-			}
-			l.metadataChanged(machine, now)
-		}
+		state := config.StateLimits{WriteRPS: 100, ValueKB: 2, TxnOps: 10, Next: &config.UpcomingStateLimits{WriteRPS: &c.writesPerSecond}}
+		l := leaderWithChangedImages(t, state, machines, now)
+
 		l.logDueMetadata(now.Add(constants.MetadataDelay / 2))
 		if l.metadata.bytes != 0 {
 			t.Errorf("recorded before it is quiet")
@@ -41,14 +32,16 @@
 		if l.metadata.bytes != 0 {
 			t.Errorf("recorded while starts and ends wait")
 		}
+
 		l.commits.setMore(false, now)
 		for tick := range int(seconds * time.Second / constants.TickInterval) {
 			l.logDueMetadata(now.Add(constants.MetadataDelay + time.Duration(tick)*constants.TickInterval))
 		}
-		perSecond := max(c.want, 1) * state.ValueKB * 1024
+		perSecond := max(c.valuesPerSecond, 1) * state.ValueKB * 1024
 		if got, most := float64(l.metadata.bytes), perSecond*(seconds+constants.MetadataBurst.Seconds()); got > most || got < most/2 {
-			t.Errorf("%v changes a second: %.0f bytes in %d s, at most %.0f", c.changes, got, seconds, most)
+			t.Errorf("%v changes a second: %.0f bytes in %d s, at most %.0f", c.writesPerSecond, got, seconds, most)
 		}
+
 		for hour := 0; len(l.metadata.due) > 0 && hour < 100; hour++ {
 			for range 3600 {
 				now = now.Add(time.Second)
@@ -60,3 +53,20 @@
 		}
 	}
 }
+
+// leaderWithChangedImages makes a leader of so many machines, whose images have all changed.
+func leaderWithChangedImages(t *testing.T, state config.StateLimits, machines int, now time.Time) *Leader {
+	t.Helper()
+	l := testLeader(t)
+	l.deps.Settings.Params.State = state
+	l.metadata = newMetadataQueue(state, config.DefaultOperator().Budgets)
+	l.openLog(l.wal.Head(), 0)
+	for i := range machines {
+		machine := addMachine(l, fmt.Sprintf("m-%06d", i), "east", now)
+		for k := range 6 {
+			machine.images.use(fmt.Sprintf("img-%02d-%06d", k, i), 5, true, 0)
+		}
+		l.metadataChanged(machine, now)
+	}
+	return l
+}
