--- a/internal/leader/gang_starvation_test.go
+++ b/internal/leader/gang_starvation_test.go
@@ -10,47 +10,53 @@
 	"thornnotch/internal/placement"
 )
 
-// TestLargestAreLiftedWhenLate: a class's largest gangs are lifted once too many
+// TestLargestAreLiftedWhenLate: a class's largest gangs are boosted once too many
 // of them begin late, and no longer when they begin in time again.
 func TestLargestAreLiftedWhenLate(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	n := 0
-	add := func(pieces int, began time.Duration) {
-		n++
-		spec := arraySpec(fmt.Sprint("j-", n), pieces)
+	waits := l.classes.gangWaits
+	submitted := 0
+	addGang := func(tasks int) *jobState {
+		submitted++
+		spec := arraySpec(fmt.Sprint("j-", submitted), tasks)
 		spec.Kind, spec.SameZone = jobs.KindGang, true
-		j := addJob(t, l, spec, now)
-		if began > 0 {
-			j.started = now.Add(began)
-			l.classes.gangWaits.observe(j, now.Add(began))
-		} else {
-			l.classes.gangWaits.observe(j, now.Add(constants.LargeGangLateAfter+time.Second)) // it still waits
-		}
+		return addJob(t, l, spec, now)
+	}
+	beginsAfter := func(tasks int, wait time.Duration) {
+		gang := addGang(tasks)
+		gang.started = now.Add(wait)
+		waits.observe(gang, gang.started)
+	}
+	waitsTooLong := func(tasks int) {
+		waits.observe(addGang(tasks), now.Add(constants.LargeGangLateAfter+time.Second))
 	}
-	add(8, 20*time.Second)
-	add(2, 0) // a small one that is late does not count
-	if len(l.classes.gangWaits.boostedClasses()) != 0 {
-		t.Fatalf("lifted although all is well: %v", l.classes.gangWaits.boostedClasses())
+
+	beginsAfter(8, 20*time.Second)
+	waitsTooLong(2) // a small one that is late does not count
+	if got := waits.boostedClasses(); len(got) != 0 {
+		t.Fatalf("boosted although all is well: %v", got)
 	}
-	add(8, 0)
-	if len(l.classes.gangWaits.boostedClasses()) != 0 {
-		t.Fatalf("one that is late is enough to lift them: %+v", l.classes.gangWaits["x"])
+	waitsTooLong(8)
+	if len(waits.boostedClasses()) != 0 {
+		t.Fatalf("one that is late is enough to boost them: %+v", waits["x"])
 	}
+
 	want := []placement.Boost{placement.BoostWithinPriority, placement.BoostAboveAll}
 	for i := 0; i < 10 && len(want) > 0; i++ {
-		add(8, 0)
-		if got := l.classes.gangWaits.boostedClasses()["x"]; got.Boost == want[0] && got.Size == 8 {
+		waitsTooLong(8)
+		if got := waits.boostedClasses()["x"]; got.Boost == want[0] && got.Size == 8 {
 			want = want[1:]
 		}
 	}
 	if len(want) != 0 {
-		t.Fatalf("late ones are not lifted: %+v", l.classes.gangWaits["x"])
+		t.Fatalf("late ones are not boosted: %+v", waits["x"])
 	}
+
 	for range 12 {
-		add(8, 30*time.Second)
+		beginsAfter(8, 30*time.Second)
 	}
-	if len(l.classes.gangWaits.boostedClasses()) != 0 {
-		t.Errorf("lifted for ever: %+v", l.classes.gangWaits["x"])
+	if len(waits.boostedClasses()) != 0 {
+		t.Errorf("boosted for ever: %+v", waits["x"])
 	}
 }
--- a/internal/leader/reservation_edges_test.go
+++ b/internal/leader/reservation_edges_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"encoding/json"
-	"fmt"
+	"slices"
 	"testing"
 	"time"
 
@@ -14,210 +14,242 @@
 	"thornnotch/internal/workers"
 )
 
-// edgeScene is a machine for four tasks with n of a job, which another one of another
-// team waits for, while a third, of the first one's owner and workload and as urgent,
-// waits for room.
-func edgeScene(t *testing.T, n int, now time.Time) (l *Leader, machine *machineState, down, other *jobState) {
+// edgeScene is a machine for four tasks that runs those of an upstream job. A downstream
+// job of another team depends on that one, while a third, of the upstream's team and class
+// and of the same priority, waits for room.
+type edgeScene struct {
+	leader                      *Leader
+	machine                     *machineState
+	upstream, downstream, other *jobState
+}
+
+// newEdgeScene makes the scene, each job with so many tasks.
+func newEdgeScene(t *testing.T, tasks int, now time.Time) edgeScene {
 	t.Helper()
-	l = testLeader(t)
+	l := testLeader(t)
 	l.certainty.Watched(now)
 	l.teams = append(l.teams, config.Team{Name: "b", GuaranteedGPUs: 0, MaxGPUs: 12})
-	l.teams[0].GuaranteedGPUs = 0 // nobody has a guarantee: it would go before any hold
-	machine = addMachine(l, "m-1", "east", now)
-	machine.agent.Endpoint = ""
-	addJob(t, l, arraySpec("j-1", n), now)
+	l.teams[0].GuaranteedGPUs = 0 // nobody has a guarantee: it would go before any reservation
+	s := edgeScene{leader: l, machine: addMachine(l, "m-1", "east", now)}
+	s.machine.agent.Endpoint = ""
+	s.upstream = addJob(t, l, arraySpec("j-1", tasks), now)
+	startAndReport(l, s.machine, now)
+	spec := arraySpec("j-2", tasks)
+	spec.Team, spec.DependsOn = "b", []string{"j-1"}
+	s.downstream = addJob(t, l, spec, now)
+	s.other = addJob(t, l, arraySpec("j-3", tasks), now)
+	return s
+}
+
+// startAndReport places what fits on a machine, and has it reported as running.
+func startAndReport(l *Leader, machine *machineState, now time.Time) {
 	l.runSchedulingPass(now)
 	commitAll(l, 100)
 	machine.agent.Commands(true, now)
 	l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusRunning, ""), false, now)
-	spec := arraySpec("j-2", n)
-	spec.Team, spec.DependsOn = "b", []string{"j-1"}
-	down = addJob(t, l, spec, now)
-	other = addJob(t, l, arraySpec("j-3", n), now)
-	return l, machine, down, other
 }
 
-// endAll has all tasks on the machine reported done.
-func endAll(l *Leader, machine *machineState, now time.Time) {
+// finishAll has all tasks on a machine reported done.
+func finishAll(l *Leader, machine *machineState, now time.Time) {
 	l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusExited, workers.CauseDone), false, now)
 }
 
-// TestEdgesAreThePipeline: where users name edges, what a finisher leaves is held for
-// the job that waits for it, whosever that is; others as urgent skip it until that job
-// may start, which then takes it up.
+// reserved counts all reservations.
+func (s edgeScene) reserved() int { return len(s.leader.reservations.All()) }
+
+// TestEdgesAreThePipeline: where users name dependencies, what a finished task leaves is
+// reserved for the job that waits for it, whosever that is; others of the same priority
+// skip it until that job may start, which then takes it up.
 func TestEdgesAreThePipeline(t *testing.T) {
 	now := time.Now()
-	l, machine, down, other := edgeScene(t, 4, now)
+	s := newEdgeScene(t, 4, now)
 	now = now.Add(10 * time.Second)
-	endAll(l, machine, now)
-	holds := l.reservations.OnMachine("m-1")
+	finishAll(s.leader, s.machine, now)
+	holds := s.leader.reservations.OnMachine("m-1")
 	if len(holds) != 4 {
-		t.Fatalf("%d holds, want 4", len(holds))
+		t.Fatalf("%d reservations, want 4", len(holds))
 	}
-	for _, h := range holds {
-		if h.Downstream != "j-2" || h.Pipeline != (placement.Pipeline{Team: "b", Class: "x", Downstream: "j-2"}) {
-			t.Errorf("held: %+v", h)
+	for _, hold := range holds {
+		if hold.Downstream != "j-2" || hold.Pipeline != (placement.Pipeline{Team: "b", Class: "x", Downstream: "j-2"}) {
+			t.Errorf("reserved: %+v", hold)
 		}
 	}
-	l.runSchedulingPass(now)
-	if len(other.attempts) != 0 || len(down.attempts) != 0 {
-		t.Fatalf("before the end is recorded %d tasks of the other and %d of the one that waits are placed", len(other.attempts), len(down.attempts))
+
+	s.leader.runSchedulingPass(now)
+	if len(s.other.attempts) != 0 || len(s.downstream.attempts) != 0 {
+		t.Fatalf("before the end is recorded %d tasks of the other and %d of the downstream are placed", len(s.other.attempts), len(s.downstream.attempts))
 	}
-	commitAll(l, 200)
-	l.runSchedulingPass(now)
-	if len(down.attempts) != 4 || len(other.attempts) != 0 || len(l.reservations.All()) != 0 {
-		t.Errorf("%d tasks of the one that waited, %d of the other, %d holds left", len(down.attempts), len(other.attempts), len(l.reservations.All()))
+
+	commitAll(s.leader, 200)
+	s.leader.runSchedulingPass(now)
+	if len(s.downstream.attempts) != 4 || len(s.other.attempts) != 0 || s.reserved() != 0 {
+		t.Errorf("%d tasks of the downstream, %d of the other, %d reservations left", len(s.downstream.attempts), len(s.other.attempts), s.reserved())
 	}
 }
 
 // TestEdgeHoldsAreTakenUp: also where there is room beside them; they are shown as
-// barred until the job that they are for may start.
+// blocked until the job that they are for may start.
 func TestEdgeHoldsAreTakenUp(t *testing.T) {
 	now := time.Now()
-	l, machine, down, _ := edgeScene(t, 1, now)
-	endAll(l, machine, now.Add(10*time.Second))
-	shown := func() (out []bool) {
-		w := l.snapshotForPlacement(now)
-		for _, h := range w.Machines[0].Reserved {
-			out = append(out, h.Blocked)
+	s := newEdgeScene(t, 1, now)
+	finishAll(s.leader, s.machine, now.Add(10*time.Second))
+	blocked := func() (blocked []bool) {
+		for _, slot := range s.leader.snapshotForPlacement(now).Machines[0].Reserved {
+			blocked = append(blocked, slot.Blocked)
 		}
-		return out
+		return blocked
 	}
-	if got := shown(); len(got) != 1 || !got[0] {
-		t.Errorf("shown while the job waits: barred %v", got)
+	if got := blocked(); !slices.Equal(got, []bool{true}) {
+		t.Errorf("shown while the job waits: blocked %v", got)
 	}
-	commitAll(l, 200)
-	if got := shown(); len(got) != 1 || got[0] {
-		t.Errorf("shown once it may start: barred %v", got)
+	commitAll(s.leader, 200)
+	if got := blocked(); !slices.Equal(got, []bool{false}) {
+		t.Errorf("shown once it may start: blocked %v", got)
 	}
-	l.runSchedulingPass(now)
-	if len(down.attempts) != 1 || len(l.reservations.All()) != 0 {
-		t.Errorf("%d tasks placed, %d holds left", len(down.attempts), len(l.reservations.All()))
+	s.leader.runSchedulingPass(now)
+	if len(s.downstream.attempts) != 1 || s.reserved() != 0 {
+		t.Errorf("%d tasks placed, %d reservations left", len(s.downstream.attempts), s.reserved())
 	}
 }
 
 // TestWaitedIsNobodysNext: a job that waited for others has its own pipeline, also once
-// it may start: nothing is held for it as its owner's next.
+// it may start: nothing is reserved for it as its team's next.
 func TestWaitedIsNobodysNext(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	up := addJob(t, l, arraySpec("j-1", 1), now)
-	addJob(t, l, arraySpec("j-2", 1), now)
+	first := addJob(t, l, arraySpec("j-1", 1), now)
+	upstream := addJob(t, l, arraySpec("j-2", 1), now)
 	spec := arraySpec("j-3", 1)
 	spec.DependsOn = []string{"j-2"}
 	waited := addJob(t, l, spec, now)
 	next := addJob(t, l, arraySpec("j-4", 1), now)
-	l.removeJob(l.jobs.get("j-2"), now)
+
+	l.removeJob(upstream, now)
 	l.upstreamEnded("j-2", jobs.FinalRecord{Status: jobs.StatusDone}, now)
 	if waited.upstreams.blocked() {
 		t.Fatal("it may not start")
 	}
-	if got := l.downstreams(up); len(got) != 1 || got[0].Job != next.spec.ID {
-		t.Errorf("held for %+v", got)
+	if got := l.downstreams(first); len(got) != 1 || got[0].Job != next.spec.ID {
+		t.Errorf("reserved for %+v", got)
 	}
 }
 
 // TestEdgeHoldsEnd: with the cancellation of the job that they are for, and, as any
-// hold, at the lapse that the upstream's first finisher set.
+// reservation, at the time that the upstream's first finished task set.
 func TestEdgeHoldsEnd(t *testing.T) {
 	start := time.Now()
-	for _, cancelled := range []bool{true, false} {
-		l, machine, _, other := edgeScene(t, 4, start)
-		now := start.Add(10 * time.Second)
-		endAll(l, machine, now)
-		if cancelled {
-			l.jobRecordDeleted("j-2", now)
-		} else {
-			o := l.deps.Operator.Holds
-			lapse := start.Add(reservations.Options{Alpha: o.Alpha, P: o.P}.Deadline(10*time.Second, 4))
-			l.reservations.Expire(lapse.Add(-time.Second), l.hasWaitingTasks)
-			if len(l.reservations.All()) != 4 {
-				t.Errorf("lapsed early")
-			}
-			now = lapse.Add(time.Second)
+	finished := start.Add(10 * time.Second)
+	checkOtherStarts := func(t *testing.T, s edgeScene, now time.Time) {
+		t.Helper()
+		for _, name := range s.leader.reservations.Expire(now, s.leader.hasWaitingTasks) {
+			s.leader.metadataChanged(s.leader.fleet.get(name), now)
 		}
-		for _, name := range l.reservations.Expire(now, l.hasWaitingTasks) {
-			l.metadataChanged(l.fleet.get(name), now)
-		}
-		machine.agent.LastHeartbeat, machine.agent.LastAcknowledged = now, now
-		l.certainty.Watched(now)
-		l.runSchedulingPass(now)
-		if len(l.reservations.All()) != 0 || len(other.attempts) != 4 {
-			t.Errorf("cancelled %v: %d holds stand, %d tasks of the other are placed", cancelled, len(l.reservations.All()), len(other.attempts))
+		s.machine.agent.LastHeartbeat, s.machine.agent.LastAcknowledged = now, now
+		s.leader.certainty.Watched(now)
+		s.leader.runSchedulingPass(now)
+		if s.reserved() != 0 || len(s.other.attempts) != 4 {
+			t.Errorf("%d reservations stand, %d tasks of the other are placed", s.reserved(), len(s.other.attempts))
 		}
 	}
+	t.Run("cancelled", func(t *testing.T) {
+		s := newEdgeScene(t, 4, start)
+		finishAll(s.leader, s.machine, finished)
+		s.leader.jobRecordDeleted("j-2", finished)
+		checkOtherStarts(t, s, finished)
+	})
+	t.Run("expired", func(t *testing.T) {
+		s := newEdgeScene(t, 4, start)
+		finishAll(s.leader, s.machine, finished)
+		settings := s.leader.deps.Operator.Holds
+		expiry := start.Add(reservations.Options{Alpha: settings.Alpha, P: settings.P}.Deadline(10*time.Second, 4))
+		s.leader.reservations.Expire(expiry.Add(-time.Second), s.leader.hasWaitingTasks)
+		if s.reserved() != 4 {
+			t.Errorf("expired early")
+		}
+		checkOtherStarts(t, s, expiry.Add(time.Second))
+	})
 }
 
-// TestEdgeHoldsOutliveTheLeader: what the next leader reads of a hold along an edge is
-// still for the job that waits, not for its owner's next.
+// TestEdgeHoldsOutliveTheLeader: what the next leader reads of a reservation along an edge
+// is still for the job that waits, not for its team's next.
 func TestEdgeHoldsOutliveTheLeader(t *testing.T) {
 	now := time.Now()
-	l, machine, _, _ := edgeScene(t, 4, now)
-	endAll(l, machine, now.Add(10*time.Second))
-	raw, err := json.Marshal(l.machineRecord(machine))
+	s := newEdgeScene(t, 4, now)
+	finishAll(s.leader, s.machine, now.Add(10*time.Second))
+	raw, err := json.Marshal(s.leader.machineRecord(s.machine))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var rec wal.Machine
-	if err := json.Unmarshal(raw, &rec); err != nil {
+	var record wal.Machine
+	if err := json.Unmarshal(raw, &record); err != nil {
 		t.Fatal(err)
 	}
 	next := testLeader(t)
-	if err := next.restoreMachine("m-1", &rec, now); err != nil {
+	if err := next.restoreMachine("m-1", &record, now); err != nil {
 		t.Fatal(err)
 	}
-	if got, want := fmt.Sprint(next.reservations.OnMachine("m-1")), 4; len(next.reservations.OnMachine("m-1")) != want {
-		t.Fatalf("%s", got)
+	restored, original := next.reservations.OnMachine("m-1"), s.leader.reservations.OnMachine("m-1")
+	if len(restored) != 4 {
+		t.Fatalf("%v", restored)
 	}
-	for i, h := range next.reservations.OnMachine("m-1") {
-		was := l.reservations.OnMachine("m-1")[i]
-		if h.Pipeline != was.Pipeline || h.Downstream != was.Downstream || h.Priority != was.Priority || h.Resources != was.Resources {
-			t.Errorf("read as %+v, was %+v", h, was)
+	for i, got := range restored {
+		want := original[i]
+		if got.Pipeline != want.Pipeline || got.Downstream != want.Downstream || got.Priority != want.Priority || got.Resources != want.Resources {
+			t.Errorf("read as %+v, was %+v", got, want)
 		}
 	}
 }
 
 // TestSeveralDownstreams: of the jobs that wait for one, the one of highest priority
-// is held for first, an inherited one included, then the one that must start soonest;
-// what waits for room before a held-for job may use its holds.
+// has its room reserved first, an inherited one included, then the one that must start
+// soonest; what waits for room upstream of a job may use its reservations.
 func TestSeveralDownstreams(t *testing.T) {
 	now := time.Now()
-	l, _, first, _ := edgeScene(t, 4, now)
-	up := l.jobs.get("j-1")
-	named := func(id, urgency string, due float64, waits ...string) *jobState {
+	s := newEdgeScene(t, 4, now)
+	l := s.leader
+	addDependent := func(id, priorityClass string, dueS float64, upstreams ...string) *jobState {
 		spec := arraySpec(id, 2)
-		spec.PriorityClass, spec.DependsOn = urgency, waits
-		if due > 0 {
-			spec.DueS = &due
+		spec.PriorityClass, spec.DependsOn = priorityClass, upstreams
+		if dueS > 0 {
+			spec.DueS = &dueS
 		}
 		return addJob(t, l, spec, now)
 	}
-	named("j-4", "standard", 500, "j-1")
+	late := addDependent("j-4", "standard", 500, "j-1")
 	side := addJob(t, l, arraySpec("j-5", 1), now)
-	named("j-6", "standard", 90, "j-1", "j-5")
-	named("j-7", "idle", 0, "j-1")
-	last := named("j-8", "urgent", 0, "j-7")
-	want := []string{"j-7", "j-6", "j-4", "j-2"}
+	soon := addDependent("j-6", "standard", 90, "j-1", "j-5")
+	urgent := addDependent("j-7", "idle", 0, "j-1") // by what depends on it
+	last := addDependent("j-8", "urgent", 0, "j-7")
+
 	var got []string
-	for _, d := range l.downstreams(up) {
-		got = append(got, d.Job)
+	for _, downstream := range l.downstreams(s.upstream) {
+		got = append(got, downstream.Job)
 	}
-	if fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Errorf("held for %v, want %v", got, want)
+	if want := []string{"j-7", "j-6", "j-4", "j-2"}; !slices.Equal(got, want) {
+		t.Errorf("reserved for %v, want %v", got, want)
 	}
-	endAll(l, l.fleet.get("m-1"), now.Add(5*time.Second)) // two for j-7, two for j-6
-	if l.snapshotForPlacement(now); !side.view.Owns(l.jobs.get("j-6").view.EdgePipeline()) || side.view.Owns(l.jobs.get("j-4").view.EdgePipeline()) || last.view.Owns(l.jobs.get("j-7").view.EdgePipeline()) {
-		t.Errorf("who may use the holds: one before %v, another %v, one after %v", side.view.ReservedDownstreams, first.view.ReservedDownstreams, last.view.ReservedDownstreams)
+
+	finishAll(l, s.machine, now.Add(5*time.Second)) // two for j-7, two for j-6
+	l.snapshotForPlacement(now)
+	if !side.view.Owns(soon.view.EdgePipeline()) {
+		t.Errorf("an upstream may not use the reservations: %v", side.view.ReservedDownstreams)
+	}
+	if side.view.Owns(late.view.EdgePipeline()) {
+		t.Errorf("a job that is no upstream may use the reservations: %v", side.view.ReservedDownstreams)
+	}
+	if last.view.Owns(urgent.view.EdgePipeline()) {
+		t.Errorf("a downstream may use the reservations: %v", last.view.ReservedDownstreams)
 	}
-	// A job that waited and has nothing after it ends its pipeline: nothing is held for
-	// its owner's next.
+
+	// A job that waited and has nothing after it ends its pipeline: nothing is reserved
+	// for its team's next.
 	if next := l.downstreams(last); len(next) != 0 {
-		t.Errorf("held for %v after the last of a chain", next)
+		t.Errorf("reserved for %v after the last of a chain", next)
 	}
 }
 
-// TestHoldsInSubmissionOrderAreAChoice: without them what a finisher leaves where no
-// edges are named is held for nobody, and what users name with waitsOn is held as before.
+// TestHoldsInSubmissionOrderAreAChoice: without them what a finished task leaves where no
+// dependencies are named is reserved for nobody, and along named ones it is as before.
 func TestHoldsInSubmissionOrderAreAChoice(t *testing.T) {
 	for _, inOrder := range []bool{true, false} {
 		now := time.Now()
@@ -226,21 +258,18 @@
 		l.teams[0].MaxGPUs = 4 // the next one has to wait
 		machine := addMachine(l, "m-1", "east", now)
 		addJob(t, l, arraySpec("j-1", 4), now)
-		l.runSchedulingPass(now)
-		commitAll(l, 100)
-		machine.agent.Commands(true, now)
-		l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusRunning, ""), false, now)
+		startAndReport(l, machine, now)
 		addJob(t, l, arraySpec("j-2", 4), now)
-		endAll(l, machine, now.Add(10*time.Second))
+		finishAll(l, machine, now.Add(10*time.Second))
 		if got, want := len(l.reservations.All()), map[bool]int{true: 4}[inOrder]; got != want {
-			t.Errorf("in submission order %v: %d holds, want %d", inOrder, got, want)
+			t.Errorf("in submission order %v: %d reservations, want %d", inOrder, got, want)
 		}
-		now = time.Now()
-		edged, machine, _, _ := edgeScene(t, 4, now)
-		edged.deps.Operator.Holds.SubmissionOrder = inOrder
-		endAll(edged, machine, now.Add(10*time.Second))
-		if got := len(edged.reservations.All()); got != 4 {
-			t.Errorf("in submission order %v: %d holds along edges", inOrder, got)
+
+		s := newEdgeScene(t, 4, now)
+		s.leader.deps.Operator.Holds.SubmissionOrder = inOrder
+		finishAll(s.leader, s.machine, now.Add(10*time.Second))
+		if got := s.reserved(); got != 4 {
+			t.Errorf("in submission order %v: %d reservations along edges", inOrder, got)
 		}
 	}
 }
--- /dev/null
+++ b/internal/leader/start_targets_test.go
@@ -0,0 +1,39 @@
+package leader
+
+import (
+	"fmt"
+	"testing"
+
+	"thornnotch/internal/config"
+)
+
+// TestTargets: whatever kind of service-level objective a class has, the latest starts
+// that meet it.
+func TestTargets(t *testing.T) {
+	share, factor, due := 0.9, 1.5, 100.0
+	l := testLeader(t)
+	l.deps.Settings.Params.SLOs = []config.SLO{
+		{Kind: config.SLODeadline, Class: "deadline", Share: &share, DueTimeFactor: &factor},
+		{Kind: config.SLODeadline, Class: "deadline", Share: &share},
+		{Kind: config.SLOWait, Class: "wait", WithinS: 30, Share: &share},
+		{Kind: config.SLOCompletion, Class: "wait", WithinS: 250, Share: &share},
+		{Kind: "novel", Class: "novel", WithinS: 1},
+	}
+	for _, c := range []struct {
+		class string
+		dueS  *float64
+		want  string
+	}{
+		{"deadline", &due, "[1m5s 1m55s]"}, // 5 s for the image, 30 s to run
+		{"deadline", nil, "[]"},
+		{"wait", &due, "[25s 3m35s]"},
+		{"novel", &due, "[1m5s]"}, // nothing known: the due time itself
+		{"novel", nil, "[]"},
+	} {
+		spec := arraySpec("j-1", 1)
+		spec.Class, spec.DueS = c.class, c.dueS
+		if got := fmt.Sprint(l.startTargets(&spec, 0)); got != c.want {
+			t.Errorf("%s, due %v: %s, want %s", c.class, c.dueS != nil, got, c.want)
+		}
+	}
+}
