--- a/internal/constants/leadership.go
+++ b/internal/constants/leadership.go
@@ -21,6 +21,9 @@
 
 // The leader's event loop.
 const (
+	// EventQueueSize is how many events may wait for the loop before those that hand them over
+	// wait too, so that they rarely do while a scheduling pass runs.
+	EventQueueSize = 256
 	// TickInterval is the period of the tick that drives timeouts, lease expiry and scaling.
 	TickInterval = 250 * time.Millisecond
 	// StallAfter is how long the event loop, which wakes with every tick, must have stood
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -7,6 +7,7 @@
 
 	"thornnotch/internal/autoscaling"
 	"thornnotch/internal/config"
+	"thornnotch/internal/constants"
 	"thornnotch/internal/election"
 	"thornnotch/internal/leader/certainty"
 	"thornnotch/internal/leader/wal"
@@ -19,23 +20,23 @@
 type Store interface {
 	Get(ctx context.Context, class statestore.Class, key string) (statestore.KeyValue, bool, error)
 	List(ctx context.Context, class statestore.Class, prefix string) ([]statestore.KeyValue, uint64, error)
-	Txn(ctx context.Context, class statestore.Class, when []statestore.Condition, writes []statestore.Write) (uint64, error)
+	Txn(ctx context.Context, class statestore.Class, conditions []statestore.Condition, writes []statestore.Write) (uint64, error)
 	Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (uint64, []statestore.Change, error)
 }
 
 // Cloud is what the leader needs of the cloud.
 type Cloud interface {
-	Rent(ctx context.Context, r autoscaling.RentRequest) ([]string, error)
+	Rent(ctx context.Context, request autoscaling.RentRequest) (names []string, err error)
 	Return(ctx context.Context, names []string) error
-	List(ctx context.Context, from string) (hosts []autoscaling.Instance, next string, err error)
+	List(ctx context.Context, from string) (instances []autoscaling.Instance, next string, err error)
 }
 
-// Workers sends orders straight to a worker; the answer is its report.
+// Workers sends commands straight to a worker; the answer is a heartbeat.
 type Workers interface {
-	Send(ctx context.Context, endpoint string, a workers.CommandBatch) (*workers.Heartbeat, error)
+	Send(ctx context.Context, endpoint string, batch workers.CommandBatch) (*workers.Heartbeat, error)
 }
 
-// Deps are the parts of a leader.
+// Deps are what a leader is given.
 type Deps struct {
 	Settings *config.Settings
 	Operator config.Operator
@@ -44,8 +45,8 @@
 	Workers  Workers
 	// Catalog gives the newest catalog, or nil while none is known.
 	Catalog func() *autoscaling.Catalog
-	// Attest asks all nodes for the cancellations that they know of; nil: the
-	// watch alone counts.
+	// Attest asks all nodes which cancellations they have told users of; nil: the watch
+	// alone counts.
 	Attest AttestFunc
 	// ReadsLargeRing asks whether all nodes read the log's large ring; nil: they don't.
 	ReadsLargeRing func(ctx context.Context) bool
@@ -54,59 +55,78 @@
 	Log   *slog.Logger
 }
 
-// Leader is one term's scheduling state. All fields below calls belong to the
-// routine that runs it.
+// Leader is one term's scheduling state: its components, and what carries events to them.
+// All but what is marked otherwise belongs to the goroutine that runs the loop.
 type Leader struct {
-	deps      Deps
-	lease     time.Duration
-	events    chan event
-	done      chan struct{}
-	calls     outboundCalls
+	deps Deps
+	// lease is how long a worker goes on without an acknowledged heartbeat.
+	lease time.Duration
+	teams []config.Team
+
+	// events go to the loop. Any goroutine may send; done is closed once the term is over
+	// and nobody takes them any more.
+	events chan event
+	done   chan struct{}
+	// published is what any goroutine may read.
+	published publishedState
+
+	// The term and its records.
 	term      term
 	certainty certainty.Tracker
+	calls     outboundCalls
 	wal       *wal.Writer
 	commits   groupCommit
+	failover  failover
+	metadata  metadataQueue
 
-	failover     failover
-	published    publishedState
+	// Jobs, and what is decided about them.
 	jobs         jobTable
-	fleet        fleet
+	dependencies dependencyTracker
+	classes      classStats
 	teamUsage    teamUsage
-	replies      heldReplies
-	metadata     metadataQueue
-	counts       WorkCounts
-	load         loadLog
-	teams        []config.Team
 	reservations *reservations.Manager
-	commands     commandDispatcher
 	passes       passTimer
-	lastSummary  time.Time
-	scaling      scalingState
-	// dependencies is what the jobs that wait for others wait for.
-	dependencies dependencyTracker
-	classes      classStats
+
+	// Machines, and what they are told.
+	fleet    fleet
+	replies  heldReplies
+	commands commandDispatcher
+	scaling  scalingState
+
+	// What operators see.
+	counts      WorkCounts
+	load        loadLog
+	lastSummary time.Time // when the scheduling summary was logged
 }
 
 // New makes a leader for the granted term. Run must be called next.
-func New(d Deps, g election.Grant) *Leader {
-	w := d.Settings.Params.Workers
+func New(deps Deps, grant election.Grant) *Leader {
+	params, operator := deps.Settings.Params, deps.Operator
 	l := &Leader{
-		deps: d, term: newTerm(g), certainty: certainty.NewTracker(certainty.Window(w)), lease: config.Seconds(w.LeaseS),
-		events: make(chan event, 256), done: make(chan struct{}),
-		jobs: newJobTable(), fleet: newFleet(), teams: d.Settings.Params.Teams,
-		reservations: reservations.NewManager(reservations.Options{
-			Enabled: d.Operator.Holds.Enabled, Alpha: d.Operator.Holds.Alpha,
-			P: d.Operator.Holds.P, Threshold: d.Operator.Holds.Threshold,
-		}),
+		deps:      deps,
+		lease:     config.Seconds(params.Workers.LeaseS),
+		teams:     params.Teams,
+		events:    make(chan event, constants.EventQueueSize),
+		done:      make(chan struct{}),
+		term:      newTerm(grant),
+		certainty: certainty.NewTracker(certainty.Window(params.Workers)),
+		metadata:  newMetadataQueue(params.State, operator.Budgets),
+		jobs:      newJobTable(),
+
 		dependencies: newDependencyTracker(),
 		classes:      newClassStats(),
 		teamUsage:    make(teamUsage),
-		replies:      newHeldReplies(),
-		load:         loadLog{usage: d.Usage},
-		metadata:     newMetadataQueue(d.Settings.Params.State, d.Operator.Budgets),
+		reservations: reservations.NewManager(reservations.Options{
+			Enabled: operator.Holds.Enabled, Alpha: operator.Holds.Alpha,
+			P: operator.Holds.P, Threshold: operator.Holds.Threshold,
+		}),
+
+		fleet:   newFleet(),
+		replies: newHeldReplies(),
+		scaling: newScalingState(),
+		load:    loadLog{usage: deps.Usage},
 	}
-	l.commits = newGroupCommit(d.Log, l.beginCheckpoint)
+	l.commits = newGroupCommit(deps.Log, l.beginCheckpoint)
 	l.openLog(wal.Head{}, 0)
-	l.scaling = newScalingState()
 	return l
 }
--- a/internal/leader/legacy_test.go
+++ b/internal/leader/legacy_test.go
@@ -13,17 +13,27 @@
 func TestOldRecordsAreRead(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	j := addJob(t, l, arraySpec("j-1", 20), now)
+	job := addJob(t, l, arraySpec("j-1", 20), now)
 	machines := []statestore.KeyValue{{Key: "rig/m-1", Revision: 5, Value: json.RawMessage(
 		`{"t":"g4","z":"east","e":"h:1","h":2,"a":[{"p":"j-1/3","t":9,"h":2},{"p":"j-0/0","t":8,"h":2}],"j":{"j-0":{"w":"a","r":[1,2,3]},"j-1":{"w":"a","r":[1,1,1]}},"i":[{"n":"img","g":5}]}`)}}
-	dids := []statestore.KeyValue{{Key: "did/j-1/0", Revision: 6, Value: json.RawMessage(`"BQAA"`)}, {Key: "did/j-1/x", Revision: 7, Value: json.RawMessage(`7`)}}
-	if err := l.restoreLegacy(legacyRecords{machines: machines, done: dids}, now); err != nil {
+	done := []statestore.KeyValue{
+		{Key: "did/j-1/0", Revision: 6, Value: json.RawMessage(`"BQAA"`)}, // tasks 0 and 2
+		{Key: "did/j-1/x", Revision: 7, Value: json.RawMessage(`7`)},      // not of this kind
+	}
+	if err := l.restoreLegacy(legacyRecords{machines: machines, done: done}, now); err != nil {
 		t.Fatal(err)
 	}
 	machine := l.fleet.get("m-1")
-	if len(j.attempts[3]) != 1 || j.progress.completed() != 2 || !j.progress.isRecorded(2) || machine.agent.Zone != "east" || len(machine.images) != 1 || l.jobs.ended["j-0"].resources.GPUs != 2 {
-		t.Errorf("not all was read: seats %v, %d done, %+v", j.attempts, j.progress.completed(), machine.agent)
+	if len(job.attempts[3]) != 1 || l.jobs.ended["j-0"].resources.GPUs != 2 {
+		t.Errorf("attempts of open and ended jobs: %v, %+v", job.attempts, l.jobs.ended["j-0"])
+	}
+	if job.progress.completed() != 2 || !job.progress.isRecorded(2) {
+		t.Errorf("%d tasks done, task 2 recorded: %v", job.progress.completed(), job.progress.isRecorded(2))
 	}
+	if machine.agent.Zone != "east" || len(machine.images) != 1 {
+		t.Errorf("machine in %q with images %v", machine.agent.Zone, machine.images)
+	}
+
 	machine.agent.Endpoint = ""
 	l.beginCheckpoint()
 	commitEverything(l, 100)
