--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -27,6 +27,12 @@
 // step notes what the failover does now.
 func (f *failover) step(format string, args ...any) { f.progress = fmt.Sprintf(format, args...) }
 
+// progressText is how far the failover has come, for operators; empty once it is over.
+func (f *failover) progressText() string { return f.progress }
+
+// over tells whether there is none, or it is over.
+func (f *failover) over() bool { return f.progress == "" }
+
 // heard notes how many of all machines have reported. The failover is over once all have,
 // or those that have not must have lost their leases. It reports whether it is over by
 // this, and how long it took.
@@ -42,7 +48,7 @@
 
 // trackFailover follows which of the machines that the records name have reported.
 func (l *Leader) trackFailover(now time.Time) {
-	if l.failover.progress == "" {
+	if l.failover.over() {
 		return
 	}
 	heard, all := 0, l.fleet.len()
@@ -59,5 +65,5 @@
 // failoverStep notes and publishes what the failover does now.
 func (l *Leader) failoverStep(format string, args ...any) {
 	l.failover.step(format, args...)
-	l.published.update(l.failover.progress, l.fleet.len())
+	l.publish()
 }
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -131,6 +131,6 @@
 // work is what the loop has done so far.
 func (l *Leader) work() WorkCounts {
 	work := l.counts
-	work.MetadataBytes = l.metadata.bytes
+	work.MetadataBytes = l.metadata.recordedBytes()
 	return work
 }
--- a/internal/leader/metadata.go
+++ b/internal/leader/metadata.go
@@ -20,8 +20,7 @@
 	due map[*machineState]time.Time
 	// budget is in bytes.
 	budget *rate.Limiter
-	// bytes is a running sum of what was recorded.
-	bytes uint64
+	bytes  uint64 // recorded so far
 }
 
 // newMetadataQueue makes the queue of a term within the state service's limits, also those
@@ -44,6 +43,9 @@
 	}
 }
 
+// recordedBytes is a running sum of what was recorded.
+func (q *metadataQueue) recordedBytes() uint64 { return q.bytes }
+
 // remove takes a machine out that is no more.
 func (q *metadataQueue) remove(machine *machineState) { delete(q.due, machine) }
 
--- a/internal/leader/requests.go
+++ b/internal/leader/requests.go
@@ -34,6 +34,9 @@
 	return publishedSnapshot{}
 }
 
+// publish has other goroutines see the present state.
+func (l *Leader) publish() { l.published.update(l.failover.progressText(), l.fleet.len()) }
+
 // FailoverProgress tells how far the failover has come; empty once it is over.
 func (l *Leader) FailoverProgress() string { return l.published.load().failover }
 
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -10,7 +10,7 @@
 func (l *Leader) tick(now time.Time) {
 	l.classes.fade(constants.TickInterval)
 	l.trackFailover(now)
-	l.published.update(l.failover.progress, l.fleet.len())
+	l.publish()
 	l.superviseMachines(now)
 	l.expireReservations(now)
 	l.logDueMetadata(now)
