--- a/internal/leader/gang_starvation_test.go
+++ b/internal/leader/gang_starvation_test.go
@@ -60,3 +60,33 @@
 		t.Errorf("boosted for ever: %+v", waits["x"])
 	}
 }
+
+// TestOnlyTheLargestGangsCount: however many smaller ones begin late, nobody is boosted,
+// and a larger size starts the count anew.
+func TestOnlyTheLargestGangsCount(t *testing.T) {
+	now := time.Now()
+	waits := make(gangWaits)
+	waitsTooLong := func(tasks int) {
+		spec := arraySpec("j-1", tasks)
+		spec.Kind = jobs.KindGang
+		waits.addJob(&spec)
+		waits.observe(newJobState(&spec, 1, now, now), now.Add(constants.LargeGangLateAfter+time.Second))
+	}
+	waitsTooLong(8)
+	for range 20 {
+		waitsTooLong(7)
+	}
+	if got := waits.boostedClasses(); len(got) != 0 {
+		t.Errorf("boosted for smaller gangs: %v", got)
+	}
+	for range 20 {
+		waitsTooLong(8)
+	}
+	if got := waits.boostedClasses(); len(got) != 1 {
+		t.Errorf("not boosted: %+v", waits["x"])
+	}
+	waitsTooLong(9)
+	if got := waits.boostedClasses(); len(got) != 0 {
+		t.Errorf("boosted for one late gang of a new size: %v", got)
+	}
+}
--- a/internal/leader/image_cache_test.go
+++ b/internal/leader/image_cache_test.go
@@ -21,17 +21,7 @@
 			fetched := rapid.Bool().Draw(rt, "fetched")
 			cache.use(name, gb, fetched, capacity)
 			wanted = modelUse(wanted, cachedImage{name, gb, fetched}, capacity)
-			if len(cache) != len(wanted) {
-				rt.Fatalf("%v, want in reverse %v", cache, wanted)
-			}
-			for i, image := range cache {
-				if want := wanted[len(wanted)-1-i]; image != want {
-					rt.Fatalf("image %d is %v, want %v", i, image, want)
-				}
-				if cache.has(image.name) != image.fetched {
-					rt.Fatalf("has %v: %v", image, cache.has(image.name))
-				}
-			}
+			checkImages(rt, cache, wanted)
 		}
 		cache.dropFetches()
 		for _, image := range cache {
@@ -42,6 +32,22 @@
 	})
 }
 
+// checkImages compares a cache with its model, which is newest first.
+func checkImages(rt *rapid.T, cache, wanted imageCache) {
+	rt.Helper()
+	if len(cache) != len(wanted) {
+		rt.Fatalf("%v, want in reverse %v", cache, wanted)
+	}
+	for i, image := range cache {
+		if want := wanted[len(wanted)-1-i]; image != want {
+			rt.Fatalf("image %d is %v, want %v", i, image, want)
+		}
+		if cache.has(image.name) != image.fetched {
+			rt.Fatalf("has %v: %v", image, cache.has(image.name))
+		}
+	}
+}
+
 // modelUse is what a cache holds after a use, newest first.
 func modelUse(images imageCache, used cachedImage, capacityGB float64) imageCache {
 	var others imageCache
--- a/internal/leader/scheduling_log.go
+++ b/internal/leader/scheduling_log.go
@@ -1,7 +1,6 @@
 package leader
 
 import (
-	"context"
 	"fmt"
 	"log/slog"
 	"math"
@@ -13,28 +12,41 @@
 
 // logSummary logs once in a while what the machines do and what waits.
 func (l *Leader) logSummary(snapshot *placement.Snapshot, now time.Time) {
-	if now.Sub(l.lastSummary) < constants.SummaryLogInterval || !l.deps.Log.Enabled(context.Background(), slog.LevelDebug) {
+	if now.Sub(l.lastSummary) < constants.SummaryLogInterval {
 		return
 	}
 	l.lastSummary = now
-	machines := summarizeMachines(snapshot.Machines)
+	l.deps.Log.Debug("summary", "machines", l.fleet.len(), "booting", len(l.scaling.booting), "pass", passSummary{snapshot})
+}
+
+// passSummary is a snapshot for the log. It is summed up only if the line is written.
+type passSummary struct{ snapshot *placement.Snapshot }
+
+// LogValue implements slog.LogValuer.
+func (s passSummary) LogValue() slog.Value {
+	machines := summarizeMachines(s.snapshot.Machines)
 	waiting, boosted := make(map[string]int), 0
-	for _, job := range snapshot.Jobs {
+	for _, job := range s.snapshot.Jobs {
 		waiting[job.Spec.Class] += len(job.WaitingTasks)
 		if job.Boost != placement.NoBoost {
 			boosted++
 		}
 	}
 	// The part of its limit that each team uses, reservations included.
-	limits := make(map[string]float64)
-	for name, team := range snapshot.Teams {
-		limits[name] = roundToHundredth(team.Used.DominantShare(team.Limit))
+	limitShares := make(map[string]float64)
+	for name, team := range s.snapshot.Teams {
+		limitShares[name] = roundToHundredth(team.Used.DominantShare(team.Limit))
 	}
-	l.deps.Log.Debug("summary",
-		"schedulable", machines.schedulable, "used", roundToHundredth(machines.used), "stopping", roundToHundredth(machines.stopping),
-		"reserved", roundToHundredth(machines.reserved), "empty", machines.empty,
-		"waiting_tasks", fmt.Sprint(waiting), "boosted_jobs", boosted, "team_limit_shares", fmt.Sprint(limits),
-		"booting", len(l.scaling.booting), "machines", l.fleet.len())
+	return slog.GroupValue(
+		slog.Int("schedulable", machines.schedulable),
+		slog.Int("empty", machines.empty),
+		slog.Float64("used", roundToHundredth(machines.used)),
+		slog.Float64("stopping", roundToHundredth(machines.stopping)),
+		slog.Float64("reserved", roundToHundredth(machines.reserved)),
+		slog.String("waiting_tasks", fmt.Sprint(waiting)),
+		slog.Int("boosted_jobs", boosted),
+		slog.String("team_limit_shares", fmt.Sprint(limitShares)),
+	)
 }
 
 // machineSummary is what the schedulable machines do.
--- /dev/null
+++ b/internal/leader/scheduling_log_test.go
@@ -0,0 +1,47 @@
+package leader
+
+import (
+	"bytes"
+	"log/slog"
+	"strings"
+	"testing"
+	"time"
+
+	"thornnotch/internal/constants"
+)
+
+// TestSummaryLog: once in a while, in whole machines, what runs, what waits and what the
+// teams use of their limits.
+func TestSummaryLog(t *testing.T) {
+	now := time.Now()
+	l := testLeader(t)
+	var log bytes.Buffer
+	l.deps.Log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug}))
+	machine := addMachine(l, "m-1", "east", now)
+	addJob(t, l, arraySpec("j-1", 2), now)
+	startAndReport(l, machine, now)
+	now = now.Add(constants.SummaryLogInterval)
+	machine.agent.LastHeartbeat = now
+	addJob(t, l, arraySpec("j-2", 5), now)
+	log.Reset()
+
+	l.runSchedulingPass(now)
+	l.runSchedulingPass(now.Add(time.Millisecond))
+	var summaries []string
+	for line := range strings.Lines(log.String()) {
+		if strings.Contains(line, "msg=summary ") {
+			summaries = append(summaries, line)
+		}
+	}
+	if len(summaries) != 1 {
+		t.Fatalf("%d summaries: %s", len(summaries), &log)
+	}
+	for _, want := range []string{
+		" machines=1 ", " pass.schedulable=1 ", " pass.empty=0 ", " pass.used=0.5 ", // as the pass began
+		` pass.waiting_tasks=map[x:5] `, ` pass.boosted_jobs=0 `, " pass.team_limit_shares=map[a:0.25]", // with the two tasks that it placed
+	} {
+		if !strings.Contains(summaries[0], want) {
+			t.Errorf("no %q in %s", want, summaries[0])
+		}
+	}
+}
