--- a/internal/userapi/records.go
+++ b/internal/userapi/records.go
@@ -81,8 +81,9 @@
 }
 
 // rememberFinal remembers a job's final state. It must come before any answer that tells a
-// user of it: the leader may be asked to act only on cancellations that this process attests
-// to, and so it attests to all that it has told (docs/design.md, Safety 8).
+// user of it: a leader that the state service does not answer goes by the cancellations that
+// the nodes attest to, so a process must attest to each before it tells of it
+// (docs/design.md, "The gap").
 func (s *Server) rememberFinal(id string, final jobs.FinalRecord) {
 	if final.Status == jobs.StatusCancelled {
 		s.cancelled.Add(id, time.Now())
