--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -29,6 +29,7 @@
 // fleet.
 func BenchmarkPass(b *testing.B) {
 	perFleetSize(b, func(b *testing.B, machines int) {
+		b.Helper()
 		l, fleet := largeFleet(b, machines)
 		now := time.Now()
 		b.ResetTimer()
@@ -44,6 +45,7 @@
 // BenchmarkCrowdedPass is a placement pass where most of what waits finds no room.
 func BenchmarkCrowdedPass(b *testing.B) {
 	perFleetSize(b, func(b *testing.B, machines int) {
+		b.Helper()
 		l, fleet := overloadedFleet(b, machines)
 		now := time.Now()
 		waiting := 0
@@ -71,6 +73,7 @@
 // end on some machines, the record, and starts in their place.
 func BenchmarkChurn(b *testing.B) {
 	perFleetSize(b, func(b *testing.B, machines int) {
+		b.Helper()
 		l, fleet := largeFleet(b, machines)
 		revision := uint64(1000)
 		b.ResetTimer()
@@ -122,6 +125,7 @@
 // nothing.
 func BenchmarkReport(b *testing.B) {
 	perFleetSize(b, func(b *testing.B, machines int) {
+		b.Helper()
 		l, fleet := largeFleet(b, machines)
 		now := time.Now()
 		reply := make(chan Reply, 1)
@@ -142,6 +146,7 @@
 // the dealings with the cloud.
 func BenchmarkTick(b *testing.B) {
 	perFleetSize(b, func(b *testing.B, machines int) {
+		b.Helper()
 		l, _ := largeFleet(b, machines)
 		l.deps.Cloud = &cloudCalls{}
 		now := time.Now()
@@ -161,6 +166,7 @@
 // and what follows once it stands.
 func BenchmarkCommit(b *testing.B) {
 	perFleetSize(b, func(b *testing.B, machines int) {
+		b.Helper()
 		l, fleet := largeFleet(b, machines)
 		revision := commitAll(l, 1000)
 		before := l.wal.Stats().EntryBytes
@@ -199,6 +205,7 @@
 // BenchmarkCheckpoint writes the whole state of a large site anew.
 func BenchmarkCheckpoint(b *testing.B) {
 	perFleetSize(b, func(b *testing.B, machines int) {
+		b.Helper()
 		l, _ := largeFleet(b, machines)
 		rows := make(map[string]wal.KeyValue)
 		b.ResetTimer()
@@ -213,6 +220,7 @@
 // BenchmarkReplay reads it back at a failover, with what came on top.
 func BenchmarkReplay(b *testing.B) {
 	perFleetSize(b, func(b *testing.B, machines int) {
+		b.Helper()
 		l, fleet := largeFleet(b, machines)
 		rows := make(map[string]wal.KeyValue)
 		writeCheckpoint(l, rows)
--- a/internal/leader/certainty/certainty_test.go
+++ b/internal/leader/certainty/certainty_test.go
@@ -10,39 +10,53 @@
 	"thornnotch/internal/constants"
 )
 
+// proofModel is what a tracker must know after some proofs.
+type proofModel struct {
+	window          time.Duration
+	latest, watched time.Time // questions that were answered at all, and by the watch
+}
+
 // TestProofsOnlyAdd: whatever proofs come in, in whatever order, certainty reaches up to the
 // latest question that any answered, and the watch's own up to the last one that it answered.
 func TestProofsOnlyAdd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const window = 20 * time.Second
-		start := time.Unix(1000, 0)
-		now, tracker := start, NewTracker(window)
-		var latest, watched time.Time
+		now := time.Unix(1000, 0)
+		model := proofModel{window: 20 * time.Second}
+		tracker := NewTracker(model.window)
 		for range rapid.IntRange(1, 30).Draw(t, "proofs") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 15000).Draw(t, "pause")) * time.Millisecond)
 			asked := now.Add(-time.Duration(rapid.IntRange(0, 5000).Draw(t, "late")) * time.Millisecond)
-			held := tracker.Holds(now)
 			if rapid.Bool().Draw(t, "attested") {
-				if restored := tracker.Attested(asked, now); restored != (!held && asked.After(latest)) {
-					t.Fatalf("restored %v: held %v, asked %v after the last proof", restored, held, asked.Sub(latest))
+				want := !tracker.Holds(now) && asked.After(model.latest)
+				if restored := tracker.Attested(asked, now); restored != want {
+					t.Fatalf("restored %v, want %v", restored, want)
 				}
 			} else {
 				tracker.Watched(asked)
-				watched = asked
-			}
-			if asked.After(latest) {
-				latest = asked
+				model.watched = asked
 			}
-			if !tracker.WatchedUntil().Equal(watched) || tracker.SinceProof(now) != now.Sub(latest) {
-				t.Fatalf("watched until %v, want %v; proof %v ago, want %v", tracker.WatchedUntil(), watched, tracker.SinceProof(now), now.Sub(latest))
-			}
-			if tracker.Holds(now) != (now.Sub(latest) <= window) {
-				t.Fatalf("holds: %v, %v after the last proof", tracker.Holds(now), now.Sub(latest))
+			if asked.After(model.latest) {
+				model.latest = asked
 			}
+			model.check(t, &tracker, now)
 		}
 	})
 }
 
+func (m proofModel) check(t *rapid.T, tracker *Tracker, now time.Time) {
+	t.Helper()
+	if got := tracker.WatchedUntil(); !got.Equal(m.watched) {
+		t.Fatalf("watched until %v, want %v", got, m.watched)
+	}
+	since := now.Sub(m.latest)
+	if got := tracker.SinceProof(now); got != since {
+		t.Fatalf("last proof %v ago, want %v", got, since)
+	}
+	if got := tracker.Holds(now); got != (since <= m.window) {
+		t.Fatalf("holds: %v, %v after the last proof", got, since)
+	}
+}
+
 // TestWithoutProofNothingHolds: a leader that has read nothing acknowledges nobody.
 func TestWithoutProofNothingHolds(t *testing.T) {
 	tracker := NewTracker(20 * time.Second)
