--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -12,86 +12,114 @@
 	"thornnotch/internal/autoscaling"
 )
 
-// Boot starts a machine's worker once it is up; the worker ends with ctx.
-type BootWorker func(ctx context.Context, h autoscaling.Instance)
+// Statuses of machines in the cloud's list (protocol).
+const (
+	statusStarting = "starting"
+	statusRunning  = "running"
+	statusFailed   = "failed"
+)
+
+const (
+	// maxRentCount is the largest number of machines in one request (protocol).
+	maxRentCount = 50
+	// failureListedAfter is how long a machine that died stays listed as running (protocol).
+	failureListedAfter = 30 * time.Second
+	// firstWorkerPort is the port of the first machine's worker; the others follow.
+	firstWorkerPort = 21000
+)
+
+// BootWorker starts a machine's worker once it is up, and returns when ctx has ended and
+// nothing of the worker runs any more.
+type BootWorker func(ctx context.Context, instance autoscaling.Instance)
 
-// Cloud is a cloud that boots machines after their catalog time.
+// Cloud is a cloud that boots machines in their catalog time.
 type Cloud struct {
-	ctx     context.Context
+	ctx     context.Context //nolint:containedctx // machines outlive the request that rents them, and end with the cloud
 	catalog autoscaling.Catalog
 	boot    BootWorker
-	mu      sync.Mutex
-	next    int
-	hosts   map[string]*host
-	hires   map[string][]string
-	room    int
-	down    bool
+	room    int // machines that it has, rented or not
+
+	mu       sync.Mutex // guards all below
+	next     int        // number of the next machine
+	machines map[string]*rentedMachine
+	rented   map[string][]string // names by rent request, for repeated ones
+	outage   bool
 }
 
-type host struct {
+type rentedMachine struct {
 	autoscaling.Instance
-	since time.Time
-	stop  context.CancelFunc
-	end   chan struct{} // closed once nothing of it runs
+	rentedAt time.Time
+	stop     context.CancelFunc
+	ended    chan struct{} // closed once nothing of it runs
 }
 
-// NewCloud makes a cloud with room for so many machines.
+// NewCloud makes a cloud with room for so many machines. They end with ctx.
 func NewCloud(ctx context.Context, catalog autoscaling.Catalog, room int, boot BootWorker) *Cloud {
-	return &Cloud{ctx: ctx, catalog: catalog, boot: boot, room: room, hosts: make(map[string]*host), hires: make(map[string][]string)}
+	return &Cloud{
+		ctx: ctx, catalog: catalog, boot: boot, room: room,
+		machines: make(map[string]*rentedMachine), rented: make(map[string][]string),
+	}
 }
 
-// SetDown begins or ends an outage.
-func (c *Cloud) SetOutage(down bool) {
+// SetOutage begins or ends an outage.
+func (c *Cloud) SetOutage(outage bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.down = down
+	c.outage = outage
 }
 
-// Hosts counts the machines rented now.
+// RentedCount counts the machines rented now.
 func (c *Cloud) RentedCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.hosts)
+	return len(c.machines)
 }
 
-// Has tells whether a machine is rented.
+// IsRented tells whether a machine is rented.
 func (c *Cloud) IsRented(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.hosts[name] != nil
+	return c.machines[name] != nil
 }
 
-// Die ends a machine with all that is on it. It is listed as running for a
-// while yet, and then as failed.
+// Fail ends a machine with all that is on it. It is listed as running for a while yet, and
+// then as failed.
 func (c *Cloud) Fail(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	h := c.hosts[name]
-	if h == nil {
+	machine := c.machines[name]
+	if machine == nil {
 		return
 	}
-	h.stop()
+	machine.stop()
 	go func() {
-		<-h.end
-		t := time.NewTimer(30 * time.Second)
-		defer t.Stop()
+		<-machine.ended
+		timer := time.NewTimer(failureListedAfter)
+		defer timer.Stop()
 		select {
-		case <-t.C:
-			c.mu.Lock()
-			h.Status = "failed"
-			c.mu.Unlock()
+		case <-timer.C:
+			c.setStatus(machine, statusFailed)
 		case <-c.ctx.Done():
 		}
 	}()
 }
 
-// Fill has so many machines up from the start, in the catalog's zones by turns.
-func (c *Cloud) AddRunning(n int) {
+// setStatus changes a machine's status in the list, and returns the machine as listed.
+func (c *Cloud) setStatus(machine *rentedMachine, status string) autoscaling.Instance {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	machine.Status = status
+	return machine.Instance
+}
+
+// AddRunning adds so many machines that are up at once, in the catalog's zones by turns;
+// every third is a spot machine.
+func (c *Cloud) AddRunning(count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	typ := c.catalog.MachineTypes[0]
-	for i := range n {
-		c.add(typ, typ.Zones[i%len(typ.Zones)], i%3 == 0, 0)
+	machineType := c.catalog.MachineTypes[0]
+	for i := range count {
+		c.add(machineType, machineType.Zones[i%len(machineType.Zones)], i%3 == 0, 0)
 	}
 }
 
@@ -99,8 +127,8 @@
 func (c *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.down {
-		reply(w, http.StatusServiceUnavailable, fields{"error": "trouble"})
+	if c.outage {
+		refuse(w, http.StatusServiceUnavailable, errorOutage)
 		return
 	}
 	switch r.Method + " " + r.URL.Path {
@@ -109,93 +137,102 @@
 	case "POST /hosts":
 		c.rent(w, r)
 	case "POST /hosts/return":
-		var in struct {
-			Machines []string `json:"rigs"`
-		}
-		if json.NewDecoder(r.Body).Decode(&in) != nil {
-			reply(w, http.StatusBadRequest, fields{"error": "malformed"})
-			return
-		}
-		var ends []chan struct{}
-		for _, n := range in.Machines {
-			if h := c.hosts[n]; h != nil {
-				h.stop()
-				ends = append(ends, h.end)
-				delete(c.hosts, n)
-			}
-		}
-		// The answer means that they and all on them are gone.
-		c.mu.Unlock()
-		for _, end := range ends {
-			<-end
-		}
-		c.mu.Lock()
-		reply(w, http.StatusOK, fields{})
+		c.takeBack(w, r)
 	case "GET /hosts":
-		machines := []autoscaling.Instance{}
-		for _, h := range c.hosts {
-			h.AgeS = time.Since(h.since).Seconds()
-			machines = append(machines, h.Instance)
-		}
-		sort.Slice(machines, func(i, j int) bool { return machines[i].Name < machines[j].Name })
-		reply(w, http.StatusOK, fields{"rigs": machines, "hasNext": false})
+		c.list(w)
 	default:
 		http.NotFound(w, r)
 	}
 }
 
 func (c *Cloud) rent(w http.ResponseWriter, r *http.Request) {
-	var in autoscaling.RentRequest
-	if json.NewDecoder(r.Body).Decode(&in) != nil || in.ID == "" || in.Count < 1 || in.Count > 50 {
-		reply(w, http.StatusBadRequest, fields{"error": "malformed"})
+	var request autoscaling.RentRequest
+	if json.NewDecoder(r.Body).Decode(&request) != nil || request.ID == "" || request.Count < 1 || request.Count > maxRentCount {
+		refuse(w, http.StatusBadRequest, "malformed")
 		return
 	}
-	typ, ok := c.catalog.Type(in.MachineType)
+	machineType, ok := c.catalog.Type(request.MachineType)
 	if !ok {
-		reply(w, http.StatusBadRequest, fields{"error": "rigType"})
+		refuse(w, http.StatusBadRequest, "rigType")
 		return
 	}
-	if names, ok := c.hires[in.ID]; ok {
-		reply(w, http.StatusOK, fields{"rigs": names})
+	if names, ok := c.rented[request.ID]; ok {
+		reply(w, http.StatusOK, namesMessage{names})
 		return
 	}
-	n := min(in.Count, c.room-len(c.hosts))
-	if n <= 0 {
-		reply(w, http.StatusServiceUnavailable, fields{"error": "no capacity"})
+	count := min(request.Count, c.room-len(c.machines))
+	if count <= 0 {
+		refuse(w, http.StatusServiceUnavailable, "no capacity")
 		return
 	}
+	bootTime := time.Duration(machineType.BootS * float64(time.Second))
 	var names []string
-	for range n {
-		names = append(names, c.add(typ, in.Zone, in.Spot, time.Duration(typ.BootS*float64(time.Second))))
+	for range count {
+		names = append(names, c.add(machineType, request.Zone, request.Spot, bootTime)) //nolint:contextcheck // the machine outlives the request
+	}
+	c.rented[request.ID] = names
+	reply(w, http.StatusOK, namesMessage{names})
+}
+
+// takeBack ends machines. The answer means that they and all that was on them are gone.
+func (c *Cloud) takeBack(w http.ResponseWriter, r *http.Request) {
+	var request namesMessage
+	if json.NewDecoder(r.Body).Decode(&request) != nil {
+		refuse(w, http.StatusBadRequest, "malformed")
+		return
+	}
+	var ending []*rentedMachine
+	for _, name := range request.Machines {
+		if machine := c.machines[name]; machine != nil {
+			machine.stop()
+			ending = append(ending, machine)
+			delete(c.machines, name)
+		}
+	}
+	c.mu.Unlock()
+	for _, machine := range ending {
+		<-machine.ended
+	}
+	c.mu.Lock()
+	reply(w, http.StatusOK, emptyReply{})
+}
+
+func (c *Cloud) list(w http.ResponseWriter) {
+	page := machinesReply{Machines: []autoscaling.Instance{}}
+	for _, machine := range c.machines {
+		machine.AgeS = time.Since(machine.rentedAt).Seconds()
+		page.Machines = append(page.Machines, machine.Instance)
 	}
-	c.hires[in.ID] = names
-	reply(w, http.StatusOK, fields{"rigs": names})
+	sort.Slice(page.Machines, func(i, j int) bool { return page.Machines[i].Name < page.Machines[j].Name })
+	reply(w, http.StatusOK, page)
 }
 
-// add makes a machine that is up after a while.
-func (c *Cloud) add(typ autoscaling.MachineType, hall string, spot bool, boots time.Duration) string {
-	name := fmt.Sprintf("m-%06d", c.next)
+// add makes a machine that is up after its boot time, and returns its name; c.mu is held.
+func (c *Cloud) add(machineType autoscaling.MachineType, zone string, spot bool, bootTime time.Duration) string {
 	ctx, stop := context.WithCancel(c.ctx)
-	h := &host{Instance: autoscaling.Instance{
-		Name: name, Endpoint: fmt.Sprintf("127.0.0.1:%d", 21000+c.next), MachineType: typ.Name,
-		Zone: hall, Spot: spot, Status: "starting",
-	}, since: time.Now(), stop: stop, end: make(chan struct{})}
+	machine := &rentedMachine{
+		Instance: autoscaling.Instance{
+			Name: fmt.Sprintf("m-%06d", c.next), Endpoint: fmt.Sprintf("127.0.0.1:%d", firstWorkerPort+c.next),
+			MachineType: machineType.Name, Zone: zone, Spot: spot, Status: statusStarting,
+		},
+		rentedAt: time.Now(), stop: stop, ended: make(chan struct{}),
+	}
 	c.next++
-	c.hosts[name] = h
+	c.machines[machine.Name] = machine
 	go func() {
-		defer close(h.end)
-		t := time.NewTimer(boots)
-		defer t.Stop()
-		select {
-		case <-ctx.Done():
-			return
-		case <-t.C:
-		}
-		c.mu.Lock()
-		h.Status = "running"
-		info := h.Instance
-		c.mu.Unlock()
-		c.boot(ctx, info)
+		defer close(machine.ended)
+		c.run(ctx, machine, bootTime)
 	}()
-	return name
+	return machine.Name
+}
+
+// run boots a machine and runs its worker until ctx ends.
+func (c *Cloud) run(ctx context.Context, machine *rentedMachine, bootTime time.Duration) {
+	timer := time.NewTimer(bootTime)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+	case <-timer.C:
+		c.boot(ctx, c.setStatus(machine, statusRunning))
+	}
 }
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -8,286 +8,202 @@
 	"time"
 )
 
-// Network connects hosts within one process over pipes, so that a test's fake
-// time governs everything. Hosts are named by the address they listen on.
+// Network connects hosts within one process over pipes, so that a test's fake time governs
+// everything. Hosts are named by the address they listen on.
 type Network struct {
-	mu        sync.Mutex
+	mu        sync.Mutex // guards listeners; taken before a host's lock
 	listeners map[string]*listener
 }
 
 // NewNetwork makes an empty network.
 func NewNetwork() *Network { return &Network{listeners: make(map[string]*listener)} }
 
-// Host is one host's end of the network. Closing it ends everything it has
-// open, as when a process is killed.
+// Host is one host's end of the network. Killing it ends everything it has open, as when a
+// process is killed.
 type Host struct {
-	net   *Network
-	name  string
-	mu    sync.Mutex
-	conns map[net.Conn]string // by the address dialled; empty for accepted ones
-	lists []*listener
-	cut   map[string]bool
-	dead  bool
-	limit int           // most connections open at once; 0: any number
-	most  int           // the most that were open
-	still chan struct{} // closed when the host goes on; nil while it does
+	network *Network
+	name    string
+
+	mu        sync.Mutex       // guards all below
+	conns     map[*conn]string // by the address dialled; empty for accepted ones
+	listeners []*listener
+	cut       map[string]bool // addresses that it can't reach
+	killed    bool
+	connLimit int           // most connections open at once; 0: any number
+	mostConns int           // the most that were open
+	frozen    chan struct{} // closed when the host goes on; nil while it does
 	// delay draws how long a packet that the host sends is on its way.
 	delay func() time.Duration
 }
 
 // Host adds a host. Those that it calls see its name as the caller's address.
 func (n *Network) Host(name string) *Host {
-	return &Host{net: n, name: name, conns: make(map[net.Conn]string), cut: make(map[string]bool)}
+	return &Host{network: n, name: name, conns: make(map[*conn]string), cut: make(map[string]bool)}
 }
 
 var errRefused = errors.New("connection refused")
 
-type listener struct {
-	host  *Host
-	addr  string
-	queue chan net.Conn
-	done  chan struct{}
-	once  sync.Once
-}
-
-type address string
-
-func (address) Network() string  { return "tcp" }
-func (a address) String() string { return string(a) }
-
-func (l *listener) Accept() (net.Conn, error) {
-	select {
-	case c := <-l.queue:
-		return c, nil
-	case <-l.done:
-		return nil, net.ErrClosed
-	}
-}
-
-func (l *listener) Close() error {
-	l.once.Do(func() {
-		close(l.done)
-		l.host.net.mu.Lock()
-		defer l.host.net.mu.Unlock()
-		if l.host.net.listeners[l.addr] == l {
-			delete(l.host.net.listeners, l.addr)
-		}
-	})
-	return nil
-}
-
-func (l *listener) Addr() net.Addr { return address(l.addr) }
-
 // Listen opens a listener.
 func (h *Host) Listen(_, addr string) (net.Listener, error) {
-	l := &listener{host: h, addr: addr, queue: make(chan net.Conn), done: make(chan struct{})}
-	h.net.mu.Lock()
-	defer h.net.mu.Unlock()
-	if h.net.listeners[addr] != nil {
+	l := &listener{host: h, addr: addr, queue: make(chan net.Conn), closed: make(chan struct{})}
+	h.network.mu.Lock()
+	defer h.network.mu.Unlock()
+	if h.network.listeners[addr] != nil {
 		return nil, errors.New("address in use")
 	}
-	h.net.listeners[addr] = l
+	h.network.listeners[addr] = l
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.lists = append(h.lists, l)
+	h.listeners = append(h.listeners, l)
 	return l, nil
 }
 
 // DialContext connects to a listener.
 func (h *Host) DialContext(ctx context.Context, _, addr string) (net.Conn, error) {
-	h.net.mu.Lock()
-	l := h.net.listeners[addr]
-	h.net.mu.Unlock()
-	h.mu.Lock()
-	cut := h.cut[addr]
-	h.mu.Unlock()
-	if l == nil || cut {
+	h.network.mu.Lock()
+	l := h.network.listeners[addr]
+	h.network.mu.Unlock()
+	if l == nil || h.isCut(addr) {
 		return nil, errRefused
 	}
-	a, b := net.Pipe()
-	a, b = &end{Conn: a, host: h, peer: l.host.name, sender: l.host}, &end{Conn: b, host: l.host, peer: h.name, accepted: true}
-	if !h.keep(a, addr) || !l.host.keep(b, "") {
-		a.Close()
-		b.Close()
-		return nil, errRefused
-	}
-	select {
-	case l.queue <- b:
-		return a, nil
-	case <-l.done:
-	case <-ctx.Done():
+	dialled, accepted := h.pipeTo(l)
+	if h.keep(dialled, addr) && l.host.keep(accepted, "") {
+		select {
+		case l.queue <- accepted:
+			return dialled, nil
+		case <-l.closed:
+		case <-ctx.Done():
+		}
 	}
-	a.Close()
-	b.Close()
+	dialled.discard()
+	accepted.discard()
 	return nil, errRefused
 }
 
-func (h *Host) keep(c net.Conn, addr string) bool {
+// pipeTo makes both ends of a connection to a listener.
+func (h *Host) pipeTo(l *listener) (dialled, accepted *conn) {
+	near, far := net.Pipe()
+	return &conn{Conn: near, host: h, peer: l.host.name, sender: l.host},
+		&conn{Conn: far, host: l.host, peer: h.name, accepted: true}
+}
+
+func (h *Host) isCut(addr string) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.cut[addr]
+}
+
+// keep counts a connection as open, unless the host may have no more.
+func (h *Host) keep(c *conn, addr string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.dead || h.limit > 0 && len(h.conns) >= h.limit {
+	if h.killed || h.connLimit > 0 && len(h.conns) >= h.connLimit {
 		return false
 	}
 	h.conns[c] = addr
-	h.most = max(h.most, len(h.conns))
+	h.mostConns = max(h.mostConns, len(h.conns))
 	return true
 }
 
-// Limit bounds the connections that the host may have open.
-func (h *Host) LimitConns(n int) {
+// LimitConns bounds the connections that the host may have open.
+func (h *Host) LimitConns(most int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.limit = n
+	h.connLimit = most
 }
 
-// Most is the greatest number of connections that were open at once.
+// MaxOpenConns is the greatest number of connections that were open at once.
 func (h *Host) MaxOpenConns() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.most
+	return h.mostConns
 }
 
-// Freeze keeps all that the host sends and receives until it goes on, as when
-// its process stands still while its clocks run.
-func (h *Host) Freeze() (goOn func()) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	still := make(chan struct{})
-	h.still = still
-	return func() {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		if h.still == still {
-			h.still = nil
-			close(still)
-		}
-	}
+// listener accepts connections to one address.
+type listener struct {
+	host   *Host
+	addr   string
+	queue  chan net.Conn
+	closed chan struct{}
+	once   sync.Once // closes closed
 }
 
-// stand waits while the host stands still.
-func (h *Host) stand() {
-	h.mu.Lock()
-	still := h.still
-	h.mu.Unlock()
-	if still != nil {
-		<-still
+// Accept waits for a connection.
+func (l *listener) Accept() (net.Conn, error) {
+	select {
+	case c := <-l.queue:
+		return c, nil
+	case <-l.closed:
+		return nil, net.ErrClosed
 	}
 }
 
-// end is one host's end of a connection.
-type end struct {
+// Close frees the address.
+func (l *listener) Close() error {
+	l.once.Do(func() {
+		close(l.closed)
+		l.host.network.mu.Lock()
+		defer l.host.network.mu.Unlock()
+		if l.host.network.listeners[l.addr] == l {
+			delete(l.host.network.listeners, l.addr)
+		}
+	})
+	return nil
+}
+
+// Addr is the address that it listens on.
+func (l *listener) Addr() net.Addr { return address(l.addr) }
+
+type address string
+
+func (address) Network() string  { return "tcp" }
+func (a address) String() string { return string(a) }
+
+// conn is one host's end of a connection.
+type conn struct {
 	net.Conn
 	host *Host
 	peer string
-	// sender is whose packets come late here: what a listener's host sends is waited for
-	// where it is read. net/rpc writes its answers under a lock, and whoever waits for
-	// that while its holder sleeps keeps a bubble's time from going on, for ever.
+	// sender is whose packets arrive late here: what a listener's host sends is waited for
+	// where it is read. net/rpc writes its answers under a lock, and whoever waits for that
+	// while its holder sleeps keeps a synctest bubble's time from going on, for ever.
 	sender *Host
 	// accepted is set on the listener's end.
 	accepted bool
 }
 
 // RemoteAddr names the host at the other end.
-func (e *end) RemoteAddr() net.Addr { return address(e.peer) }
+func (c *conn) RemoteAddr() net.Addr { return address(c.peer) }
 
 // Read reads what has come in.
-func (e *end) Read(b []byte) (int, error) {
-	n, err := e.Conn.Read(b)
-	if e.sender != nil {
-		e.sender.wait()
+func (c *conn) Read(buffer []byte) (int, error) {
+	n, err := c.Conn.Read(buffer)
+	if c.sender != nil {
+		c.sender.waitForPacket()
 	}
-	e.host.stand()
+	c.host.waitWhileFrozen()
 	return n, err
 }
 
 // Write sends.
-func (e *end) Write(b []byte) (int, error) {
-	e.host.stand()
-	if !e.accepted {
-		e.host.wait()
+func (c *conn) Write(data []byte) (int, error) {
+	c.host.waitWhileFrozen()
+	if !c.accepted {
+		c.host.waitForPacket()
 	}
-	return e.Conn.Write(b)
-}
-
-// wait takes as long as a packet of the host does.
-func (h *Host) wait() {
-	h.mu.Lock()
-	delay := h.delay
-	h.mu.Unlock()
-	if delay != nil {
-		time.Sleep(delay())
-	}
-}
-
-// Delay has each packet that the host sends take as long as is drawn; nil: no
-// time at all.
-func (h *Host) DelayPackets(draw func() time.Duration) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.delay = draw
+	return c.Conn.Write(data)
 }
 
 // Close ends the connection.
-func (e *end) Close() error {
-	e.host.mu.Lock()
-	delete(e.host.conns, e)
-	e.host.mu.Unlock()
-	return e.Conn.Close()
-}
-
-// Cut resets the host's connections to these addresses and refuses new ones.
-func (h *Host) Cut(addrs ...string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, a := range addrs {
-		h.cut[a] = true
-	}
-	for c, addr := range h.conns {
-		if h.cut[addr] {
-			c.(*end).Conn.Close()
-			delete(h.conns, c)
-		}
-	}
-}
-
-// Heal ends all cuts.
-func (h *Host) Heal() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.cut = make(map[string]bool)
-}
-
-// Side is one side of a partition: hosts, and the addresses that they listen on.
-type Side struct {
-	Hosts []*Host
-	Addrs []string
+func (c *conn) Close() error {
+	c.host.mu.Lock()
+	delete(c.host.conns, c)
+	c.host.mu.Unlock()
+	return c.Conn.Close()
 }
 
-// Part cuts two sides off from each other, in both directions, as when two zones
-// can't reach each other; both reach everybody else as before.
-func Partition(a, b Side) {
-	for _, h := range a.Hosts {
-		h.Cut(b.Addrs...)
-	}
-	for _, h := range b.Hosts {
-		h.Cut(a.Addrs...)
-	}
-}
+// discard ends a connection that nobody uses any more.
+func (c *conn) discard() { _ = c.Close() } // closing a pipe can't fail
 
-// Kill ends all that the host has open.
-func (h *Host) Kill() {
-	h.mu.Lock()
-	h.dead = true
-	lists := h.lists
-	for c := range h.conns {
-		c.(*end).Conn.Close()
-	}
-	if h.still != nil {
-		close(h.still)
-		h.still = nil
-	}
-	h.mu.Unlock()
-	for _, l := range lists {
-		l.Close()
-	}
-}
+// reset ends the connection and leaves it to the caller to forget it.
+func (c *conn) reset() { _ = c.Conn.Close() } // closing a pipe can't fail
--- a/internal/workers/wire.go
+++ b/internal/workers/wire.go
@@ -31,7 +31,7 @@
 // ExitCause is why a task exited.
 type ExitCause string
 
-// Causes of an exit that the leader tells apart; workers report others as well.
+// Causes of an exit.
 const (
 	CauseDone           ExitCause = "done"
 	CauseError          ExitCause = "error"
@@ -40,6 +40,7 @@
 	CauseGangLost       ExitCause = "mates_gone" // another task of the running gang is gone
 	CauseFull           ExitCause = "full"       // start refused: the machine has no room
 	CauseInUse          ExitCause = "in_use"     // start refused: the task is there with another attempt
+	CauseUnknownJob     ExitCause = "unknown"    // start refused: no such job
 )
 
 // Verb is what a command tells a worker to do with a task.
