--- a/internal/leader/doc.go
+++ b/internal/leader/doc.go
@@ -17,6 +17,9 @@
 //   - failover, recovery.go, legacy.go: taking over from an earlier term
 //   - metadataQueue: holds and images, recorded within a budget
 //   - jobTable, dependencyTracker: accepted jobs, and what they wait for
+//   - classStats: how the jobs of each class come and fare
+//   - passTimer, teamUsage, placement_snapshot.go, plan_execution.go: when a scheduling pass
+//     runs, what it is shown, and carrying out its plan
 //   - fleet, leader/health: machines, and which of them are to be avoided
 //   - scalingState: dealings with the cloud
 //   - loadLog and status: what operators see
--- a/internal/leader/job_admission.go
+++ b/internal/leader/job_admission.go
@@ -18,11 +18,11 @@
 	}
 	var record jobs.Record
 	err := json.Unmarshal(value, &record)
-	if err != nil || record.Spec.ID != id || record.Spec.Tasks < 1 || record.Spec.Tasks > constants.MaxTasks {
+	spec := record.Spec
+	if err != nil || spec.ID != id || spec.Tasks < 1 || spec.Tasks > constants.MaxTasks {
 		l.deps.Log.Error("unreadable job", "key", key, "error", err)
 		return
 	}
-	spec := record.Spec
 	job := newJobState(&spec, revision, submittedAt(&record, now), now)
 	job.view.Targets = l.startTargets(&spec, 0)
 	l.jobs.add(job)
@@ -48,9 +48,9 @@
 
 // noteArrival counts a job that may start among those that came lately.
 func (l *Leader) noteArrival(job *jobState, now time.Time) {
-	if submitted := job.view.Submitted; now.Sub(submitted) <= constants.ArrivalRateWindow {
-		l.scaling.recentArrivals = append(l.scaling.recentArrivals, arrival{submitted, demandOf(job, job.spec.Tasks), l.reservesWholeMachines(job.spec)})
-	}
+	l.scaling.recentArrivals.add(arrival{
+		at: job.view.Submitted, demand: demandOf(job, job.spec.Tasks), reservesMachines: l.reservesWholeMachines(job.spec),
+	}, now)
 }
 
 // jobRecordDeleted is called when a job's record has left the open ones: this leader
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -17,20 +17,13 @@
 	zones      unreachableZones
 	// demand remembers what was wanted lately, so that a short lull gives nothing back.
 	demand *autoscaling.DemandWindow
-	// recentArrivals are the jobs that came lately, oldest first.
-	recentArrivals []arrival
+	// recentArrivals are the jobs that came lately.
+	recentArrivals recentArrivals
 	// rentRequests counts the requests to rent, for their IDs.
 	rentRequests uint64
 	reviewedAt   time.Time
 }
 
-// arrival is a job that came a short while ago.
-type arrival struct {
-	at     time.Time
-	demand autoscaling.Demand
-	whole  bool // a gang that whole ordinary machines are kept for
-}
-
 func newScalingState() scalingState {
 	return scalingState{
 		booting:    make(bootingMachines),
@@ -44,9 +37,7 @@
 // forget drops what is too old to count.
 func (s *scalingState) forget(now time.Time) {
 	s.terminated.forget(now)
-	for len(s.recentArrivals) > 0 && now.Sub(s.recentArrivals[0].at) > constants.ArrivalRateWindow {
-		s.recentArrivals = s.recentArrivals[1:]
-	}
+	s.recentArrivals.forget(now)
 }
 
 // reviewDue tells whether the fleet should be looked over again, and notes that it is.
