--- a/internal/constants/leadership.go
+++ b/internal/constants/leadership.go
@@ -14,6 +14,9 @@
 	// empty one, renews the leader's proof that it knows all cancellations, so the time
 	// must be short compared with the setting cancel_s; one request a second is cheap.
 	WatchBlock = 1000 * time.Millisecond
+	// ElectionWatchBlock is how long one watch request of a node that does not lead waits
+	// for a change of the election. Nothing rests on its answers coming often.
+	ElectionWatchBlock = 10 * time.Second
 	// ClockDrift is the largest relative difference assumed between two steady clocks
 	// (ratio). The protocol allows 0.05 % on each side; the value leaves a safety margin.
 	ClockDrift = 0.002
