--- a/internal/leader/wal/checkpoint_test.go
+++ b/internal/leader/wal/checkpoint_test.go
@@ -46,11 +46,8 @@
 			writer.BeginCheckpoint(fleet.machines, nil, fleet.leader, func() { checkpoints++ })
 		}
 		before := writer.Head().Next
-		txn := commitNext(t, fleet.store, writer, jobWrites)
+		commitNext(t, fleet.store, writer, jobWrites) // checks the limits
 
-		if len(txn.Writes) > limits.TxnOps {
-			t.Fatalf("%d writes in a transaction", len(txn.Writes))
-		}
 		if full := constants.LogRingSize - constants.LogSlack - limits.TxnOps; writer.Backlog() > full {
 			t.Fatal("the ring is full")
 		}
--- a/internal/leader/wal/pending.go
+++ b/internal/leader/wal/pending.go
@@ -14,7 +14,8 @@
 	// done are completed tasks by job ID.
 	done      map[string][]int
 	doneOrder []string
-	// onDone are called once all completions stand that wait now.
+	// onDone are called once all completions stand that wait, as lists may be split over
+	// several entries.
 	onDone []func()
 }
 
@@ -102,7 +103,7 @@
 }
 
 // TasksDone records completed tasks of a job, by number, or AllTasks. committed is called
-// once they stand, at the latest when all completions do that wait now; it may be nil.
+// once they stand, and all other completions that wait with them; it may be nil.
 func (w *Writer) TasksDone(jobID string, tasks []int, committed func()) {
 	p := &w.pending
 	if p.done[jobID] == nil {
--- a/internal/leader/wal/ring_test.go
+++ b/internal/leader/wal/ring_test.go
@@ -45,6 +45,34 @@
 	}
 }
 
+// TestFullRingTakesNoEntry: without a checkpoint entries are written until the ring is full
+// but for its slack, and none after that; once a checkpoint stands they go on.
+func TestFullRingTakesNoEntry(t *testing.T) {
+	fleet := newLoadedFleet(Limits{ValueBytes: 2048, TxnOps: 8}, 20, 10)
+	writer := fleet.writer
+	const full = constants.LogRingSize - constants.LogSlack
+	for writer.Backlog() < full {
+		before := writer.Backlog()
+		fleet.placeAttempts(200)
+		commitNext(t, fleet.store, writer, nil)
+		if backlog := writer.Backlog(); backlog <= before || backlog > full {
+			t.Fatalf("%d entries are to be read, %d were before", backlog, before)
+		}
+	}
+	if txn := writer.Next(nil); txn != nil {
+		t.Fatalf("a full ring takes %d writes", len(txn.Writes))
+	}
+
+	writer.BeginCheckpoint(fleet.machines, nil, fleet.leader, nil)
+	for writer.Checkpointing() {
+		commitNext(t, fleet.store, writer, nil)
+	}
+	commitNext(t, fleet.store, writer, nil)
+	if backlog := writer.Backlog(); backlog == 0 || backlog >= full {
+		t.Errorf("%d entries are to be read after the checkpoint", backlog)
+	}
+}
+
 // TestLargeRing: a checkpoint too large for the ring that all versions read has entries
 // go to the large one, once that is allowed. The checkpoint then is written less often
 // than entries; a version that reads the first ring alone finds an entry missing and
--- a/internal/leader/wal/store_test.go
+++ b/internal/leader/wal/store_test.go
@@ -70,13 +70,22 @@
 	return rows
 }
 
-// commitNext sends the writer's next transaction, which must be carried out.
+// commitNext sends the writer's next transaction, which must keep to the limits and be
+// carried out.
 func commitNext(t *testing.T, store *fakeStore, writer *Writer, jobWrites []JobWrite) *Txn {
 	t.Helper()
 	txn := writer.Next(jobWrites)
 	if txn == nil {
 		t.Fatal("nothing is written any more")
 	}
+	if len(txn.Writes) > writer.limits.TxnOps {
+		t.Fatalf("%d writes in a transaction", len(txn.Writes))
+	}
+	for _, write := range txn.Writes {
+		if len(write.Value) > writer.limits.ValueBytes {
+			t.Fatalf("%s has %d bytes", write.Put, len(write.Value))
+		}
+	}
 	if failed := store.run(txn.Conditions, txn.Writes); failed != nil {
 		t.Fatalf("conditions on %v failed", failed)
 	}
