--- a/internal/leader/attestations.go
+++ b/internal/leader/attestations.go
@@ -28,7 +28,7 @@
 			continue
 		}
 		if cancelled, ok := l.deps.Attest(ctx, attestation.Window(asked, watchedUntil)); ok {
-			l.post(ctx, attested{cancelled, asked})
+			l.post(ctx, attested{cancelled, asked}) // refused only once the term is over
 		}
 	}
 }
--- a/internal/leader/calls.go
+++ b/internal/leader/calls.go
@@ -20,22 +20,17 @@
 // queue has a call started once the present events are handled.
 func (c *outboundCalls) queue(call outboundCall) { c.queued = append(c.queued, call) }
 
-// take hands over the queued calls. The slice is valid until the next call is queued.
-func (c *outboundCalls) take() []outboundCall {
-	calls := c.queued
-	c.queued = c.queued[:0]
-	return calls
-}
-
 // startCalls starts the queued calls, each on a goroutine of the group, which waits for
 // them.
 func (l *Leader) startCalls(ctx context.Context, group *errgroup.Group) {
-	for _, call := range l.calls.take() {
+	for _, call := range l.calls.queued {
 		group.Go(func() error {
 			if apply := call(ctx); apply != nil {
-				l.post(ctx, callFinished{apply})
+				l.post(ctx, callFinished{apply}) // once the term is over nobody needs it
 			}
 			return nil // a failed call ends nothing: what it returns deals with that
 		})
 	}
+	clear(l.calls.queued) // started ones are not kept alive
+	l.calls.queued = l.calls.queued[:0]
 }
--- a/internal/leader/certainty_test.go
+++ b/internal/leader/certainty_test.go
@@ -146,9 +146,9 @@
 	})
 }
 
-// TestVouchedCancellations: what all nodes attest to makes the leader certain up to
+// TestAttestedCancellations: what all nodes attest to makes the leader certain up to
 // when it asked, and ends what they name; a stale answer proves nothing.
-func TestVouchedCancellations(t *testing.T) {
+func TestAttestedCancellations(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
 	l.certainty.Watched(now.Add(-time.Minute))
--- a/internal/leader/commit_test.go
+++ b/internal/leader/commit_test.go
@@ -76,9 +76,9 @@
 	}
 }
 
-// TestLateWriteClashes: a transaction without an answer is sent again as it
+// TestLateTransactionConflicts: a transaction without an answer is sent again as it
 // was; when it clashes, the head tells that the first try was carried out.
-func TestLateWriteClashes(t *testing.T) {
+func TestLateTransactionConflicts(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
 	machine := addMachine(l, "m-1", "east", now)
@@ -205,10 +205,10 @@
 	})
 }
 
-// TestRefusedTransactionEndsTheTerm: a transaction that the state service takes for
+// TestRejectedTransactionEndsTheTerm: a transaction that the state service takes for
 // too large must not be sent for ever; the term ends, and with it whatever of the
 // transaction may still be under way.
-func TestRefusedTransactionEndsTheTerm(t *testing.T) {
+func TestRejectedTransactionEndsTheTerm(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
 	addMachine(l, "m-1", "east", now)
--- a/internal/leader/legacy_test.go
+++ b/internal/leader/legacy_test.go
@@ -8,9 +8,9 @@
 	"thornnotch/internal/statestore"
 )
 
-// TestOldRecordsAreRead: the records of the earlier format are taken in, and
+// TestLegacyRecordsAreRead: the records of the earlier format are taken in, and
 // removed once a checkpoint holds what they held.
-func TestOldRecordsAreRead(t *testing.T) {
+func TestLegacyRecordsAreRead(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
 	job := addJob(t, l, arraySpec("j-1", 20), now)
--- a/internal/leader/metadata_test.go
+++ b/internal/leader/metadata_test.go
@@ -9,11 +9,11 @@
 	"thornnotch/internal/constants"
 )
 
-// TestHintsAreBounded: whatever the number of machines whose images change, their
+// TestMetadataIsBounded: whatever the number of machines whose images change, their
 // records take no more than their part of the state service's changes, and in the end
 // each is recorded. On a trial day of 4,000 machines they used up what the records of
 // starts and ends needed, and starts waited for a minute.
-func TestHintsAreBounded(t *testing.T) {
+func TestMetadataIsBounded(t *testing.T) {
 	for _, c := range []struct {
 		writesPerSecond float64 // that the state service takes
 		valuesPerSecond float64 // that metadata may take of it
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -141,8 +141,11 @@
 func (l *Leader) getRecord(ctx context.Context, key string) (statestore.KeyValue, bool, error) {
 	for {
 		row, found, err := l.deps.Store.Get(ctx, statestore.ClassLease, key)
-		if err == nil || ctx.Err() != nil {
-			return row, found, err
+		switch {
+		case err == nil:
+			return row, found, nil
+		case ctx.Err() != nil:
+			return statestore.KeyValue{}, false, fmt.Errorf("read %s: %w", key, err)
 		}
 		l.deps.Log.Info("record can't be read", "key", key, "error", err)
 		pause(ctx, constants.MinBackoff)
@@ -163,8 +166,11 @@
 	for {
 		asked := time.Now()
 		rows, revision, err := l.deps.Store.List(ctx, statestore.ClassLease, prefix)
-		if err == nil || ctx.Err() != nil {
-			return recordList{rows, revision, asked}, err
+		switch {
+		case err == nil:
+			return recordList{rows, revision, asked}, nil
+		case ctx.Err() != nil:
+			return recordList{}, fmt.Errorf("list %s: %w", prefix, err)
 		}
 		l.deps.Log.Info("records can't be read", "key", prefix, "error", err)
 		pause(ctx, constants.MinBackoff)
--- a/internal/leader/watch.go
+++ b/internal/leader/watch.go
@@ -33,7 +33,7 @@
 			continue
 		}
 		revision = next
-		l.post(ctx, jobsChanged{asked, changes})
+		l.post(ctx, jobsChanged{asked, changes}) // refused only once the term is over
 	}
 	return ctx.Err()
 }
