--- a/internal/node/combined_faults_cancellations_test.go
+++ b/internal/node/combined_faults_cancellations_test.go
@@ -38,7 +38,7 @@
 
 // cancelAfter has a user cancel a job after a while.
 func (sc *scenario) cancelAfter(wait time.Duration, id string) {
-	sc.after(wait, func() { sc.users.cancel(id) })
+	sc.after(wait, func() { sc.cancel(id) })
 }
 
 // TestMeetLimitCancelHang: every team is at its limit while jobs are cancelled
@@ -105,7 +105,7 @@
 		sc.waitRunning(ids[0])
 		old := sc.nextLeader("")
 		for _, id := range ids {
-			sc.after(sc.duration(0, 6*time.Second), func() { sc.users.cancel(id); sc.queryAllNodes(id) })
+			sc.after(sc.duration(0, 6*time.Second), func() { sc.cancel(id); sc.queryAllNodes(id) })
 		}
 		time.Sleep(sc.duration(0, time.Second))
 		sc.killNode(old)
@@ -125,7 +125,7 @@
 			sc.users.goroutines.Go(func() {
 				sc.pause(sc.duration(0, 700*time.Millisecond))
 				if sc.intn(3) > 0 {
-					sc.users.cancel(task.Job)
+					sc.cancel(task.Job)
 				}
 				sc.queryAllNodes(task.Job)
 			})
--- a/internal/node/combined_faults_machines_test.go
+++ b/internal/node/combined_faults_machines_test.go
@@ -29,7 +29,7 @@
 				sc.restartLeader(sc.duration(100*time.Millisecond, 4*time.Second))
 				time.Sleep(sc.duration(0, 5*time.Second))
 				if sc.intn(2) == 0 {
-					sc.users.cancel(gang)
+					sc.cancel(gang)
 				}
 				time.Sleep(20 * time.Second)
 				machines, counts := len(sc.machineNames()), sc.state.Counts()
@@ -64,7 +64,7 @@
 		sc.killNode(old)
 		next := nodeNumber(sc.nextLeader(old))
 		// It acts: one job is cancelled, others end and begin.
-		sc.users.cancel(gang)
+		sc.cancel(gang)
 		for range 3 {
 			sc.submitNext(testJob(0, "b", jobs.KindArray, 2))
 		}
--- a/internal/node/combined_faults_statestore_test.go
+++ b/internal/node/combined_faults_statestore_test.go
@@ -194,7 +194,7 @@
 		id := sc.submitNext(job)
 		sc.users.goroutines.Go(func() { sc.queryAllNodes(id) })
 		if n%3 == 0 {
-			sc.after(sc.duration(0, 10*time.Second), func() { sc.users.cancel(id); sc.queryAllNodes(id) })
+			sc.after(sc.duration(0, 10*time.Second), func() { sc.cancel(id); sc.queryAllNodes(id) })
 		}
 		if n == 5 {
 			sc.restartLeader(sc.duration(100*time.Millisecond, 3*time.Second))
--- a/internal/node/combined_faults_users_test.go
+++ b/internal/node/combined_faults_users_test.go
@@ -60,7 +60,7 @@
 			if n%4 == 0 {
 				time.Sleep(sc.duration(0, 12*time.Second))
 			}
-			if sc.users.cancel(id) == jobs.StatusCancelled {
+			if sc.cancel(id) == jobs.StatusCancelled {
 				cancelled++
 			}
 			sc.queryAllNodes(id)
@@ -81,7 +81,7 @@
 			id := sc.submitNext(job)
 			if n%4 == 0 {
 				sc.after(sc.duration(0, 5*time.Second), func() {
-					if sc.users.cancel(id) == jobs.StatusCancelled {
+					if sc.cancel(id) == jobs.StatusCancelled {
 						cancelled.Add(1)
 					}
 				})
--- a/internal/node/dependencies_input_test.go
+++ b/internal/node/dependencies_input_test.go
@@ -20,7 +20,7 @@
 		runs := sc.submitNext(longJob("b", jobs.KindArray, 1, 200))
 		cancelled := sc.submitNext(longJob("a", jobs.KindArray, 1, 200))
 		sc.waitFor(time.Minute, "one done", func() bool { return sc.knownStatus(done) == jobs.StatusDone })
-		if status := sc.users.cancel(cancelled); status != jobs.StatusCancelled {
+		if status := sc.cancel(cancelled); status != jobs.StatusCancelled {
 			sc.t.Fatalf("the cancellation is answered %q", status)
 		}
 
@@ -44,7 +44,7 @@
 			sc.t.Errorf("without the state service a name that can't be checked got %d", code)
 		}
 		sc.state.SetOutage(false)
-		sc.users.cancel(runs)
+		sc.cancel(runs)
 	})
 }
 
@@ -153,7 +153,7 @@
 	if status := sc.polled(2, last.ID); status != jobs.StatusPending {
 		sc.t.Errorf("it is %s", status)
 	}
-	sc.users.cancel(list[len(list)-8])
+	sc.cancel(list[len(list)-8])
 	for i := range 3 {
 		sc.waitFor(4*time.Second, "the last job cancelled", func() bool { return sc.polled(i, last.ID) == jobs.StatusCancelled })
 	}
--- a/internal/node/dependencies_test.go
+++ b/internal/node/dependencies_test.go
@@ -122,7 +122,7 @@
 
 // cancelAndQuery cancels a job, and asks all nodes for others at once.
 func (sc *scenario) cancelAndQuery(id string, others ...string) {
-	sc.users.cancel(id)
+	sc.cancel(id)
 	for _, other := range others {
 		sc.queryAllNodes(other)
 	}
@@ -157,7 +157,7 @@
 			sc.killNode(leader) // nobody leads as it is cancelled
 		}
 		for _, id := range first {
-			if status := sc.users.cancel(id); !isOver(status) {
+			if status := sc.cancel(id); !isOver(status) {
 				sc.t.Errorf("%s: %q", id, status)
 			}
 		}
@@ -212,7 +212,7 @@
 			last = sc.mustSubmitAfter(1000+n, last)
 			all = append(all, last, sc.mustSubmitAfter(2000+n, first))
 		}
-		if status := sc.users.cancel(first); status != jobs.StatusCancelled {
+		if status := sc.cancel(first); status != jobs.StatusCancelled {
 			sc.t.Fatalf("the first is %s", status)
 		}
 		for i := range 3 {
--- a/internal/node/upgrade_test.go
+++ b/internal/node/upgrade_test.go
@@ -136,49 +136,55 @@
 	})
 }
 
+// productionJob is a job as the version in production reads it: its own type, copied.
+type productionJob struct {
+	NameID       string   `json:"nameId"`
+	Workload     string   `json:"workload"`
+	Owner        string   `json:"owner"`
+	Shape        string   `json:"shape"`
+	Urgency      string   `json:"urgency"`
+	Pieces       int      `json:"pieces"`
+	VCPUs        float64  `json:"vcpus"`
+	Accelerators float64  `json:"accelerators"`
+	RAMGB        float64  `json:"ramGb"`
+	Bundle       string   `json:"bundle"`
+	ImageGB      float64  `json:"imageGb"`
+	MachineTypes []string `json:"rigTypes,omitempty"`
+	Hall         string   `json:"hall,omitempty"`
+	SamePlace    bool     `json:"samePlace,omitempty"`
+	Apart        bool     `json:"apart,omitempty"`
+	Loaners      bool     `json:"loaners,omitempty"`
+	ExpectS      float64  `json:"expectS"`
+	SnapshotS    float64  `json:"snapshotS"`
+	StashS       float64  `json:"stashS"`
+	DueS         *float64 `json:"dueS,omitempty"`
+}
+
+// productionRecord is an open job as production reads it.
+type productionRecord struct {
+	productionJob
+	AtMS int64 `json:"atMs"`
+}
+
+// productionFinal is a job that is over as production reads it.
+type productionFinal struct {
+	Status string `json:"status"`
+	Pieces int    `json:"pieces"`
+}
+
 // TestProductionReadsOurRecords: the records of jobs that wait for nothing hold
 // nothing that production's would not, and what is new beside it is in fields that
 // it passes over: its own types, copied here, read the same.
 func TestProductionReadsOurRecords(t *testing.T) {
-	type productionJob struct {
-		NameID       string   `json:"nameId"`
-		Workload     string   `json:"workload"`
-		Owner        string   `json:"owner"`
-		Shape        string   `json:"shape"`
-		Urgency      string   `json:"urgency"`
-		Pieces       int      `json:"pieces"`
-		VCPUs        float64  `json:"vcpus"`
-		Accelerators float64  `json:"accelerators"`
-		RAMGB        float64  `json:"ramGb"`
-		Bundle       string   `json:"bundle"`
-		ImageGB      float64  `json:"imageGb"`
-		MachineTypes []string `json:"rigTypes,omitempty"`
-		Hall         string   `json:"hall,omitempty"`
-		SamePlace    bool     `json:"samePlace,omitempty"`
-		Apart        bool     `json:"apart,omitempty"`
-		Loaners      bool     `json:"loaners,omitempty"`
-		ExpectS      float64  `json:"expectS"`
-		SnapshotS    float64  `json:"snapshotS"`
-		StashS       float64  `json:"stashS"`
-		DueS         *float64 `json:"dueS,omitempty"`
-	}
-	type productionRecord struct {
-		productionJob
-		AtMS int64 `json:"atMs"`
-	}
-	type productionFinal struct {
-		Status string `json:"status"`
-		Pieces int    `json:"pieces"`
-	}
 	runScenarioOnce(t, smallSite(), 12, nil, func(sc *scenario) {
 		id := sc.submitNext(longJob("a", jobs.KindArray, 3, 40))
 		var ours jobs.Record
 		var theirs productionRecord
 		raw := sc.state.Get(jobs.OpenPrefix + id)
 		for _, into := range []any{&ours, &theirs} {
-			d := json.NewDecoder(bytes.NewReader(raw))
-			d.DisallowUnknownFields()
-			if err := d.Decode(into); err != nil {
+			decoder := json.NewDecoder(bytes.NewReader(raw))
+			decoder.DisallowUnknownFields()
+			if err := decoder.Decode(into); err != nil {
 				sc.t.Errorf("%s: %v", raw, err)
 			}
 		}
@@ -186,9 +192,9 @@
 			sc.t.Errorf("read as %+v", theirs)
 		}
 		sc.waitFor(2*time.Minute, "done", func() bool { return sc.knownStatus(id) == jobs.StatusDone })
-		var f productionFinal
-		if err := json.Unmarshal(sc.state.Get(jobs.FinalPrefix+id), &f); err != nil || f.Status != jobs.StatusDone || f.Pieces != 3 {
-			sc.t.Errorf("%+v %v", f, err)
+		var final productionFinal
+		if err := json.Unmarshal(sc.state.Get(jobs.FinalPrefix+id), &final); err != nil || final.Status != jobs.StatusDone || final.Pieces != 3 {
+			sc.t.Errorf("%+v %v", final, err)
 		}
 	})
 }
