--- a/internal/node/combined_faults_cancellations_test.go
+++ b/internal/node/combined_faults_cancellations_test.go
@@ -41,9 +41,9 @@
 	sc.after(wait, func() { sc.cancel(id) })
 }
 
-// TestMeetLimitCancelHang: every team is at its limit while jobs are cancelled
+// TestCombinedLimitCancelHang: every team is at its limit while jobs are cancelled
 // whose machines are cut off or hang, and the leader changes.
-func TestMeetLimitCancelHang(t *testing.T) {
+func TestCombinedLimitCancelHang(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		ids := sc.fillQuotas()
 		first, last := ids[0], ids[4]
@@ -64,10 +64,10 @@
 	})
 }
 
-// TestMeetLimitLeaderChangesCancel: a team is at its limit when the leader
+// TestCombinedLimitLeaderChangesCancel: a team is at its limit when the leader
 // changes, some of its machines can't be asked, and a cancellation falls into
 // that spell.
-func TestMeetLimitLeaderChangesCancel(t *testing.T) {
+func TestCombinedLimitLeaderChangesCancel(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		ids := sc.fillQuotas()
 		ofTeamA, ofTeamB := ids[2], ids[3]
@@ -94,9 +94,9 @@
 	})
 }
 
-// TestMeetCancelWhileHandingOver: jobs are cancelled in the seconds in which one
+// TestCombinedCancelWhileHandingOver: jobs are cancelled in the seconds in which one
 // controller's work changes hands.
-func TestMeetCancelWhileHandingOver(t *testing.T) {
+func TestCombinedCancelWhileHandingOver(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		var ids []string
 		for n := range 6 {
@@ -117,9 +117,9 @@
 	})
 }
 
-// TestMeetCancelAtTheEnd: a cancellation, a question or a repeated submission
+// TestCombinedCancelAtTheEnd: a cancellation, a question or a repeated submission
 // meets the end of a job's last task.
-func TestMeetCancelAtTheEnd(t *testing.T) {
+func TestCombinedCancelAtTheEnd(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		sc.rules.callOnDone(func(task workers.TaskID) {
 			sc.users.goroutines.Go(func() {
@@ -142,9 +142,9 @@
 	})
 }
 
-// TestMeetCommandHeldUp: a command or its answer is held up for seconds, and the
+// TestCombinedCommandHeldUp: a command or its answer is held up for seconds, and the
 // machine then goes on.
-func TestMeetCommandHeldUp(t *testing.T) {
+func TestCombinedCommandHeldUp(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		var ids []string
 		for n := range 4 {
--- a/internal/node/combined_faults_leaders_test.go
+++ b/internal/node/combined_faults_leaders_test.go
@@ -11,9 +11,9 @@
 
 // Changes of the leader that meet with another fault.
 
-// TestMeetLeaderEndsMachinesAway: a leader ends while machines with long tasks
+// TestCombinedLeaderEndsMachinesAway: a leader ends while machines with long tasks
 // can't be reached, or don't hear the new leader's answers.
-func TestMeetLeaderEndsMachinesAway(t *testing.T) {
+func TestCombinedLeaderEndsMachinesAway(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		array := sc.submitNext(longJob("a", jobs.KindArray, 6, 60))
 		gang := sc.submitNext(longJob("b", jobs.KindGang, 3, 60))
@@ -30,9 +30,9 @@
 	})
 }
 
-// TestMeetHandOverAndBack: controllers hand over and back, all end, and one
+// TestCombinedHandOverAndBack: controllers hand over and back, all end, and one
 // returns, also within a second.
-func TestMeetHandOverAndBack(t *testing.T) {
+func TestCombinedHandOverAndBack(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		sc.submitNext(longJob("a", jobs.KindArray, 5, 50))
 		sc.submitNext(longJob("b", jobs.KindGang, 3, 40))
@@ -52,9 +52,9 @@
 	})
 }
 
-// TestMeetLeadersChangeAndOutage: leaders change ten times in two minutes, also
+// TestCombinedLeadersChangeAndOutage: leaders change ten times in two minutes, also
 // inside an outage.
-func TestMeetLeadersChangeAndOutage(t *testing.T) {
+func TestCombinedLeadersChangeAndOutage(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		sc.submitNext(longJob("a", jobs.KindArray, 5, 100))
 		sc.submitNext(longJob("b", jobs.KindGang, 3, 70))
@@ -81,9 +81,9 @@
 	})
 }
 
-// TestMeetTasksEndApart: jobs of two or three tasks end far apart across a change
+// TestCombinedTasksEndApart: jobs of two or three tasks end far apart across a change
 // of leader. What has ended stays so: no task runs a second time.
-func TestMeetTasksEndApart(t *testing.T) {
+func TestCombinedTasksEndApart(t *testing.T) {
 	tasksEndApart := func(s *site) {
 		s.taskDuration = func(job *jobs.Spec, index int) time.Duration {
 			if job.Kind == jobs.KindGang {
@@ -142,8 +142,8 @@
 	return done
 }
 
-// TestMeetAllAway: all controllers are away for longer than lease_s.
-func TestMeetAllAway(t *testing.T) {
+// TestCombinedAllAway: all controllers are away for longer than lease_s.
+func TestCombinedAllAway(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		id := sc.submitNext(longJob("a", jobs.KindArray, 6, 30))
 		sc.waitRunning(id)
@@ -160,10 +160,10 @@
 	})
 }
 
-// TestMeetLeaderAlone: a leader is cut from the state service and from the other
+// TestCombinedLeaderAlone: a leader is cut from the state service and from the other
 // controllers while workers and users still reach it, and jobs are cancelled
 // through the new one.
-func TestMeetLeaderAlone(t *testing.T) {
+func TestCombinedLeaderAlone(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		var ids []string
 		for n := range 4 {
--- a/internal/node/combined_faults_machines_test.go
+++ b/internal/node/combined_faults_machines_test.go
@@ -12,9 +12,9 @@
 
 // Faults of machines and of their links that meet with another fault.
 
-// TestMeetNewMachinesWritesLag: new machines are up within two seconds and get
+// TestCombinedNewMachinesWritesLag: new machines are up within two seconds and get
 // work at once while writes lag, and the leader ends.
-func TestMeetNewMachinesWritesLag(t *testing.T) {
+func TestCombinedNewMachinesWritesLag(t *testing.T) {
 	layout := smallSite()
 	layout.bootTime = 1500 * time.Millisecond
 	for seed := range uint64(seedsPerScenario) {
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestMeetHeldBackReport: a heartbeat is held back until a new leader has acted, and
+// TestCombinedHeldBackReport: a heartbeat is held back until a new leader has acted, and
 // then arrives there.
-func TestMeetHeldBackReport(t *testing.T) {
+func TestCombinedHeldBackReport(t *testing.T) {
 	runScenario(t, func(s *site) { s.keptHeartbeats = 3 }, func(sc *scenario) {
 		array := sc.submitNext(longJob("a", jobs.KindArray, 5, 25))
 		gang := sc.submitNext(longJob("b", jobs.KindGang, 3, 25))
@@ -85,9 +85,9 @@
 	})
 }
 
-// TestMeetOldReportNewLeader: an old heartbeat reaches every controller just as a
+// TestCombinedOldReportNewLeader: an old heartbeat reaches every controller just as a
 // new leader begins.
-func TestMeetOldReportNewLeader(t *testing.T) {
+func TestCombinedOldReportNewLeader(t *testing.T) {
 	runScenario(t, func(s *site) { s.keptHeartbeats = 2 }, func(sc *scenario) {
 		id := sc.submitNext(longJob("a", jobs.KindArray, 5, 25))
 		sc.submitNext(longJob("b", jobs.KindGang, 3, 25))
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestMeetZoneLosesMachines: jobs bound to one zone, arrays too, lose machines.
-func TestMeetZoneLosesMachines(t *testing.T) {
+// TestCombinedZoneLosesMachines: jobs bound to one zone, arrays too, lose machines.
+func TestCombinedZoneLosesMachines(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		zone := zones[sc.intn(3)]
 		var ids []string
@@ -144,9 +144,9 @@
 	})
 }
 
-// TestMeetOldReports: old heartbeats arrive after newer ones, also from an earlier
+// TestCombinedOldReports: old heartbeats arrive after newer ones, also from an earlier
 // epoch or attempt.
-func TestMeetOldReports(t *testing.T) {
+func TestCombinedOldReports(t *testing.T) {
 	lateCopies := func(s *site) {
 		s.heartbeatCopies = []time.Duration{3 * time.Second, 9 * time.Second, 21 * time.Second}
 	}
@@ -172,9 +172,9 @@
 	})
 }
 
-// TestMeetMuteMachines: workers can't open connections to any controller, while
+// TestCombinedMuteMachines: workers can't open connections to any controller, while
 // direct commands still reach them.
-func TestMeetMuteMachines(t *testing.T) {
+func TestCombinedMuteMachines(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		array := sc.submitNext(longJob("a", jobs.KindArray, 6, 30))
 		gang := sc.submitNext(longJob("b", jobs.KindGang, 3, 60))
@@ -194,9 +194,9 @@
 	})
 }
 
-// TestMeetZoneCutOff: a zone with workers and a controller is cut off for longer
+// TestCombinedZoneCutOff: a zone with workers and a controller is cut off for longer
 // than lease_s; jobs are cancelled meanwhile.
-func TestMeetZoneCutOff(t *testing.T) {
+func TestCombinedZoneCutOff(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		leader := sc.nextLeader("")
 		job := longJob("b", jobs.KindArray, 4, 200)
--- a/internal/node/combined_faults_statestore_test.go
+++ b/internal/node/combined_faults_statestore_test.go
@@ -12,7 +12,7 @@
 
 // Faults of the state service that meet with another fault.
 
-// refusalOutage is one run of TestMeetSlowStateRefusalOutage.
+// refusalOutage is one run of TestCombinedSlowStateRefusalOutage.
 type refusalOutage struct {
 	*scenario
 	seed      uint64
@@ -24,11 +24,11 @@
 	refusedAt time.Time
 }
 
-// TestMeetSlowStateRefusalOutage: the state service answers slowly, then refuses
+// TestCombinedSlowStateRefusalOutage: the state service answers slowly, then refuses
 // the leader alone, then everybody for longer than cancel_s, while users cancel
 // and ask. With the refusal and the outage nearer together or further apart this
 // is the gap: another node confirms cancellations that the leader can't see.
-func TestMeetSlowStateRefusalOutage(t *testing.T) {
+func TestCombinedSlowStateRefusalOutage(t *testing.T) {
 	// Nearer together and further apart, also beyond an election.
 	for seed, apart := range []time.Duration{
 		300 * time.Millisecond, time.Second, 2 * time.Second, 2600 * time.Millisecond,
@@ -146,9 +146,9 @@
 	})
 }
 
-// TestMeetLateWrites: transactions without an answer are carried out late, after
+// TestCombinedLateWrites: transactions without an answer are carried out late, after
 // newer ones of the same controller.
-func TestMeetLateWrites(t *testing.T) {
+func TestCombinedLateWrites(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		lost := sc.oneInEach(4)
 		sc.state.SetFate(func(_ string, writes int) simulator.Fate {
@@ -164,9 +164,9 @@
 	})
 }
 
-// TestMeetLostAnswers: transactions are carried out at once and only their
+// TestCombinedLostAnswers: transactions are carried out at once and only their
 // answers are lost, while other nodes read what they wrote.
-func TestMeetLostAnswers(t *testing.T) {
+func TestCombinedLostAnswers(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		lost := sc.oneInEach(3)
 		sc.state.SetFate(func(_ string, writes int) simulator.Fate { return simulator.Fate{Lost: lost(writes)} })
--- a/internal/node/combined_faults_users_test.go
+++ b/internal/node/combined_faults_users_test.go
@@ -11,8 +11,8 @@
 
 // Much work, and much asking, while faults go on.
 
-// TestMeetMoreWorkThanRoom: more work than room, urgent and not, over slow links.
-func TestMeetMoreWorkThanRoom(t *testing.T) {
+// TestCombinedMoreWorkThanRoom: more work than room, urgent and not, over slow links.
+func TestCombinedMoreWorkThanRoom(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		sc.slowLinks(2*time.Millisecond, 60*time.Millisecond)
 		most := 0
@@ -42,10 +42,10 @@
 	}
 }
 
-// TestMeetCloseLooks: users ask at all nodes, again and again within
+// TestCombinedCloseLooks: users ask at all nodes, again and again within
 // milliseconds, and repeat the submission, right after a job was accepted, ended
 // or confirmed as cancelled; some cancel at once.
-func TestMeetCloseLooks(t *testing.T) {
+func TestCombinedCloseLooks(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		sc.rules.callOnDone(func(task workers.TaskID) {
 			sc.users.goroutines.Go(func() { sc.queryAllNodes(task.Job) })
@@ -70,9 +70,9 @@
 	})
 }
 
-// TestMeetFlood: one-task jobs come four a second for a minute, a quarter of them
+// TestCombinedFlood: one-task jobs come four a second for a minute, a quarter of them
 // cancelled.
-func TestMeetFlood(t *testing.T) {
+func TestCombinedFlood(t *testing.T) {
 	runScenarioOnce(t, smallSite(), 1, nil, func(sc *scenario) {
 		var cancelled atomic.Int64
 		for n := range 240 {
@@ -93,9 +93,9 @@
 	})
 }
 
-// TestMeetOddRequests: bad input keeps its answers amid an outage and a change of
+// TestCombinedOddRequests: bad input keeps its answers amid an outage and a change of
 // leaders.
-func TestMeetOddRequests(t *testing.T) {
+func TestCombinedOddRequests(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		sc.users.goroutines.Go(func() {
 			for sc.users.ctx.Err() == nil {
--- a/internal/node/scenario_test.go
+++ b/internal/node/scenario_test.go
@@ -150,7 +150,7 @@
 func (sc *scenario) checkTookPlace(ok bool, format string, args ...any) {
 	sc.t.Helper()
 	if !ok {
-		sc.t.Errorf("the trouble did not take place: "+format, args...)
+		sc.t.Errorf("the faults did not take place: "+format, args...)
 	}
 }
 
