--- a/internal/placement/eligibility.go
+++ b/internal/placement/eligibility.go
@@ -25,7 +25,8 @@
 	return claimedBy == nil || claimedBy == job || precedesByRank(job, claimedBy)
 }
 
-// ZoneCap is the most tasks that the job may have in one zone.
+// ZoneCap is the most tasks that the job may have in one zone: half of them, rounded up, if
+// they are to be spread over zones.
 func ZoneCap(spec *jobs.Spec) int {
 	if spec.SpreadZones {
 		return (spec.Tasks + 1) / 2
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -101,7 +101,7 @@
 // mayPreemptOn tells whether anything on the machine may be worth preempting, without
 // looking at each task.
 func (s *roomSearch) mayPreemptOn(machine *Machine) bool {
-	return s.mayPreempt && machine.usage.preemptible && machine.state.classBits&s.preemptibleBits != 0 &&
+	return s.anyPreemptible && machine.usage.preemptible && machine.state.classBits&s.preemptibleBits != 0 &&
 		(machine.usage.lowestPriority < s.job.Priority || s.job.Guaranteed)
 }
 
--- a/internal/placement/roomsearch.go
+++ b/internal/placement/roomsearch.go
@@ -28,7 +28,7 @@
 	request Resources // of one task
 	tasks   int       // that have no place
 
-	mayPreempt      bool   // something runs that the job may preempt
+	anyPreemptible  bool   // something runs that the job may preempt
 	preemptibleBits uint64 // classes that it may preempt
 	mayDrain        bool   // machines may be kept that are of no use yet
 	oneZone         bool   // room is only of use in one zone
@@ -45,15 +45,15 @@
 // they leave is little, and looking takes time.
 func (p *pass) preemptOrDrain(job *Job, tasks int) {
 	clear(p.aboveGuaranteeCache) // what this pass has placed and preempted so far changes it
-	mayPreempt := p.mayPreemptAny(job)
-	if !p.limitAllows(job, TaskResources(job.Spec)) || !job.isGang() && !mayPreempt {
+	anyPreemptible := p.mayPreemptAny(job)
+	if !p.limitAllows(job, TaskResources(job.Spec)) || !job.isGang() && !anyPreemptible {
 		return
 	}
 	p.preemptionAttempts++
 	if p.preemptionAttempts > constants.MaxPreemptionAttempts {
 		return
 	}
-	search := p.newRoomSearch(job, tasks, mayPreempt)
+	search := p.newRoomSearch(job, tasks, anyPreemptible)
 	for _, machine := range p.Machines {
 		search.consider(machine)
 	}
@@ -77,15 +77,15 @@
 	}
 }
 
-func (p *pass) newRoomSearch(job *Job, tasks int, mayPreempt bool) roomSearch {
+func (p *pass) newRoomSearch(job *Job, tasks int, anyPreemptible bool) roomSearch {
 	search := roomSearch{
 		pass: p, job: job, request: TaskResources(job.Spec), tasks: tasks,
-		mayPreempt: mayPreempt,
-		mayDrain:   job.isGang() && !p.tooManyDraining(1),
-		oneZone:    job.isGang() && job.Spec.SameZone && tasks > 1,
-		cheapest:   make(map[string][]roomOption),
+		anyPreemptible: anyPreemptible,
+		mayDrain:       job.isGang() && !p.tooManyDraining(1),
+		oneZone:        job.isGang() && job.Spec.SameZone && tasks > 1,
+		cheapest:       make(map[string][]roomOption),
 	}
-	if mayPreempt {
+	if anyPreemptible {
 		search.preemptibleBits = p.preemptibleClassBits(job)
 	}
 	return search
--- a/internal/placement/roomsearch_test.go
+++ b/internal/placement/roomsearch_test.go
@@ -23,7 +23,7 @@
 			}
 			search := roomSearch{
 				pass: p, job: job, request: TaskResources(job.Spec), tasks: len(job.WaitingTasks),
-				mayPreempt: true, preemptibleBits: ^uint64(0),
+				anyPreemptible: true, preemptibleBits: ^uint64(0),
 			}
 			for _, machine := range snapshot.Machines {
 				checkBoundedWeight(t, search, machine)
