--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -61,7 +61,7 @@
 		logger.Info("load", g.attributes(current, gauges, period)...)
 	}
 	if usage := g.takeUsage(period); usage != nil && !first {
-		logger.Debug("state service, each second", usage...)
+		logger.Debug("state service load", usage...)
 	}
 	g.loggedAt, g.counts = now, current
 }
@@ -71,18 +71,18 @@
 	was := g.counts
 	return []any{
 		"jobs", gauges.jobs, "machines", gauges.machines,
-		"reports_s", perSecond(current.Heartbeats, was.Heartbeats, period),
-		"orders_s", perSecond(current.RepliedCommands, was.RepliedCommands, period),
-		"commands_s", perSecond(current.DirectCommands, was.DirectCommands, period),
-		"passes_s", perSecond(current.Passes, was.Passes, period),
-		"pass_part", share(current.PassSeconds, was.PassSeconds, period),
-		"commits_s", perSecond(current.Commits, was.Commits, period),
-		"commit_part", share(current.CommitSeconds, was.CommitSeconds, period),
-		"busy_part", share(current.BusySeconds, was.BusySeconds, period),
-		"entries_kb_s", kilobytesPerSecond(current.Log.EntryBytes, was.Log.EntryBytes, period),
-		"hints_kb_s", kilobytesPerSecond(current.MetadataBytes, was.MetadataBytes, period),
-		"checkpoint_kb_s", kilobytesPerSecond(current.Log.PartBytes, was.Log.PartBytes, period),
-		"queue", gauges.events, "log", gauges.backlog,
+		"heartbeats_per_s", perSecond(current.Heartbeats, was.Heartbeats, period),
+		"replied_commands_per_s", perSecond(current.RepliedCommands, was.RepliedCommands, period),
+		"direct_commands_per_s", perSecond(current.DirectCommands, was.DirectCommands, period),
+		"passes_per_s", perSecond(current.Passes, was.Passes, period),
+		"pass_share", share(current.PassSeconds, was.PassSeconds, period),
+		"commits_per_s", perSecond(current.Commits, was.Commits, period),
+		"commit_share", share(current.CommitSeconds, was.CommitSeconds, period),
+		"busy_share", share(current.BusySeconds, was.BusySeconds, period),
+		"entries_kb_per_s", kilobytesPerSecond(current.Log.EntryBytes, was.Log.EntryBytes, period),
+		"metadata_kb_per_s", kilobytesPerSecond(current.MetadataBytes, was.MetadataBytes, period),
+		"checkpoint_kb_per_s", kilobytesPerSecond(current.Log.PartBytes, was.Log.PartBytes, period),
+		"queued_events", gauges.events, "log_backlog", gauges.backlog,
 	}
 }
 
@@ -96,7 +96,7 @@
 	for _, class := range statestore.Classes {
 		current, was := g.usage(class), g.drawn[class]
 		drawn[class] = current
-		attributes = append(attributes, class.String(), fmt.Sprintf("%.1f requests, %.1f changes, %.2f waiting",
+		attributes = append(attributes, class.String(), fmt.Sprintf("%.1f requests/s, %.1f writes/s, %.2f waiting",
 			perSecond(current.Requests, was.Requests, period), perSecond(current.Writes, was.Writes, period), share(current.WaitSeconds, was.WaitSeconds, period)))
 	}
 	g.drawn = drawn
--- a/internal/leader/loop_test.go
+++ b/internal/leader/loop_test.go
@@ -86,6 +86,23 @@
 	}
 }
 
+// heartbeatsUntilCommanded has a machine send heartbeats until it is told something.
+func heartbeatsUntilCommanded(t *testing.T, l *Leader) []workers.Command {
+	t.Helper()
+	for sequence := uint64(1); sequence < 10; sequence++ {
+		heartbeat := &workers.Heartbeat{Machine: "m-1", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: sequence, Token: 3}
+		reply, ok := l.Heartbeat(t.Context(), heartbeat)
+		if !ok || reply.Status != 200 {
+			t.Fatalf("heartbeat %d: %v, %d", sequence, ok, reply.Status)
+		}
+		if len(reply.Answer.Commands) > 0 {
+			return reply.Answer.Commands
+		}
+		time.Sleep(time.Second)
+	}
+	return nil
+}
+
 // TestSubmissionReachesAMachine: a submission that the watch tells of comes by the loop, a
 // pass and a transaction to a machine, with the reply to its heartbeat. Once its context ends
 // Run waits for all that it has started.
@@ -99,16 +116,7 @@
 		}
 		store.changes <- []statestore.Change{{Put: jobs.OpenPrefix + "j-1", Value: record, Revision: 101}}
 
-		var commands []workers.Command
-		for sequence := uint64(1); len(commands) == 0 && sequence < 10; sequence++ {
-			heartbeat := &workers.Heartbeat{Machine: "m-1", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: sequence, Token: 3}
-			reply, ok := l.Heartbeat(t.Context(), heartbeat)
-			if !ok || reply.Status != 200 {
-				t.Fatalf("heartbeat %d: %v, %d", sequence, ok, reply.Status)
-			}
-			commands = reply.Answer.Commands
-			time.Sleep(time.Second)
-		}
+		commands := heartbeatsUntilCommanded(t, l)
 		if len(commands) != 1 || commands[0].Verb != workers.VerbRun {
 			t.Errorf("the machine is told %+v", commands)
 		}
