--- a/internal/workers/agent.go
+++ b/internal/workers/agent.go
@@ -69,8 +69,8 @@
 	agent.observeOrder(heartbeat, direct, now)
 	agent.observeToken(heartbeat.Token, term, now)
 	agent.observeMachine(heartbeat, now)
-	listed, changes := agent.observeTasks(heartbeat, now)
-	events = append(events, changes...)
+	listed := make(map[AttemptID]bool, len(heartbeat.Tasks)) // made here, so that it stays on the stack
+	events = append(events, agent.observeTasks(heartbeat, listed, now)...)
 	if !direct {
 		agent.detectLostReplies(heartbeat, listed, now)
 		events = append(events, agent.goneByAbsence(heartbeat, listed, term)...)
@@ -150,9 +150,8 @@
 	agent.ReclaimAt = now.Add(time.Duration(max(*heartbeat.ReclaimInS, 0) * float64(time.Second)))
 }
 
-// observeTasks takes in the listed tasks, and returns which attempts were listed.
-func (agent *Agent) observeTasks(heartbeat *Heartbeat, now time.Time) (listed map[AttemptID]bool, events []Event) {
-	listed = make(map[AttemptID]bool, len(heartbeat.Tasks))
+// observeTasks takes in the listed tasks, and notes in listed which attempts these are.
+func (agent *Agent) observeTasks(heartbeat *Heartbeat, listed map[AttemptID]bool, now time.Time) (events []Event) {
 	for i := range heartbeat.Tasks {
 		report := &heartbeat.Tasks[i]
 		task, err := ParseTaskID(report.Task)
@@ -170,7 +169,7 @@
 			events = append(events, Event{kind, attempt})
 		}
 	}
-	return listed, events
+	return events
 }
 
 // addUnrecorded keeps an attempt in view that no record names: it occupies the machine all
