--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,24 +1,35 @@
-// Package testseed runs a package's generated tests with a fixed seed, so that
-// they say the same every time.
+// Package testseed runs a package's generated tests with a fixed seed, so that every run
+// tests the same cases and a failure can be repeated.
 package testseed
 
 import (
 	"flag"
+	"fmt"
 	"strconv"
 	"testing"
 
-	_ "pgregory.net/rapid" // defines the flags
+	_ "pgregory.net/rapid" // defines the flags that are set here
 )
 
-// Main runs the tests with so many generated cases each.
-func Main(m *testing.M, checks int) int {
+const (
+	seed = "20261201"
+	// actionsPerCase is the average number of actions of a state machine test.
+	actionsPerCase = "60"
+)
+
+// Main runs the tests of a package, each property with so many generated cases, and returns
+// the exit code. TestMain calls it.
+func Main(m *testing.M, cases int) int {
 	flag.Parse()
-	for name, value := range map[string]string{
-		"rapid.seed": "20261201", "rapid.checks": strconv.Itoa(checks), "rapid.steps": "60", "rapid.nofailfile": "true",
-	} {
-		if err := flag.Set(name, value); err != nil {
-			panic(err)
-		}
-	}
+	setFlag("rapid.seed", seed)
+	setFlag("rapid.checks", strconv.Itoa(cases))
+	setFlag("rapid.steps", actionsPerCase)
+	setFlag("rapid.nofailfile", "true")
 	return m.Run()
 }
+
+func setFlag(name, value string) {
+	if err := flag.Set(name, value); err != nil {
+		panic(fmt.Sprintf("set flag %s: %v", name, err))
+	}
+}
