--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -33,13 +33,7 @@
 
 // linkUpstreams has a job wait for the jobs that are named.
 func (l *Leader) linkUpstreams(job *jobState, names []string) {
-	job.upstreams.unknown = false
-	job.upstreams.pending = make(map[string]bool, len(names))
-	for _, name := range names {
-		if job.upstreams.pending[name] {
-			continue
-		}
-		job.upstreams.pending[name] = true
+	for _, name := range job.upstreams.waitFor(names) {
 		l.dependencies.addDownstream(name, job)
 		if l.jobs.get(name) == nil {
 			l.dependencies.requestFinal(name) // not open: it must be final
@@ -81,7 +75,7 @@
 // upstreamDone is called when a job that this one depends on is done. The times of this
 // one count from when the last was, by its record; its due time from its submission.
 func (l *Leader) upstreamDone(job *jobState, upstream string, final jobs.FinalRecord, now time.Time) {
-	delete(job.upstreams.pending, upstream)
+	job.upstreams.done(upstream)
 	finishedAt := time.UnixMilli(final.FinishedAtMS)
 	if final.FinishedAtMS > 0 && finishedAt.After(job.view.Submitted) {
 		// By an earlier leader's clock, which may be ahead of ours: it has happened all
--- a/internal/leader/job_state.go
+++ b/internal/leader/job_state.go
@@ -75,6 +75,23 @@
 	pending map[string]bool
 }
 
+// waitFor has the job wait for the named ones. It returns them, each once.
+func (u *upstreamState) waitFor(names []string) []string {
+	u.unknown = false
+	u.pending = make(map[string]bool, len(names))
+	var distinct []string
+	for _, name := range names {
+		if !u.pending[name] {
+			u.pending[name] = true
+			distinct = append(distinct, name)
+		}
+	}
+	return distinct
+}
+
+// done notes that an upstream is done.
+func (u *upstreamState) done(name string) { delete(u.pending, name) }
+
 // blocked tells whether a job before this one is not known to be done.
 func (u *upstreamState) blocked() bool { return u.unknown || len(u.pending) > 0 }
 
