--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -8,6 +8,7 @@
 	"thornnotch/internal/constants"
 	"thornnotch/internal/jobs"
 	"thornnotch/internal/leader/wal"
+	"thornnotch/internal/statestore"
 	"thornnotch/internal/workers"
 )
 
@@ -183,7 +184,7 @@
 
 // writeCheckpoint carries out what a checkpoint of the whole site writes, and returns
 // the number of transactions and of changes in them.
-func writeCheckpoint(l *Leader, rows map[string]wal.KeyValue) (txns, changes int) {
+func writeCheckpoint(l *Leader, rows map[string]statestore.KeyValue) (txns, changes int) {
 	l.beginCheckpoint()
 	for l.wal.Checkpointing() {
 		txns++
@@ -193,10 +194,10 @@
 }
 
 // commitTo carries out the next transaction on the rows, and returns the number of changes.
-func commitTo(l *Leader, rows map[string]wal.KeyValue, revision uint64) (changes int) {
+func commitTo(l *Leader, rows map[string]statestore.KeyValue, revision uint64) (changes int) {
 	txn := l.commits.next()
 	for _, write := range txn.Writes {
-		rows[write.Put] = wal.KeyValue{Key: write.Put, Value: write.Value}
+		rows[write.Put] = statestore.KeyValue{Key: write.Put, Value: write.Value}
 	}
 	l.committed(commitResult{revision: revision})
 	return len(txn.Writes)
@@ -207,7 +208,7 @@
 	perFleetSize(b, func(b *testing.B, machines int) {
 		b.Helper()
 		l, _ := largeFleet(b, machines)
-		rows := make(map[string]wal.KeyValue)
+		rows := make(map[string]statestore.KeyValue)
 		b.ResetTimer()
 		for range b.N {
 			txns, changes := writeCheckpoint(l, rows)
@@ -222,7 +223,7 @@
 	perFleetSize(b, func(b *testing.B, machines int) {
 		b.Helper()
 		l, fleet := largeFleet(b, machines)
-		rows := make(map[string]wal.KeyValue)
+		rows := make(map[string]statestore.KeyValue)
 		writeCheckpoint(l, rows)
 		for i := range constants.CheckpointEntries {
 			for k := range 20 {
@@ -230,7 +231,7 @@
 			}
 			commitTo(l, rows, uint64(5000+i))
 		}
-		all := make([]wal.KeyValue, 0, len(rows))
+		all := make([]statestore.KeyValue, 0, len(rows))
 		size := 0
 		for _, row := range rows {
 			all = append(all, row)
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -105,7 +105,7 @@
 	if err != nil {
 		return wal.State{}, 0, err
 	}
-	var rows []wal.KeyValue
+	var rows []statestore.KeyValue
 	if found {
 		if rows, err = l.readLogRows(ctx, headRow); err != nil {
 			return wal.State{}, 0, err
@@ -119,20 +119,18 @@
 }
 
 // readLogRows reads what the log's head counts on, the head included.
-func (l *Leader) readLogRows(ctx context.Context, headRow statestore.KeyValue) ([]wal.KeyValue, error) {
+func (l *Leader) readLogRows(ctx context.Context, headRow statestore.KeyValue) ([]statestore.KeyValue, error) {
 	var head wal.Head
 	if err := json.Unmarshal(headRow.Value, &head); err != nil {
-		return nil, fmt.Errorf("record %s: %w", wal.HeadKey, err)
+		return nil, &wal.UnreadableRecordError{Key: wal.HeadKey, Err: err}
 	}
-	rows := []wal.KeyValue{{Key: headRow.Key, Value: headRow.Value}}
+	rows := []statestore.KeyValue{headRow}
 	for _, prefix := range head.Prefixes() {
 		listed, err := l.listRecords(ctx, prefix)
 		if err != nil {
 			return nil, err
 		}
-		for _, row := range listed.rows {
-			rows = append(rows, wal.KeyValue{Key: row.Key, Value: row.Value})
-		}
+		rows = append(rows, listed.rows...)
 	}
 	return rows, nil
 }
--- a/internal/leader/wal/damage_test.go
+++ b/internal/leader/wal/damage_test.go
@@ -6,6 +6,7 @@
 	"slices"
 	"strings"
 	"testing"
+	"thornnotch/internal/statestore"
 )
 
 // TestDamagedLog: a value that counts and can't be read stops the takeover and
@@ -17,7 +18,7 @@
 	commitNext(t, store, writer, nil)
 
 	foreignKey := Prefix + "note"
-	store.rows[foreignKey] = KeyValue{foreignKey, json.RawMessage(`"hello"`)}
+	store.rows[foreignKey] = statestore.KeyValue{Key: foreignKey, Value: json.RawMessage(`"hello"`)}
 	if state, foreign, err := Read(store.allRows()); err != nil || !slices.Equal(foreign, []string{foreignKey}) || len(state.Machines["m-1"].Attempts) != 1 {
 		t.Errorf("%v %v %v", state, foreign, err)
 	}
@@ -36,7 +37,7 @@
 			if test.value == "" {
 				delete(store.rows, damaged)
 			} else {
-				store.rows[damaged] = KeyValue{damaged, json.RawMessage(test.value)}
+				store.rows[damaged] = statestore.KeyValue{Key: damaged, Value: json.RawMessage(test.value)}
 			}
 			_, _, err := Read(store.allRows())
 			if !errors.As(err, test.want) || !strings.Contains(err.Error(), damaged) {
--- a/internal/leader/wal/replay.go
+++ b/internal/leader/wal/replay.go
@@ -4,13 +4,9 @@
 	"encoding/json"
 	"strconv"
 	"strings"
-)
 
-// KeyValue is one key as the state service lists it.
-type KeyValue struct {
-	Key   string
-	Value json.RawMessage
-}
+	"thornnotch/internal/statestore"
+)
 
 // State is what the log says once it is read.
 type State struct {
@@ -30,7 +26,7 @@
 // runs, so it is an error (MissingRecordError, UnreadableRecordError or
 // MisplacedEntryError): nothing may be decided without it. Keys that are not the log's
 // are listed in foreign and do no harm.
-func Read(rows []KeyValue) (state State, foreign []string, err error) {
+func Read(rows []statestore.KeyValue) (state State, foreign []string, err error) {
 	state = State{Machines: make(map[string]*Machine), Done: make(map[string][]int)}
 	stored := make(records, len(rows))
 	for _, row := range rows {
--- a/internal/leader/wal/store_test.go
+++ b/internal/leader/wal/store_test.go
@@ -11,13 +11,13 @@
 
 // fakeStore is a state service that carries out transactions whole.
 type fakeStore struct {
-	rows      map[string]KeyValue
+	rows      map[string]statestore.KeyValue
 	revisions map[string]uint64 // of each key's latest change
 	revision  uint64            // of the whole store
 }
 
 func newFakeStore() *fakeStore {
-	return &fakeStore{rows: map[string]KeyValue{}, revisions: map[string]uint64{}}
+	return &fakeStore{rows: map[string]statestore.KeyValue{}, revisions: map[string]uint64{}}
 }
 
 // run carries out a transaction, or tells the keys whose conditions failed.
@@ -37,7 +37,7 @@
 			delete(s.revisions, write.Delete)
 			continue
 		}
-		s.rows[write.Put] = KeyValue{write.Put, write.Value}
+		s.rows[write.Put] = statestore.KeyValue{Key: write.Put, Value: write.Value}
 		s.revisions[write.Put] = s.revision
 	}
 	return nil
@@ -52,21 +52,21 @@
 }
 
 // allRows lists all of the log's keys.
-func (s *fakeStore) allRows() []KeyValue { return s.rowsBelow(Prefix) }
+func (s *fakeStore) allRows() []statestore.KeyValue { return s.rowsBelow(Prefix) }
 
 // failoverRows lists what a failover reads: the head, and what it names.
-func (s *fakeStore) failoverRows() []KeyValue {
+func (s *fakeStore) failoverRows() []statestore.KeyValue {
 	head, _ := s.head() // of a damaged head Read tells
 	return s.rowsBelow(append(head.Prefixes(), HeadKey)...)
 }
 
-func (s *fakeStore) rowsBelow(prefixes ...string) (rows []KeyValue) {
+func (s *fakeStore) rowsBelow(prefixes ...string) (rows []statestore.KeyValue) {
 	for key, row := range s.rows {
 		if slices.ContainsFunc(prefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) }) {
 			rows = append(rows, row)
 		}
 	}
-	slices.SortFunc(rows, func(a, b KeyValue) int { return strings.Compare(a.Key, b.Key) })
+	slices.SortFunc(rows, func(a, b statestore.KeyValue) int { return strings.Compare(a.Key, b.Key) })
 	return rows
 }
 
