--- a/internal/constants/cloud.go
+++ b/internal/constants/cloud.go
@@ -42,8 +42,8 @@
 	// ScaleOutSpare is the default of the operator setting spare: machines beside those that
 	// the demand fills, in units of the square root of what comes while a machine boots.
 	ScaleOutSpare = 4.0
-	// OverflowPriceFactor times the spot price, divided by the ordinary price, is the part
-	// of the work that no spot machines can be had for which ordinary ones are rented for.
+	// OverflowPriceFactor times the spot price, divided by the on-demand price, is the part
+	// of the work that no spot machines can be had for which on-demand ones are rented.
 	OverflowPriceFactor = 2
 )
 
--- a/internal/constants/scoring.go
+++ b/internal/constants/scoring.go
@@ -4,8 +4,8 @@
 
 // Terms of a machine's score for a task, in seconds of delay that they are worth.
 const (
-	// OrdinaryMachinePenalty keeps ordinary machines for jobs that can't use spot machines.
-	OrdinaryMachinePenalty = 4.0
+	// OnDemandMachinePenalty keeps on-demand machines for jobs that can't use spot machines.
+	OnDemandMachinePenalty = 4.0
 	// ReservedSlotBonus has a job use the slots that are reserved for its pipeline before
 	// other room.
 	ReservedSlotBonus = 3.0
@@ -40,7 +40,7 @@
 	// GangReserveMaxAim is the longest expected start for which machines are kept: gangs
 	// whose users accept a longer wait need none.
 	GangReserveMaxAim = 100 * time.Second
-	// GangReserveMaxShare is the largest part of all ordinary machines that is kept (ratio).
+	// GangReserveMaxShare is the largest part of all on-demand machines that is kept (ratio).
 	GangReserveMaxShare = 0.5
 	// MaxDrainingShare is the largest part of all machines that drains for gangs at a time
 	// (ratio): each stands half empty meanwhile. The first gang always gets its own.
--- a/internal/placement/binpacking.go
+++ b/internal/placement/binpacking.go
@@ -25,7 +25,7 @@
 		score -= constants.ReservedSlotBonus
 	}
 	if job.Spec.AllowSpot && !machine.Spot {
-		score += constants.OrdinaryMachinePenalty
+		score += constants.OnDemandMachinePenalty
 		if !job.isGang() && machine.emptyOnDemand() && p.emptyOnDemand > 0 {
 			score += constants.LastWholeMachinePenalty / float64(p.emptyOnDemand)
 		}
