--- a/internal/constants/cloud.go
+++ b/internal/constants/cloud.go
@@ -43,7 +43,7 @@
 	// the demand fills, in units of the square root of what comes while a machine boots.
 	ScaleOutSpare = 4.0
 	// OverflowPriceFactor times the spot price, divided by the on-demand price, is the part
-	// of the work that no spot machines can be had for which on-demand ones are rented.
+	// of the work without spot machines to be had for which on-demand ones are rented.
 	OverflowPriceFactor = 2
 )
 
