--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -111,32 +111,51 @@
 // settingsName are backquoted names of settings, files and metrics, which look like Go names.
 var settingsName = regexp.MustCompile(`^(params|holds|budgets|log|renting|state|cloud|txn|THORNNOTCH|LOG)\b|\.(go|md|toml|yaml|json|mod)$`)
 
+const moduleRoot = ".."
+
 // TestPagesNameWhatExists: each test that a page names exists, and each package, type,
 // function and file that the architecture page names.
 func TestPagesNameWhatExists(t *testing.T) {
-	root := ".."
-	declared := parseModule(t, root)
+	declared := parseModule(t, moduleRoot)
 	for _, page := range []string{"architecture.md", "design.md", "operations.md"} {
-		text, err := os.ReadFile(page)
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, name := range testName.FindAllString(string(text), -1) {
-			if !declared.names[name] {
-				t.Errorf("%s names %s, which no file declares", page, name)
-			}
-		}
+		checkTests(t, declared, page, readPage(t, page))
 	}
-	text, err := os.ReadFile("architecture.md")
+	architecture := readPage(t, "architecture.md")
+	checkNames(t, declared, architecture)
+	checkPackages(t, architecture)
+	checkFiles(t, architecture)
+}
+
+func readPage(t *testing.T, page string) string {
+	t.Helper()
+	text, err := os.ReadFile(page)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, match := range codeName.FindAllStringSubmatch(string(text), -1) {
+	return string(text)
+}
+
+func checkTests(t *testing.T, declared declarations, page, text string) {
+	t.Helper()
+	for _, name := range testName.FindAllString(text, -1) {
+		if !declared.names[name] {
+			t.Errorf("%s names %s, which no file declares", page, name)
+		}
+	}
+}
+
+func checkNames(t *testing.T, declared declarations, text string) {
+	t.Helper()
+	for _, match := range codeName.FindAllStringSubmatch(text, -1) {
 		if name := match[1]; !settingsName.MatchString(name) && !declared.names[name] {
 			t.Errorf("architecture.md names %s, which no file declares", name)
 		}
 	}
-	_, packages, _ := strings.Cut(string(text), "\n## Packages\n")
+}
+
+func checkPackages(t *testing.T, text string) {
+	t.Helper()
+	_, packages, _ := strings.Cut(text, "\n## Packages\n")
 	packages, _, _ = strings.Cut(packages, "\n##")
 	rows := packageRow.FindAllStringSubmatch(packages, -1)
 	if len(rows) == 0 {
@@ -144,13 +163,17 @@
 	}
 	for _, row := range rows {
 		for _, dir := range row[1:] {
-			if _, err := os.Stat(filepath.Join(root, "internal", dir)); err != nil && !strings.HasPrefix(dir, "cmd/") {
+			if _, err := os.Stat(filepath.Join(moduleRoot, "internal", dir)); err != nil && !strings.HasPrefix(dir, "cmd/") {
 				t.Errorf("architecture.md names a package that is not there: %v", err)
 			}
 		}
 	}
-	for _, match := range codePath.FindAllStringSubmatch(string(text), -1) {
-		if _, err := os.Stat(filepath.Join(root, match[1])); err != nil {
+}
+
+func checkFiles(t *testing.T, text string) {
+	t.Helper()
+	for _, match := range codePath.FindAllStringSubmatch(text, -1) {
+		if _, err := os.Stat(filepath.Join(moduleRoot, match[1])); err != nil {
 			t.Errorf("architecture.md names a file that is not there: %v", err)
 		}
 	}
