--- a/cmd/thornnotch/client.go
+++ b/cmd/thornnotch/client.go
@@ -13,9 +13,6 @@
 	"thornnotch/internal/constants"
 )
 
-// maxResponseBytes bounds what is read of a node's response.
-const maxResponseBytes = 4 << 20
-
 // client is what the commands that talk to a running node share.
 type client struct {
 	Node string `default:"127.0.0.1:8080" env:"THORNNOTCH_NODE" placeholder:"HOST:PORT" help:"The users' address of any controller node (${default})."`
@@ -58,7 +55,7 @@
 		return response{}, fmt.Errorf("node %s can't be reached: %w", c.Node, errors.Unwrap(err))
 	}
 	defer answer.Body.Close() //nolint:errcheck // nothing was written
-	raw, err := io.ReadAll(io.LimitReader(answer.Body, maxResponseBytes))
+	raw, err := io.ReadAll(io.LimitReader(answer.Body, constants.MaxClientResponseBytes))
 	if err != nil {
 		return response{}, fmt.Errorf("node %s: %w", c.Node, err)
 	}
--- a/internal/constants/serving.go
+++ b/internal/constants/serving.go
@@ -6,6 +6,8 @@
 const (
 	// HeaderTimeout bounds reading a request's header; it ends slow connections.
 	HeaderTimeout = 10 * time.Second
+	// MaxHeaderBytes bounds a request's header (bytes): workers and users send a few hundred.
+	MaxHeaderBytes = 16 << 10
 	// IdleTimeout ends connections without a request.
 	IdleTimeout = 120 * time.Second
 	// BodyTimeout bounds reading a whole request.
@@ -23,6 +25,9 @@
 	MeshConnsPerNode = 4
 	// RelayTimeout bounds a user's request that another node serves; users wait 2 s for a poll.
 	RelayTimeout = 1600 * time.Millisecond
+	// MaxRelayTargets is the number of nodes that a user's request is passed to in turn: its
+	// user waits for no more.
+	MaxRelayTargets = 2
 	// HealthCheckInterval is the interval at which a node that the state service does not
 	// answer asks the other nodes whether it answers them.
 	HealthCheckInterval = 400 * time.Millisecond
--- a/internal/constants/users.go
+++ b/internal/constants/users.go
@@ -34,6 +34,9 @@
 	FinalCache = 20000
 	// ClientTimeout bounds a request of the command line to a node.
 	ClientTimeout = 8 * time.Second
+	// MaxClientResponseBytes bounds what the command line reads of a node's response
+	// (bytes): the status of a large site takes a small part of it.
+	MaxClientResponseBytes = 4 << 20
 )
 
 // Polls, which are proven by transactions on the state service.
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -91,5 +91,5 @@
 	if helpers == nil {
 		return nil
 	}
-	return (*helpers)[:min(len(*helpers), maxRelayTargets)]
+	return (*helpers)[:min(len(*helpers), constants.MaxRelayTargets)]
 }
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -12,13 +12,8 @@
 	"thornnotch/internal/userapi"
 )
 
-const (
-	// relayedPrefix is the part of the users' interface that other nodes serve.
-	relayedPrefix = "/work"
-	// maxRelayTargets is how many nodes a request is passed to in turn: its user
-	// waits for no more.
-	maxRelayTargets = 2
-)
+// relayedPrefix is the part of the users' interface that other nodes serve.
+const relayedPrefix = "/work"
 
 // serveUser serves a user's request, here or at a node that the state service answers.
 func (n *Node) serveUser(w http.ResponseWriter, r *http.Request) {
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -85,7 +85,7 @@
 	n.registerOperators(mux)
 	return &http.Server{
 		Handler: mux, ReadHeaderTimeout: constants.HeaderTimeout, ReadTimeout: constants.BodyTimeout,
-		IdleTimeout: constants.IdleTimeout, MaxHeaderBytes: 16 << 10,
+		IdleTimeout: constants.IdleTimeout, MaxHeaderBytes: constants.MaxHeaderBytes,
 		ErrorLog:  slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
 		ConnState: n.connections.onStateChange, ConnContext: n.connections.withConn,
 	}
