--- a/internal/leader/dependency_tracker.go
+++ b/internal/leader/dependency_tracker.go
@@ -87,9 +87,50 @@
 	return listed
 }
 
-// startRead notes a read under way, endRead its end.
-func (d *dependencyTracker) startRead(read finalRead) { d.reading[read] = true }
+// startFinalReads chooses the final records to be read next, and notes that their reads
+// are under way.
+func (d *dependencyTracker) startFinalReads(isOpen func(id string) bool) (ids []string) {
+	for id := range d.finalsWanted {
+		if d.readsFull() {
+			break
+		}
+		read := finalRead{job: id}
+		switch {
+		case d.reading[read]:
+		case isOpen(id), len(d.downstreams[id]) == 0:
+			delete(d.finalsWanted, id) // it is open after all, or nobody waits
+		default:
+			d.reading[read] = true
+			ids = append(ids, id)
+		}
+	}
+	return ids
+}
+
+// dependencyList is a job whose list of names is to be read.
+type dependencyList struct {
+	job          *jobState
+	dependencies jobs.Dependencies
+}
+
+// startListReads chooses the lists of names to be read next, and notes that their reads
+// are under way.
+func (d *dependencyTracker) startListReads() (lists []dependencyList) {
+	for job, dependencies := range d.unlinked {
+		read := finalRead{job: job.spec.ID, namesList: true}
+		switch {
+		case job.removed:
+			delete(d.unlinked, job)
+		case d.readsFull(), d.reading[read]:
+		default:
+			d.reading[read] = true
+			lists = append(lists, dependencyList{job, dependencies})
+		}
+	}
+	return lists
+}
 
+// endRead notes that a read is no longer under way.
 func (d *dependencyTracker) endRead(read finalRead) { delete(d.reading, read) }
 
 // readsDue tells whether anything may be read now.
--- a/internal/leader/task_events.go
+++ b/internal/leader/task_events.go
@@ -44,7 +44,7 @@
 	if attempt.Status == workers.StatusExited {
 		return // an EventExited follows
 	}
-	l.deps.Log.Info("task in no record", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.agent.Name)
+	l.deps.Log.Warn("task in no record", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.agent.Name)
 	l.addAttempt(machine, attempt)
 	if job == nil {
 		l.jobs.endedAttemptFound(attempt.ID.Task.Job)
--- a/internal/leader/wal/damage_test.go
+++ b/internal/leader/wal/damage_test.go
@@ -6,6 +6,7 @@
 	"slices"
 	"strings"
 	"testing"
+
 	"thornnotch/internal/statestore"
 )
 
