--- a/internal/leader/wal/damage_test.go
+++ b/internal/leader/wal/damage_test.go
@@ -10,7 +10,7 @@
 	"thornnotch/internal/statestore"
 )
 
-// TestDamagedLog: a value that counts and can't be read stops the takeover and
+// TestDamagedLog: a value that counts and can't be read stops the failover and
 // is named; a foreign key is named and does no harm.
 func TestDamagedLog(t *testing.T) {
 	store := newFakeStore()
--- a/internal/statestore/lease.go
+++ b/internal/statestore/lease.go
@@ -13,7 +13,7 @@
 // ErrOutcomeUnknown there may be one that nobody knows of; it ends by itself.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (lease uint64, err error) {
 	if err := c.Budget.Take(ctx, ClassLease, 0); err != nil {
-		return 0, fmt.Errorf("lease: %w: %w", ErrUnavailable, err)
+		return 0, fmt.Errorf("grant a lease: %w: %w", ErrUnavailable, err)
 	}
 	var result leaseAnswer
 	request := request{
@@ -34,7 +34,7 @@
 // RenewLease gives a lease its full time again. ErrLeaseExpired means that it has ended.
 func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
 	if err := c.Budget.Take(ctx, ClassLease, 0); err != nil {
-		return fmt.Errorf("renew: %w: %w", ErrUnavailable, err)
+		return fmt.Errorf("renew lease %d: %w: %w", lease, ErrUnavailable, err)
 	}
 	request := request{
 		class: ClassLease, timeout: constants.LeaseRenewInterval, // then the next one is due
--- a/internal/statestore/transaction.go
+++ b/internal/statestore/transaction.go
@@ -19,7 +19,7 @@
 // ErrRejected or ErrLeaseExpired; after ErrOutcomeUnknown it may have been, or may yet be.
 func (c *Client) Txn(ctx context.Context, class Class, conditions []Condition, writes []Write) (revision uint64, err error) {
 	if err := c.Budget.Take(ctx, class, len(writes)); err != nil {
-		return 0, fmt.Errorf("multi: %w: %w", ErrUnavailable, err)
+		return 0, fmt.Errorf("transaction: %w: %w", ErrUnavailable, err)
 	}
 	var result txnAnswer
 	request := request{
@@ -45,7 +45,7 @@
 	case answer.status == http.StatusBadRequest && bytes.Contains(answer.body, []byte(leaseExpiredMessage)):
 		return 0, ErrLeaseExpired
 	case answer.status == http.StatusBadRequest:
-		return 0, fmt.Errorf("multi of %d changes: %w: %.120s", len(writes), ErrRejected, answer.body)
+		return 0, fmt.Errorf("transaction of %d writes: %w: %.120s", len(writes), ErrRejected, answer.body)
 	}
 	return 0, request.unexpected(answer)
 }
--- a/internal/statestore/watch.go
+++ b/internal/statestore/watch.go
@@ -16,7 +16,7 @@
 // the revision that is returned. ErrCompacted means that from is too old.
 func (c *Client) Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (revision uint64, changes []Change, err error) {
 	if err := c.Budget.Take(ctx, ClassLease, 0); err != nil {
-		return 0, nil, fmt.Errorf("follow: %w: %w", ErrUnavailable, err)
+		return 0, nil, fmt.Errorf("watch %s: %w: %w", prefix, ErrUnavailable, err)
 	}
 	query := url.Values{
 		paramPrefix:  {prefix},
