--- a/internal/leader/class_stats_test.go
+++ b/internal/leader/class_stats_test.go
@@ -44,6 +44,28 @@
 	}
 }
 
+// TestExpectationsAreCorrected: owners' estimates are often wrong; what the class
+// showed lately corrects them, within bounds.
+func TestExpectationsAreCorrected(t *testing.T) {
+	ratios := make(runtimeRatios)
+	spec := &jobs.Spec{Class: "x", ExpectedS: 10}
+	if got := ratios.expected(spec); got != 10*time.Second {
+		t.Errorf("at first %v", got)
+	}
+	for range 100 {
+		ratios.record(spec, 15*time.Second)
+	}
+	if off := ratios.expected(spec) - 15*time.Second; off.Abs() > 100*time.Millisecond {
+		t.Errorf("corrected to %v", ratios.expected(spec))
+	}
+	for range 100 {
+		ratios.record(spec, 900*time.Second)
+	}
+	if got := ratios.expected(spec); got > 31*time.Second {
+		t.Errorf("without bounds: %v", got)
+	}
+}
+
 // TestRuntimeRatiosNeedAnExpectation: a job whose owner expects nothing tells nothing of
 // its class.
 func TestRuntimeRatiosNeedAnExpectation(t *testing.T) {
--- a/internal/leader/demand_propagation_test.go
+++ b/internal/leader/demand_propagation_test.go
@@ -125,30 +125,6 @@
 	})
 }
 
-// TestExpectationsAreCorrected: owners' estimates are often wrong; what the class
-// showed lately corrects them, within bounds.
-func TestExpectationsAreCorrected(t *testing.T) {
-	now := time.Now()
-	l := testLeader(t)
-	j := addJob(t, l, arraySpec("j-1", 1), now)
-	j.spec.ExpectedS = 10
-	if l.classes.runtimeRatios.expected(j.spec) != 10*time.Second {
-		t.Errorf("at first %v", l.classes.runtimeRatios.expected(j.spec))
-	}
-	for range 100 {
-		l.classes.runtimeRatios.record(j.spec, 15*time.Second)
-	}
-	if d := l.classes.runtimeRatios.expected(j.spec) - 15*time.Second; d < -100*time.Millisecond || d > 100*time.Millisecond {
-		t.Errorf("corrected to %v", l.classes.runtimeRatios.expected(j.spec))
-	}
-	for range 100 {
-		l.classes.runtimeRatios.record(j.spec, 900*time.Second)
-	}
-	if l.classes.runtimeRatios.expected(j.spec) > 31*time.Second {
-		t.Errorf("without bounds: %v", l.classes.runtimeRatios.expected(j.spec))
-	}
-}
-
 // TestTimesCountFromTheLastEnd: a job's times count from when the last job before it
 // was done, as its record says, whichever record is read first and whatever the clock
 // of the leader that wrote it; its due time counts from its submission.
@@ -156,31 +132,32 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.UnixMilli(1_700_000_000_000)
 		l := testLeader(t)
-		due := 300.0
+		dueS := 300.0
 		spec := arraySpec("j-9", 1)
-		spec.DueS, spec.DependsOn = &due, []string{"j-1", "j-2"}
-		j := addJob(t, l, spec, now)
-		accepted, last := j.acceptedAt, j.acceptedAt
+		spec.DueS, spec.DependsOn = &dueS, []string{"j-1", "j-2"}
+		job := addJob(t, l, spec, now)
+		accepted, last := job.acceptedAt, job.acceptedAt
 		now = now.Add(100 * time.Second)
-		for _, name := range spec.DependsOn {
+		for _, upstream := range spec.DependsOn {
 			// Up to a minute off, or not recorded.
-			at := now.Add(time.Duration(rapid.IntRange(-160, 60).Draw(rt, "s")) * time.Second)
-			f := jobs.FinalRecord{Status: jobs.StatusDone, FinishedAtMS: at.UnixMilli()}
-			if rapid.IntRange(0, 4).Draw(rt, "kept") == 0 {
-				f.FinishedAtMS = 0
-			} else if at.After(last) {
-				last = at
+			finished := now.Add(time.Duration(rapid.IntRange(-160, 60).Draw(rt, "finishedS")) * time.Second)
+			final := jobs.FinalRecord{Status: jobs.StatusDone, FinishedAtMS: finished.UnixMilli()}
+			if rapid.IntRange(0, 4).Draw(rt, "recorded") == 0 {
+				final.FinishedAtMS = 0
+			} else if finished.After(last) {
+				last = finished
 			}
-			l.upstreamEnded(name, f, now)
+			l.upstreamEnded(upstream, final, now)
 		}
 		if last.After(now) {
 			last = now
 		}
-		if !j.view.Submitted.Equal(last) || !j.acceptedAt.Equal(accepted) {
-			rt.Fatalf("counts from %v, want %v", j.view.Submitted, last)
+		if !job.view.Submitted.Equal(last) || !job.acceptedAt.Equal(accepted) {
+			rt.Fatalf("counts from %v, want %v", job.view.Submitted, last)
 		}
-		if want := accepted.Add(300*time.Second - 30*time.Second - 5*time.Second); !last.Add(j.view.Targets[0]).Equal(want) {
-			rt.Fatalf("must start at %v to be in time, want %v", last.Add(j.view.Targets[0]), want)
+		want := accepted.Add(300*time.Second - 30*time.Second - 5*time.Second) // to run, and for the image
+		if got := last.Add(job.view.Targets[0]); !got.Equal(want) {
+			rt.Fatalf("must start at %v to be in time, want %v", got, want)
 		}
 	})
 }
--- a/internal/leader/job_final_writes.go
+++ b/internal/leader/job_final_writes.go
@@ -23,24 +23,21 @@
 // completionWrite moves a job from the open to the final records. It fails if the user's
 // cancellation came first: exactly one of both wins.
 func (l *Leader) completionWrite(job *jobState) wal.JobWrite {
-	name := job.spec.ID
-	finishedAt := time.Now().UnixMilli()
-	value, _ := json.Marshal(jobs.FinalRecord{Status: jobs.StatusDone, Tasks: job.spec.Tasks, FinishedAtMS: finishedAt}) // plain fields always encode
-	return wal.JobWrite{
-		Conditions: []statestore.Condition{{Key: jobs.OpenPrefix + name, Revision: job.revision}},
-		Writes:     []statestore.Write{{Delete: jobs.OpenPrefix + name}, {Put: jobs.FinalPrefix + name, Value: value}},
-		Committed: func(uint64) {
-			l.deps.Log.Debug("job done", "job", name)
-			l.removeJob(job, time.Now())
-			l.upstreamEnded(name, jobs.FinalRecord{Status: jobs.StatusDone, FinishedAtMS: finishedAt}, time.Now())
-		},
-		// Ended already by its user.
-		Conflicted: func() { l.removeJob(job, time.Now()) },
-		Retry: func() {
-			job.finalizing = false
-			l.recordCompletion(job)
-		},
+	id := job.spec.ID
+	final := jobs.FinalRecord{Status: jobs.StatusDone, Tasks: job.spec.Tasks, FinishedAtMS: time.Now().UnixMilli()}
+	write := finalWrite(job, final)
+	write.Committed = func(uint64) {
+		l.deps.Log.Debug("job done", "job", id)
+		l.removeJob(job, time.Now())
+		l.upstreamEnded(id, final, time.Now())
 	}
+	// Ended already by its user.
+	write.Conflicted = func() { l.removeJob(job, time.Now()) }
+	write.Retry = func() {
+		job.finalizing = false
+		l.recordCompletion(job)
+	}
+	return write
 }
 
 // recordCancellation has the final record written of a job that is cancelled with one that
@@ -52,11 +49,18 @@
 // cancellationWrite moves a job that is cancelled with one that it depends on to the final
 // records.
 func (l *Leader) cancellationWrite(job *jobState) wal.JobWrite {
-	name := job.spec.ID
-	value, _ := json.Marshal(jobs.FinalRecord{Status: jobs.StatusCancelled}) // plain fields always encode
+	write := finalWrite(job, jobs.FinalRecord{Status: jobs.StatusCancelled})
+	write.Retry = func() { l.recordCancellation(job) }
+	return write
+}
+
+// finalWrite moves a job from the open to the final records, unless its open record is
+// gone.
+func finalWrite(job *jobState, final jobs.FinalRecord) wal.JobWrite {
+	id := job.spec.ID
+	value, _ := json.Marshal(final) // plain fields always encode
 	return wal.JobWrite{
-		Conditions: []statestore.Condition{{Key: jobs.OpenPrefix + name, Revision: job.revision}},
-		Writes:     []statestore.Write{{Delete: jobs.OpenPrefix + name}, {Put: jobs.FinalPrefix + name, Value: value}},
-		Retry:      func() { l.recordCancellation(job) },
+		Conditions: []statestore.Condition{{Key: jobs.OpenPrefix + id, Revision: job.revision}},
+		Writes:     []statestore.Write{{Delete: jobs.OpenPrefix + id}, {Put: jobs.FinalPrefix + id, Value: value}},
 	}
 }
