--- a/internal/leader/wal/store_test.go
+++ b/internal/leader/wal/store_test.go
@@ -72,7 +72,7 @@
 
 // commitNext sends the writer's next transaction, which must keep to the limits and be
 // carried out.
-func commitNext(t *testing.T, store *fakeStore, writer *Writer, jobWrites []JobWrite) *Txn {
+func commitNext(t *testing.T, store *fakeStore, writer *Writer, jobWrites []JobWrite) {
 	t.Helper()
 	txn := writer.Next(jobWrites)
 	if txn == nil {
@@ -90,5 +90,4 @@
 		t.Fatalf("conditions on %v failed", failed)
 	}
 	writer.Committed(store.revision)
-	return txn
 }
