--- a/internal/workers/agent_test.go
+++ b/internal/workers/agent_test.go
@@ -22,8 +22,8 @@
 	return agent
 }
 
-// TestReportsOutOfOrder: an older message, by epoch or sequence number, changes nothing.
-func TestReportsOutOfOrder(t *testing.T) {
+// TestOutdatedMessagesChangeNothing: an older message, by epoch or sequence number, changes nothing.
+func TestOutdatedMessagesChangeNothing(t *testing.T) {
 	agent := NewAgent("m-1")
 	for _, c := range []struct {
 		epoch, sequence uint64
@@ -43,10 +43,10 @@
 	}
 }
 
-// TestCopiesRenewNothing: copies of heartbeats, of this epoch or an older one, are told
+// TestDuplicatesRenewNothing: copies of heartbeats, of this epoch or an older one, are told
 // apart, also when an answer to a command has gone before; a heartbeat that such an answer
 // has overtaken is no copy.
-func TestCopiesRenewNothing(t *testing.T) {
+func TestDuplicatesRenewNothing(t *testing.T) {
 	now := time.Unix(1000, 0)
 	agent := registeredAgent(now)
 	agent.Observe(newHeartbeat(1, 5), ownTerm, false, now)
--- a/internal/workers/gone_test.go
+++ b/internal/workers/gone_test.go
@@ -196,9 +196,9 @@
 	s.network = append(s.network[:index:index], s.network[index+1:]...)
 }
 
-// TestSilenceOfUnknownToken: a worker that has not shown our token may still be renewed by
+// TestSilenceWithoutTokenProvesNothing: a worker that has not shown our token may still be renewed by
 // an older leader, so its silence proves nothing.
-func TestSilenceOfUnknownToken(t *testing.T) {
+func TestSilenceWithoutTokenProvesNothing(t *testing.T) {
 	now := time.Unix(1000, 0)
 	agent := NewAgent("m-1")
 	id := AttemptID{TaskID{"j-1", 0}, 1}
--- a/internal/workers/lost_replies_test.go
+++ b/internal/workers/lost_replies_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// TestDeafMachine: when heartbeats go on but do not show what the worker was told, its
+// TestMissedStartsShowLostReplies: when heartbeats go on but do not show what the worker was told, its
 // replies are taken for lost: the start is taken back, as the heartbeat proves it never
 // arrived, and no 200 goes out until the worker shows that it receives again.
-func TestDeafMachine(t *testing.T) {
+func TestMissedStartsShowLostReplies(t *testing.T) {
 	now := time.Unix(1000, 0)
 	agent := registeredAgent(now)
 	id := AttemptID{TaskID{"j-1", 0}, 7}
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestIgnoredStops: the same for a task that runs on although it was stopped.
-func TestIgnoredStops(t *testing.T) {
+// TestIgnoredStopsShowLostReplies: the same for a task that runs on although it was stopped.
+func TestIgnoredStopsShowLostReplies(t *testing.T) {
 	now := time.Unix(1000, 0)
 	agent := registeredAgent(now)
 	running := TaskReport{Task: "j-1/0", Attempt: 7, Status: StatusRunning}
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestNewSessionRaisesDoubt: a worker whose epoch ended while it went on sending heartbeats
+// TestNewEpochIsUnconfirmed: a worker whose epoch ended while it went on sending heartbeats
 // gets no work until it shows that it receives, by whatever sign.
-func TestNewSessionRaisesDoubt(t *testing.T) {
+func TestNewEpochIsUnconfirmed(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
 		name    string
--- a/internal/workers/wire_test.go
+++ b/internal/workers/wire_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestReportDecoding: well-formed heartbeats are read, also with fields that are not known,
+// TestDecodeHeartbeat: well-formed heartbeats are read, also with fields that are not known,
 // and malformed ones refused.
-func TestReportDecoding(t *testing.T) {
+func TestDecodeHeartbeat(t *testing.T) {
 	good := `{"rig":"m-1","endpoint":"1.2.3.4:9","rigType":"g","hall":"a","loaners":true,"shift":1,"tick":3,"warrant":2,"recallS":null,"new":{},"pieces":[{"piece":"j-1/0","try":1,"status":"exited","cause":"done"}]}`
 	if heartbeat, err := DecodeHeartbeat([]byte(good)); err != nil || len(heartbeat.Tasks) != 1 {
 		t.Fatalf("good heartbeat: %v", err)
@@ -37,10 +37,10 @@
 	})
 }
 
-// TestReportsAreReadAsByTheStandardLibrary: whatever a message holds, and however it is
+// TestDecodesLikeTheStandardLibrary: whatever a message holds, and however it is
 // damaged, the faster decoder takes and refuses what the standard library does, and reads
 // the same.
-func TestReportsAreReadAsByTheStandardLibrary(t *testing.T) {
+func TestDecodesLikeTheStandardLibrary(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		raw, err := json.Marshal(drawHeartbeat(t))
 		if err != nil {
