--- a/internal/workers/gone_test.go
+++ b/internal/workers/gone_test.go
@@ -222,3 +222,31 @@
 		t.Fatalf("an expired lease frees nothing: %v", gone)
 	}
 }
+
+// TestWhatAbsenceProves: when a heartbeat that does not list an attempt proves it gone, rule
+// by rule.
+func TestWhatAbsenceProves(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		attempt Attempt
+		token   uint64
+		gone    bool
+	}{
+		{"exited, not recorded", Attempt{RunSent: true, Status: StatusExited}, ownTerm, false},
+		{"exited and recorded", Attempt{RunSent: true, Status: StatusExited, ExitRecorded: true}, ownTerm, true},
+		{"an earlier term's, before the worker has our token", Attempt{FromEarlierTerm: true, RunSent: true}, earlierTerm, false},
+		{"an earlier term's, once it has", Attempt{FromEarlierTerm: true, RunSent: true}, ownTerm, true},
+		{"not sent, wanted", Attempt{}, ownTerm, false},
+		{"not sent, to stop", Attempt{StopRequested: true}, ownTerm, true},
+		{"seen before", Attempt{RunSent: true, Status: StatusRunning}, ownTerm, true},
+		{"sent, wanted", Attempt{RunSent: true, RunSentSequence: 4}, ownTerm, false},
+		{"sent in the reply to this heartbeat, to stop", Attempt{RunSent: true, RunSentSequence: 5, StopRequested: true}, ownTerm, false},
+		{"sent in the reply to an earlier heartbeat, to stop", Attempt{RunSent: true, RunSentSequence: 4, StopRequested: true}, ownTerm, true},
+	} {
+		heartbeat := newHeartbeat(1, 5)
+		heartbeat.Token = c.token
+		if got := absenceProves(&c.attempt, heartbeat, ownTerm); got != c.gone {
+			t.Errorf("%s: gone = %v, want %v", c.name, got, c.gone)
+		}
+	}
+}
