--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -113,15 +113,16 @@
 
 const moduleRoot = ".."
 
-// TestPagesNameWhatExists: each test that a page names exists, and each package, type,
-// function and file that the architecture page names.
+// TestPagesNameWhatExists: each test and each qualified or many-humped Go name that a page
+// names exists, and each package and file that the architecture page names.
 func TestPagesNameWhatExists(t *testing.T) {
 	declared := parseModule(t, moduleRoot)
-	for _, page := range []string{"architecture.md", "design.md", "operations.md"} {
-		checkTests(t, declared, page, readPage(t, page))
+	for _, page := range []string{"architecture.md", "design.md", "operations.md", "../CONTRIBUTING.md"} {
+		text := readPage(t, page)
+		checkTests(t, declared, page, text)
+		checkNames(t, declared, page, text)
 	}
 	architecture := readPage(t, "architecture.md")
-	checkNames(t, declared, architecture)
 	checkPackages(t, architecture)
 	checkFiles(t, architecture)
 }
@@ -144,11 +145,11 @@
 	}
 }
 
-func checkNames(t *testing.T, declared declarations, text string) {
+func checkNames(t *testing.T, declared declarations, page, text string) {
 	t.Helper()
 	for _, match := range codeName.FindAllStringSubmatch(text, -1) {
 		if name := match[1]; !settingsName.MatchString(name) && !declared.names[name] {
-			t.Errorf("architecture.md names %s, which no file declares", name)
+			t.Errorf("%s names %s, which no file declares", page, name)
 		}
 	}
 }
