--- a/internal/leader/scaling_state_test.go
+++ b/internal/leader/scaling_state_test.go
@@ -147,3 +147,24 @@
 		t.Error("remembered for ever")
 	}
 }
+
+// TestScaleMakesOneCallAtATime: while a call to the cloud is under way, and while the
+// cloud does not answer, no tick makes another.
+func TestScaleMakesOneCallAtATime(t *testing.T) {
+	now := time.Unix(1000, 0)
+	l := testLeader(t)
+	l.scale(now)
+	l.scale(now.Add(time.Minute))
+	if n := len(l.calls.queued); n != 1 {
+		t.Fatalf("%d calls at a time", n)
+	}
+	l.cloudFailed("list", autoscaling.ErrRejected, now)
+	l.scale(now)
+	if n := len(l.calls.queued); n != 1 {
+		t.Errorf("%d calls at once after one that failed", n-1)
+	}
+	l.scale(now.Add(2 * constants.MaxCloudBackoff))
+	if n := len(l.calls.queued); n != 2 {
+		t.Errorf("%d calls after the pause", n-1)
+	}
+}
