--- a/internal/leader/scaling_test.go
+++ b/internal/leader/scaling_test.go
@@ -47,6 +47,22 @@
 	return hosts, next, nil
 }
 
+// countPages counts the pages read among calls to the cloud, and checks that no two come
+// in a row.
+func countPages(t *testing.T, calls []string) (pages int) {
+	t.Helper()
+	for i, call := range calls {
+		if call != "page" {
+			continue
+		}
+		pages++
+		if i > 0 && calls[i-1] == "page" {
+			t.Errorf("two pages in a row while machines are needed: %v", calls)
+		}
+	}
+	return pages
+}
+
 // TestRentingGoesOnBetweenPages: the list of a large fleet takes many calls, and the
 // cloud takes few a second. A job that needs machines does not wait for the last
 // page, a call that fails does not begin the list anew, and the list comes to its end.
@@ -70,16 +86,7 @@
 				break
 			}
 		}
-		pages := 0
-		for i, call := range cloud.calls {
-			if call != "page" {
-				continue
-			}
-			pages++
-			if i > 0 && cloud.calls[i-1] == "page" {
-				t.Errorf("two pages in a row while machines are needed: %v", cloud.calls)
-			}
-		}
+		pages := countPages(t, cloud.calls)
 		if want := cloud.machines / constants.InstanceListPage; pages != want {
 			t.Errorf("%d pages read, want %d: %v", pages, want, cloud.calls)
 		}
--- a/internal/node/placement_log_test.go
+++ b/internal/node/placement_log_test.go
@@ -50,7 +50,7 @@
 // machineIn is the machine that a record names.
 func machineIn(record slog.Record) (machine string) {
 	record.Attrs(func(attr slog.Attr) bool {
-		if attr.Key == "machine" || attr.Key == "rig" {
+		if attr.Key == "machine" {
 			machine = attr.Value.String()
 		}
 		return true
