--- a/Makefile
+++ b/Makefile
@@ -12,7 +12,7 @@
 
 # Rewrites the code into the format that `make format` checks.
 fix:
-	go tool -modfile=tools/go.mod golangci-lint fmt
+	go tool -modfile=tools/go.mod golangci-lint fmt cmd docs internal
 
 # These run the program that `build` makes.
 cli versions: build
