--- /dev/null
+++ b/internal/leader/attempt_records_test.go
@@ -0,0 +1,37 @@
+package leader
+
+import (
+	"testing"
+	"time"
+
+	"thornnotch/internal/jobs"
+)
+
+// TestGangStartsWithItsLastRecord: no task of a gang may start before the attempts of all
+// its tasks are committed; with the last one all may.
+func TestGangStartsWithItsLastRecord(t *testing.T) {
+	const tasks = 3
+	now := time.Now()
+	l := testLeader(t)
+	for _, name := range []string{"m-1", "m-2", "m-3"} {
+		addMachine(l, name, "east", now)
+	}
+	spec := arraySpec("j-1", tasks)
+	spec.Kind, spec.SameZone, spec.GPUs = jobs.KindGang, true, 4
+	job := addJob(t, l, spec, now)
+	l.runSchedulingPass(now)
+	placed := job.attempts.sorted()
+	if len(placed) != tasks {
+		t.Fatalf("%d of %d tasks placed", len(placed), tasks)
+	}
+	for i, p := range placed {
+		p.attempt.Committed = true
+		l.allowStart(p.machine, p.attempt)
+		last := i == tasks-1
+		for _, other := range placed {
+			if other.attempt.StartAllowed != last {
+				t.Errorf("%d of %d committed: task %d may start: %v", i+1, tasks, other.attempt.ID.Task.Index, !last)
+			}
+		}
+	}
+}
--- a/internal/leader/group_commit_test.go
+++ b/internal/leader/group_commit_test.go
@@ -111,7 +111,8 @@
 }
 
 // TestUnansweredTransactionBacksOff: while the state service doesn't answer the same
-// transaction is sent again, after pauses that grow up to a bound; an answer ends that.
+// transaction is sent again, after pauses that grow up to a bound; an answer ends that. What
+// comes up meanwhile goes out with the next one.
 func TestUnansweredTransactionBacksOff(t *testing.T) {
 	now := time.Now()
 	c := testCommit(t, 20)
@@ -121,6 +122,8 @@
 	if first == nil {
 		t.Fatal("no transaction")
 	}
+	later := &testRecord{key: "j-2"}
+	later.queue(c)
 	for range 12 {
 		if outcome := c.finished(commitResult{err: errors.New("no answer")}, now); outcome.schedule || outcome.endTerm != "" {
 			t.Fatalf("%+v", outcome)
@@ -143,8 +146,15 @@
 	if outcome := c.finished(commitResult{revision: 10}, now); !outcome.schedule || !c.healthy() {
 		t.Errorf("an answer does not end it: %+v, backoff %v", outcome, c.backoff)
 	}
-	if record.committed != 1 {
-		t.Errorf("committed %d times", record.committed)
+	if record.committed != 1 || later.written != 0 {
+		t.Errorf("committed %d times, the later one written %d times", record.committed, later.written)
+	}
+	if now = c.due(); c.begin(now) == nil {
+		t.Fatal("no transaction for what came later")
+	}
+	c.finished(commitResult{revision: 11}, now)
+	if later.committed != 1 {
+		t.Errorf("the later one is committed %d times", later.committed)
 	}
 }
 
