--- a/cmd/thornnotch/client.go
+++ b/cmd/thornnotch/client.go
@@ -78,11 +78,11 @@
 		_, err := os.Stdout.Write(a.body)
 		return err
 	}
-	var st userapi.State
+	var st userapi.JobStatus
 	if err := json.Unmarshal(a.body, &st); err != nil {
 		return fmt.Errorf("unreadable answer: %w", err)
 	}
-	fmt.Print(st.NameID, "  ", st.Status)
+	fmt.Print(st.ID, "  ", st.Status)
 	if st.Done != nil && st.Running != nil {
 		fmt.Printf("  %d done, %d running", *st.Done, *st.Running)
 	}
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	j, err := userapi.DecodeJob(raw)
+	j, err := userapi.DecodeSpec(raw)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
@@ -121,7 +121,7 @@
 		return err
 	}
 	if a.status != http.StatusCreated && a.status != http.StatusOK {
-		return a.problem(j.NameID)
+		return a.problem(j.ID)
 	}
 	return c.show(a)
 }
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -117,8 +117,8 @@
 			l.halt(r, a, 0, now)
 			continue
 		}
-		grace := j.spec.StashS + constants.StopGrace.Seconds()
-		if j.spec.Shape == userapi.Gang {
+		grace := j.spec.SaveS + constants.StopGrace.Seconds()
+		if j.spec.Kind == userapi.KindGang {
 			l.haltGang(j, grace, now)
 		} else {
 			l.halt(r, a, grace, now)
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -245,16 +245,16 @@
 // finalExtra moves a job from the open to the final ones. It fails if the
 // user's cancellation came first: exactly one of both wins.
 func (l *Leader) finalExtra(j *job) wal.Extra {
-	name := j.spec.NameID
+	name := j.spec.ID
 	at := time.Now()
-	v, _ := json.Marshal(userapi.Final{Status: userapi.Done, Pieces: j.spec.Pieces, AtMS: at.UnixMilli()}) // plain fields always encode
+	v, _ := json.Marshal(userapi.FinalRecord{Status: userapi.StatusDone, Tasks: j.spec.Tasks, AtMS: at.UnixMilli()}) // plain fields always encode
 	return wal.Extra{
 		When:   []statestore.Cond{{K: userapi.OpenPrefix + name, Stamp: j.stamp}},
 		Writes: []statestore.Write{{Remove: userapi.OpenPrefix + name}, {Set: userapi.FinalPrefix + name, V: v}},
 		Stood: func(uint64) {
 			l.d.Log.Debug("job done", "id", name)
 			l.removeJob(j, time.Now())
-			l.finalKnown(name, userapi.Final{Status: userapi.Done, AtMS: at.UnixMilli()}, time.Now())
+			l.finalKnown(name, userapi.FinalRecord{Status: userapi.StatusDone, AtMS: at.UnixMilli()}, time.Now())
 		},
 		// Ended already by its user.
 		Clash: func() { l.removeJob(j, time.Now()) },
@@ -328,12 +328,12 @@
 	if j.gone {
 		return
 	}
-	name := j.spec.NameID
+	name := j.spec.ID
 	j.gone = true
 	l.finished[name] = true
 	seats := sortedSeats(j)
 	if len(seats) > 0 {
-		l.endedJobs[name] = &endedJob{owner: j.spec.Owner, need: placement.Need(j.spec), seats: len(seats)}
+		l.endedJobs[name] = &endedJob{owner: j.spec.Team, need: placement.Need(j.spec), seats: len(seats)}
 	}
 	delete(l.jobs, name)
 	l.wantFinal(name)
@@ -398,7 +398,7 @@
 	if j == nil {
 		return
 	}
-	if j.spec.Shape != userapi.Gang {
+	if j.spec.Kind != userapi.KindGang {
 		a.StartAllowed = true
 		l.answerSoon(r)
 		return
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -25,7 +25,7 @@
 	wanted map[string]bool
 	asking map[string]bool
 	// unnamed are the jobs whose list of names is to be read.
-	unnamed map[*job]userapi.Needs
+	unnamed map[*job]userapi.Dependencies
 	retryAt time.Time
 	// fed are the jobs that were shown as feeding ones with room held for them.
 	fed []*job
@@ -35,21 +35,21 @@
 	w.after = make(map[string][]*job)
 	w.wanted = make(map[string]bool)
 	w.asking = make(map[string]bool)
-	w.unnamed = make(map[*job]userapi.Needs)
+	w.unnamed = make(map[*job]userapi.Dependencies)
 }
 
 // waiting tells whether a job before this one is not known to be done.
 func (j *job) waiting() bool { return j.asks || len(j.before) > 0 }
 
 // mustWait takes in what a job waits for.
-func (l *Leader) mustWait(j *job, needs userapi.Needs) {
+func (l *Leader) mustWait(j *job, needs userapi.Dependencies) {
 	j.asks, j.edged = true, true
 	if needs.Split != nil || !l.loaded {
 		// Not all names are known, or not all open jobs.
 		l.waits.unnamed[j] = needs
 		return
 	}
-	l.link(j, needs.WaitsOn)
+	l.link(j, needs.DependsOn)
 }
 
 // linkAll links the jobs that were read at the takeover, once all are known.
@@ -57,7 +57,7 @@
 	for j, needs := range l.waits.unnamed {
 		if needs.Split == nil {
 			delete(l.waits.unnamed, j)
-			l.link(j, needs.WaitsOn)
+			l.link(j, needs.DependsOn)
 		}
 	}
 	l.readFinals(now)
@@ -109,7 +109,7 @@
 			row, found, err := l.d.Store.Get(l.ctx, statestore.Record, userapi.FinalPrefix+name)
 			l.do(l.ctx, func() {
 				delete(w.asking, name)
-				var f userapi.Final
+				var f userapi.FinalRecord
 				if err == nil && found {
 					err = json.Unmarshal(row.V, &f)
 				}
@@ -125,7 +125,7 @@
 		})
 	}
 	for j, needs := range w.unnamed {
-		name := j.spec.NameID
+		name := j.spec.ID
 		if j.gone {
 			delete(w.unnamed, j)
 			continue
@@ -135,7 +135,7 @@
 		}
 		w.asking["list of "+name] = true
 		l.tasks.Go(func() error {
-			names, err := needs.Whole(l.ctx, l.d.Store, statestore.Record, name)
+			names, err := needs.Load(l.ctx, l.d.Store, statestore.Record, name)
 			l.do(l.ctx, func() {
 				delete(w.asking, "list of "+name)
 				if err != nil {
@@ -157,11 +157,11 @@
 // fate takes in how a job ended, by its final record: those that wait for it have one
 // less to wait for, or are cancelled with it, and so are those that wait for them.
 // No call goes deeper than this, however long the chain.
-func (l *Leader) finalKnown(name string, f userapi.Final, now time.Time) {
+func (l *Leader) finalKnown(name string, f userapi.FinalRecord, now time.Time) {
 	w := &l.waits
 	type end struct {
 		name string
-		f    userapi.Final
+		f    userapi.FinalRecord
 	}
 	for queue := []end{{name, f}}; len(queue) > 0; queue = queue[1:] {
 		e := queue[0]
@@ -172,11 +172,11 @@
 			if j.gone {
 				continue
 			}
-			if e.f.Status != userapi.Done {
-				l.d.Log.Debug("job cancelled with one before it", "id", j.spec.NameID, "before", e.name)
+			if e.f.Status != userapi.StatusDone {
+				l.d.Log.Debug("job cancelled with one before it", "id", j.spec.ID, "before", e.name)
 				l.removeJob(j, now)
 				l.committer.off = append(l.committer.off, j)
-				queue = append(queue, end{j.spec.NameID, userapi.Final{Status: userapi.Aborted}})
+				queue = append(queue, end{j.spec.ID, userapi.FinalRecord{Status: userapi.StatusCancelled}})
 				continue
 			}
 			delete(j.before, e.name)
@@ -201,13 +201,13 @@
 	l.aim(j)
 	j.servedAt = now
 	l.comes(j, now)
-	l.d.Log.Debug("nothing is left to wait for", "id", j.spec.NameID, "waited_s", now.Sub(j.accepted).Seconds())
+	l.d.Log.Debug("nothing is left to wait for", "id", j.spec.ID, "waited_s", now.Sub(j.accepted).Seconds())
 }
 
 // offExtra writes the final record of a job that is cancelled with one before it.
 func (l *Leader) offExtra(j *job) wal.Extra {
-	name := j.spec.NameID
-	v, _ := json.Marshal(userapi.Final{Status: userapi.Aborted}) // plain fields always encode
+	name := j.spec.ID
+	v, _ := json.Marshal(userapi.FinalRecord{Status: userapi.StatusCancelled}) // plain fields always encode
 	return wal.Extra{
 		When:   []statestore.Cond{{K: userapi.OpenPrefix + name, Stamp: j.stamp}},
 		Writes: []statestore.Write{{Remove: userapi.OpenPrefix + name}, {Set: userapi.FinalPrefix + name, V: v}},
--- a/internal/leader/edges.go
+++ b/internal/leader/edges.go
@@ -19,7 +19,7 @@
 // how soon they must start, then in the order that they came.
 func (l *Leader) downstreamEdges(up *job) (out []reservations.Downstream) {
 	var jobs []*job
-	for _, j := range l.waits.after[up.spec.NameID] {
+	for _, j := range l.waits.after[up.spec.ID] {
 		if len(jobs) == constants.DownstreamsSeen {
 			break
 		}
@@ -75,7 +75,7 @@
 
 // feeds marks all open jobs before one that has room held for it.
 func (l *Leader) feeds(down *job) {
-	name := down.spec.NameID
+	name := down.spec.ID
 	for queue := []*job{down}; len(queue) > 0; queue = queue[1:] {
 		for before := range queue[0].before {
 			j := l.jobs[before]
--- a/internal/leader/faults.go
+++ b/internal/leader/faults.go
@@ -121,7 +121,7 @@
 	if r.accusers == nil {
 		r.accusers = make(map[string]bool)
 	}
-	r.accusers[j.spec.NameID] = true
+	r.accusers[j.spec.ID] = true
 	if len(r.accusers) >= constants.BadMachineJobs {
 		l.condemn(r, "several jobs failed on it", now)
 	}
@@ -167,10 +167,10 @@
 func (l *Leader) absolve(j *job) {
 	for name := range j.blame.failed {
 		r := l.machines[name]
-		if r == nil || !r.accusers[j.spec.NameID] {
+		if r == nil || !r.accusers[j.spec.ID] {
 			continue
 		}
-		delete(r.accusers, j.spec.NameID)
+		delete(r.accusers, j.spec.ID)
 		if len(r.accusers) == 0 {
 			r.pausedUntil = time.Time{}
 		}
@@ -191,7 +191,7 @@
 		if j == nil || a.StopRequested || !a.Live() || a.Status == workers.StatusRunning || a.Status == workers.StatusSaving {
 			continue
 		}
-		if j.spec.Shape != userapi.Gang {
+		if j.spec.Kind != userapi.KindGang {
 			l.halt(r, a, 0, now)
 		} else {
 			l.haltGang(j, 0, now)
--- a/internal/leader/images.go
+++ b/internal/leader/images.go
@@ -25,9 +25,9 @@
 	}
 	known := false
 	for _, im := range r.images {
-		known = known || im.name == j.spec.Bundle && im.have
+		known = known || im.name == j.spec.Image && im.have
 	}
-	r.useImage(j.spec.Bundle, j.spec.ImageGB, true, l.cacheOf(r))
+	r.useImage(j.spec.Image, j.spec.ImageGB, true, l.cacheOf(r))
 	if !known {
 		// The next leader must know too, or it fetches where it need not.
 		l.hintsChanged(r, now)
--- a/internal/leader/inherit.go
+++ b/internal/leader/inherit.go
@@ -24,23 +24,23 @@
 // the class has kept to that lately.
 func (l *Leader) expects(j *job) time.Duration {
 	ratio := 1.0
-	if r, ok := l.kept[j.spec.Workload]; ok {
+	if r, ok := l.kept[j.spec.Class]; ok {
 		ratio = min(max(r, 1/constants.ExpectMost), constants.ExpectMost)
 	}
-	return config.Seconds(j.spec.ExpectS * ratio)
+	return config.Seconds(j.spec.ExpectedS * ratio)
 }
 
 // keeps notes how long a task ran against what its owner expected.
 func (l *Leader) keeps(j *job, ran time.Duration) {
-	if j.spec.ExpectS <= 0 {
+	if j.spec.ExpectedS <= 0 {
 		return
 	}
-	ratio := ran.Seconds() / j.spec.ExpectS
-	was, ok := l.kept[j.spec.Workload]
+	ratio := ran.Seconds() / j.spec.ExpectedS
+	was, ok := l.kept[j.spec.Class]
 	if !ok {
 		was = ratio
 	}
-	l.kept[j.spec.Workload] = was + (ratio-was)*constants.ExpectWeight
+	l.kept[j.spec.Class] = was + (ratio-was)*constants.ExpectWeight
 }
 
 // latest is when a job must start at the latest for itself and those that need it to
@@ -64,7 +64,7 @@
 			continue
 		}
 		var d demand
-		for _, c := range l.waits.after[p.spec.NameID] {
+		for _, c := range l.waits.after[p.spec.ID] {
 			if c.gone {
 				continue
 			}
@@ -79,7 +79,7 @@
 			continue
 		}
 		p.needed = d
-		p.view.Priority = max(userapi.Priority(p.spec.Urgency), d.priority)
+		p.view.Priority = max(userapi.Priority(p.spec.PriorityClass), d.priority)
 		l.aim(p)
 		for name := range p.before {
 			queue = append(queue, name)
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -23,7 +23,7 @@
 
 // job is one accepted job that has not ended.
 type job struct {
-	spec  *userapi.Job
+	spec  *userapi.Spec
 	view  placement.Job
 	stamp uint64 // revision of its record, which never changes
 	// servedAt is when a task of it was last given a place, or it came.
@@ -110,20 +110,20 @@
 	if l.jobs[name] != nil || l.finished[name] {
 		return
 	}
-	var rec userapi.Record
+	var rec userapi.JobRecord
 	err := json.Unmarshal(v, &rec)
-	spec := rec.Job
-	if err != nil || spec.NameID != name || spec.Pieces < 1 || spec.Pieces > constants.MaxPieces {
+	spec := rec.Spec
+	if err != nil || spec.ID != name || spec.Tasks < 1 || spec.Tasks > constants.MaxPieces {
 		l.d.Log.Error("unreadable job", "key", key, "err", err)
 		return
 	}
 	j := &job{
 		spec: &spec, stamp: stamp, servedAt: now,
-		did: make(bitset, (spec.Pieces+7)/8), safe: make(bitset, (spec.Pieces+7)/8),
+		did: make(bitset, (spec.Tasks+7)/8), safe: make(bitset, (spec.Tasks+7)/8),
 		exits: make(map[*workers.Attempt]*machine), stale: true, seats: make(map[int][]seat), avoid: make(map[string]time.Time),
 		again: make(map[int]bool),
 	}
-	j.view = placement.Job{Spec: &spec, Priority: userapi.Priority(spec.Urgency), Order: stamp, Submitted: now, Targets: l.targets(&spec, 0)}
+	j.view = placement.Job{Spec: &spec, Priority: userapi.Priority(spec.PriorityClass), Order: stamp, Submitted: now, Targets: l.targets(&spec, 0)}
 	if at := time.UnixMilli(rec.AtMS); rec.AtMS > 0 && at.Before(now) {
 		j.view.Submitted = at
 	}
@@ -131,21 +131,21 @@
 	l.jobs[name] = j
 	p := j.view.Pipeline()
 	l.pipelines[p] = append(l.pipelines[p], j)
-	l.arrivals[spec.Workload]++
+	l.arrivals[spec.Class]++
 	l.sized(&spec)
-	if needs := (userapi.Needs{WaitsOn: spec.WaitsOn, Split: rec.Split}); !needs.None() {
+	if needs := (userapi.Dependencies{DependsOn: spec.DependsOn, Split: rec.Split}); !needs.Empty() {
 		l.mustWait(j, needs)
 	} else {
 		l.comes(j, now)
 	}
 	l.dirty = true
-	l.d.Log.Debug("job", "id", name, "owner", spec.Owner, "workload", spec.Workload, "pieces", spec.Pieces)
+	l.d.Log.Debug("job", "id", name, "owner", spec.Team, "workload", spec.Class, "pieces", spec.Tasks)
 }
 
 // comes counts a job that may start among those that came lately.
 func (l *Leader) comes(j *job, now time.Time) {
 	if at := j.view.Submitted; now.Sub(at) <= constants.RecentWindow {
-		l.market.recent = append(l.market.recent, arrival{at, demandOf(j, j.spec.Pieces), l.wantsWhole(j.spec)})
+		l.market.recent = append(l.market.recent, arrival{at, demandOf(j, j.spec.Tasks), l.wantsWhole(j.spec)})
 	}
 }
 
@@ -154,7 +154,7 @@
 // without aims goes by the job's own due time. The image may have to be fetched
 // first. They count from when the job could start; its due time counts from its
 // submission, and it has waited for so long.
-func (l *Leader) targets(spec *userapi.Job, waited time.Duration) (out []time.Duration) {
+func (l *Leader) targets(spec *userapi.Spec, waited time.Duration) (out []time.Duration) {
 	fetch := 0.0
 	if cat := l.d.Catalog(); cat != nil {
 		for _, t := range cat.MachineTypes {
@@ -164,22 +164,22 @@
 		}
 	}
 	for _, o := range l.d.Settings.Params.Objectives {
-		if o.Class != spec.Workload {
+		if o.Class != spec.Class {
 			continue
 		}
 		switch o.Kind {
 		case config.AimWait:
 			out = append(out, config.Seconds(o.WithinS-fetch))
 		case config.AimFinished:
-			out = append(out, config.Seconds(o.WithinS-spec.ExpectS-fetch))
+			out = append(out, config.Seconds(o.WithinS-spec.ExpectedS-fetch))
 		case config.AimDeadline:
 			if spec.DueS != nil {
-				out = append(out, config.Seconds(*spec.DueS*o.Due()-spec.ExpectS-fetch)-waited)
+				out = append(out, config.Seconds(*spec.DueS*o.Due()-spec.ExpectedS-fetch)-waited)
 			}
 		}
 	}
 	if len(out) == 0 && spec.DueS != nil {
-		out = append(out, config.Seconds(*spec.DueS-spec.ExpectS-fetch)-waited)
+		out = append(out, config.Seconds(*spec.DueS-spec.ExpectedS-fetch)-waited)
 	}
 	sort.Slice(out, func(i, k int) bool { return out[i] < out[k] })
 	return out
@@ -249,7 +249,7 @@
 func (l *Leader) occupy(r *machine, a *workers.Attempt) {
 	l.markStale(r)
 	j := l.jobs[a.ID.Task.Job]
-	if j == nil || a.ID.Task.Index >= j.spec.Pieces {
+	if j == nil || a.ID.Task.Index >= j.spec.Tasks {
 		return
 	}
 	j.stale = true
@@ -310,10 +310,10 @@
 					g.seats++
 				}
 			}
-			if j == nil || a.ID.Task.Index >= j.spec.Pieces {
+			if j == nil || a.ID.Task.Index >= j.spec.Tasks {
 				l.halt(r, a, 0, now)
 			} else {
-				l.halt(r, a, j.spec.StashS+constants.StopGrace.Seconds(), now)
+				l.halt(r, a, j.spec.SaveS+constants.StopGrace.Seconds(), now)
 			}
 			l.noteAdd(r, a)
 		case workers.EventStatusChanged:
@@ -342,7 +342,7 @@
 // gang still waits for its start, a replacement with the same attempt number
 // completes it; else the others go too, and it starts anew.
 func (l *Leader) lost(r *machine, j *job, a *workers.Attempt, replace bool, now time.Time) {
-	if j == nil || j.spec.Shape != userapi.Gang || j.closing {
+	if j == nil || j.spec.Kind != userapi.KindGang || j.closing {
 		return
 	}
 	if replace && l.mayReplace(j, a) {
@@ -357,8 +357,8 @@
 // dissolve stops what an earlier term had placed of a gang that lacks tasks: it
 // can't be completed any more, and would wait in vain.
 func (l *Leader) dissolve(j *job, now time.Time) {
-	if n := len(j.seats); j.spec.Shape == userapi.Gang && n > 0 && n < j.spec.Pieces && !j.closing {
-		l.haltGang(j, j.spec.StashS+constants.StopGrace.Seconds(), now)
+	if n := len(j.seats); j.spec.Kind == userapi.KindGang && n > 0 && n < j.spec.Tasks && !j.closing {
+		l.haltGang(j, j.spec.SaveS+constants.StopGrace.Seconds(), now)
 	}
 }
 
@@ -384,7 +384,7 @@
 // exited takes in a task's exit.
 func (l *Leader) exited(r *machine, j *job, a *workers.Attempt, now time.Time) {
 	l.d.Log.Debug("task ended", "piece", a.ID.Task, "try", a.ID.Number, "rig", r.m.Name, "cause", a.Cause, "saved", a.Saved)
-	if j == nil || a.ID.Task.Index >= j.spec.Pieces {
+	if j == nil || a.ID.Task.Index >= j.spec.Tasks {
 		l.allowForget(r, a)
 		return
 	}
@@ -412,13 +412,13 @@
 	first := !j.did.has(a.ID.Task.Index)
 	j.exits[a], j.stale = r, true
 	l.notePace(r, j, a, now)
-	if j.spec.Shape == userapi.Gang {
+	if j.spec.Kind == userapi.KindGang {
 		// A gang's tasks complete together: one done, all done.
 		if first {
-			for i := range j.spec.Pieces {
+			for i := range j.spec.Tasks {
 				j.did.set(i)
 			}
-			j.doneN = j.spec.Pieces
+			j.doneN = j.spec.Tasks
 			l.noteDone(j, wal.AllTasks)
 		}
 	} else if first {
@@ -431,11 +431,11 @@
 	l.judge(j, now)  // now: the job may be over in a moment
 	r.accusers = nil // it has carried a task to its end
 	l.settleDone(j)
-	if first || j.spec.Shape == userapi.Gang {
+	if first || j.spec.Kind == userapi.KindGang {
 		l.reserve(r, j, a, now)
 	}
 	// Another attempt of a task that is done has no purpose.
-	if j.spec.Shape != userapi.Gang {
+	if j.spec.Kind != userapi.KindGang {
 		for _, s := range j.seats[a.ID.Task.Index] {
 			l.halt(s.machine, s.a, 0, now)
 		}
@@ -445,7 +445,7 @@
 
 // noteDone has a task's completion recorded, before its worker may forget it.
 func (l *Leader) noteDone(j *job, task int) {
-	l.committer.log.Done(j.spec.NameID, []int{task}, func() {
+	l.committer.log.Done(j.spec.ID, []int{task}, func() {
 		if j.gone {
 			return
 		}
@@ -461,7 +461,7 @@
 // reserve applies the hold rule to the room that a finished task leaves.
 func (l *Leader) reserve(r *machine, j *job, a *workers.Attempt, now time.Time) {
 	f := reservations.Finish{
-		Job: j.spec.NameID, Pieces: j.spec.Pieces, Started: j.started, Machine: r.m.Name, Next: l.downstreams(j), Now: now,
+		Job: j.spec.ID, Pieces: j.spec.Tasks, Started: j.started, Machine: r.m.Name, Next: l.downstreams(j), Now: now,
 		Fits: func(d reservations.Downstream) bool { return r.open(now) && l.mayHold(r, d) },
 	}
 	if f.Started.IsZero() {
@@ -497,7 +497,7 @@
 // those that name it, or else the next one of its owner and workload, if the operators
 // want holds for these.
 func (l *Leader) downstreams(up *job) []reservations.Downstream {
-	if up.edged || len(l.waits.after[up.spec.NameID]) > 0 {
+	if up.edged || len(l.waits.after[up.spec.ID]) > 0 {
 		return l.downstreamEdges(up)
 	}
 	if !l.d.Operator.Holds.SubmissionOrder {
@@ -511,7 +511,7 @@
 }
 
 func heldFor(j *job, p placement.Pipeline) reservations.Downstream {
-	return reservations.Downstream{Pipeline: p, Job: j.spec.NameID, Pieces: j.spec.Pieces, Priority: j.view.Priority, Need: placement.Need(j.spec)}
+	return reservations.Downstream{Pipeline: p, Job: j.spec.ID, Pieces: j.spec.Tasks, Priority: j.view.Priority, Need: placement.Need(j.spec)}
 }
 
 // downstream is the pipeline's earliest job still waiting to start. A job that waits
@@ -537,12 +537,12 @@
 
 func (l *Leader) stillWaits(name string) bool {
 	j := l.jobs[name]
-	return j != nil && len(j.seats) < j.spec.Pieces-j.doneN
+	return j != nil && len(j.seats) < j.spec.Tasks-j.doneN
 }
 
 // checkComplete starts the last record of a job whose tasks are all done.
 func (l *Leader) checkComplete(j *job) {
-	if j.doneN == j.spec.Pieces && !j.closing && !j.gone {
+	if j.doneN == j.spec.Tasks && !j.closing && !j.gone {
 		j.closing = true
 		l.committer.final = append(l.committer.final, j)
 	}
--- a/internal/leader/largest.go
+++ b/internal/leader/largest.go
@@ -49,27 +49,27 @@
 }
 
 // sized keeps the largest size of each class up to date.
-func (l *Leader) sized(spec *userapi.Job) {
-	if spec.Shape != userapi.Gang {
+func (l *Leader) sized(spec *userapi.Spec) {
+	if spec.Kind != userapi.KindGang {
 		return
 	}
-	g := l.largest[spec.Workload]
+	g := l.largest[spec.Class]
 	if g == nil {
 		g = &largest{}
-		l.largest[spec.Workload] = g
+		l.largest[spec.Class] = g
 	}
-	if spec.Pieces > g.size {
+	if spec.Tasks > g.size {
 		// A few are taken to have begun in time, so that one late one does not
 		// decide.
-		*g = largest{size: spec.Pieces, good: constants.LargestPrior}
+		*g = largest{size: spec.Tasks, good: constants.LargestPrior}
 	}
 }
 
 // fared notes once how a job fared, if it is one of the largest: when it begins,
 // or when it has waited too long.
 func (l *Leader) fared(j *job, now time.Time) {
-	g := l.largest[j.spec.Workload]
-	if j.noted || j.waiting() || j.inherited && !j.started.IsZero() || g == nil || j.spec.Shape != userapi.Gang || j.spec.Pieces < g.size {
+	g := l.largest[j.spec.Class]
+	if j.noted || j.waiting() || j.inherited && !j.started.IsZero() || g == nil || j.spec.Kind != userapi.KindGang || j.spec.Tasks < g.size {
 		return
 	}
 	late := now.Sub(j.view.Submitted) > constants.LargestWithin
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -126,7 +126,7 @@
 // ownerOf is the team that an attempt counts for.
 func (l *Leader) ownerOf(a *workers.Attempt) string {
 	if j := l.jobs[a.ID.Task.Job]; j != nil {
-		return j.spec.Owner
+		return j.spec.Team
 	}
 	if g := l.endedJobs[a.ID.Task.Job]; g != nil {
 		return g.owner
--- a/internal/leader/pace.go
+++ b/internal/leader/pace.go
@@ -84,10 +84,10 @@
 		sum := len(marks)
 		for _, a := range r.m.Attempts {
 			j := l.jobs[a.ID.Task.Job]
-			if j == nil || j.spec.Shape == userapi.Gang || a.Status != workers.StatusRunning || a.RunningSince.IsZero() {
+			if j == nil || j.spec.Kind == userapi.KindGang || a.Status != workers.StatusRunning || a.RunningSince.IsZero() {
 				continue
 			}
-			sum += j.pace.suspicion(r.m.LastHeartbeat.Sub(a.RunningSince), j.spec.Pieces)
+			sum += j.pace.suspicion(r.m.LastHeartbeat.Sub(a.RunningSince), j.spec.Tasks)
 		}
 		if sum < constants.SlowProof {
 			continue
@@ -99,14 +99,14 @@
 		l.d.Log.Info("machine is slow", "rig", r.m.Name, "zone", r.m.Zone, "spared_s", pause.Seconds())
 		for _, a := range r.m.SortedAttempts() {
 			j := l.jobs[a.ID.Task.Job]
-			if j == nil || j.spec.Shape == userapi.Gang || a.StopRequested || !a.Live() {
+			if j == nil || j.spec.Kind == userapi.KindGang || a.StopRequested || !a.Live() {
 				continue
 			}
 			// A task that can't save would lose more than it wins.
-			if a.Status == workers.StatusRunning && j.spec.SnapshotS <= 0 {
+			if a.Status == workers.StatusRunning && j.spec.CheckpointIntervalS <= 0 {
 				continue
 			}
-			l.halt(r, a, j.spec.StashS+constants.StopGrace.Seconds(), now)
+			l.halt(r, a, j.spec.SaveS+constants.StopGrace.Seconds(), now)
 		}
 		l.sendStops(r, now)
 		l.dirty = true
@@ -116,11 +116,11 @@
 // notePace takes in a finished task.
 func (l *Leader) notePace(r *machine, j *job, a *workers.Attempt, now time.Time) {
 	// When a task ended on a machine that was not heard meanwhile is not known.
-	if r.blind || a.RunningSince.IsZero() || j.spec.Shape == userapi.Gang || j.inherited || j.again[a.ID.Task.Index] {
+	if r.blind || a.RunningSince.IsZero() || j.spec.Kind == userapi.KindGang || j.inherited || j.again[a.ID.Task.Index] {
 		return
 	}
 	ran := now.Sub(a.RunningSince)
-	for range j.pace.suspicion(ran, j.spec.Pieces) {
+	for range j.pace.suspicion(ran, j.spec.Tasks) {
 		r.slowMarks = append(r.slowMarks, now)
 	}
 	j.pace.add(ran)
--- a/internal/leader/provisioning.go
+++ b/internal/leader/provisioning.go
@@ -408,7 +408,7 @@
 		}
 	}
 	for _, j := range l.jobs {
-		left := j.spec.Pieces - j.doneN
+		left := j.spec.Tasks - j.doneN
 		if left <= 0 || j.waiting() {
 			continue
 		}
@@ -426,9 +426,9 @@
 
 // demandOf is what so many tasks of a job ask of the market.
 func demandOf(j *job, pieces int) provisioning.Demand {
-	return provisioning.Demand{Owner: j.spec.Owner, Pieces: pieces, Need: placement.Need(j.spec),
-		Spot: j.spec.Loaners, Types: j.spec.MachineTypes, Zone: j.spec.Hall,
-		Together: j.spec.Shape == userapi.Gang && j.spec.SamePlace}
+	return provisioning.Demand{Owner: j.spec.Team, Pieces: pieces, Need: placement.Need(j.spec),
+		Spot: j.spec.AllowSpot, Types: j.spec.MachineTypes, Zone: j.spec.Zone,
+		Together: j.spec.Kind == userapi.KindGang && j.spec.SameZone}
 }
 
 // giveUpSurplus returns machines that have been idle for a while and that the
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -137,11 +137,11 @@
 	for _, i := range list {
 		switch {
 		case i == wal.AllTasks:
-			for k := range j.spec.Pieces {
+			for k := range j.spec.Tasks {
 				j.did.set(k)
 				j.safe.set(k)
 			}
-		case i >= 0 && i < j.spec.Pieces:
+		case i >= 0 && i < j.spec.Tasks:
 			j.did.set(i)
 			j.safe.set(i)
 		}
--- a/internal/leader/scheduling.go
+++ b/internal/leader/scheduling.go
@@ -26,7 +26,7 @@
 	plan := placement.Decide(w)
 	for _, s := range plan.Starts {
 		l.machines[s.Machine.Name].stale = true
-		jobs[s.Job.Spec.NameID].stale = true
+		jobs[s.Job.Spec.ID].stale = true
 	}
 	for _, e := range plan.Evicts {
 		l.machines[e.Machine.Name].stale = true
@@ -42,7 +42,7 @@
 	}
 	l.place(plan, jobs, now)
 	for _, s := range plan.Starts {
-		if j := jobs[s.Job.Spec.NameID]; j != nil && len(j.seats) == j.spec.Pieces {
+		if j := jobs[s.Job.Spec.ID]; j != nil && len(j.seats) == j.spec.Tasks {
 			j.short = false
 		}
 	}
@@ -96,7 +96,7 @@
 	}
 	waits, lifted := make(map[string]int), 0
 	for _, j := range w.Jobs {
-		waits[j.Spec.Workload] += len(j.Waiting)
+		waits[j.Spec.Class] += len(j.Waiting)
 		if j.Overdue != placement.NoLift {
 			lifted++
 		}
@@ -135,12 +135,12 @@
 }
 
 // wantsWhole tells whether whole machines are kept for jobs like this one.
-func (l *Leader) wantsWhole(spec *userapi.Job) bool {
-	if spec.Shape != userapi.Gang || spec.Loaners || userapi.Priority(spec.Urgency) > userapi.Priority("standard") {
+func (l *Leader) wantsWhole(spec *userapi.Spec) bool {
+	if spec.Kind != userapi.KindGang || spec.AllowSpot || userapi.Priority(spec.PriorityClass) > userapi.Priority("standard") {
 		return false
 	}
 	for _, o := range l.d.Settings.Params.Objectives {
-		if o.Kind == config.AimWait && o.Class == spec.Workload && config.Seconds(o.WithinS) <= constants.SpareAim {
+		if o.Kind == config.AimWait && o.Class == spec.Class && config.Seconds(o.WithinS) <= constants.SpareAim {
 			return true
 		}
 	}
@@ -243,10 +243,10 @@
 		if j := l.jobs[a.ID.Task.Job]; j != nil {
 			s.Job = &j.view
 			s.Left, s.Loss = l.outlook(j, a, now)
-			if _, have := pr.Cached[j.spec.Bundle]; !have && (a.Status == "" || a.Status == workers.StatusFetching) && typ.PullGBPerS > 0 {
+			if _, have := pr.Cached[j.spec.Image]; !have && (a.Status == "" || a.Status == workers.StatusFetching) && typ.PullGBPerS > 0 {
 				pr.Fetching++
 				full := j.spec.ImageGB / typ.PullGBPerS * float64(pr.Fetching)
-				pr.Cached[j.spec.Bundle] = max(time.Second, time.Duration(full*float64(time.Second))-now.Sub(a.PlacedAt))
+				pr.Cached[j.spec.Image] = max(time.Second, time.Duration(full*float64(time.Second))-now.Sub(a.PlacedAt))
 			}
 		}
 		pr.Slots = append(pr.Slots, s)
@@ -262,7 +262,7 @@
 // show brings a job's view for placement up to date.
 func (l *Leader) show(j *job, now time.Time) {
 	v := &j.view
-	v.Weigh(now, l.share(j.spec.Workload))
+	v.Weigh(now, l.share(j.spec.Class))
 	v.Blocked = now.Before(j.notBefore)
 	v.Passed = now.Sub(j.servedAt)
 	if !j.stale && len(j.avoid) == 0 && len(j.retry) == 0 {
@@ -287,14 +287,14 @@
 		}
 		v.Avoid[name] = true
 	}
-	if j.spec.Shape == userapi.Gang {
+	if j.spec.Kind == userapi.KindGang {
 		// A gang starts as a whole, and not before the last task of an
 		// earlier attempt is proven gone.
 		if len(j.seats) == 0 {
 			j.short = false
 		}
-		if len(j.seats) == 0 && j.doneN < j.spec.Pieces || j.short {
-			for i := 0; i < j.spec.Pieces; i++ {
+		if len(j.seats) == 0 && j.doneN < j.spec.Tasks || j.short {
+			for i := 0; i < j.spec.Tasks; i++ {
 				if len(j.seats[i]) == 0 {
 					v.Waiting = append(v.Waiting, i)
 				}
@@ -308,7 +308,7 @@
 		shown = max(0, 1-len(j.seats))
 	}
 	first := true
-	for i := j.low; i < j.spec.Pieces; i++ {
+	for i := j.low; i < j.spec.Tasks; i++ {
 		if j.did.has(i) || len(j.seats[i]) > 0 {
 			continue
 		}
@@ -323,26 +323,26 @@
 		}
 	}
 	if first {
-		j.low = j.spec.Pieces
+		j.low = j.spec.Tasks
 	}
 }
 
 // outlook estimates how long an attempt goes on, and what stopping it throws
 // away, in seconds of the room that it takes.
 func (l *Leader) outlook(j *job, a *workers.Attempt, now time.Time) (left, loss time.Duration) {
-	expect := time.Duration(j.spec.ExpectS * float64(time.Second))
+	expect := time.Duration(j.spec.ExpectedS * float64(time.Second))
 	again := constants.RestartCost
-	if j.spec.Shape == userapi.Gang {
+	if j.spec.Kind == userapi.KindGang {
 		// The whole gang goes, and finds whole machines again less easily.
-		again *= constants.GangRestart * time.Duration(j.spec.Pieces)
+		again *= constants.GangRestart * time.Duration(j.spec.Tasks)
 	}
 	if a.RunningSince.IsZero() {
 		return expect, again
 	}
 	ran := now.Sub(a.RunningSince)
 	left = max(expect-ran, 5*time.Second)
-	if j.spec.SnapshotS > 0 {
-		loss = time.Duration(j.spec.StashS*float64(time.Second)) + constants.StopGrace
+	if j.spec.CheckpointIntervalS > 0 {
+		loss = time.Duration(j.spec.SaveS*float64(time.Second)) + constants.StopGrace
 	} else {
 		loss = ran
 	}
@@ -358,13 +358,13 @@
 	if r == nil || e.Slot.Job == nil {
 		return
 	}
-	j := l.jobs[e.Slot.Job.Spec.NameID]
+	j := l.jobs[e.Slot.Job.Spec.ID]
 	if j == nil {
 		return
 	}
-	l.d.Log.Debug("makes room", "piece", workers.TaskID{Job: j.spec.NameID, Index: e.Slot.Index}, "rig", r.m.Name, "for", e.For.Spec.NameID)
-	grace := j.spec.StashS + constants.StopGrace.Seconds()
-	if j.spec.Shape == userapi.Gang {
+	l.d.Log.Debug("makes room", "piece", workers.TaskID{Job: j.spec.ID, Index: e.Slot.Index}, "rig", r.m.Name, "for", e.For.Spec.ID)
+	grace := j.spec.SaveS + constants.StopGrace.Seconds()
+	if j.spec.Kind == userapi.KindGang {
 		l.haltGang(j, grace, now)
 		return
 	}
@@ -381,12 +381,12 @@
 func (l *Leader) place(plan *placement.Plan, jobs map[string]*job, now time.Time) {
 	gangTry := make(map[string]uint64)
 	for _, s := range plan.Starts {
-		j := jobs[s.Job.Spec.NameID]
+		j := jobs[s.Job.Spec.ID]
 		r := l.machines[s.Machine.Name]
 		if j == nil || r == nil {
 			continue
 		}
-		try, ok := gangTry[j.spec.NameID]
+		try, ok := gangTry[j.spec.ID]
 		if !ok && j.short {
 			try, ok = j.gangTry, true
 		}
@@ -395,24 +395,24 @@
 				l.end(errAttemptsUsed)
 				return
 			}
-			if j.spec.Shape == userapi.Gang {
-				gangTry[j.spec.NameID] = try
+			if j.spec.Kind == userapi.KindGang {
+				gangTry[j.spec.ID] = try
 				j.gangTry = try
 			}
 		}
-		a := &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: j.spec.NameID, Index: s.Index}, Number: try},
+		a := &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: j.spec.ID, Index: s.Index}, Number: try},
 			Epoch: r.m.Epoch, PlacedAt: now}
 		r.m.Attempts[a.ID] = a
 		j.servedAt = now
-		l.rates.add(j.spec.Workload)
+		l.rates.add(j.spec.Class)
 		l.occupy(r, a)
 		l.noteAdd(r, a)
 		if l.book.Use(r.m.Name, j.view.Owns) {
-			l.d.Log.Debug("hold used", "rig", r.m.Name, "job", j.spec.NameID)
+			l.d.Log.Debug("hold used", "rig", r.m.Name, "job", j.spec.ID)
 			l.hintsChanged(r, now)
 		}
 		l.book.Override(r.m.Name, s.Machine.Total.Sub(l.used(r)))
-		r.useImage(j.spec.Bundle, j.spec.ImageGB, false, l.cacheOf(r))
+		r.useImage(j.spec.Image, j.spec.ImageGB, false, l.cacheOf(r))
 		l.d.Log.Debug("placed", "piece", a.ID.Task, "try", try, "rig", r.m.Name)
 	}
 }
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -185,7 +185,7 @@
 		}
 		q.Done += j.doneN
 		q.Running += run
-		q.Waiting += max(0, j.spec.Pieces-j.doneN-run)
+		q.Waiting += max(0, j.spec.Tasks-j.doneN-run)
 	}
 	for _, q := range queue {
 		st.Queue = append(st.Queue, *q)
--- a/internal/node/confirmations.go
+++ b/internal/node/confirmations.go
@@ -14,7 +14,7 @@
 	if u == nil {
 		return nil, false // it has just begun
 	}
-	return u.Vouch(span)
+	return u.AttestCancellations(span)
 }
 
 // allVouch asks this node and all others.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -237,7 +237,7 @@
 }
 
 // progress asks whoever leads.
-func (n *Node) progress(ctx context.Context, jobs []string) map[string]userapi.Tasks {
+func (n *Node) progress(ctx context.Context, jobs []string) map[string]userapi.TaskCounts {
 	var counts map[string]peers.Count
 	if n.leading.Load() != nil {
 		counts = n.Progress(ctx, jobs)
@@ -247,9 +247,9 @@
 			return nil
 		}
 	}
-	out := make(map[string]userapi.Tasks, len(counts))
+	out := make(map[string]userapi.TaskCounts, len(counts))
 	for id, c := range counts {
-		out[id] = userapi.Tasks(c)
+		out[id] = userapi.TaskCounts(c)
 	}
 	return out
 }
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -86,11 +86,11 @@
 		}
 		return out, worst
 	}
-	if !j.Spec.SamePlace {
+	if !j.Spec.SameZone {
 		machines, _ := pick(all, ZoneCap(j.Spec))
 		return machines
 	}
-	if j.Spec.Pieces > ZoneCap(j.Spec) {
+	if j.Spec.Tasks > ZoneCap(j.Spec) {
 		return nil
 	}
 	var best []*Machine
@@ -99,7 +99,7 @@
 		if !zoneAllows(j, z) {
 			continue
 		}
-		if machines, s := pick(byZone[z], j.Spec.Pieces); machines != nil && (best == nil || s < bestScore) {
+		if machines, s := pick(byZone[z], j.Spec.Tasks); machines != nil && (best == nil || s < bestScore) {
 			best, bestScore = machines, s
 		}
 	}
--- a/internal/placement/limit.go
+++ b/internal/placement/limit.go
@@ -46,11 +46,11 @@
 // promised adds a promise, or renews it.
 func (p *pass) promise(j *Job) {
 	p.unpromise(j)
-	p.promises[j.Spec.Owner] = append(p.promises[j.Spec.Owner], promise{j, Need(j.Spec).Times(len(j.Waiting))})
+	p.promises[j.Spec.Team] = append(p.promises[j.Spec.Team], promise{j, Need(j.Spec).Times(len(j.Waiting))})
 }
 
 func (p *pass) unpromise(j *Job) {
-	owner := j.Spec.Owner
+	owner := j.Spec.Team
 	p.promises[owner] = slices.DeleteFunc(p.promises[owner], func(k promise) bool { return k.job == j })
 }
 
@@ -61,7 +61,7 @@
 // Peakdale's day with a partition.
 func (p *pass) keepPromises() {
 	for _, j := range p.Jobs {
-		if j.Preparing && len(j.Waiting) > 0 && !j.Blocked && p.Teams[j.Spec.Owner] != nil {
+		if j.Preparing && len(j.Waiting) > 0 && !j.Blocked && p.Teams[j.Spec.Team] != nil {
 			p.promise(j)
 		}
 	}
@@ -71,19 +71,19 @@
 // for lower work has given way. What is kept for a lifted gang or promised to
 // one that waits for room being made is left to it, except by higher work.
 func (p *pass) allows(j *Job, extra Room) bool {
-	t := p.Teams[j.Spec.Owner]
+	t := p.Teams[j.Spec.Team]
 	if j.Overdue == NoLift {
 		if j.Priority >= t.KeptFrom {
 			extra = extra.Add(t.Kept)
 		}
 		extra = extra.Add(p.leaves(j))
-		for _, k := range p.promises[j.Spec.Owner] {
+		for _, k := range p.promises[j.Spec.Team] {
 			if k.job != j && k.job.Priority >= j.Priority {
 				extra = extra.Add(k.room)
 			}
 		}
 	}
-	return t.Allows(extra) || len(p.holds[j.Spec.Owner]) > 0 && t.Allows(extra.Sub(p.yields(j)))
+	return t.Allows(extra) || len(p.holds[j.Spec.Team]) > 0 && t.Allows(extra.Sub(p.yields(j)))
 }
 
 // yields is what is held of the job's team's limit and gives way to it, its own
@@ -94,7 +94,7 @@
 		return p.yielding
 	}
 	p.yieldsTo, p.yielding = j, Room{}
-	for _, h := range p.holds[j.Spec.Owner] {
+	for _, h := range p.holds[j.Spec.Team] {
 		if leavesLimit(h.held, j) {
 			p.yielding = p.yielding.Add(h.held.Room)
 		}
@@ -137,19 +137,19 @@
 	}
 	waits, usable, without := make(map[Pipeline]bool), make(map[Pipeline]bool), make(map[string]Room)
 	for _, j := range p.Jobs {
-		t := p.Teams[j.Spec.Owner]
-		if len(j.Waiting) == 0 || len(p.holds[j.Spec.Owner]) == 0 || t == nil {
+		t := p.Teams[j.Spec.Team]
+		if len(j.Waiting) == 0 || len(p.holds[j.Spec.Team]) == 0 || t == nil {
 			continue
 		}
-		use, known := without[j.Spec.Owner]
+		use, known := without[j.Spec.Team]
 		if !known {
 			use = t.Used
-			for _, h := range p.holds[j.Spec.Owner] {
+			for _, h := range p.holds[j.Spec.Team] {
 				use = use.Sub(h.held.Room)
 			}
-			without[j.Spec.Owner] = use
+			without[j.Spec.Team] = use
 		}
-		fits := j.Spec.Shape != "gang" || t.within(use.Add(Need(j.Spec).Times(len(j.Waiting))))
+		fits := j.Spec.Kind != "gang" || t.within(use.Add(Need(j.Spec).Times(len(j.Waiting))))
 		for _, pipe := range [2]Pipeline{j.Pipeline(), j.Edges()} {
 			waits[pipe] = true
 			usable[pipe] = usable[pipe] || fits
@@ -170,9 +170,9 @@
 // giveWay ends as many of the holds that give way to the job as its team needs
 // to use extra on top, the lowest first.
 func (p *pass) giveWay(j *Job, extra Room) {
-	t := p.Teams[j.Spec.Owner]
+	t := p.Teams[j.Spec.Team]
 	var list []heldOn
-	for _, h := range p.holds[j.Spec.Owner] {
+	for _, h := range p.holds[j.Spec.Team] {
 		if leavesLimit(h.held, j) {
 			list = append(list, h)
 		}
@@ -204,12 +204,12 @@
 //
 // A gang that is not lifted waits, and smaller work goes on meanwhile.
 func (p *pass) makeLimit(j *Job) {
-	t := p.Teams[j.Spec.Owner]
+	t := p.Teams[j.Spec.Team]
 	extra := Need(j.Spec).Times(len(j.Waiting))
 	if t.Kept != (Room{}) || !(&Team{Max: t.Max}).Allows(extra) {
 		return // kept for another already, or of no use
 	}
-	short := extra.Sub(p.ending[j.Spec.Owner])
+	short := extra.Sub(p.ending[j.Spec.Team])
 	p.giveWay(j, short)
 	t.Kept, t.KeptFrom = extra, 0
 	if !t.Allows(short) && !p.stopOwn(j, short) {
@@ -221,7 +221,7 @@
 // its team could use extra more once they are gone: those that lose least for
 // the room they give. It stops none if all of them are not enough.
 func (p *pass) stopOwn(j *Job, extra Room) (enough bool) {
-	t := p.Teams[j.Spec.Owner]
+	t := p.Teams[j.Spec.Team]
 	type victim struct {
 		machine *Machine
 		slot    Slot
@@ -234,7 +234,7 @@
 			continue
 		}
 		for _, s := range r.Slots {
-			if s.Job != nil && !s.Ending && s.Job.Spec.Owner == j.Spec.Owner && s.Job.Priority < j.Priority {
+			if s.Job != nil && !s.Ending && s.Job.Spec.Team == j.Spec.Team && s.Job.Priority < j.Priority {
 				list = append(list, victim{r, s, s.Loss.Seconds()})
 				sum = sum.Add(s.Room)
 			}
@@ -269,10 +269,10 @@
 		}
 	}
 	r.ending = r.ending.Add(s.Room)
-	p.able[standing{s.Job.Priority, s.Job.Guaranteed, s.Job.Spec.Owner}]--
+	p.able[standing{s.Job.Priority, s.Job.Guaranteed, s.Job.Spec.Team}]--
 	// It counts toward the team's limit until it is proven gone; only
 	// what the team runs beyond its guarantee shrinks already.
-	p.ending[s.Job.Spec.Owner] = p.ending[s.Job.Spec.Owner].Add(s.Room)
+	p.ending[s.Job.Spec.Team] = p.ending[s.Job.Spec.Team].Add(s.Room)
 }
 
 // missed tells whether the job had aims and can meet none any more.
@@ -287,8 +287,8 @@
 func (p *pass) smallFirst(jobs []*Job) {
 	places := make(map[string][]int)
 	for i, j := range jobs {
-		if j.Spec.Shape == "gang" && p.short(j.Spec.Owner) {
-			places[j.Spec.Owner] = append(places[j.Spec.Owner], i)
+		if j.Spec.Kind == "gang" && p.short(j.Spec.Team) {
+			places[j.Spec.Team] = append(places[j.Spec.Team], i)
 		}
 	}
 	for owner, at := range places {
@@ -319,16 +319,16 @@
 // The job's place in the queue stays as it is: whoever may stop another's tasks
 // must stand before it, or the room goes back to what was stopped, pass after pass.
 func (p *pass) leaves(j *Job) Room {
-	if !j.missed() || j.Preparing || !p.short(j.Spec.Owner) {
+	if !j.missed() || j.Preparing || !p.short(j.Spec.Team) {
 		// One that room is being made for has its promise: to give it up for a
 		// lower job, stop that one's tasks and begin anew would go on pass by pass.
 		return Room{}
 	}
-	k := ownerAt{j.Spec.Owner, j.Priority}
+	k := ownerAt{j.Spec.Team, j.Priority}
 	sum, known := p.inTime[k]
 	if !known {
 		for _, o := range p.Jobs {
-			if o.Spec.Owner == k.owner && o.Priority < k.priority && !o.Blocked && !o.Late {
+			if o.Spec.Team == k.owner && o.Priority < k.priority && !o.Blocked && !o.Late {
 				sum = sum.Add(Need(o.Spec).Times(len(o.Waiting)))
 			}
 		}
@@ -350,7 +350,7 @@
 		if t := p.Teams[owner]; t != nil {
 			sum := Room{}
 			for _, j := range p.Jobs {
-				if j.Spec.Owner == owner && !j.Blocked {
+				if j.Spec.Team == owner && !j.Blocked {
 					sum = sum.Add(Need(j.Spec).Times(len(j.Waiting)))
 				}
 			}
--- a/internal/placement/overload.go
+++ b/internal/placement/overload.go
@@ -62,8 +62,8 @@
 func (p *pass) spareInTime(jobs []*Job) {
 	places := make(map[string][]int)
 	for i, j := range jobs {
-		if j.Spec.Shape != "gang" && !j.Late && !j.Blocked && len(j.Waiting) > 0 && p.Rate[j.Spec.Workload] > 0 {
-			places[j.Spec.Workload] = append(places[j.Spec.Workload], i)
+		if j.Spec.Kind != "gang" && !j.Late && !j.Blocked && len(j.Waiting) > 0 && p.Rate[j.Spec.Class] > 0 {
+			places[j.Spec.Class] = append(places[j.Spec.Class], i)
 		}
 	}
 	for class, at := range places {
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -33,12 +33,12 @@
 			switch {
 			case s.Job == nil:
 			case s.Ending:
-				p.ending[s.Job.Spec.Owner] = p.ending[s.Job.Spec.Owner].Add(s.Room)
+				p.ending[s.Job.Spec.Team] = p.ending[s.Job.Spec.Team].Add(s.Room)
 			default:
 				// Counted by job first: tasks are many, standings few.
 				if s.Job.tally == 0 {
 					running = append(running, s.Job)
-					s.Job.bit = p.bit(standing{s.Job.Priority, s.Job.Guaranteed, s.Job.Spec.Owner})
+					s.Job.bit = p.bit(standing{s.Job.Priority, s.Job.Guaranteed, s.Job.Spec.Team})
 				}
 				s.Job.tally++
 				r.standings |= s.Job.bit
@@ -49,7 +49,7 @@
 		}
 	}
 	for _, j := range running {
-		p.able[standing{j.Priority, j.Guaranteed, j.Spec.Owner}] += j.tally
+		p.able[standing{j.Priority, j.Guaranteed, j.Spec.Team}] += j.tally
 		j.tally = 0
 	}
 	slices.SortFunc(w.Jobs, func(a, b *Job) int {
@@ -96,10 +96,10 @@
 		p.spareInTime(jobs)
 	}
 	for _, j := range jobs {
-		if j.Blocked || len(j.Waiting) == 0 || p.Teams[j.Spec.Owner] == nil {
+		if j.Blocked || len(j.Waiting) == 0 || p.Teams[j.Spec.Team] == nil {
 			continue
 		}
-		if j.Spec.Shape == "gang" {
+		if j.Spec.Kind == "gang" {
 			p.gang(j)
 		} else if done := p.sweep(j, 0, j.Passed.Seconds()+constants.LocalDelay); done < len(j.Waiting) {
 			again = append(again, rest{j, done})
@@ -191,7 +191,7 @@
 	switch {
 	case givesWay(h, j):
 		return false
-	case j.Guaranteed && j.Spec.Owner != h.Pipeline.Owner:
+	case j.Guaranteed && j.Spec.Team != h.Pipeline.Owner:
 		return false
 	}
 	return true
@@ -222,7 +222,7 @@
 // Allowed tells whether the job may use the machine at all.
 func Allowed(j *Job, r *Machine) bool {
 	s := j.Spec
-	if r.Spot && !s.Loaners || s.Hall != "" && s.Hall != r.Zone {
+	if r.Spot && !s.AllowSpot || s.Zone != "" && s.Zone != r.Zone {
 		return false
 	}
 	if s.MachineTypes == nil {
@@ -264,7 +264,7 @@
 		return p.Machines[at]
 	}
 	for _, j := range p.Jobs {
-		if j.Spec.Shape != "gang" || len(j.Waiting) == 0 || j.Blocked {
+		if j.Spec.Kind != "gang" || len(j.Waiting) == 0 || j.Blocked {
 			continue
 		}
 		for name := range j.Claims {
@@ -278,7 +278,7 @@
 
 // delay estimates how long a task would wait for its image on the machine.
 func (r *Machine) delay(j *Job) float64 {
-	if left, ok := r.Cached[j.Spec.Bundle]; ok {
+	if left, ok := r.Cached[j.Spec.Image]; ok {
 		return left.Seconds()
 	}
 	if r.Pull <= 0 {
@@ -293,15 +293,15 @@
 	if _, n := r.heldFor(j); n > 0 {
 		s -= constants.SpareEmpty
 	}
-	if j.Spec.Loaners && !r.Spot {
+	if j.Spec.AllowSpot && !r.Spot {
 		s += constants.SpareOrdinary
-		if j.Spec.Shape != "gang" && r.used == (Room{}) && p.whole > 0 {
+		if j.Spec.Kind != "gang" && r.used == (Room{}) && p.whole > 0 {
 			s += constants.SpareWhole / float64(p.whole)
 		}
 	}
-	if j.Spec.Shape != "gang" {
+	if j.Spec.Kind != "gang" {
 		full := r.used.Share(r.Total)
-		if _, have := r.Cached[j.Spec.Bundle]; have || !r.Spot {
+		if _, have := r.Cached[j.Spec.Image]; have || !r.Spot {
 			s += constants.SparePart * (1 - full)
 		} else {
 			// The image must be fetched anyway: on a machine that gangs can't
@@ -320,7 +320,7 @@
 	}
 	r.used = r.used.Add(need)
 	r.Seats--
-	p.Teams[j.Spec.Owner].Used = p.Teams[j.Spec.Owner].Used.Add(need)
+	p.Teams[j.Spec.Team].Used = p.Teams[j.Spec.Team].Used.Add(need)
 	for _, h := range r.Held {
 		if j.Owns(h.Pipeline) {
 			// The task takes the place of its hold, which counted already.
@@ -328,19 +328,19 @@
 			break
 		}
 	}
-	if t := p.Teams[j.Spec.Owner]; !t.Allows(Room{}) {
+	if t := p.Teams[j.Spec.Team]; !t.Allows(Room{}) {
 		p.giveWay(j, Room{})
 	}
 	if j.Zones == nil {
 		j.Zones = make(map[string]int)
 	}
 	j.Zones[r.Zone]++
-	if _, ok := r.Cached[j.Spec.Bundle]; !ok {
+	if _, ok := r.Cached[j.Spec.Image]; !ok {
 		left := time.Duration(r.delay(j) * float64(time.Second))
 		if r.Cached == nil {
 			r.Cached = make(map[string]time.Duration)
 		}
-		r.Cached[j.Spec.Bundle] = left
+		r.Cached[j.Spec.Image] = left
 		r.Fetching++
 	}
 	p.plan.Starts = append(p.plan.Starts, Start{j, index, r})
@@ -348,12 +348,12 @@
 
 // zoneAllows keeps samePlace and apart with the job's tasks as they stand.
 func zoneAllows(j *Job, zone string) bool {
-	if j.Spec.SamePlace {
+	if j.Spec.SameZone {
 		for z, n := range j.Zones {
 			if n > 0 && z != zone {
 				return false
 			}
 		}
 	}
-	return !j.Spec.Apart || j.Zones[zone] < ZoneCap(j.Spec)
+	return !j.Spec.SpreadZones || j.Zones[zone] < ZoneCap(j.Spec)
 }
--- a/internal/placement/room.go
+++ b/internal/placement/room.go
@@ -24,7 +24,7 @@
 	if v.Priority != j.Priority {
 		return v.Priority < j.Priority
 	}
-	return j.Guaranteed && !v.Guaranteed && v.Spec.Owner != j.Spec.Owner && p.beyond(v.Spec.Owner)
+	return j.Guaranteed && !v.Guaranteed && v.Spec.Team != j.Spec.Team && p.beyond(v.Spec.Team)
 }
 
 // beyond tells whether a team uses more than its guarantee.
@@ -44,7 +44,7 @@
 func (p *pass) mayStop(j *Job) bool {
 	for v, n := range p.able {
 		if n > 0 && (v.priority < j.Priority ||
-			v.priority == j.Priority && j.Guaranteed && !v.guaranteed && v.owner != j.Spec.Owner && p.beyond(v.owner)) {
+			v.priority == j.Priority && j.Guaranteed && !v.guaranteed && v.owner != j.Spec.Team && p.beyond(v.owner)) {
 			return true
 		}
 	}
@@ -66,7 +66,7 @@
 func (p *pass) makeRoom(j *Job, n int) {
 	clear(p.outside) // what this pass has placed and stopped so far changes it
 	need := Need(j.Spec)
-	gang := j.Spec.Shape == "gang"
+	gang := j.Spec.Kind == "gang"
 	mayStop := p.mayStop(j)
 	if !p.allows(j, need) || !gang && !mayStop {
 		return
@@ -81,7 +81,7 @@
 	if mayStop {
 		stops = p.stops(j)
 	}
-	oneZone := gang && j.Spec.SamePlace && n > 1
+	oneZone := gang && j.Spec.SameZone && n > 1
 	best := make(map[string][]option) // the n cheapest, by zone if it matters
 	var zones []string
 	for _, r := range p.Machines {
@@ -184,7 +184,7 @@
 // stops are the standings, as bits, whose tasks the job may stop.
 func (p *pass) stops(j *Job) (bits uint64) {
 	for v, bit := range p.bits {
-		if v.priority < j.Priority || v.priority == j.Priority && j.Guaranteed && !v.guaranteed && v.owner != j.Spec.Owner {
+		if v.priority < j.Priority || v.priority == j.Priority && j.Guaranteed && !v.guaranteed && v.owner != j.Spec.Team {
 			bits |= bit
 		}
 	}
@@ -236,7 +236,7 @@
 			return o, true
 		}
 	}
-	if j.Spec.Shape != "gang" {
+	if j.Spec.Kind != "gang" {
 		return o, false
 	}
 	if 1e6+r.left.Seconds()-constants.ClaimKept-constants.ClaimKeptOverdue >= worst {
--- a/internal/placement/sweep.go
+++ b/internal/placement/sweep.go
@@ -36,7 +36,7 @@
 // takes tells whether one more task of a sweep may go to the machine, as far as its
 // team's limit lets it start at all.
 func (p *pass) takes(j *Job, r *Machine, need Room) bool {
-	if j.Spec.Loaners && !r.Spot && r.used == (Room{}) && p.whole <= p.Spare {
+	if j.Spec.AllowSpot && !r.Spot && r.used == (Room{}) && p.whole <= p.Spare {
 		// Whole ordinary machines are kept for gangs that can use no others.
 		return false
 	}
--- a/internal/provisioning/cloud.go
+++ b/internal/provisioning/cloud.go
@@ -58,7 +58,7 @@
 	}
 	out := make([]userapi.MachineType, 0, len(c.MachineTypes))
 	for _, t := range c.MachineTypes {
-		out = append(out, userapi.MachineType{SKU: t.SKU, VCPUs: t.VCPUs, Accelerators: t.Accelerators, RAMGB: t.RAMGB, Halls: t.Halls})
+		out = append(out, userapi.MachineType{Name: t.SKU, CPUs: t.VCPUs, GPUs: t.Accelerators, MemoryGB: t.RAMGB, Zones: t.Halls})
 	}
 	return out
 }
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -20,7 +20,7 @@
 // logJudge logs what runs where.
 type logJudge struct{ log *slog.Logger }
 
-func (l logJudge) Began(machine, zone string, _ bool, t workers.TaskID, try uint64, _ *userapi.Job) {
+func (l logJudge) Began(machine, zone string, _ bool, t workers.TaskID, try uint64, _ *userapi.Spec) {
 	l.log.Info("task on machine", "piece", t, "try", try, "rig", machine, "zone", zone)
 }
 
@@ -31,14 +31,14 @@
 // stored lets workers find a job's description where the nodes keep it.
 type stored struct{ s *State }
 
-func (j stored) Job(id string) (*userapi.Job, bool) {
+func (j stored) Job(id string) (*userapi.Spec, bool) {
 	j.s.mu.Lock()
 	it, ok := j.s.items[userapi.OpenPrefix+id]
 	j.s.mu.Unlock()
 	if !ok {
 		return nil, false
 	}
-	var job userapi.Job
+	var job userapi.Spec
 	if json.Unmarshal(it.V, &job) != nil {
 		return nil, false
 	}
--- a/internal/userapi/dependencies.go
+++ b/internal/userapi/dependencies.go
@@ -23,7 +23,7 @@
 
 // putParts writes the values of a long list, ahead of the record that names them.
 // What is left of a submission that comes no further is never looked at.
-func (s *Server) putParts(ctx context.Context, id string, n Needs, parts []json.RawMessage) error {
+func (s *Server) putParts(ctx context.Context, id string, n Dependencies, parts []json.RawMessage) error {
 	for at := 0; at < len(parts); {
 		var writes []statestore.Write
 		size := 0
@@ -96,7 +96,7 @@
 		}
 		seen[id] = true
 		if f, ok := s.finals.Get(id); ok {
-			if f.Status == Aborted {
+			if f.Status == StatusCancelled {
 				return true, nil
 			}
 			continue
@@ -110,7 +110,7 @@
 			if !found {
 				return false, fmt.Errorf("%s is neither open nor final as known here", id)
 			}
-			if st.Status == Aborted {
+			if st.Status == StatusCancelled {
 				return true, nil
 			}
 			continue
@@ -125,11 +125,11 @@
 }
 
 // whole reads the rest of a list that stands in several values, once.
-func (s *Server) whole(ctx context.Context, id string, n Needs, class statestore.Class) ([]string, error) {
+func (s *Server) whole(ctx context.Context, id string, n Dependencies, class statestore.Class) ([]string, error) {
 	if n.Split == nil {
-		return n.WaitsOn, nil
+		return n.DependsOn, nil
 	}
-	list, err := n.Whole(ctx, s.store, class, id)
+	list, err := n.Load(ctx, s.store, class, id)
 	if err == nil {
 		s.mirror.whole(id, list)
 	}
@@ -140,11 +140,11 @@
 // brought up to a moment after the question: what is open in it then was not
 // cancelled, and what is not open has a final record, which never changes.
 func (s *Server) waits(ctx context.Context, id string, row statestore.Row, class statestore.Class) (cancelled bool, err error) {
-	needs := RecordNeeds(row.V)
-	if needs.None() {
+	needs := DependenciesOf(row.V)
+	if needs.Empty() {
 		return false, nil
 	}
-	if o := s.mirror.get(id); o.stamp == row.Stamp && o.needs.None() {
+	if o := s.mirror.get(id); o.stamp == row.Stamp && o.needs.Empty() {
 		return false, nil // all that it waited for is done
 	}
 	if err := s.sync(ctx); err != nil {
@@ -155,7 +155,7 @@
 
 // cancelledBefore tells the same for a mirror that has been brought up to a moment
 // after the question, and notes a job that nothing is before any more.
-func (s *Server) cancelledBefore(ctx context.Context, id string, needs Needs, class statestore.Class) (cancelled bool, err error) {
+func (s *Server) cancelledBefore(ctx context.Context, id string, needs Dependencies, class statestore.Class) (cancelled bool, err error) {
 	list, err := s.whole(ctx, id, needs, class)
 	if err != nil {
 		return false, err
@@ -165,11 +165,11 @@
 	case err != nil:
 		return false, err
 	case cancelled:
-		s.settle(id, Final{Status: Aborted})
+		s.settle(id, FinalRecord{Status: StatusCancelled})
 		return true, nil
 	}
 	for _, n := range list {
-		if f, ok := s.finals.Get(n); !ok || f.Status != Done {
+		if f, ok := s.finals.Get(n); !ok || f.Status != StatusDone {
 			return false, nil
 		}
 	}
@@ -201,7 +201,7 @@
 		case err != nil:
 			a.answer <- answer{err: err}
 		case cancelled:
-			a.answer <- answer{finalState(a.id, Final{Status: Aborted}), true, nil}
+			a.answer <- answer{finalState(a.id, FinalRecord{Status: StatusCancelled}), true, nil}
 		default:
 			open[a.id] = o.stamp
 			tell = append(tell, a)
@@ -212,7 +212,7 @@
 
 // stillWaits tells whether an open job, as known here, may yet be cancelled with one
 // before it, so that its own record proves nothing of its state.
-func (s *Server) stillWaits(id string) bool { return !s.mirror.get(id).needs.None() }
+func (s *Server) stillWaits(id string) bool { return !s.mirror.get(id).needs.Empty() }
 
 // malformed answers a submission that can't be read.
 func malformed(w http.ResponseWriter, err error) {
--- a/internal/userapi/job.go
+++ b/internal/userapi/job.go
@@ -14,52 +14,52 @@
 
 // Shapes of jobs.
 const (
-	Sweep = "sweep"
-	Gang  = "gang"
+	KindArray = "sweep"
+	KindGang  = "gang"
 	// Service is a sweep whose tasks run until the job is cancelled. The
 	// protocol's page does not name it, its users send it (docs/questions.md).
-	Service = "service"
+	KindService = "service"
 )
 
 // States of a job as users see them.
 const (
-	Pending = "pending"
-	Running = "running"
-	Done    = "done"
-	Aborted = "aborted"
+	StatusPending   = "pending"
+	StatusRunning   = "running"
+	StatusDone      = "done"
+	StatusCancelled = "aborted"
 )
 
 // Job is a job as users submit it.
-type Job struct {
-	NameID       string   `json:"nameId"`
-	Workload     string   `json:"workload"`
-	Owner        string   `json:"owner"`
-	Shape        string   `json:"shape"`
-	Urgency      string   `json:"urgency"`
-	Pieces       int      `json:"pieces"`
-	VCPUs        float64  `json:"vcpus"`
-	Accelerators float64  `json:"accelerators"`
-	RAMGB        float64  `json:"ramGb"`
-	Bundle       string   `json:"bundle"`
-	ImageGB      float64  `json:"imageGb"`
-	MachineTypes []string `json:"rigTypes,omitempty"`
-	Hall         string   `json:"hall,omitempty"`
-	SamePlace    bool     `json:"samePlace,omitempty"`
-	Apart        bool     `json:"apart,omitempty"`
-	Loaners      bool     `json:"loaners,omitempty"`
-	ExpectS      float64  `json:"expectS"`
-	SnapshotS    float64  `json:"snapshotS"`
-	StashS       float64  `json:"stashS"`
-	DueS         *float64 `json:"dueS,omitempty"`
+type Spec struct {
+	ID                  string   `json:"nameId"`
+	Class               string   `json:"workload"`
+	Team                string   `json:"owner"`
+	Kind                string   `json:"shape"`
+	PriorityClass       string   `json:"urgency"`
+	Tasks               int      `json:"pieces"`
+	CPUs                float64  `json:"vcpus"`
+	GPUs                float64  `json:"accelerators"`
+	MemoryGB            float64  `json:"ramGb"`
+	Image               string   `json:"bundle"`
+	ImageGB             float64  `json:"imageGb"`
+	MachineTypes        []string `json:"rigTypes,omitempty"`
+	Zone                string   `json:"hall,omitempty"`
+	SameZone            bool     `json:"samePlace,omitempty"`
+	SpreadZones         bool     `json:"apart,omitempty"`
+	AllowSpot           bool     `json:"loaners,omitempty"`
+	ExpectedS           float64  `json:"expectS"`
+	CheckpointIntervalS float64  `json:"snapshotS"`
+	SaveS               float64  `json:"stashS"`
+	DueS                *float64 `json:"dueS,omitempty"`
 	// WaitsOn are the jobs that must be done before any task of this one starts,
 	// each once.
-	WaitsOn []string `json:"waitsOn,omitempty"`
+	DependsOn []string `json:"waitsOn,omitempty"`
 }
 
-var idForm = regexp.MustCompile(`^j-[0-9]{1,20}$`)
+var idPattern = regexp.MustCompile(`^j-[0-9]{1,20}$`)
 
 // ValidID tells whether id has the form of a job's name.
-func ValidID(id string) bool { return idForm.MatchString(id) }
+func ValidID(id string) bool { return idPattern.MatchString(id) }
 
 // Priority orders urgencies; higher goes first.
 func Priority(urgency string) int {
@@ -111,7 +111,7 @@
 
 // DecodeJob reads a submission. Unknown fields are ignored and null equals
 // omitted; every error is a *FieldError.
-func DecodeJob(raw []byte) (*Job, error) {
+func DecodeSpec(raw []byte) (*Spec, error) {
 	if trimmed := bytes.TrimSpace(raw); len(trimmed) == 0 || trimmed[0] != '{' {
 		return nil, &FieldError{"", "the body is not a JSON object"}
 	}
@@ -156,17 +156,17 @@
 		}
 		return *v
 	}
-	j := &Job{
-		NameID: text("nameId", s.NameID), Workload: text("workload", s.Workload), Owner: text("owner", s.Owner),
-		Shape: text("shape", s.Shape), Urgency: text("urgency", s.Urgency),
-		VCPUs: amount("vcpus", s.VCPUs, 0), Accelerators: amount("accelerators", s.Accelerators, 0),
-		RAMGB: amount("ramGb", s.RAMGB, 0), Bundle: text("bundle", s.Bundle), ImageGB: amount("imageGb", s.ImageGB, 0),
-		MachineTypes: s.MachineTypes, SamePlace: flag("samePlace", s.SamePlace), Apart: flag("apart", s.Apart),
-		Loaners: flag("loaners", s.Loaners), ExpectS: amount("expectS", s.ExpectS, 0),
-		SnapshotS: amount("snapshotS", s.SnapshotS, 0), StashS: amount("stashS", s.StashS, 0), DueS: s.DueS,
+	j := &Spec{
+		ID: text("nameId", s.NameID), Class: text("workload", s.Workload), Team: text("owner", s.Owner),
+		Kind: text("shape", s.Shape), PriorityClass: text("urgency", s.Urgency),
+		CPUs: amount("vcpus", s.VCPUs, 0), GPUs: amount("accelerators", s.Accelerators, 0),
+		MemoryGB: amount("ramGb", s.RAMGB, 0), Image: text("bundle", s.Bundle), ImageGB: amount("imageGb", s.ImageGB, 0),
+		MachineTypes: s.MachineTypes, SameZone: flag("samePlace", s.SamePlace), SpreadZones: flag("apart", s.Apart),
+		AllowSpot: flag("loaners", s.Loaners), ExpectedS: amount("expectS", s.ExpectS, 0),
+		CheckpointIntervalS: amount("snapshotS", s.SnapshotS, 0), SaveS: amount("stashS", s.StashS, 0), DueS: s.DueS,
 	}
 	if s.Hall != nil {
-		j.Hall = text("hall", s.Hall)
+		j.Zone = text("hall", s.Hall)
 	}
 	if s.DueS != nil {
 		amount("dueS", s.DueS, 0)
@@ -180,7 +180,7 @@
 	case *s.Pieces < 1 || *s.Pieces > constants.MaxPieces:
 		fail("pieces", fmt.Sprintf("%d is not from 1 to %d", *s.Pieces, constants.MaxPieces))
 	default:
-		j.Pieces = *s.Pieces
+		j.Tasks = *s.Pieces
 	}
 	seen := make(map[string]bool, len(s.WaitsOn))
 	for _, id := range s.WaitsOn {
@@ -190,16 +190,16 @@
 		}
 		if !seen[id] {
 			seen[id] = true
-			j.WaitsOn = append(j.WaitsOn, id)
+			j.DependsOn = append(j.DependsOn, id)
 		}
 	}
 	if bad == nil {
 		switch {
-		case !ValidID(j.NameID):
+		case !ValidID(j.ID):
 			fail("nameId", "must be j- and digits")
-		case j.Shape != Sweep && j.Shape != Gang && j.Shape != Service:
+		case j.Kind != KindArray && j.Kind != KindGang && j.Kind != KindService:
 			fail("shape", "must be sweep, gang or service")
-		case j.Urgency != "idle" && Priority(j.Urgency) == 0:
+		case j.PriorityClass != "idle" && Priority(j.PriorityClass) == 0:
 			fail("urgency", "must be production, urgent, standard or idle")
 		}
 	}
--- a/internal/userapi/mirror.go
+++ b/internal/userapi/mirror.go
@@ -24,7 +24,7 @@
 // opened is what is kept of one open job.
 type opened struct {
 	stamp uint64
-	needs Needs
+	needs Dependencies
 }
 
 func newMirror() *mirror { return &mirror{open: make(map[string]opened)} }
@@ -43,7 +43,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if o, ok := m.open[id]; ok {
-		o.needs = Needs{}
+		o.needs = Dependencies{}
 		m.open[id] = o
 	}
 }
@@ -53,12 +53,12 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if o, ok := m.open[id]; ok {
-		o.needs = Needs{WaitsOn: list}
+		o.needs = Dependencies{DependsOn: list}
 		m.open[id] = o
 	}
 }
 
-func (m *mirror) learn(id string, stamp uint64, needs Needs) {
+func (m *mirror) learn(id string, stamp uint64, needs Dependencies) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if o, ok := m.open[id]; ok && o.stamp == stamp {
@@ -85,7 +85,7 @@
 	defer m.mu.Unlock()
 	m.open = make(map[string]opened, len(rows))
 	for _, r := range rows {
-		m.open[r.K[len(OpenPrefix):]] = opened{r.Stamp, RecordNeeds(r.V)}
+		m.open[r.K[len(OpenPrefix):]] = opened{r.Stamp, DependenciesOf(r.V)}
 	}
 	m.epoch = epoch
 }
@@ -114,7 +114,7 @@
 		default:
 			id := c.Set[len(OpenPrefix):]
 			if o, ok := m.open[id]; !ok || o.stamp != c.Stamp {
-				m.open[id] = opened{c.Stamp, RecordNeeds(c.V)}
+				m.open[id] = opened{c.Stamp, DependenciesOf(c.V)}
 			}
 		}
 	}
--- a/internal/userapi/poll.go
+++ b/internal/userapi/poll.go
@@ -22,7 +22,7 @@
 }
 
 type answer struct {
-	st    State
+	st    JobStatus
 	found bool
 	err   error
 }
@@ -33,7 +33,7 @@
 // together: one transaction without writes compares all their keys with what
 // this node knows of them. If it holds, every answer was current after its
 // poll had arrived; nothing but final states is answered without that.
-func (s *Server) ask(ctx context.Context, id string) (State, bool, error) {
+func (s *Server) ask(ctx context.Context, id string) (JobStatus, bool, error) {
 	if f, ok := s.finals.Get(id); ok {
 		return finalState(id, f), true, nil
 	}
@@ -41,13 +41,13 @@
 	select {
 	case s.asks <- a:
 	default:
-		return State{}, false, errBusy
+		return JobStatus{}, false, errBusy
 	}
 	select {
 	case r := <-a.answer:
 		return r.st, r.found, r.err
 	case <-ctx.Done():
-		return State{}, false, ctx.Err()
+		return JobStatus{}, false, ctx.Err()
 	}
 }
 
@@ -154,7 +154,7 @@
 			continue
 		}
 		o := s.mirror.get(a.id)
-		if !o.needs.None() {
+		if !o.needs.Empty() {
 			waiting = append(waiting, a)
 			continue
 		}
@@ -234,7 +234,7 @@
 			ids = append(ids, id)
 		}
 	}
-	var tasks map[string]Tasks
+	var tasks map[string]TaskCounts
 	if s.progress != nil && len(ids) > 0 {
 		ctx, cancel := context.WithTimeout(ctx, constants.MeshTimeout)
 		tasks = s.progress(ctx, ids)
--- a/internal/userapi/records.go
+++ b/internal/userapi/records.go
@@ -19,27 +19,27 @@
 )
 
 // Final is what is kept of a job for ever.
-type Final struct {
+type FinalRecord struct {
 	Status string `json:"status"`
-	Pieces int    `json:"pieces"`
+	Tasks  int    `json:"pieces"`
 	// AtMS is when the leader found the job done, in Unix milliseconds; 0 if it is
 	// not known. Jobs that waited for this one count their times from it.
 	AtMS int64 `json:"atMs,omitempty"`
 }
 
 // Record is what is kept of an open job. It never changes.
-type Record struct {
-	Job
+type JobRecord struct {
+	Spec
 	// AtMS is when the job was accepted, in Unix milliseconds.
 	AtMS int64 `json:"atMs"`
 	// Split says where the rest of WaitsOn stands if the list is too long for one
 	// value; nil: it is whole.
-	Split *Split `json:"split,omitempty"`
+	Split *SplitList `json:"split,omitempty"`
 }
 
 // Split names values below SplitPrefix that hold a list of jobs. They are written
 // before the record that names them, each submission's under a name of its own.
-type Split struct {
+type SplitList struct {
 	Upload string `json:"upload"`
 	Parts  int    `json:"parts"`
 }
@@ -47,21 +47,21 @@
 // SplitPrefix is where the values of split lists stand.
 const SplitPrefix = "waits/"
 
-func (s Split) key(id string, part int) string {
+func (s SplitList) key(id string, part int) string {
 	return fmt.Sprintf("%s%s/%s/%04d", SplitPrefix, id, s.Upload, part)
 }
 
 // Needs are the jobs that a record says must be done before.
-type Needs struct {
-	WaitsOn []string `json:"waitsOn"`
-	Split   *Split   `json:"split"`
+type Dependencies struct {
+	DependsOn []string   `json:"waitsOn"`
+	Split     *SplitList `json:"split"`
 }
 
 // None tells whether nothing need be done before.
-func (n Needs) None() bool { return len(n.WaitsOn) == 0 && n.Split == nil }
+func (n Dependencies) Empty() bool { return len(n.DependsOn) == 0 && n.Split == nil }
 
 // RecordNeeds reads them from a job's record.
-func RecordNeeds(v json.RawMessage) (n Needs) {
+func DependenciesOf(v json.RawMessage) (n Dependencies) {
 	// Most records have none, and there are many.
 	if bytes.Contains(v, []byte(`"waitsOn"`)) || bytes.Contains(v, []byte(`"split"`)) {
 		_ = json.Unmarshal(v, &n) // whoever uses the record says what is wrong with it
@@ -75,9 +75,9 @@
 }
 
 // Whole completes a list that stands in several values.
-func (n Needs) Whole(ctx context.Context, store lister, class statestore.Class, id string) ([]string, error) {
+func (n Dependencies) Load(ctx context.Context, store lister, class statestore.Class, id string) ([]string, error) {
 	if n.Split == nil {
-		return n.WaitsOn, nil
+		return n.DependsOn, nil
 	}
 	rows, _, err := store.List(ctx, class, SplitPrefix+id+"/"+n.Split.Upload+"/")
 	if err != nil {
@@ -86,7 +86,7 @@
 	if len(rows) != n.Split.Parts {
 		return nil, fmt.Errorf("record %s%s: %d of %d parts of waitsOn", OpenPrefix, id, len(rows), n.Split.Parts)
 	}
-	all := slices.Clone(n.WaitsOn)
+	all := slices.Clone(n.DependsOn)
 	for _, r := range rows {
 		var part []string
 		if err := json.Unmarshal(r.V, &part); err != nil {
@@ -99,13 +99,13 @@
 
 // pack makes a job's record, and the parts of its list if that is too long for one
 // value of so many bytes. upload names them.
-func pack(j Job, atMS int64, limit int, upload string) (record json.RawMessage, parts []json.RawMessage, err error) {
-	record, err = json.Marshal(Record{Job: j, AtMS: atMS})
+func packRecord(j Spec, atMS int64, limit int, upload string) (record json.RawMessage, parts []json.RawMessage, err error) {
+	record, err = json.Marshal(JobRecord{Spec: j, AtMS: atMS})
 	if err != nil || len(record) <= limit-recordSlack {
 		return record, nil, err
 	}
-	rest := j.WaitsOn
-	j.WaitsOn = nil
+	rest := j.DependsOn
+	j.DependsOn = nil
 	for len(rest) > 0 {
 		n, size := 0, 2
 		for n < len(rest) && size+len(rest[n])+3 <= limit-recordSlack {
@@ -119,9 +119,9 @@
 		}
 		parts, rest = append(parts, raw), rest[n:]
 	}
-	rec := Record{Job: j, AtMS: atMS}
+	rec := JobRecord{Spec: j, AtMS: atMS}
 	if len(parts) > 0 {
-		rec.Split = &Split{Upload: upload, Parts: len(parts)}
+		rec.Split = &SplitList{Upload: upload, Parts: len(parts)}
 	}
 	record, err = json.Marshal(rec)
 	return record, parts, err
--- a/internal/userapi/server.go
+++ b/internal/userapi/server.go
@@ -28,10 +28,10 @@
 }
 
 // Tasks counts a job's tasks, for display only.
-type Tasks struct{ Done, Running int }
+type TaskCounts struct{ Done, Running int }
 
 // Progress tells how far these open jobs are; those not known are left out.
-type Progress func(ctx context.Context, ids []string) map[string]Tasks
+type Progress func(ctx context.Context, ids []string) map[string]TaskCounts
 
 // Server answers users. Any node does, whoever leads: what it says of a job
 // comes from the state service, or is final and can't change.
@@ -42,7 +42,7 @@
 	progress Progress
 	ready    func() bool
 	log      *slog.Logger
-	finals   *lru.Cache[string, Final]
+	finals   *lru.Cache[string, FinalRecord]
 	// cancelled is what this process can vouch for.
 	cancelled *confirmations.Memory
 	mirror    *mirror
@@ -62,7 +62,7 @@
 // NewServer makes the users' interface. submits is how many submissions it takes
 // at once.
 func NewServer(store Store, teams []config.Team, state config.State, submits int, catalog func() []MachineType, progress Progress, ready func() bool, log *slog.Logger) (*Server, error) {
-	finals, err := lru.New[string, Final](constants.FinalCache)
+	finals, err := lru.New[string, FinalRecord](constants.FinalCache)
 	if err != nil {
 		return nil, err
 	}
@@ -81,8 +81,8 @@
 }
 
 // State is a job as users are told of it.
-type State struct {
-	NameID  string `json:"nameId"`
+type JobStatus struct {
+	ID      string `json:"nameId"`
 	Status  string `json:"status"`
 	Done    *int   `json:"done,omitempty"`
 	Running *int   `json:"running,omitempty"`
@@ -146,7 +146,7 @@
 		later(w, "too many submissions at once")
 		return
 	}
-	j, err := DecodeJob(raw)
+	j, err := DecodeSpec(raw)
 	if err != nil {
 		s.log.Debug("malformed submission", "err", err)
 		malformed(w, err)
@@ -161,7 +161,7 @@
 	}
 	if err := CanRun(j, s.teams, cat); err != nil {
 		// A job accepted under an older catalog stays accepted.
-		st, found, lookErr := s.look(ctx, j.NameID, statestore.Submit)
+		st, found, lookErr := s.look(ctx, j.ID, statestore.Submit)
 		switch {
 		case lookErr != nil:
 			later(w, "the state service can't be asked")
@@ -173,15 +173,15 @@
 		return
 	}
 	cancelled := false
-	if len(j.WaitsOn) > 0 {
-		unknown, err := s.unknown(ctx, j.WaitsOn)
+	if len(j.DependsOn) > 0 {
+		unknown, err := s.unknown(ctx, j.DependsOn)
 		if err != nil {
 			later(w, "the state service can't be asked")
 			return
 		}
 		if unknown != "" {
 			// Whatever a repeat names, a job known already is known.
-			st, found, lookErr := s.look(ctx, j.NameID, statestore.Submit)
+			st, found, lookErr := s.look(ctx, j.ID, statestore.Submit)
 			switch {
 			case lookErr != nil:
 				later(w, "the state service can't be asked")
@@ -194,43 +194,43 @@
 		}
 		// Best effort: a job before it that is cancelled, or comes to be, has this
 		// one cancelled in any case.
-		cancelled, _ = s.before(ctx, j.WaitsOn, statestore.Submit)
+		cancelled, _ = s.before(ctx, j.DependsOn, statestore.Submit)
 	}
-	value, parts, err := pack(*j, time.Now().UnixMilli(), s.valueBytes, s.upload())
+	value, parts, err := packRecord(*j, time.Now().UnixMilli(), s.valueBytes, s.upload())
 	if err != nil {
 		WriteJSON(w, http.StatusBadRequest, problem{Error: err.Error()})
 		return
 	}
-	write := statestore.Write{Set: OpenPrefix + j.NameID, V: value}
+	write := statestore.Write{Set: OpenPrefix + j.ID, V: value}
 	if cancelled {
-		raw, _ := json.Marshal(Final{Status: Aborted}) // plain fields always encode
-		write, parts = statestore.Write{Set: FinalPrefix + j.NameID, V: raw}, nil
+		raw, _ := json.Marshal(FinalRecord{Status: StatusCancelled}) // plain fields always encode
+		write, parts = statestore.Write{Set: FinalPrefix + j.ID, V: raw}, nil
 	}
-	if err := s.putParts(ctx, j.NameID, RecordNeeds(value), parts); err != nil {
+	if err := s.putParts(ctx, j.ID, DependenciesOf(value), parts); err != nil {
 		later(w, "the job can't be recorded now")
 		return
 	}
 	epoch, err := s.multi(ctx, statestore.Submit,
-		[]statestore.Cond{{K: OpenPrefix + j.NameID}, {K: FinalPrefix + j.NameID}}, []statestore.Write{write})
+		[]statestore.Cond{{K: OpenPrefix + j.ID}, {K: FinalPrefix + j.ID}}, []statestore.Write{write})
 	var conflict *statestore.Conflict
 	switch {
 	case err == nil:
 		if cancelled {
-			s.settle(j.NameID, Final{Status: Aborted})
-			WriteJSON(w, http.StatusCreated, State{NameID: j.NameID, Status: Aborted})
+			s.settle(j.ID, FinalRecord{Status: StatusCancelled})
+			WriteJSON(w, http.StatusCreated, JobStatus{ID: j.ID, Status: StatusCancelled})
 			return
 		}
-		s.mirror.learn(j.NameID, epoch, RecordNeeds(value))
-		WriteJSON(w, http.StatusCreated, State{NameID: j.NameID, Status: Pending})
+		s.mirror.learn(j.ID, epoch, DependenciesOf(value))
+		WriteJSON(w, http.StatusCreated, JobStatus{ID: j.ID, Status: StatusPending})
 	case errors.As(err, &conflict):
-		st, found, err := s.look(ctx, j.NameID, statestore.Submit)
+		st, found, err := s.look(ctx, j.ID, statestore.Submit)
 		if err != nil || !found {
 			later(w, "the state service can't be asked")
 			return
 		}
 		WriteJSON(w, http.StatusOK, st)
 	default:
-		s.log.Debug("submission not recorded", "id", j.NameID, "err", err)
+		s.log.Debug("submission not recorded", "id", j.ID, "err", err)
 		later(w, "the job can't be recorded now")
 	}
 }
@@ -251,23 +251,23 @@
 
 // look reads a job's state: open first, then final, so that a job that moves
 // between both is never missed.
-func (s *Server) look(ctx context.Context, id string, class statestore.Class) (State, bool, error) {
+func (s *Server) look(ctx context.Context, id string, class statestore.Class) (JobStatus, bool, error) {
 	if f, ok := s.finals.Get(id); ok {
 		return finalState(id, f), true, nil
 	}
 	known := s.mirror.known(id)
 	row, found, err := s.store.Get(ctx, class, OpenPrefix+id)
 	if err != nil {
-		return State{}, false, err
+		return JobStatus{}, false, err
 	}
 	if found {
-		s.mirror.learn(id, row.Stamp, RecordNeeds(row.V))
+		s.mirror.learn(id, row.Stamp, DependenciesOf(row.V))
 		if off, err := s.waits(ctx, id, row, class); err != nil {
-			return State{}, false, err
+			return JobStatus{}, false, err
 		} else if off {
-			return finalState(id, Final{Status: Aborted}), true, nil
+			return finalState(id, FinalRecord{Status: StatusCancelled}), true, nil
 		}
-		var tasks map[string]Tasks
+		var tasks map[string]TaskCounts
 		if s.progress != nil {
 			tasks = s.progress(ctx, []string{id})
 		}
@@ -280,22 +280,22 @@
 }
 
 // openState is a job that is neither done nor cancelled.
-func openState(id string, t Tasks) State {
-	st := State{NameID: id, Status: Pending, Done: &t.Done, Running: &t.Running}
+func openState(id string, t TaskCounts) JobStatus {
+	st := JobStatus{ID: id, Status: StatusPending, Done: &t.Done, Running: &t.Running}
 	if t.Running > 0 {
-		st.Status = Running
+		st.Status = StatusRunning
 	}
 	return st
 }
 
-func (s *Server) lookFinal(ctx context.Context, id string, class statestore.Class) (State, bool, error) {
+func (s *Server) lookFinal(ctx context.Context, id string, class statestore.Class) (JobStatus, bool, error) {
 	row, found, err := s.store.Get(ctx, class, FinalPrefix+id)
 	if err != nil || !found {
-		return State{}, false, err
+		return JobStatus{}, false, err
 	}
-	var f Final
+	var f FinalRecord
 	if err := json.Unmarshal(row.V, &f); err != nil {
-		return State{}, false, err
+		return JobStatus{}, false, err
 	}
 	s.settle(id, f)
 	return finalState(id, f), true, nil
@@ -303,8 +303,8 @@
 
 // settle remembers a job's final state. Whatever tells a user of it comes after:
 // this process vouches for what it has told.
-func (s *Server) settle(id string, f Final) {
-	if f.Status == Aborted {
+func (s *Server) settle(id string, f FinalRecord) {
+	if f.Status == StatusCancelled {
 		s.cancelled.Note(id, time.Now())
 	}
 	s.finals.Add(id, f)
@@ -312,16 +312,16 @@
 
 // Vouch names the jobs that this process has told users, within so long a time,
 // are cancelled, and maybe some more that are. It reports false when it can't say.
-func (s *Server) Vouch(span time.Duration) (ids []string, ok bool) {
+func (s *Server) AttestCancellations(span time.Duration) (ids []string, ok bool) {
 	return s.cancelled.Within(span, time.Now())
 }
 
-func finalState(id string, f Final) State {
+func finalState(id string, f FinalRecord) JobStatus {
 	done, running := 0, 0
-	if f.Status == Done {
-		done = f.Pieces
+	if f.Status == StatusDone {
+		done = f.Tasks
 	}
-	return State{NameID: id, Status: f.Status, Done: &done, Running: &running}
+	return JobStatus{ID: id, Status: f.Status, Done: &done, Running: &running}
 }
 
 func (s *Server) poll(w http.ResponseWriter, r *http.Request) {
@@ -352,7 +352,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), constants.UserPatience)
 	defer cancel()
 	if f, ok := s.finals.Get(id); ok {
-		WriteJSON(w, http.StatusOK, State{NameID: id, Status: f.Status})
+		WriteJSON(w, http.StatusOK, JobStatus{ID: id, Status: f.Status})
 		return
 	}
 	for range 3 {
@@ -369,10 +369,10 @@
 				WriteJSON(w, http.StatusNotFound, problem{Error: "no such job"})
 				return
 			}
-			WriteJSON(w, http.StatusOK, State{NameID: id, Status: st.Status})
+			WriteJSON(w, http.StatusOK, JobStatus{ID: id, Status: st.Status})
 			return
 		}
-		f := Final{Status: Aborted}
+		f := FinalRecord{Status: StatusCancelled}
 		value, err := json.Marshal(f)
 		if err != nil {
 			break
@@ -384,7 +384,7 @@
 		case err == nil:
 			s.settle(id, f)
 			s.mirror.forget(id, 0)
-			WriteJSON(w, http.StatusOK, State{NameID: id, Status: Aborted})
+			WriteJSON(w, http.StatusOK, JobStatus{ID: id, Status: StatusCancelled})
 			return
 		case !errors.As(err, &conflict):
 			later(w, "the cancellation can't be recorded now")
