--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -19,91 +19,91 @@
 // Keys of the election.
 const (
 	Prefix    = "term/"
-	LeadKey   = "term/lead"
-	NumberKey = "term/number"
+	LeaderKey = "term/lead"
+	TermKey   = "term/number"
 )
 
 // Lead is the value of the leader's key, which lives with its lease.
-type Lead struct {
+type LeaderRecord struct {
 	Label string `json:"label"`
 	Term  uint64 `json:"term"`
 }
 
 // Number is the term record. Every write of a leader is conditioned on it.
-type Number struct {
+type TermRecord struct {
 	Term  uint64 `json:"term"`
 	Label string `json:"label"`
 }
 
 // View is what a node knows of the election.
 type View struct {
-	Lead        Lead
-	LeadStamp   uint64 // 0: nobody leads
-	Term        uint64
-	NumberStamp uint64 // 0: there was no term yet
+	Leader         LeaderRecord
+	LeaderRevision uint64 // 0: nobody leads
+	Term           uint64
+	TermRevision   uint64 // 0: there was no term yet
 }
 
 // Apply brings the view up to date with one row; a nil value removes it.
-func (v *View) Apply(key string, value json.RawMessage, stamp uint64) error {
+func (v *View) Apply(key string, value json.RawMessage, revision uint64) error {
 	switch key {
-	case LeadKey:
+	case LeaderKey:
 		if value == nil {
-			v.Lead, v.LeadStamp = Lead{}, 0
+			v.Leader, v.LeaderRevision = LeaderRecord{}, 0
 			return nil
 		}
-		var l Lead
+		var l LeaderRecord
 		if err := json.Unmarshal(value, &l); err != nil {
 			return err
 		}
-		v.Lead, v.LeadStamp = l, stamp
-	case NumberKey:
-		var n Number
+		v.Leader, v.LeaderRevision = l, revision
+	case TermKey:
+		var n TermRecord
 		if value != nil {
 			if err := json.Unmarshal(value, &n); err != nil {
 				return err
 			}
 		} else {
-			stamp = 0
+			revision = 0
 		}
-		v.Term, v.NumberStamp = n.Term, stamp
+		v.Term, v.TermRevision = n.Term, revision
 	}
 	return nil
 }
 
 // MayCampaign tells whether the node may try to lead: nobody does, or its own
 // earlier process did, which is gone.
-func (v View) MayCampaign(self string) bool { return v.LeadStamp == 0 || v.Lead.Label == self }
+func (v View) MayCampaign(self string) bool { return v.LeaderRevision == 0 || v.Leader.Label == self }
 
 // Campaign is the transaction that takes the lead: it raises the term, and
 // fails if anybody else did anything meanwhile.
-func (v View) Campaign(self string, tenure uint64) ([]statestore.Cond, []statestore.Write, uint64, error) {
+func (v View) Campaign(self string, tenure uint64) ([]statestore.Condition, []statestore.Write, uint64, error) {
 	next := v.Term + 1
-	lead, err := json.Marshal(Lead{self, next})
+	lead, err := json.Marshal(LeaderRecord{self, next})
 	if err != nil {
 		return nil, nil, 0, err
 	}
-	number, err := json.Marshal(Number{next, self})
+	number, err := json.Marshal(TermRecord{next, self})
 	if err != nil {
 		return nil, nil, 0, err
 	}
-	return []statestore.Cond{{K: LeadKey, Stamp: v.LeadStamp}, {K: NumberKey, Stamp: v.NumberStamp}},
-		[]statestore.Write{{Set: LeadKey, V: lead, Tenure: tenure}, {Set: NumberKey, V: number}}, next, nil
+	return []statestore.Condition{{Key: LeaderKey, Revision: v.LeaderRevision}, {Key: TermKey, Revision: v.TermRevision}},
+		[]statestore.Write{{Put: LeaderKey, Value: lead, Lease: tenure}, {Put: TermKey, Value: number}}, next, nil
 }
 
 // Grant is the right to lead for one term.
 type Grant struct {
-	Term  uint64
-	Stamp uint64 // revision of the term record, the condition of every write
+	Term     uint64
+	Revision uint64 // revision of the term record, the condition of every write
 }
 
 // Store is what the election needs of the state service.
 type Store interface {
-	List(ctx context.Context, class statestore.Class, prefix string) ([]statestore.Row, uint64, error)
-	Follow(ctx context.Context, prefix string, from uint64, block time.Duration) (uint64, []statestore.Change, error)
-	Multi(ctx context.Context, class statestore.Class, when []statestore.Cond, writes []statestore.Write) (uint64, error)
-	Acquire(ctx context.Context, ttl time.Duration) (uint64, error)
-	Renew(ctx context.Context, tenure uint64) error
-	Release(ctx context.Context, tenure uint64) error
+	List(ctx context.Context, class statestore.Class, prefix string) ([]statestore.KeyValue, uint64, error)
+	Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (uint64, []statestore.Change, error)
+	Txn(ctx context.Context, class statestore.Class, when []statestore.Condition, writes []statestore.Write) (uint64, error)
+	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
+	RenewLease(ctx context.Context, tenure uint64) error
+	RevokeLease(ctx context.Context, tenure uint64) error
 }
 
 // Elector runs the election on one node.
@@ -125,10 +125,10 @@
 func (e *Elector) Leader() (label string, term uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.view.LeadStamp == 0 {
+	if e.view.LeaderRevision == 0 {
 		return "", e.view.Term
 	}
-	return e.view.Lead.Label, e.view.Term
+	return e.view.Leader.Label, e.view.Term
 }
 
 func (e *Elector) setView(v View) {
@@ -160,29 +160,29 @@
 }
 
 func (e *Elector) round(ctx context.Context, lead func(context.Context, Grant) error) error {
-	rows, epoch, err := e.store.List(ctx, statestore.Lease, Prefix)
+	rows, epoch, err := e.store.List(ctx, statestore.ClassLease, Prefix)
 	if err != nil {
 		return err
 	}
 	var v View
 	for _, r := range rows {
-		if err := v.Apply(r.K, r.V, r.Stamp); err != nil {
+		if err := v.Apply(r.Key, r.Value, r.Revision); err != nil {
 			return err
 		}
 	}
 	e.setView(v)
 	for !v.MayCampaign(e.self) {
-		next, log, err := e.store.Follow(ctx, Prefix, epoch, 10*constants.WatchBlock)
+		next, log, err := e.store.Watch(ctx, Prefix, epoch, 10*constants.WatchBlock)
 		if err != nil {
 			return err
 		}
 		epoch = next
 		for _, c := range log {
-			key, value := c.Set, c.V
-			if c.Remove != "" {
-				key, value = c.Remove, nil
+			key, value := c.Put, c.Value
+			if c.Delete != "" {
+				key, value = c.Delete, nil
 			}
-			if err := v.Apply(key, value, c.Stamp); err != nil {
+			if err := v.Apply(key, value, c.Revision); err != nil {
 				return err
 			}
 		}
@@ -192,7 +192,7 @@
 }
 
 func (e *Elector) campaign(ctx context.Context, v View, lead func(context.Context, Grant) error) error {
-	tenure, err := e.store.Acquire(ctx, constants.LeaseTTL)
+	tenure, err := e.store.GrantLease(ctx, constants.LeaseTTL)
 	if err != nil {
 		return err
 	}
@@ -200,16 +200,16 @@
 	if err != nil {
 		return err
 	}
-	stamp, err := e.store.Multi(ctx, statestore.Lease, when, writes)
+	stamp, err := e.store.Txn(ctx, statestore.ClassLease, when, writes)
 	if err != nil {
-		var c *statestore.Conflict
+		var c *statestore.ConflictError
 		if errors.As(err, &c) {
 			// Somebody else was faster: see who.
-			_ = e.store.Release(ctx, tenure)
+			_ = e.store.RevokeLease(ctx, tenure)
 		}
 		return err
 	}
-	v.Lead, v.LeadStamp, v.Term, v.NumberStamp = Lead{e.self, next}, stamp, next, stamp
+	v.Leader, v.LeaderRevision, v.Term, v.TermRevision = LeaderRecord{e.self, next}, stamp, next, stamp
 	e.setView(v)
 	e.log.Info("took the lead", "term", next)
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -242,35 +242,35 @@
 				// An orderly end: let another node lead at once.
 				done, cancel := context.WithTimeout(context.WithoutCancel(ctx), constants.LeaseRenew)
 				defer cancel()
-				_ = e.store.Release(done, tenure)
+				_ = e.store.RevokeLease(done, tenure)
 			}
 			return nil
 		case <-tick.C:
 		}
-		err := e.store.Renew(ctx, tenure)
-		if !errors.Is(err, statestore.ErrNoLease) {
+		err := e.store.RenewLease(ctx, tenure)
+		if !errors.Is(err, statestore.ErrLeaseExpired) {
 			continue
 		}
-		fresh, err := e.store.Acquire(ctx, constants.LeaseTTL)
+		fresh, err := e.store.GrantLease(ctx, constants.LeaseTTL)
 		if err != nil {
 			continue
 		}
-		lead, err := json.Marshal(v.Lead)
+		lead, err := json.Marshal(v.Leader)
 		if err != nil {
 			return err
 		}
-		when := []statestore.Cond{{K: LeadKey}, {K: NumberKey, Stamp: v.NumberStamp}}
-		_, err = e.store.Multi(ctx, statestore.Lease, when, []statestore.Write{{Set: LeadKey, V: lead, Tenure: fresh}})
-		var c *statestore.Conflict
+		when := []statestore.Condition{{Key: LeaderKey}, {Key: TermKey, Revision: v.TermRevision}}
+		_, err = e.store.Txn(ctx, statestore.ClassLease, when, []statestore.Write{{Put: LeaderKey, Value: lead, Lease: fresh}})
+		var c *statestore.ConflictError
 		switch {
-		case errors.As(err, &c) && c.Has(NumberKey):
+		case errors.As(err, &c) && c.HasKey(TermKey):
 			return errors.New("another node has raised the term")
 		case err == nil:
 			e.log.Info("took the lease again", "term", v.Term)
 			tenure = fresh
 		default:
 			// Undecided: the next renewal of the old lease fails again.
-			_ = e.store.Release(ctx, fresh)
+			_ = e.store.RevokeLease(ctx, fresh)
 		}
 	}
 }
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -110,13 +110,13 @@
 	}
 	c.busy, c.last = true, now
 	c.setMore(l.remains(), now)
-	when := append([]statestore.Cond{{K: election.NumberKey, Stamp: l.grant.Stamp}}, t.When...)
+	when := append([]statestore.Condition{{Key: election.TermKey, Revision: l.grant.Revision}}, t.When...)
 	writes := t.Writes
 	l.tasks.Go(func() error {
-		epoch, err := l.d.Store.Multi(l.ctx, statestore.Record, when, writes)
+		epoch, err := l.d.Store.Txn(l.ctx, statestore.ClassRecord, when, writes)
 		res := outcome{epoch: epoch, err: err}
-		var conflict *statestore.Conflict
-		if errors.As(err, &conflict) && !conflict.Has(election.NumberKey) {
+		var conflict *statestore.ConflictError
+		if errors.As(err, &conflict) && !conflict.HasKey(election.TermKey) {
 			res = l.explain(l.ctx, conflict)
 		}
 		l.do(l.ctx, func() { l.committed(res) })
@@ -177,20 +177,20 @@
 	err    error
 	head   *wal.Head
 	stamp  uint64
-	failed *statestore.Conflict
+	failed *statestore.ConflictError
 }
 
 // explain reads the head after a clash: an earlier try without an answer may
 // have been carried out after all.
-func (l *Leader) explain(ctx context.Context, c *statestore.Conflict) outcome {
-	row, found, err := l.d.Store.Get(ctx, statestore.Record, wal.HeadKey)
+func (l *Leader) explain(ctx context.Context, c *statestore.ConflictError) outcome {
+	row, found, err := l.d.Store.Get(ctx, statestore.ClassRecord, wal.HeadKey)
 	if err != nil {
 		return outcome{err: err}
 	}
 	o := outcome{err: c, failed: c, head: &wal.Head{}}
 	if found {
-		o.stamp = row.Stamp
-		if err := json.Unmarshal(row.V, o.head); err != nil {
+		o.stamp = row.Revision
+		if err := json.Unmarshal(row.Value, o.head); err != nil {
 			return outcome{err: err}
 		}
 	}
@@ -203,23 +203,23 @@
 	c.busy = false
 	l.counts.Commits++
 	l.counts.CommitS += now.Sub(c.last).Seconds()
-	var conflict *statestore.Conflict
-	deposed := errors.As(o.err, &conflict) && conflict.Has(election.NumberKey)
+	var conflict *statestore.ConflictError
+	deposed := errors.As(o.err, &conflict) && conflict.HasKey(election.TermKey)
 	switch {
 	case deposed:
 		l.end(errDeposed)
 		return
 	case o.failed != nil && c.log.Ours(*o.head):
 		c.log.Stood(o.stamp)
-	case o.failed != nil && o.failed.Has(wal.HeadKey):
+	case o.failed != nil && o.failed.HasKey(wal.HeadKey):
 		l.end(errDeposed) // somebody else writes the log
 		return
 	case o.failed != nil:
 		// The extras that did not clash are asked for again.
-		c.log.Clashed(o.failed.Has)
+		c.log.Clashed(o.failed.HasKey)
 		l.dirty = true
 		return
-	case errors.Is(o.err, statestore.ErrRefused):
+	case errors.Is(o.err, statestore.ErrRejected):
 		l.d.Log.Error("records are refused", "err", o.err)
 		l.end(ErrTooLarge)
 		return
@@ -249,8 +249,8 @@
 	at := time.Now()
 	v, _ := json.Marshal(userapi.FinalRecord{Status: userapi.StatusDone, Tasks: j.spec.Tasks, AtMS: at.UnixMilli()}) // plain fields always encode
 	return wal.Extra{
-		When:   []statestore.Cond{{K: userapi.OpenPrefix + name, Stamp: j.stamp}},
-		Writes: []statestore.Write{{Remove: userapi.OpenPrefix + name}, {Set: userapi.FinalPrefix + name, V: v}},
+		When:   []statestore.Condition{{Key: userapi.OpenPrefix + name, Revision: j.stamp}},
+		Writes: []statestore.Write{{Delete: userapi.OpenPrefix + name}, {Put: userapi.FinalPrefix + name, Value: v}},
 		Stood: func(uint64) {
 			l.d.Log.Debug("job done", "id", name)
 			l.removeJob(j, time.Now())
@@ -270,8 +270,8 @@
 	c := &l.committer
 	gone := func() { delete(c.remains, key) }
 	return wal.Extra{
-		When:   []statestore.Cond{{K: key, Stamp: stamp}},
-		Writes: []statestore.Write{{Remove: key}},
+		When:   []statestore.Condition{{Key: key, Revision: stamp}},
+		Writes: []statestore.Write{{Delete: key}},
 		Stood:  func(uint64) { gone() },
 		Clash:  gone,
 	}
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -106,12 +106,12 @@
 		}
 		w.asking[name] = true
 		l.tasks.Go(func() error {
-			row, found, err := l.d.Store.Get(l.ctx, statestore.Record, userapi.FinalPrefix+name)
+			row, found, err := l.d.Store.Get(l.ctx, statestore.ClassRecord, userapi.FinalPrefix+name)
 			l.do(l.ctx, func() {
 				delete(w.asking, name)
 				var f userapi.FinalRecord
 				if err == nil && found {
-					err = json.Unmarshal(row.V, &f)
+					err = json.Unmarshal(row.Value, &f)
 				}
 				if err != nil || !found {
 					// Not readable now; or not final: then the watch brings it.
@@ -135,7 +135,7 @@
 		}
 		w.asking["list of "+name] = true
 		l.tasks.Go(func() error {
-			names, err := needs.Load(l.ctx, l.d.Store, statestore.Record, name)
+			names, err := needs.Load(l.ctx, l.d.Store, statestore.ClassRecord, name)
 			l.do(l.ctx, func() {
 				delete(w.asking, "list of "+name)
 				if err != nil {
@@ -209,8 +209,8 @@
 	name := j.spec.ID
 	v, _ := json.Marshal(userapi.FinalRecord{Status: userapi.StatusCancelled}) // plain fields always encode
 	return wal.Extra{
-		When:   []statestore.Cond{{K: userapi.OpenPrefix + name, Stamp: j.stamp}},
-		Writes: []statestore.Write{{Remove: userapi.OpenPrefix + name}, {Set: userapi.FinalPrefix + name, V: v}},
+		When:   []statestore.Condition{{Key: userapi.OpenPrefix + name, Revision: j.stamp}},
+		Writes: []statestore.Write{{Delete: userapi.OpenPrefix + name}, {Put: userapi.FinalPrefix + name, Value: v}},
 		Again:  func() { l.committer.off = append(l.committer.off, j) },
 	}
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -28,10 +28,10 @@
 
 // Store is what the leader needs of the state service.
 type Store interface {
-	Get(ctx context.Context, class statestore.Class, key string) (statestore.Row, bool, error)
-	List(ctx context.Context, class statestore.Class, prefix string) ([]statestore.Row, uint64, error)
-	Multi(ctx context.Context, class statestore.Class, when []statestore.Cond, writes []statestore.Write) (uint64, error)
-	Follow(ctx context.Context, prefix string, from uint64, block time.Duration) (uint64, []statestore.Change, error)
+	Get(ctx context.Context, class statestore.Class, key string) (statestore.KeyValue, bool, error)
+	List(ctx context.Context, class statestore.Class, prefix string) ([]statestore.KeyValue, uint64, error)
+	Txn(ctx context.Context, class statestore.Class, when []statestore.Condition, writes []statestore.Write) (uint64, error)
+	Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (uint64, []statestore.Change, error)
 }
 
 // Cloud is what the leader needs of the cloud.
@@ -61,7 +61,7 @@
 	// ReadsLargeRing asks whether all nodes read the log's large ring; nil: they don't.
 	ReadsLargeRing func(ctx context.Context) bool
 	// Drawn tells what this node's calls of a class have drawn; may be nil.
-	Drawn func(statestore.Class) statestore.Drawn
+	Drawn func(statestore.Class) statestore.Usage
 	Log   *slog.Logger
 }
 
@@ -112,7 +112,7 @@
 	counts        counts
 	counted       counts // as they were logged last
 	lastLoad      time.Time
-	drawn         map[statestore.Class]statestore.Drawn // as it was logged last
+	drawn         map[statestore.Class]statestore.Usage // as it was logged last
 	teams         []config.Team
 	book          *reservations.Book
 	attempts      attemptNumbers
@@ -282,13 +282,13 @@
 	l.verifyingTerm = true
 	woke := l.wokeAt
 	l.tasks.Go(func() error {
-		row, found, err := l.d.Store.Get(l.ctx, statestore.Lease, election.NumberKey)
+		row, found, err := l.d.Store.Get(l.ctx, statestore.ClassLease, election.TermKey)
 		l.do(l.ctx, func() {
 			l.verifyingTerm = false
 			switch {
 			case err != nil:
 				// The next tick asks again.
-			case !found || row.Stamp != l.grant.Stamp:
+			case !found || row.Revision != l.grant.Revision:
 				l.end(errDeposed)
 			case woke.Equal(l.wokeAt):
 				l.termUnverified = false
@@ -337,7 +337,7 @@
 	block := constants.WatchBlock
 	for ctx.Err() == nil {
 		asked := time.Now()
-		next, log, err := l.d.Store.Follow(ctx, userapi.OpenPrefix, epoch, block)
+		next, log, err := l.d.Store.Watch(ctx, userapi.OpenPrefix, epoch, block)
 		// After an outage certainty must come back at once, before workers have
 		// to be sent away: the first watch does not wait for a change.
 		block = constants.WatchBlock
@@ -361,11 +361,11 @@
 				l.sure = asked
 			}
 			for _, c := range log {
-				if c.Remove != "" {
-					l.jobGone(c.Remove[len(userapi.OpenPrefix):], now)
+				if c.Delete != "" {
+					l.jobGone(c.Delete[len(userapi.OpenPrefix):], now)
 					continue
 				}
-				l.addJob(c.Set, c.V, c.Stamp, now)
+				l.addJob(c.Put, c.Value, c.Revision, now)
 			}
 		})
 	}
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -245,7 +245,7 @@
 			"checkpoint_kb_s", kilobytes(c.Log.PartBytes, was.Log.PartBytes), "queue", len(l.calls), "log", l.committer.log.Backlog())
 	}
 	if l.d.Drawn != nil {
-		drawn := make(map[statestore.Class]statestore.Drawn)
+		drawn := make(map[statestore.Class]statestore.Usage)
 		var attrs []any
 		for _, class := range statestore.Classes {
 			d := l.d.Drawn(class)
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return 0, err
 	}
-	var oldMachines, oldDids []statestore.Row
+	var oldMachines, oldDids []statestore.KeyValue
 	if st.Head.Area == "" {
 		// No checkpoint yet: what there is may be of the earlier format.
 		if oldMachines, _, err = l.read(ctx, oldMachinePrefix); err != nil {
@@ -75,7 +75,7 @@
 	}
 	now := time.Now()
 	for _, row := range open {
-		l.addJob(row.K, row.V, row.Stamp, now)
+		l.addJob(row.Key, row.Value, row.Revision, now)
 	}
 	for _, j := range l.jobs {
 		j.inherited = true
@@ -117,17 +117,17 @@
 	var rows []wal.Row
 	if found {
 		var head wal.Head
-		if err := json.Unmarshal(headRow.V, &head); err != nil {
+		if err := json.Unmarshal(headRow.Value, &head); err != nil {
 			return wal.State{}, 0, fmt.Errorf("record %s: %w", wal.HeadKey, err)
 		}
-		rows = append(rows, wal.Row{Key: headRow.K, Value: headRow.V})
+		rows = append(rows, wal.Row{Key: headRow.Key, Value: headRow.Value})
 		for _, prefix := range head.Prefixes() {
 			listed, _, err := l.read(ctx, prefix)
 			if err != nil {
 				return wal.State{}, 0, err
 			}
 			for _, r := range listed {
-				rows = append(rows, wal.Row{Key: r.K, Value: r.V})
+				rows = append(rows, wal.Row{Key: r.Key, Value: r.Value})
 			}
 		}
 	}
@@ -135,7 +135,7 @@
 	for _, key := range odd {
 		l.d.Log.Error("record is not ours", "key", key)
 	}
-	return st, headRow.Stamp, err
+	return st, headRow.Revision, err
 }
 
 // openLog begins to write behind the head that was read.
@@ -167,9 +167,9 @@
 }
 
 // readKey reads one record, trying again for as long as the term lasts.
-func (l *Leader) readKey(ctx context.Context, key string) (statestore.Row, bool, error) {
+func (l *Leader) readKey(ctx context.Context, key string) (statestore.KeyValue, bool, error) {
 	for {
-		row, found, err := l.d.Store.Get(ctx, statestore.Lease, key)
+		row, found, err := l.d.Store.Get(ctx, statestore.ClassLease, key)
 		if err == nil || ctx.Err() != nil {
 			return row, found, err
 		}
@@ -180,10 +180,10 @@
 
 // read lists one kind of record, trying again for as long as the term lasts:
 // giving the lead up over one failed answer would only start it all anew.
-func (l *Leader) read(ctx context.Context, prefix string) ([]statestore.Row, uint64, error) {
+func (l *Leader) read(ctx context.Context, prefix string) ([]statestore.KeyValue, uint64, error) {
 	for {
 		asked := time.Now()
-		rows, epoch, err := l.d.Store.List(ctx, statestore.Lease, prefix)
+		rows, epoch, err := l.d.Store.List(ctx, statestore.ClassLease, prefix)
 		if prefix == userapi.OpenPrefix {
 			l.watched, l.sure = asked, asked
 		}
--- a/internal/leader/wal/writer.go
+++ b/internal/leader/wal/writer.go
@@ -25,7 +25,7 @@
 
 // Extra is a change of other keys that goes with a transaction.
 type Extra struct {
-	When   []statestore.Cond
+	When   []statestore.Condition
 	Writes []statestore.Write
 	// Stood is called once the transaction is known to stand; Clash when it
 	// will never be carried out because of this part, Again when it will not
@@ -72,7 +72,7 @@
 // Txn is one transaction. It is sent with the same contents until its fate is
 // known.
 type Txn struct {
-	When   []statestore.Cond
+	When   []statestore.Condition
 	Writes []statestore.Write
 
 	extras []Extra
@@ -193,7 +193,7 @@
 	for _, e := range extras {
 		ops += len(e.Writes)
 		for _, x := range e.Writes {
-			size += len(x.V) + 200
+			size += len(x.Value) + 200
 		}
 	}
 	w.chooseRing(&t.head)
@@ -205,7 +205,7 @@
 		if v == nil {
 			break
 		}
-		t.values = append(t.values, statestore.Write{Set: t.head.entryKey(t.head.Next), V: v})
+		t.values = append(t.values, statestore.Write{Put: t.head.entryKey(t.head.Next), Value: v})
 		w.stats.Entries++
 		w.stats.EntryBytes += uint64(len(v))
 		t.stood = append(t.stood, stood...)
@@ -220,7 +220,7 @@
 				c.ready = true
 				break
 			}
-			t.values = append(t.values, statestore.Write{Set: partKey(c.area, c.parts), V: v})
+			t.values = append(t.values, statestore.Write{Put: partKey(c.area, c.parts), Value: v})
 			c.parts++
 			t.parts++
 			w.stats.Parts++
@@ -245,8 +245,8 @@
 
 func (w *Writer) seal(t *Txn) {
 	raw, _ := json.Marshal(t.head) // plain fields always encode
-	t.When = []statestore.Cond{{K: HeadKey, Stamp: w.stamp}}
-	t.Writes = []statestore.Write{{Set: HeadKey, V: raw}}
+	t.When = []statestore.Condition{{Key: HeadKey, Revision: w.stamp}}
+	t.Writes = []statestore.Write{{Put: HeadKey, Value: raw}}
 	for _, e := range t.extras {
 		t.When = append(t.When, e.When...)
 		t.Writes = append(t.Writes, e.Writes...)
@@ -380,7 +380,7 @@
 	for _, e := range extras {
 		hit := false
 		for _, c := range e.When {
-			hit = hit || failed(c.K)
+			hit = hit || failed(c.Key)
 		}
 		switch {
 		case hit && e.Clash != nil:
--- a/internal/node/needs.go
+++ b/internal/node/needs.go
@@ -84,7 +84,7 @@
 	if lim := n.set.Params.Limits.MemMB; lim > 0 && memory > constants.MemoryScarce*lim {
 		out = append(out, "memory")
 	}
-	requests, changes := n.store.Budget.Left()
+	requests, changes := n.store.Budget.Available()
 	rps, writes := n.share(n.leading.Load() != nil)
 	if requests < constants.TokensScarce*rps {
 		out = append(out, "state service requests")
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -74,7 +74,7 @@
 	n := &Node{net: network, set: set, op: op, log: log,
 		sockets: newSockets(set.SocketLimit()), version: buildVersion()}
 	n.store = statestore.New(set.Services.State, statestore.NewBudget(n.share(false)), network.DialContext)
-	n.store.Limited = func() {
+	n.store.OnRateLimited = func() {
 		if n.limits.refused(time.Now()) {
 			n.log.Info("the state service has lowered its rates")
 			n.store.Budget.SetShare(n.share(n.leading.Load() != nil))
@@ -202,7 +202,7 @@
 	set.Params.State = n.limits.within(set.Params.State)
 	l := leader.New(leader.Deps{
 		Settings: &set, Operator: n.op, Store: n.store, Cloud: n.cloud, Workers: workers.NewCommandClient(n.net.DialContext),
-		Catalog: n.catalog.Load, Drawn: n.store.Budget.Drawn, Vouch: n.allVouch, ReadsLargeRing: n.readsLargeRing, Log: n.log,
+		Catalog: n.catalog.Load, Drawn: n.store.Budget.Usage, Vouch: n.allVouch, ReadsLargeRing: n.readsLargeRing, Log: n.log,
 	}, g)
 	n.store.Budget.SetShare(n.share(true))
 	n.leading.Store(l)
@@ -319,12 +319,12 @@
 }
 
 func (n *Node) recallCatalog(ctx context.Context) {
-	row, found, err := n.store.Get(ctx, statestore.Poll, catalogKey)
+	row, found, err := n.store.Get(ctx, statestore.ClassPoll, catalogKey)
 	if err != nil || !found {
 		return
 	}
 	var cat provisioning.Catalog
-	if err := json.Unmarshal(row.V, &cat); err != nil || cat.Check() != nil {
+	if err := json.Unmarshal(row.Value, &cat); err != nil || cat.Check() != nil {
 		n.log.Error("recorded catalog is unreadable", "err", err)
 		return
 	}
@@ -336,7 +336,7 @@
 	if err != nil {
 		return
 	}
-	if _, err := n.store.Multi(ctx, statestore.Hold, nil, []statestore.Write{{Set: catalogKey, V: raw}}); err != nil {
+	if _, err := n.store.Txn(ctx, statestore.ClassHold, nil, []statestore.Write{{Put: catalogKey, Value: raw}}); err != nil {
 		n.log.Debug("catalog not recorded", "err", err)
 	}
 }
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -20,7 +20,7 @@
 
 // Healthy tells whether the state service answers this node.
 func (n *Node) Healthy() bool {
-	return n.store.Failing() == 0 && time.Since(n.store.Answers()) < constants.HealthFresh
+	return n.store.FailingFor() == 0 && time.Since(n.store.LastSuccess()) < constants.HealthFresh
 }
 
 // watchHealth finds out who can help while the state service fails this node.
@@ -33,7 +33,7 @@
 			return ctx.Err()
 		case <-tick.C:
 		}
-		failing := n.store.Failing()
+		failing := n.store.FailingFor()
 		if failing < constants.HealthEvery {
 			n.helpers.Store(nil)
 			n.lonely.Store(false)
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -68,7 +68,7 @@
 func (n *Node) own() NodeStatus {
 	s := NodeStatus{Label: n.set.Label, Reachable: true, Version: n.version, Leads: n.leading.Load() != nil, CloudTokens: n.cloud.Tokens()}
 	s.Leader, s.Term = n.elector.Leader()
-	s.RequestTokens, s.WriteTokens = n.store.Budget.Left()
+	s.RequestTokens, s.WriteTokens = n.store.Budget.Available()
 	s.Sockets, s.Threads, s.MemoryMB = n.sockets.use(), threads(), memoryMB()
 	s.Scarce = n.scarce(s.MemoryMB)
 	s.TooSmall = n.problems()
@@ -166,7 +166,7 @@
 		ch <- prometheus.MustNewConstMetric(desc(name, help, names...), prometheus.CounterValue, v, labels...)
 	}
 	for _, class := range statestore.Classes {
-		d := c.n.store.Budget.Drawn(class)
+		d := c.n.store.Budget.Usage(class)
 		count("state_requests_total", "Requests to the state service.", float64(d.Requests), class.String())
 		count("state_writes_total", "Changes asked of the state service.", float64(d.Writes), class.String())
 		count("state_wait_seconds_total", "Time that calls waited for tokens.", d.WaitS, class.String())
--- a/internal/statestore/budget.go
+++ b/internal/statestore/budget.go
@@ -16,25 +16,25 @@
 
 // Classes of calls, most important first.
 const (
-	Lease Class = iota
-	Cancel
-	Submit
-	Record
-	Poll
-	Hold
+	ClassLease Class = iota
+	ClassCancel
+	ClassSubmit
+	ClassRecord
+	ClassPoll
+	ClassHold
 )
 
 func (c Class) reserve() float64 {
 	switch c {
-	case Lease:
+	case ClassLease:
 		return constants.ReserveLease
-	case Cancel:
+	case ClassCancel:
 		return constants.ReserveCancel
-	case Submit:
+	case ClassSubmit:
 		return constants.ReserveSubmit
-	case Record:
+	case ClassRecord:
 		return constants.ReserveRecord
-	case Poll:
+	case ClassPoll:
 		return constants.ReservePoll
 	default:
 		return constants.ReserveHold
@@ -42,20 +42,20 @@
 }
 
 // Classes lists all classes, most important first.
-var Classes = [...]Class{Lease, Cancel, Submit, Record, Poll, Hold}
+var Classes = [...]Class{ClassLease, ClassCancel, ClassSubmit, ClassRecord, ClassPoll, ClassHold}
 
 // String names the class, as in metrics.
 func (c Class) String() string {
 	switch c {
-	case Lease:
+	case ClassLease:
 		return "lease"
-	case Cancel:
+	case ClassCancel:
 		return "cancel"
-	case Submit:
+	case ClassSubmit:
 		return "submit"
-	case Record:
+	case ClassRecord:
 		return "record"
-	case Poll:
+	case ClassPoll:
 		return "poll"
 	default:
 		return "other"
@@ -63,7 +63,7 @@
 }
 
 // Drawn is what the calls of one class have drawn so far.
-type Drawn struct {
+type Usage struct {
 	Requests, Writes uint64
 	WaitS            float64 // time that they waited for tokens
 }
@@ -74,11 +74,11 @@
 	mu       sync.Mutex
 	requests *rate.Limiter
 	writes   *rate.Limiter
-	drawn    [len(Classes)]Drawn
+	drawn    [len(Classes)]Usage
 }
 
 // Drawn tells what the calls of a class have drawn so far.
-func (b *Budget) Drawn(c Class) Drawn {
+func (b *Budget) Usage(c Class) Usage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.drawn[c]
@@ -139,7 +139,7 @@
 		burst := float64(l.Burst())
 		return l.TokensAt(now) >= min(n+c.reserve()*burst, burst)
 	}
-	if c != Lease && (!enough(b.requests, 1) || n > 0 && !enough(b.writes, float64(n))) {
+	if c != ClassLease && (!enough(b.requests, 1) || n > 0 && !enough(b.writes, float64(n))) {
 		return false
 	}
 	b.drawn[c].Requests++
@@ -152,7 +152,7 @@
 }
 
 // Left tells the tokens now in both buckets.
-func (b *Budget) Left() (requests, writes float64) {
+func (b *Budget) Available() (requests, writes float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.requests.Tokens(), b.writes.Tokens()
--- a/internal/userapi/dependencies.go
+++ b/internal/userapi/dependencies.go
@@ -28,11 +28,11 @@
 		var writes []statestore.Write
 		size := 0
 		for len(writes) < s.ops && at < len(parts) && (size == 0 || size+len(parts[at]) <= constants.TxnBytes) {
-			writes = append(writes, statestore.Write{Set: n.Split.key(id, at), V: parts[at]})
+			writes = append(writes, statestore.Write{Put: n.Split.key(id, at), Value: parts[at]})
 			size += len(parts[at])
 			at++
 		}
-		if _, err := s.store.Multi(ctx, statestore.Submit, nil, writes); err != nil {
+		if _, err := s.store.Txn(ctx, statestore.ClassSubmit, nil, writes); err != nil {
 			return err
 		}
 	}
@@ -52,12 +52,12 @@
 	for len(ask) > 0 {
 		batch := ask[:min(len(ask), max(s.conds/2, 1))]
 		ask = ask[len(batch):]
-		var when []statestore.Cond
+		var when []statestore.Condition
 		for _, id := range batch {
-			when = append(when, statestore.Cond{K: OpenPrefix + id}, statestore.Cond{K: FinalPrefix + id})
+			when = append(when, statestore.Condition{Key: OpenPrefix + id}, statestore.Condition{Key: FinalPrefix + id})
 		}
-		_, err := s.multi(ctx, statestore.Submit, when, nil)
-		var conflict *statestore.Conflict
+		_, err := s.multi(ctx, statestore.ClassSubmit, when, nil)
+		var conflict *statestore.ConflictError
 		switch {
 		case err == nil:
 			return batch[0], nil // none of them exists
@@ -65,12 +65,12 @@
 			return "", err
 		}
 		for _, id := range batch {
-			if conflict.Has(OpenPrefix+id) || conflict.Has(FinalPrefix+id) {
+			if conflict.HasKey(OpenPrefix+id) || conflict.HasKey(FinalPrefix+id) {
 				continue
 			}
-			_, found, err := s.store.Get(ctx, statestore.Submit, OpenPrefix+id)
+			_, found, err := s.store.Get(ctx, statestore.ClassSubmit, OpenPrefix+id)
 			if err == nil && !found {
-				_, found, err = s.lookFinal(ctx, id, statestore.Submit)
+				_, found, err = s.lookFinal(ctx, id, statestore.ClassSubmit)
 			}
 			if err != nil {
 				return "", err
@@ -139,12 +139,12 @@
 // waits tells whether an open job is cancelled with one before it. The mirror is
 // brought up to a moment after the question: what is open in it then was not
 // cancelled, and what is not open has a final record, which never changes.
-func (s *Server) waits(ctx context.Context, id string, row statestore.Row, class statestore.Class) (cancelled bool, err error) {
-	needs := DependenciesOf(row.V)
+func (s *Server) waits(ctx context.Context, id string, row statestore.KeyValue, class statestore.Class) (cancelled bool, err error) {
+	needs := DependenciesOf(row.Value)
 	if needs.Empty() {
 		return false, nil
 	}
-	if o := s.mirror.get(id); o.stamp == row.Stamp && o.needs.Empty() {
+	if o := s.mirror.get(id); o.stamp == row.Revision && o.needs.Empty() {
 		return false, nil // all that it waited for is done
 	}
 	if err := s.sync(ctx); err != nil {
@@ -192,11 +192,11 @@
 		}
 		o := s.mirror.get(a.id)
 		if o.stamp == 0 {
-			st, found, err := s.lookFinal(ctx, a.id, statestore.Poll)
+			st, found, err := s.lookFinal(ctx, a.id, statestore.ClassPoll)
 			a.answer <- answer{st, found, err}
 			continue
 		}
-		cancelled, err := s.cancelledBefore(ctx, a.id, o.needs, statestore.Poll)
+		cancelled, err := s.cancelledBefore(ctx, a.id, o.needs, statestore.ClassPoll)
 		switch {
 		case err != nil:
 			a.answer <- answer{err: err}
--- a/internal/userapi/mirror.go
+++ b/internal/userapi/mirror.go
@@ -80,12 +80,12 @@
 	}
 }
 
-func (m *mirror) replace(rows []statestore.Row, epoch uint64) {
+func (m *mirror) replace(rows []statestore.KeyValue, epoch uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.open = make(map[string]opened, len(rows))
 	for _, r := range rows {
-		m.open[r.K[len(OpenPrefix):]] = opened{r.Stamp, DependenciesOf(r.V)}
+		m.open[r.Key[len(OpenPrefix):]] = opened{r.Revision, DependenciesOf(r.Value)}
 	}
 	m.epoch = epoch
 }
@@ -108,13 +108,13 @@
 	}
 	for _, c := range log {
 		switch {
-		case c.Stamp <= m.epoch:
-		case c.Remove != "":
-			delete(m.open, c.Remove[len(OpenPrefix):])
+		case c.Revision <= m.epoch:
+		case c.Delete != "":
+			delete(m.open, c.Delete[len(OpenPrefix):])
 		default:
-			id := c.Set[len(OpenPrefix):]
-			if o, ok := m.open[id]; !ok || o.stamp != c.Stamp {
-				m.open[id] = opened{c.Stamp, DependenciesOf(c.V)}
+			id := c.Put[len(OpenPrefix):]
+			if o, ok := m.open[id]; !ok || o.stamp != c.Revision {
+				m.open[id] = opened{c.Revision, DependenciesOf(c.Value)}
 			}
 		}
 	}
@@ -132,7 +132,7 @@
 // Mirror keeps the mirror near the truth until ctx ends.
 func (s *Server) Mirror(ctx context.Context) error {
 	for ctx.Err() == nil {
-		rows, epoch, err := s.store.List(ctx, statestore.Poll, OpenPrefix)
+		rows, epoch, err := s.store.List(ctx, statestore.ClassPoll, OpenPrefix)
 		if err != nil {
 			sleep(ctx, constants.MirrorEvery)
 			continue
@@ -142,7 +142,7 @@
 		for ctx.Err() == nil {
 			sleep(ctx, constants.MirrorEvery)
 			from := s.mirror.at()
-			next, log, err := s.store.Follow(ctx, OpenPrefix, from, constants.MirrorBlock)
+			next, log, err := s.store.Watch(ctx, OpenPrefix, from, constants.MirrorBlock)
 			if errors.Is(err, statestore.ErrCompacted) {
 				break // what was missed is read anew
 			}
@@ -167,7 +167,7 @@
 	if from == 0 {
 		return errNoMirror
 	}
-	next, log, err := s.store.Follow(ctx, OpenPrefix, from, 0)
+	next, log, err := s.store.Watch(ctx, OpenPrefix, from, 0)
 	if err != nil {
 		return err
 	}
--- a/internal/userapi/poll.go
+++ b/internal/userapi/poll.go
@@ -125,7 +125,7 @@
 	}
 	for _, a := range s.proveBatch(ctx, batch) {
 		reads.Go(func() error {
-			st, found, err := s.look(a.ctx, a.id, statestore.Poll)
+			st, found, err := s.look(a.ctx, a.id, statestore.ClassPoll)
 			a.answer <- answer{st, found, err}
 			return nil
 		})
@@ -137,7 +137,7 @@
 type comparison struct {
 	polls  []ask
 	stamps map[string]uint64 // by job, as known here; 0: nobody's job
-	when   []statestore.Cond
+	when   []statestore.Condition
 }
 
 // compare makes the next comparison of a batch. waiting are the polls whose jobs may
@@ -158,10 +158,10 @@
 			waiting = append(waiting, a)
 			continue
 		}
-		conds := []statestore.Cond{{K: OpenPrefix + a.id, Stamp: o.stamp}}
+		conds := []statestore.Condition{{Key: OpenPrefix + a.id, Revision: o.stamp}}
 		if o.stamp == 0 {
 			// Neither open nor final at one moment: nobody's job.
-			conds = append(conds, statestore.Cond{K: FinalPrefix + a.id})
+			conds = append(conds, statestore.Condition{Key: FinalPrefix + a.id})
 		}
 		if len(c.when)+len(conds) > max(s.conds, len(conds)) {
 			later = append(later, a)
@@ -186,9 +186,9 @@
 			continue
 		}
 		callCtx, cancel := context.WithTimeout(ctx, constants.PollPatience)
-		_, err := s.multi(callCtx, statestore.Poll, c.when, nil)
+		_, err := s.multi(callCtx, statestore.ClassPoll, c.when, nil)
 		cancel()
-		var conflict *statestore.Conflict
+		var conflict *statestore.ConflictError
 		switch {
 		case err == nil:
 			s.tell(ctx, c.polls, c.stamps)
@@ -208,7 +208,7 @@
 // split parts the polls whose keys clashed from the others. These must be compared
 // again, as only a transaction that holds proves anything. A clash that names none of
 // them may be any one's.
-func (c comparison) split(conflict *statestore.Conflict) (clashed, others []ask) {
+func (c comparison) split(conflict *statestore.ConflictError) (clashed, others []ask) {
 	failed := make(map[string]bool, len(conflict.Failed))
 	for _, key := range conflict.Failed {
 		failed[key] = true
--- a/internal/userapi/server.go
+++ b/internal/userapi/server.go
@@ -21,10 +21,10 @@
 
 // Store is what the users' interface needs of the state service.
 type Store interface {
-	Get(ctx context.Context, class statestore.Class, key string) (statestore.Row, bool, error)
-	Multi(ctx context.Context, class statestore.Class, when []statestore.Cond, writes []statestore.Write) (uint64, error)
-	List(ctx context.Context, class statestore.Class, prefix string) ([]statestore.Row, uint64, error)
-	Follow(ctx context.Context, prefix string, from uint64, block time.Duration) (uint64, []statestore.Change, error)
+	Get(ctx context.Context, class statestore.Class, key string) (statestore.KeyValue, bool, error)
+	Txn(ctx context.Context, class statestore.Class, when []statestore.Condition, writes []statestore.Write) (uint64, error)
+	List(ctx context.Context, class statestore.Class, prefix string) ([]statestore.KeyValue, uint64, error)
+	Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (uint64, []statestore.Change, error)
 }
 
 // Tasks counts a job's tasks, for display only.
@@ -161,7 +161,7 @@
 	}
 	if err := CanRun(j, s.teams, cat); err != nil {
 		// A job accepted under an older catalog stays accepted.
-		st, found, lookErr := s.look(ctx, j.ID, statestore.Submit)
+		st, found, lookErr := s.look(ctx, j.ID, statestore.ClassSubmit)
 		switch {
 		case lookErr != nil:
 			later(w, "the state service can't be asked")
@@ -181,7 +181,7 @@
 		}
 		if unknown != "" {
 			// Whatever a repeat names, a job known already is known.
-			st, found, lookErr := s.look(ctx, j.ID, statestore.Submit)
+			st, found, lookErr := s.look(ctx, j.ID, statestore.ClassSubmit)
 			switch {
 			case lookErr != nil:
 				later(w, "the state service can't be asked")
@@ -194,25 +194,25 @@
 		}
 		// Best effort: a job before it that is cancelled, or comes to be, has this
 		// one cancelled in any case.
-		cancelled, _ = s.before(ctx, j.DependsOn, statestore.Submit)
+		cancelled, _ = s.before(ctx, j.DependsOn, statestore.ClassSubmit)
 	}
 	value, parts, err := packRecord(*j, time.Now().UnixMilli(), s.valueBytes, s.upload())
 	if err != nil {
 		WriteJSON(w, http.StatusBadRequest, problem{Error: err.Error()})
 		return
 	}
-	write := statestore.Write{Set: OpenPrefix + j.ID, V: value}
+	write := statestore.Write{Put: OpenPrefix + j.ID, Value: value}
 	if cancelled {
 		raw, _ := json.Marshal(FinalRecord{Status: StatusCancelled}) // plain fields always encode
-		write, parts = statestore.Write{Set: FinalPrefix + j.ID, V: raw}, nil
+		write, parts = statestore.Write{Put: FinalPrefix + j.ID, Value: raw}, nil
 	}
 	if err := s.putParts(ctx, j.ID, DependenciesOf(value), parts); err != nil {
 		later(w, "the job can't be recorded now")
 		return
 	}
-	epoch, err := s.multi(ctx, statestore.Submit,
-		[]statestore.Cond{{K: OpenPrefix + j.ID}, {K: FinalPrefix + j.ID}}, []statestore.Write{write})
-	var conflict *statestore.Conflict
+	epoch, err := s.multi(ctx, statestore.ClassSubmit,
+		[]statestore.Condition{{Key: OpenPrefix + j.ID}, {Key: FinalPrefix + j.ID}}, []statestore.Write{write})
+	var conflict *statestore.ConflictError
 	switch {
 	case err == nil:
 		if cancelled {
@@ -223,7 +223,7 @@
 		s.mirror.learn(j.ID, epoch, DependenciesOf(value))
 		WriteJSON(w, http.StatusCreated, JobStatus{ID: j.ID, Status: StatusPending})
 	case errors.As(err, &conflict):
-		st, found, err := s.look(ctx, j.ID, statestore.Submit)
+		st, found, err := s.look(ctx, j.ID, statestore.ClassSubmit)
 		if err != nil || !found {
 			later(w, "the state service can't be asked")
 			return
@@ -239,10 +239,10 @@
 // may be yet, so it is sent again as it was: its conditions on the job's records let
 // just one of them be carried out. Without that its user would come back after a
 // second or more.
-func (s *Server) multi(ctx context.Context, class statestore.Class, when []statestore.Cond, writes []statestore.Write) (epoch uint64, err error) {
+func (s *Server) multi(ctx context.Context, class statestore.Class, when []statestore.Condition, writes []statestore.Write) (epoch uint64, err error) {
 	for range constants.UserTries {
-		epoch, err = s.store.Multi(ctx, class, when, writes)
-		if !errors.Is(err, statestore.ErrUnknown) || ctx.Err() != nil {
+		epoch, err = s.store.Txn(ctx, class, when, writes)
+		if !errors.Is(err, statestore.ErrOutcomeUnknown) || ctx.Err() != nil {
 			break
 		}
 	}
@@ -261,7 +261,7 @@
 		return JobStatus{}, false, err
 	}
 	if found {
-		s.mirror.learn(id, row.Stamp, DependenciesOf(row.V))
+		s.mirror.learn(id, row.Revision, DependenciesOf(row.Value))
 		if off, err := s.waits(ctx, id, row, class); err != nil {
 			return JobStatus{}, false, err
 		} else if off {
@@ -294,7 +294,7 @@
 		return JobStatus{}, false, err
 	}
 	var f FinalRecord
-	if err := json.Unmarshal(row.V, &f); err != nil {
+	if err := json.Unmarshal(row.Value, &f); err != nil {
 		return JobStatus{}, false, err
 	}
 	s.settle(id, f)
@@ -356,12 +356,12 @@
 		return
 	}
 	for range 3 {
-		row, open, err := s.store.Get(ctx, statestore.Cancel, OpenPrefix+id)
+		row, open, err := s.store.Get(ctx, statestore.ClassCancel, OpenPrefix+id)
 		if err != nil {
 			break
 		}
 		if !open {
-			st, found, err := s.lookFinal(ctx, id, statestore.Cancel)
+			st, found, err := s.lookFinal(ctx, id, statestore.ClassCancel)
 			if err != nil {
 				break
 			}
@@ -377,9 +377,9 @@
 		if err != nil {
 			break
 		}
-		_, err = s.multi(ctx, statestore.Cancel, []statestore.Cond{{K: OpenPrefix + id, Stamp: row.Stamp}},
-			[]statestore.Write{{Remove: OpenPrefix + id}, {Set: FinalPrefix + id, V: value}})
-		var conflict *statestore.Conflict
+		_, err = s.multi(ctx, statestore.ClassCancel, []statestore.Condition{{Key: OpenPrefix + id, Revision: row.Revision}},
+			[]statestore.Write{{Delete: OpenPrefix + id}, {Put: FinalPrefix + id, Value: value}})
+		var conflict *statestore.ConflictError
 		switch {
 		case err == nil:
 			s.settle(id, f)
