--- a/cmd/thornnotch/client.go
+++ b/cmd/thornnotch/client.go
@@ -198,8 +198,8 @@
 		}
 	}
 	for _, n := range o.Nodes {
-		if n.Taking != "" {
-			fmt.Fprintf(w, "\n%s takes over: %s\n", n.Label, n.Taking)
+		if n.Failover != "" {
+			fmt.Fprintf(w, "\n%s takes over: %s\n", n.Label, n.Failover)
 		}
 	}
 	c := o.Cluster
--- a/cmd/thornnotch/main.go
+++ b/cmd/thornnotch/main.go
@@ -67,7 +67,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	node.FitMachine(set.Params.Limits)
+	node.LimitRuntime(set.Params.Limits)
 	network := node.System{Dialer: &net.Dialer{Timeout: constants.DialTimeout}}
 	return node.New(set, op, network, log).Run(ctx)
 }
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -125,7 +125,7 @@
 		}
 	}
 	if len(l.reservations.On(r.agent.Name)) > 0 {
-		l.reservations.Drop(r.agent.Name)
+		l.reservations.RemoveMachine(r.agent.Name)
 		l.metadataChanged(r, now)
 	}
 }
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -333,7 +333,7 @@
 	l.removedJobs[name] = true
 	seats := sortedAttempts(j)
 	if len(seats) > 0 {
-		l.endedJobs[name] = &endedJob{team: j.spec.Team, need: placement.Need(j.spec), attempts: len(seats)}
+		l.endedJobs[name] = &endedJob{team: j.spec.Team, need: placement.TaskResources(j.spec), attempts: len(seats)}
 	}
 	delete(l.jobs, name)
 	l.requestFinalRecord(name)
--- a/internal/leader/edges.go
+++ b/internal/leader/edges.go
@@ -44,16 +44,16 @@
 		return cmp.Compare(a.revision, b.revision)
 	})
 	for _, j := range jobs {
-		out = append(out, heldFor(j, j.view.Edges()))
+		out = append(out, heldFor(j, j.view.EdgePipeline()))
 	}
 	return out
 }
 
 // showEdges shows placement which held rooms are for jobs that may not start yet, and
 // which jobs such a job waits for.
-func (l *Leader) addReservationEdges(w *placement.World) {
+func (l *Leader) addReservationEdges(w *placement.Snapshot) {
 	for _, j := range l.dependencies.fed {
-		j.view.Feeds = nil
+		j.view.ReservedDownstreams = nil
 	}
 	l.dependencies.fed = l.dependencies.fed[:0]
 	walked := make(map[string]bool)
@@ -64,7 +64,7 @@
 				continue
 			}
 			down := l.jobs[name]
-			r.Held[i].Barred = down != nil && down.blockedByUpstream()
+			r.Held[i].Blocked = down != nil && down.blockedByUpstream()
 			if down != nil && !walked[name] {
 				walked[name] = true
 				l.feeds(down)
@@ -79,14 +79,14 @@
 	for queue := []*jobState{down}; len(queue) > 0; queue = queue[1:] {
 		for before := range queue[0].pendingUpstreams {
 			j := l.jobs[before]
-			if j == nil || j.view.Feeds[name] {
+			if j == nil || j.view.ReservedDownstreams[name] {
 				continue
 			}
-			if j.view.Feeds == nil {
-				j.view.Feeds = make(map[string]bool)
+			if j.view.ReservedDownstreams == nil {
+				j.view.ReservedDownstreams = make(map[string]bool)
 				l.dependencies.fed = append(l.dependencies.fed, j)
 			}
-			j.view.Feeds[name] = true
+			j.view.ReservedDownstreams[name] = true
 			queue = append(queue, j)
 		}
 	}
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -158,8 +158,8 @@
 	fetch := 0.0
 	if cat := l.deps.Catalog(); cat != nil {
 		for _, t := range cat.MachineTypes {
-			if t.PullGBPerS > 0 {
-				fetch = max(fetch, spec.ImageGB/t.PullGBPerS)
+			if t.FetchGBPerS > 0 {
+				fetch = max(fetch, spec.ImageGB/t.FetchGBPerS)
 			}
 		}
 	}
@@ -460,17 +460,17 @@
 
 // reserve applies the hold rule to the room that a finished task leaves.
 func (l *Leader) reserve(r *machine, j *jobState, a *workers.Attempt, now time.Time) {
-	f := reservations.Finish{
-		Job: j.spec.ID, Pieces: j.spec.Tasks, Started: j.started, Machine: r.agent.Name, Next: l.downstreams(j), Now: now,
+	f := reservations.TaskFinish{
+		Job: j.spec.ID, Tasks: j.spec.Tasks, UpstreamStartedAt: j.started, Machine: r.agent.Name, Downstreams: l.downstreams(j), Now: now,
 		Fits: func(d reservations.Downstream) bool { return r.schedulable(now) && l.canHold(r, d) },
 	}
-	if f.Started.IsZero() {
-		f.Started = a.PlacedAt
+	if f.UpstreamStartedAt.IsZero() {
+		f.UpstreamStartedAt = a.PlacedAt
 	}
 	if !a.RunningSince.IsZero() {
-		f.Ran = now.Sub(a.RunningSince)
+		f.Runtime = now.Sub(a.RunningSince)
 	}
-	if l.reservations.Finished(f) {
+	if l.reservations.TaskFinished(f) {
 		l.metadataChanged(r, now)
 		return
 	}
@@ -482,7 +482,7 @@
 	if !r.schedulable(now) {
 		return
 	}
-	if l.reservations.Freed(r.agent.Name, func(d reservations.Downstream) bool { return l.canHold(r, d) }, now) {
+	if l.reservations.OfferFreed(r.agent.Name, func(d reservations.Downstream) bool { return l.canHold(r, d) }, now) {
 		l.metadataChanged(r, now)
 	}
 }
@@ -490,7 +490,7 @@
 // mayHold tells whether a machine can and may take a task of a job.
 func (l *Leader) canHold(r *machine, d reservations.Downstream) bool {
 	j := l.jobs[d.Job]
-	return j != nil && placement.Allowed(&j.view, l.placementMachine(r)) && l.freeResources(r).Fits(d.Need)
+	return j != nil && placement.Allowed(&j.view, l.placementMachine(r)) && l.freeResources(r).Fits(d.TaskResources)
 }
 
 // downstreams are the jobs that come after one in its pipeline and wait to start:
@@ -511,7 +511,7 @@
 }
 
 func heldFor(j *jobState, p placement.Pipeline) reservations.Downstream {
-	return reservations.Downstream{Pipeline: p, Job: j.spec.ID, Pieces: j.spec.Tasks, Priority: j.view.Priority, Need: placement.Need(j.spec)}
+	return reservations.Downstream{Pipeline: p, Job: j.spec.ID, Tasks: j.spec.Tasks, Priority: j.view.Priority, TaskResources: placement.TaskResources(j.spec)}
 }
 
 // downstream is the pipeline's earliest job still waiting to start. A job that waits
--- a/internal/leader/largest.go
+++ b/internal/leader/largest.go
@@ -34,18 +34,18 @@
 
 // lift tells how far they must be lifted: over others of their priority when
 // too many begin late, over all others when the users' bound is near.
-func (g *gangWaitStats) lift() placement.Lift {
+func (g *gangWaitStats) lift() placement.Boost {
 	part := 0.0
 	if g.late > 0 {
 		part = g.late / (g.good + g.late)
 	}
 	switch {
 	case part > constants.LargestPressing:
-		return placement.LiftAll
+		return placement.BoostAboveAll
 	case part > constants.LargestLate:
-		return placement.LiftEqual
+		return placement.BoostWithinPriority
 	}
-	return placement.NoLift
+	return placement.NoBoost
 }
 
 // sized keeps the largest size of each class up to date.
@@ -81,11 +81,11 @@
 }
 
 // lifted names the classes whose largest jobs are to be lifted.
-func (l *Leader) boostedClasses() map[string]placement.Largest {
-	out := make(map[string]placement.Largest)
+func (l *Leader) boostedClasses() map[string]placement.StarvingClass {
+	out := make(map[string]placement.StarvingClass)
 	for class, g := range l.gangWaits {
-		if lift := g.lift(); lift != placement.NoLift {
-			out[class] = placement.Largest{Size: g.size, Lift: lift}
+		if lift := g.lift(); lift != placement.NoBoost {
+			out[class] = placement.StarvingClass{Size: g.size, Boost: lift}
 		}
 	}
 	return out
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -36,9 +36,9 @@
 
 // Cloud is what the leader needs of the cloud.
 type Cloud interface {
-	Rent(ctx context.Context, r provisioning.Request) ([]string, error)
+	Rent(ctx context.Context, r provisioning.RentRequest) ([]string, error)
 	Return(ctx context.Context, names []string) error
-	List(ctx context.Context, from string) (hosts []provisioning.Host, next string, err error)
+	List(ctx context.Context, from string) (hosts []provisioning.Instance, next string, err error)
 }
 
 // Workers sends orders straight to a worker; the answer is its report.
@@ -101,10 +101,10 @@
 	jobs                       map[string]*jobState
 	pipelines                  map[placement.Pipeline][]*jobState
 	machines                   map[string]*machine
-	sortedCache                []*machine                // all of machines by name; nil when it must be made anew
-	teamUsage                  map[string]placement.Room // what the teams' attempts and holds take, as the views show it
-	pendingReplies             map[*machine]bool         // machines whose report waits for its answer
-	repliesDue                 []*machine                // of these, those that orders have come up for
+	sortedCache                []*machine                     // all of machines by name; nil when it must be made anew
+	teamUsage                  map[string]placement.Resources // what the teams' attempts and holds take, as the views show it
+	pendingReplies             map[*machine]bool              // machines whose report waits for its answer
+	repliesDue                 []*machine                     // of these, those that orders have come up for
 	metadata                   metadataQueue
 	nextFlush                  time.Time
 	lastPassDuration           time.Duration
@@ -114,7 +114,7 @@
 	lastLoadLog                time.Time
 	loggedUsage                map[statestore.Class]statestore.Usage // as it was logged last
 	teams                      []config.Team
-	reservations               *reservations.Book
+	reservations               *reservations.Manager
 	attemptNumbers             attemptNumbers
 	commandsInFlight           int // direct orders under way
 	// commandingSilent are those of them to workers that have not been heard lately.
@@ -153,7 +153,7 @@
 		deps: d, grant: g, lease: config.Seconds(w.LeaseS),
 		events: make(chan func(), 256), done: make(chan struct{}),
 		jobs: make(map[string]*jobState), machines: make(map[string]*machine), teams: d.Settings.Params.Teams,
-		reservations: reservations.New(reservations.Options{Enabled: d.Operator.Holds.Enabled, Alpha: d.Operator.Holds.Alpha,
+		reservations: reservations.NewManager(reservations.Options{Enabled: d.Operator.Holds.Enabled, Alpha: d.Operator.Holds.Alpha,
 			P: d.Operator.Holds.P, Threshold: d.Operator.Holds.Threshold}),
 		certaintyWindow: certaintyWindow(w),
 		attemptNumbers:  attemptNumbers{term: g.Term},
@@ -164,7 +164,7 @@
 		placementRates:  make(placementRates),
 		gangWaits:       make(map[string]*gangWaitStats),
 		pipelines:       make(map[placement.Pipeline][]*jobState),
-		teamUsage:       make(map[string]placement.Room),
+		teamUsage:       make(map[string]placement.Resources),
 		pendingReplies:  make(map[*machine]bool),
 		metadata:        newMetadataQueue(d.Settings.Params.State, d.Operator.Budgets),
 	}
@@ -416,7 +416,7 @@
 			l.sendCommand(r, nil, now)
 		}
 	}
-	for _, name := range l.reservations.Lapse(now, l.stillWaits) {
+	for _, name := range l.reservations.Expire(now, l.stillWaits) {
 		if r := l.machines[name]; r != nil {
 			l.metadataChanged(r, now)
 		}
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -78,8 +78,8 @@
 func (l *Leader) markStale(r *machine) { r.stale = true }
 
 // pool is where the machine was rented from.
-func (r *machine) pool() provisioning.Pool {
-	return provisioning.Pool{Type: r.agent.Type, Zone: r.agent.Zone, Spot: r.agent.Spot}
+func (r *machine) pool() provisioning.InstancePool {
+	return provisioning.InstancePool{Type: r.agent.Type, Zone: r.agent.Zone, Spot: r.agent.Spot}
 }
 
 // open tells whether new tasks may be put on the machine.
@@ -89,20 +89,20 @@
 }
 
 // room is what is free on the machine beside its tasks and holds.
-func (l *Leader) freeResources(r *machine) placement.Room {
+func (l *Leader) freeResources(r *machine) placement.Resources {
 	t, ok := l.deps.Catalog().Type(r.agent.Type)
 	if !ok {
-		return placement.Room{}
+		return placement.Resources{}
 	}
-	f := placement.Room{VCPUs: t.VCPUs, GPUs: t.Accelerators, RAM: t.RAMGB}.Sub(l.usedResources(r))
+	f := placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}.Sub(l.usedResources(r))
 	for _, h := range l.reservations.On(r.agent.Name) {
-		f = f.Sub(h.Room)
+		f = f.Sub(h.Resources)
 	}
 	return f
 }
 
 // used is what the machine's attempts take.
-func (l *Leader) usedResources(r *machine) (sum placement.Room) {
+func (l *Leader) usedResources(r *machine) (sum placement.Resources) {
 	for _, a := range r.agent.Attempts {
 		if a.Live() {
 			sum = sum.Add(l.resourcesOf(a))
@@ -113,14 +113,14 @@
 
 // needOf is what an attempt takes. One whose job is gone is remembered by
 // size, as it still occupies its machine.
-func (l *Leader) resourcesOf(a *workers.Attempt) placement.Room {
+func (l *Leader) resourcesOf(a *workers.Attempt) placement.Resources {
 	if j := l.jobs[a.ID.Task.Job]; j != nil {
-		return placement.Need(j.spec)
+		return placement.TaskResources(j.spec)
 	}
 	if g := l.endedJobs[a.ID.Task.Job]; g != nil {
 		return g.need
 	}
-	return placement.Room{}
+	return placement.Resources{}
 }
 
 // ownerOf is the team that an attempt counts for.
@@ -138,7 +138,7 @@
 // still be on machines.
 type endedJob struct {
 	team     string
-	need     placement.Room
+	need     placement.Resources
 	attempts int // attempts not proven gone
 }
 
--- a/internal/leader/provisioning.go
+++ b/internal/leader/provisioning.go
@@ -25,13 +25,13 @@
 	listedLast bool
 	// booting are machines rented that have not reported yet.
 	booting map[string]booting
-	refused map[provisioning.Pool]time.Time
+	refused map[provisioning.InstancePool]time.Time
 	// unreachableUntil is until when a zone counts as cut off.
 	unreachableUntil map[string]time.Time
 	unplacedJobs     []*placement.Job
 	// returned are machines given back, which lists may still show.
 	terminated     map[string]time.Time
-	memory         *provisioning.Memory
+	memory         *provisioning.DemandWindow
 	recentArrivals []arrival
 	// backoff is the pause after a call that the cloud did not carry out, zero
 	// while it answers; retryAt is when the next call may go out.
@@ -48,17 +48,17 @@
 }
 
 type booting struct {
-	pool  provisioning.Pool
+	pool  provisioning.InstancePool
 	since time.Time
 	noted time.Time // when this term learnt of it
 }
 
 func (m *scalingState) init() {
 	m.booting = make(map[string]booting)
-	m.refused = make(map[provisioning.Pool]time.Time)
+	m.refused = make(map[provisioning.InstancePool]time.Time)
 	m.unreachableUntil = make(map[string]time.Time)
 	m.terminated = make(map[string]time.Time)
-	m.memory = provisioning.NewMemory(constants.KeepWindow)
+	m.memory = provisioning.NewDemandWindow(constants.KeepWindow)
 }
 
 func (m *scalingState) unmet(jobs []*placement.Job, _ time.Time) { m.unplacedJobs = jobs }
@@ -193,7 +193,7 @@
 	l.deps.Log.Info("machine to be returned", "rig", r.agent.Name, "why", why)
 	r.leaving = true
 	r.leavingRecorded = false
-	l.reservations.Drop(r.agent.Name)
+	l.reservations.RemoveMachine(r.agent.Name)
 	l.logMetadata(r, func() { r.leavingRecorded = r.leaving })
 	l.markStale(r)
 	l.drain(r, now)
@@ -217,7 +217,7 @@
 		typ, _ := l.deps.Catalog().Type(b.pool.Type)
 		// A machine of an earlier term that has no record was idle: its worker
 		// needs a moment to turn to this node.
-		if limit := time.Duration(typ.ReadyS * constants.BootPatience * float64(time.Second)); now.Sub(b.since) > limit && now.Sub(b.noted) > l.lease && now.Sub(l.resumedAt) > l.lease && l.machines[name] == nil {
+		if limit := time.Duration(typ.BootS * constants.BootPatience * float64(time.Second)); now.Sub(b.since) > limit && now.Sub(b.noted) > l.lease && now.Sub(l.resumedAt) > l.lease && l.machines[name] == nil {
 			l.deps.Log.Info("machine never came up", "rig", name)
 			names = append(names, name)
 		}
@@ -311,20 +311,20 @@
 
 // listed takes in the cloud's list. It lags and may go backwards: what is
 // absent from it proves nothing.
-func (l *Leader) machinesListed(hosts []provisioning.Host, now time.Time) {
+func (l *Leader) machinesListed(hosts []provisioning.Instance, now time.Time) {
 	m := &l.scaling
 	for _, h := range hosts {
-		if _, gone := m.terminated[h.NameID]; gone {
+		if _, gone := m.terminated[h.Name]; gone {
 			continue
 		}
-		r := l.machines[h.NameID]
+		r := l.machines[h.Name]
 		switch {
 		case h.Status == "failed":
 			if r == nil {
-				r = l.machine(h.NameID, now)
-				r.agent.Type, r.agent.Zone, r.agent.Spot = h.MachineType, h.Hall, h.Loaners
+				r = l.machine(h.Name, now)
+				r.agent.Type, r.agent.Zone, r.agent.Spot = h.MachineType, h.Zone, h.Spot
 			}
-			delete(m.booting, h.NameID)
+			delete(m.booting, h.Name)
 			if !r.leaving {
 				l.beginLeaving(r, "failed", now)
 			}
@@ -333,19 +333,19 @@
 				r.agent.Endpoint = h.Endpoint
 			}
 		default:
-			if _, known := m.booting[h.NameID]; !known {
-				since := now.Add(-time.Duration(h.HeldS * float64(time.Second)))
-				m.booting[h.NameID] = booting{provisioning.Pool{Type: h.MachineType, Zone: h.Hall, Spot: h.Loaners}, since, now}
+			if _, known := m.booting[h.Name]; !known {
+				since := now.Add(-time.Duration(h.AgeS * float64(time.Second)))
+				m.booting[h.Name] = booting{provisioning.InstancePool{Type: h.MachineType, Zone: h.Zone, Spot: h.Spot}, since, now}
 			}
 		}
 	}
 }
 
-func (l *Leader) rent(req provisioning.Request, pool provisioning.Pool, now time.Time) {
+func (l *Leader) rent(req provisioning.RentRequest, pool provisioning.InstancePool, now time.Time) {
 	m := &l.scaling
 	m.callInFlight, m.listedLast = true, false
 	m.requestCount++
-	req.Hire = fmt.Sprintf("r-%d-%d", l.grant.Term, m.requestCount)
+	req.ID = fmt.Sprintf("r-%d-%d", l.grant.Term, m.requestCount)
 	l.background.Go(func() error {
 		names, err := l.deps.Cloud.Rent(l.ctx, req)
 		l.post(l.ctx, func() {
@@ -373,17 +373,17 @@
 }
 
 // wanted names the next machines to rent, if any.
-func (l *Leader) nextRental(now time.Time) (provisioning.Request, provisioning.Pool, bool) {
+func (l *Leader) nextRental(now time.Time) (provisioning.RentRequest, provisioning.InstancePool, bool) {
 	if l.deps.Catalog() == nil || !l.loaded {
-		return provisioning.Request{}, provisioning.Pool{}, false
+		return provisioning.RentRequest{}, provisioning.InstancePool{}, false
 	}
-	req, ok := provisioning.Next(l.scalingView(now), l.deps.Operator.Renting.Spare)
-	return req, provisioning.Pool{Type: req.MachineType, Zone: req.Hall, Spot: req.Loaners}, ok
+	req, ok := provisioning.ScaleOut(l.scalingView(now), l.deps.Operator.Renting.Spare)
+	return req, provisioning.InstancePool{Type: req.MachineType, Zone: req.Zone, Spot: req.Spot}, ok
 }
 
 // provisioningView shows the present state to renting.
 func (l *Leader) scalingView(now time.Time) provisioning.View {
-	v := provisioning.View{Catalog: l.deps.Catalog(), Have: make(map[provisioning.Pool]int), Refused: make(map[provisioning.Pool]bool)}
+	v := provisioning.View{Catalog: l.deps.Catalog(), Have: make(map[provisioning.InstancePool]int), Refused: make(map[provisioning.InstancePool]bool)}
 	for _, r := range l.machines {
 		// A silent machine is not counted on: it is replaced before it is
 		// given up.
@@ -394,8 +394,8 @@
 	for z, is := range l.unreachableZones(now) {
 		for _, t := range v.Catalog.MachineTypes {
 			if is {
-				v.Refused[provisioning.Pool{Type: t.SKU, Zone: z}] = true
-				v.Refused[provisioning.Pool{Type: t.SKU, Zone: z, Spot: true}] = true
+				v.Refused[provisioning.InstancePool{Type: t.Name, Zone: z}] = true
+				v.Refused[provisioning.InstancePool{Type: t.Name, Zone: z, Spot: true}] = true
 			}
 		}
 	}
@@ -419,16 +419,16 @@
 		v.Recent = append(v.Recent, n.demand)
 	}
 	for _, t := range l.teams {
-		v.Limits = append(v.Limits, provisioning.Limit{Owner: t.Name, Max: placement.Room{VCPUs: t.CPUsMax, GPUs: t.GPUsMax}})
+		v.Limits = append(v.Limits, provisioning.TeamLimit{Team: t.Name, Max: placement.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax}})
 	}
 	return v
 }
 
 // demandOf is what so many tasks of a job ask of the market.
 func demandOf(j *jobState, pieces int) provisioning.Demand {
-	return provisioning.Demand{Owner: j.spec.Team, Pieces: pieces, Need: placement.Need(j.spec),
+	return provisioning.Demand{Team: j.spec.Team, Tasks: pieces, TaskResources: placement.TaskResources(j.spec),
 		Spot: j.spec.AllowSpot, Types: j.spec.MachineTypes, Zone: j.spec.Zone,
-		Together: j.spec.Kind == userapi.KindGang && j.spec.SameZone}
+		SameZone: j.spec.Kind == userapi.KindGang && j.spec.SameZone}
 }
 
 // giveUpSurplus returns machines that have been idle for a while and that the
@@ -442,18 +442,18 @@
 	l.detectStragglers(now)
 	l.attributeAllFailures(now)
 	v := l.scalingView(now)
-	want := make(map[string]provisioning.Want)
+	want := make(map[string]provisioning.DesiredCapacity)
 	for _, t := range v.Catalog.MachineTypes {
-		want[t.SKU] = provisioning.Wants(v, t, l.deps.Operator.Renting.Keep)
+		want[t.Name] = provisioning.DesiredFor(v, t, l.deps.Operator.Renting.Keep)
 	}
-	keep := m.memory.Note(now, want)
-	var idle []provisioning.Idle
+	keep := m.memory.Add(now, want)
+	var idle []provisioning.IdleMachine
 	for _, r := range l.machines {
 		if r.schedulable(now) && len(r.agent.Attempts) == 0 && len(l.reservations.On(r.agent.Name)) == 0 && now.Sub(r.idleSince) > constants.IdleReturn {
-			idle = append(idle, provisioning.Idle{Name: r.agent.Name, Pool: r.pool(), Images: len(r.images)})
+			idle = append(idle, provisioning.IdleMachine{Name: r.agent.Name, Pool: r.pool(), Images: len(r.images)})
 		}
 	}
-	for _, name := range provisioning.Surplus(v, keep, idle) {
+	for _, name := range provisioning.ScaleIn(v, keep, idle) {
 		l.beginLeaving(l.machines[name], "idle", now)
 	}
 }
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -25,27 +25,29 @@
 	oldDidPrefix     = "did/"
 )
 
-func roomOf(r wal.Resources) placement.Room {
-	return placement.Room{VCPUs: r[0], GPUs: r[1], RAM: r[2]}
+func roomOf(r wal.Resources) placement.Resources {
+	return placement.Resources{CPUs: r[0], GPUs: r[1], MemoryGB: r[2]}
 }
 
-func recordRoom(r placement.Room) wal.Resources { return wal.Resources{r.VCPUs, r.GPUs, r.RAM} }
+func recordRoom(r placement.Resources) wal.Resources {
+	return wal.Resources{r.CPUs, r.GPUs, r.MemoryGB}
+}
 
 func holdOf(h wal.Hold, machine string) reservations.Hold {
-	p := placement.Pipeline{Owner: h.Team, Workload: h.Class}
+	p := placement.Pipeline{Team: h.Team, Class: h.Class}
 	if h.Edge {
 		p.Downstream = h.Downstream
 	}
 	return reservations.Hold{
 		Machine: machine, Pipeline: p,
 		Upstream: h.Upstream, Downstream: h.Downstream, Priority: h.Priority,
-		Room: roomOf(h.Resources), Expires: time.UnixMilli(h.Expires),
+		Resources: roomOf(h.Resources), ExpiresAt: time.UnixMilli(h.Expires),
 	}
 }
 
 func recordHold(h reservations.Hold) wal.Hold {
-	return wal.Hold{Team: h.Pipeline.Owner, Class: h.Pipeline.Workload, Upstream: h.Upstream, Downstream: h.Downstream, Edge: h.Pipeline.Downstream != "",
-		Priority: h.Priority, Resources: recordRoom(h.Room), Expires: h.Expires.UnixMilli()}
+	return wal.Hold{Team: h.Pipeline.Team, Class: h.Pipeline.Class, Upstream: h.Upstream, Downstream: h.Downstream, Edge: h.Pipeline.Downstream != "",
+		Priority: h.Priority, Resources: recordRoom(h.Resources), Expires: h.ExpiresAt.UnixMilli()}
 }
 
 func recordAttempt(a *workers.Attempt) wal.Attempt {
--- a/internal/leader/scheduling.go
+++ b/internal/leader/scheduling.go
@@ -23,21 +23,21 @@
 		return
 	}
 	w, jobs := l.snapshotForPlacement(now)
-	plan := placement.Decide(w)
+	plan := placement.Schedule(w)
 	for _, s := range plan.Starts {
 		l.machines[s.Machine.Name].stale = true
 		jobs[s.Job.Spec.ID].stale = true
 	}
-	for _, e := range plan.Evicts {
+	for _, e := range plan.Preemptions {
 		l.machines[e.Machine.Name].stale = true
 	}
 	for _, h := range plan.Released {
 		if r := l.machines[h.Machine.Name]; r != nil && l.reservations.Use(h.Machine.Name, func(p placement.Pipeline) bool { return p == h.Held.Pipeline }) {
-			l.deps.Log.Debug("hold given up", "rig", h.Machine.Name, "class", h.Held.Pipeline.Workload)
+			l.deps.Log.Debug("hold given up", "rig", h.Machine.Name, "class", h.Held.Pipeline.Class)
 			l.metadataChanged(r, now)
 		}
 	}
-	for _, e := range plan.Evicts {
+	for _, e := range plan.Preemptions {
 		l.preempt(e, now)
 	}
 	l.startPlanned(plan, jobs, now)
@@ -47,18 +47,18 @@
 		}
 	}
 	for _, v := range w.Jobs {
-		v.Claims, v.Preparing = nil, false
+		v.ClaimedMachines, v.Draining = nil, false
 	}
-	for _, v := range plan.Prepared {
-		v.Preparing = true
+	for _, v := range plan.Draining {
+		v.Draining = true
 	}
 	for _, c := range plan.Claims {
-		if c.Job.Claims == nil {
-			c.Job.Claims = make(map[string]bool)
+		if c.Job.ClaimedMachines == nil {
+			c.Job.ClaimedMachines = make(map[string]bool)
 		}
-		c.Job.Claims[c.Machine.Name] = true
+		c.Job.ClaimedMachines[c.Machine.Name] = true
 	}
-	l.scaling.unmet(plan.Unmet, now)
+	l.scaling.unmet(plan.Unplaced, now)
 	l.summary(w, now)
 	l.lastPassDuration = time.Since(now)
 	l.counts.Passes++
@@ -66,7 +66,7 @@
 }
 
 // summary logs once in a while what the machines do and what waits.
-func (l *Leader) summary(w *placement.World, now time.Time) {
+func (l *Leader) summary(w *placement.Snapshot, now time.Time) {
 	if now.Sub(l.lastSummary) < constants.SummaryEvery || !l.deps.Log.Enabled(l.ctx, slog.LevelDebug) {
 		return
 	}
@@ -75,36 +75,36 @@
 	var total, used, ending, held float64
 	empty := 0
 	for _, r := range w.Machines {
-		if !r.Open {
+		if !r.Schedulable {
 			continue
 		}
 		total++
 		if len(r.Slots) == 0 && len(r.Held) == 0 {
 			empty++
 		}
-		var u, e, h placement.Room
+		var u, e, h placement.Resources
 		for _, s := range r.Slots {
-			u = u.Add(s.Room)
-			if s.Ending {
-				e = e.Add(s.Room)
+			u = u.Add(s.Resources)
+			if s.Stopping {
+				e = e.Add(s.Resources)
 			}
 		}
 		for _, k := range r.Held {
-			h = h.Add(k.Room)
+			h = h.Add(k.Resources)
 		}
-		used, ending, held = used+u.Share(r.Total), ending+e.Share(r.Total), held+h.Share(r.Total)
+		used, ending, held = used+u.DominantShare(r.Total), ending+e.DominantShare(r.Total), held+h.DominantShare(r.Total)
 	}
 	waits, lifted := make(map[string]int), 0
 	for _, j := range w.Jobs {
 		waits[j.Spec.Class] += len(j.Waiting)
-		if j.Overdue != placement.NoLift {
+		if j.Boost != placement.NoBoost {
 			lifted++
 		}
 	}
 	// The part of its limit that each team uses, held room included.
 	limits := make(map[string]float64)
 	for name, t := range w.Teams {
-		limits[name] = hundredth(t.Used.Share(t.Max))
+		limits[name] = hundredth(t.Used.DominantShare(t.Limit))
 	}
 	l.deps.Log.Debug("summary", "machines", total, "used", hundredth(used), "ending", hundredth(ending), "held", hundredth(held), "empty", empty,
 		"waiting", fmt.Sprint(waits), "lifted", lifted, "limits", fmt.Sprint(limits), "booting", len(l.scaling.booting), "rigs", len(l.machines))
@@ -124,9 +124,9 @@
 			continue
 		}
 		for _, t := range cat.MachineTypes {
-			per := (placement.Room{VCPUs: t.VCPUs, GPUs: t.Accelerators, RAM: t.RAMGB}).Count(n.demand.Need, n.demand.Pieces)
+			per := (placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}).Count(n.demand.TaskResources, n.demand.Tasks)
 			if per > 0 {
-				sum += float64(n.demand.Pieces) / float64(per)
+				sum += float64(n.demand.Tasks) / float64(per)
 				break
 			}
 		}
@@ -150,7 +150,7 @@
 // ownerUse is what one attempt or hold adds to its team's use.
 type teamUse struct {
 	team      string
-	resources placement.Room
+	resources placement.Resources
 }
 
 // count replaces what a machine adds to the teams' use.
@@ -166,8 +166,8 @@
 
 // world shows the present state to placement. Machines and jobs that have not
 // changed are shown as before.
-func (l *Leader) snapshotForPlacement(now time.Time) (*placement.World, map[string]*jobState) {
-	w := &placement.World{Now: now, Teams: make(map[string]*placement.Team), Rate: l.placementRates}
+func (l *Leader) snapshotForPlacement(now time.Time) (*placement.Snapshot, map[string]*jobState) {
+	w := &placement.Snapshot{Now: now, Teams: make(map[string]*placement.Team), StartRate: l.placementRates}
 	all := make([]*placement.Job, 0, len(l.jobs))
 	for _, j := range l.jobs {
 		if j.complete || j.blockedByUpstream() {
@@ -188,21 +188,21 @@
 		// a report may be a late copy of one from a machine that is no more.
 		// One that has not been heard for a few reports may well be dead or cut
 		// off: what is put there would wait until its lease is over.
-		r.view.Open = r.view.Total != (placement.Room{}) && r.schedulable(now) && r.agent.Token == l.grant.Term &&
+		r.view.Schedulable = r.view.Total != (placement.Resources{}) && r.schedulable(now) && r.agent.Token == l.grant.Term &&
 			l.silentFor(r, now) <= l.silenceTolerance()+constants.IdleHold
-		if r.view.Open && !r.view.Spot {
+		if r.view.Schedulable && !r.view.Spot {
 			ordinary++
 		}
 		w.Machines = append(w.Machines, r.view)
 	}
 	l.addReservationEdges(w)
-	w.Spare = min(l.reservedMachines(now), int(float64(ordinary)*constants.SpareMost))
+	w.ReservedMachines = min(l.reservedMachines(now), int(float64(ordinary)*constants.SpareMost))
 	for _, t := range l.teams {
 		w.Teams[t.Name] = &placement.Team{Name: t.Name, Used: l.teamUsage[t.Name],
-			Guarantee: placement.Room{VCPUs: t.CPUs, GPUs: t.GPUs}, Max: placement.Room{VCPUs: t.CPUsMax, GPUs: t.GPUsMax}}
+			Guarantee: placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs}, Limit: placement.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax}}
 	}
 	placement.MarkGuaranteed(all, w.Teams)
-	placement.MarkOverdue(all, l.boostedClasses(), now)
+	placement.MarkStarving(all, l.boostedClasses(), now)
 	for _, v := range all {
 		if len(v.Waiting) > 0 {
 			w.Jobs = append(w.Jobs, v)
@@ -224,13 +224,13 @@
 	var uses []teamUse
 	typ, _ := l.deps.Catalog().Type(r.agent.Type)
 	pr := l.placementMachine(r)
-	pr.Seats = int(l.deps.Settings.Params.State.ValueKB*1024)/constants.AttemptBytes - len(r.agent.Attempts)
-	pr.Total = placement.Room{VCPUs: typ.VCPUs, GPUs: typ.Accelerators, RAM: typ.RAMGB}
-	pr.Pull = typ.PullGBPerS
-	pr.Cached = make(map[string]time.Duration, len(r.images))
+	pr.AttemptCapacity = int(l.deps.Settings.Params.State.ValueKB*1024)/constants.AttemptBytes - len(r.agent.Attempts)
+	pr.Total = placement.Resources{CPUs: typ.CPUs, GPUs: typ.GPUs, MemoryGB: typ.MemoryGB}
+	pr.FetchGBPerS = typ.FetchGBPerS
+	pr.ImageWait = make(map[string]time.Duration, len(r.images))
 	for _, im := range r.images {
 		if im.have {
-			pr.Cached[im.name] = 0
+			pr.ImageWait[im.name] = 0
 		}
 	}
 	for _, a := range r.agent.Attempts {
@@ -239,21 +239,21 @@
 		}
 		room := l.resourcesOf(a)
 		uses = append(uses, teamUse{l.teamOf(a), room})
-		s := placement.Slot{Index: a.ID.Task.Index, Try: a.ID.Number, Room: room, Ending: a.StopRequested}
+		s := placement.Slot{Index: a.ID.Task.Index, Attempt: a.ID.Number, Resources: room, Stopping: a.StopRequested}
 		if j := l.jobs[a.ID.Task.Job]; j != nil {
 			s.Job = &j.view
-			s.Left, s.Loss = l.estimateStopCost(j, a, now)
-			if _, have := pr.Cached[j.spec.Image]; !have && (a.Status == "" || a.Status == workers.StatusFetching) && typ.PullGBPerS > 0 {
-				pr.Fetching++
-				full := j.spec.ImageGB / typ.PullGBPerS * float64(pr.Fetching)
-				pr.Cached[j.spec.Image] = max(time.Second, time.Duration(full*float64(time.Second))-now.Sub(a.PlacedAt))
+			s.Remaining, s.StopCost = l.estimateStopCost(j, a, now)
+			if _, have := pr.ImageWait[j.spec.Image]; !have && (a.Status == "" || a.Status == workers.StatusFetching) && typ.FetchGBPerS > 0 {
+				pr.Fetches++
+				full := j.spec.ImageGB / typ.FetchGBPerS * float64(pr.Fetches)
+				pr.ImageWait[j.spec.Image] = max(time.Second, time.Duration(full*float64(time.Second))-now.Sub(a.PlacedAt))
 			}
 		}
 		pr.Slots = append(pr.Slots, s)
 	}
 	for _, h := range l.reservations.On(r.agent.Name) {
-		pr.Held = append(pr.Held, placement.Held{Pipeline: h.Pipeline, Priority: h.Priority, Room: h.Room})
-		uses = append(uses, teamUse{h.Pipeline.Owner, h.Room})
+		pr.Held = append(pr.Held, placement.HeldSlot{Pipeline: h.Pipeline, Priority: h.Priority, Resources: h.Resources})
+		uses = append(uses, teamUse{h.Pipeline.Team, h.Resources})
 	}
 	l.setTeamUsage(r, uses)
 	r.view = pr
@@ -262,9 +262,9 @@
 // show brings a job's view for placement up to date.
 func (l *Leader) refreshJobView(j *jobState, now time.Time) {
 	v := &j.view
-	v.Weigh(now, l.classShare(j.spec.Class))
+	v.UpdateSlack(now, l.classShare(j.spec.Class))
 	v.Blocked = now.Before(j.notBefore)
-	v.Passed = now.Sub(j.servedAt)
+	v.SinceLastStart = now.Sub(j.servedAt)
 	if !j.stale && len(j.avoid) == 0 && len(j.delayedTasks) == 0 {
 		return
 	}
@@ -353,23 +353,23 @@
 }
 
 // evict stops a task to make room; a gang goes as a whole.
-func (l *Leader) preempt(e placement.Evict, now time.Time) {
+func (l *Leader) preempt(e placement.Preemption, now time.Time) {
 	r := l.machines[e.Machine.Name]
-	if r == nil || e.Slot.Job == nil {
+	if r == nil || e.Victim.Job == nil {
 		return
 	}
-	j := l.jobs[e.Slot.Job.Spec.ID]
+	j := l.jobs[e.Victim.Job.Spec.ID]
 	if j == nil {
 		return
 	}
-	l.deps.Log.Debug("makes room", "piece", workers.TaskID{Job: j.spec.ID, Index: e.Slot.Index}, "rig", r.agent.Name, "for", e.For.Spec.ID)
+	l.deps.Log.Debug("makes room", "piece", workers.TaskID{Job: j.spec.ID, Index: e.Victim.Index}, "rig", r.agent.Name, "for", e.For.Spec.ID)
 	grace := j.spec.SaveS + constants.StopGrace.Seconds()
 	if j.spec.Kind == userapi.KindGang {
 		l.stopGang(j, grace, now)
 		return
 	}
-	for _, s := range j.attempts[e.Slot.Index] {
-		if s.machine == r && s.attempt.ID.Number == e.Slot.Try {
+	for _, s := range j.attempts[e.Victim.Index] {
+		if s.machine == r && s.attempt.ID.Number == e.Victim.Attempt {
 			l.stopAttempt(r, s.attempt, grace, now)
 		}
 	}
@@ -411,7 +411,7 @@
 			l.deps.Log.Debug("hold used", "rig", r.agent.Name, "job", j.spec.ID)
 			l.metadataChanged(r, now)
 		}
-		l.reservations.Override(r.agent.Name, s.Machine.Total.Sub(l.usedResources(r)))
+		l.reservations.ReleaseExcess(r.agent.Name, s.Machine.Total.Sub(l.usedResources(r)))
 		r.useImage(j.spec.Image, j.spec.ImageGB, false, l.cacheOf(r))
 		l.deps.Log.Debug("placed", "piece", a.ID.Task, "try", try, "rig", r.agent.Name)
 	}
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -116,7 +116,7 @@
 		spot bool
 	}
 	pools := make(map[pool]*PoolStatus)
-	use, held := make(map[string]placement.Room), make(map[string]placement.Room)
+	use, held := make(map[string]placement.Resources), make(map[string]placement.Resources)
 	for _, r := range l.machines {
 		k := pool{r.agent.Type, r.agent.Zone, r.agent.Spot}
 		c := pools[k]
@@ -136,7 +136,7 @@
 			c.Faulty++
 		}
 		typ, _ := l.deps.Catalog().Type(r.agent.Type)
-		c.Used += l.usedResources(r).Share(placement.Room{VCPUs: typ.VCPUs, GPUs: typ.Accelerators, RAM: typ.RAMGB})
+		c.Used += l.usedResources(r).DominantShare(placement.Resources{CPUs: typ.CPUs, GPUs: typ.GPUs, MemoryGB: typ.MemoryGB})
 		for _, a := range r.agent.Attempts {
 			if a.Live() {
 				need, owner := l.resourcesOf(a), l.teamOf(a)
@@ -159,15 +159,15 @@
 		return !a.Spot && b.Spot
 	})
 	for _, h := range l.reservations.All() {
-		held[h.Pipeline.Owner] = held[h.Pipeline.Owner].Add(h.Room)
-		st.Holds = append(st.Holds, HoldStatus{h.Machine, h.Pipeline.Owner, h.Pipeline.Workload, h.Downstream, h.Room.VCPUs, h.Room.GPUs, h.Expires.Sub(now).Seconds()})
+		held[h.Pipeline.Team] = held[h.Pipeline.Team].Add(h.Resources)
+		st.Holds = append(st.Holds, HoldStatus{h.Machine, h.Pipeline.Team, h.Pipeline.Class, h.Downstream, h.Resources.CPUs, h.Resources.GPUs, h.ExpiresAt.Sub(now).Seconds()})
 	}
 	queue := make(map[placement.Pipeline]*QueueStatus)
 	for _, j := range l.jobs {
 		k := j.view.Pipeline()
 		q := queue[k]
 		if q == nil {
-			q = &QueueStatus{Class: k.Workload, Team: k.Owner}
+			q = &QueueStatus{Class: k.Class, Team: k.Team}
 			queue[k] = q
 		}
 		run := 0
@@ -199,7 +199,7 @@
 	})
 	for _, t := range l.teams {
 		u, h := use[t.Name], held[t.Name]
-		st.Teams = append(st.Teams, TeamStatus{Team: t.Name, CPUs: u.VCPUs + h.VCPUs, GPUs: u.GPUs + h.GPUs, HeldCPUs: h.VCPUs, HeldGPUs: h.GPUs,
+		st.Teams = append(st.Teams, TeamStatus{Team: t.Name, CPUs: u.CPUs + h.CPUs, GPUs: u.GPUs + h.GPUs, HeldCPUs: h.CPUs, HeldGPUs: h.GPUs,
 			CPUsOwn: t.CPUs, GPUsOwn: t.GPUs, CPUsLimit: t.CPUsMax, GPUsLimit: t.GPUsMax})
 	}
 	return st
--- a/internal/node/confirmations.go
+++ b/internal/node/confirmations.go
@@ -9,7 +9,7 @@
 )
 
 // Vouch tells another node which cancellations this process has told users of.
-func (n *Node) Vouch(span time.Duration) (cancelled []string, ok bool) {
+func (n *Node) AttestCancellations(span time.Duration) (cancelled []string, ok bool) {
 	u := n.intake.Load()
 	if u == nil {
 		return nil, false // it has just begun
@@ -18,13 +18,13 @@
 }
 
 // allVouch asks this node and all others.
-func (n *Node) allVouch(ctx context.Context, span time.Duration) (cancelled []string, ok bool) {
+func (n *Node) collectAttestations(ctx context.Context, span time.Duration) (cancelled []string, ok bool) {
 	words := make([]confirmations.Attestation, 1+len(n.set.Known))
 	var wait sync.WaitGroup
 	for i, k := range n.set.Known {
-		wait.Go(func() { words[1+i].Cancelled, words[1+i].OK = n.peers.Vouch(ctx, k.Label, span) })
+		wait.Go(func() { words[1+i].Cancelled, words[1+i].OK = n.peers.AttestCancellations(ctx, k.Label, span) })
 	}
-	words[0].Cancelled, words[0].OK = n.Vouch(span)
+	words[0].Cancelled, words[0].OK = n.AttestCancellations(span)
 	wait.Wait()
 	return confirmations.Unanimous(words, n.set.Params.Count)
 }
--- a/internal/node/needs.go
+++ b/internal/node/needs.go
@@ -50,7 +50,7 @@
 	}
 	gpus, cpus := 0.0, 0.0
 	for _, t := range cat.MachineTypes {
-		gpus, cpus = max(gpus, t.Accelerators), max(cpus, t.VCPUs)
+		gpus, cpus = max(gpus, t.GPUs), max(cpus, t.CPUs)
 	}
 	sum := 0.0
 	for _, t := range n.set.Params.Teams {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -114,7 +114,7 @@
 }
 
 // FitMachine keeps the Go runtime within the machine's limits.
-func FitMachine(lim config.Limits) {
+func LimitRuntime(lim config.Limits) {
 	if lim.MemMB > 0 {
 		debug.SetMemoryLimit(int64(lim.MemMB * constants.MemoryShare * (1 << 20)))
 		// Collect seldom: the memory limit above keeps the heap in bounds.
@@ -127,7 +127,7 @@
 
 // Run serves until ctx ends.
 func (n *Node) Run(ctx context.Context) error {
-	users, err := userapi.NewServer(n.store, n.set.Params.Teams, n.set.Params.State, n.submitsAtOnce(), func() []userapi.MachineType { return n.catalog.Load().Shapes() }, n.progress, n.ready, n.log)
+	users, err := userapi.NewServer(n.store, n.set.Params.Teams, n.set.Params.State, n.submitsAtOnce(), func() []userapi.MachineType { return n.catalog.Load().JobMachineTypes() }, n.progress, n.ready, n.log)
 	if err != nil {
 		return err
 	}
@@ -139,7 +139,7 @@
 	for _, path := range []string{"/work", "/work/", "/ready"} {
 		mux.HandleFunc(path, n.serveUser)
 	}
-	mux.HandleFunc("POST /hello", n.hello)
+	mux.HandleFunc("POST /hello", n.serveHeartbeat)
 	n.registerOperators(mux)
 
 	listen, err := n.net.Listen("tcp", n.set.Listen)
@@ -188,7 +188,7 @@
 	group.Go(func() error { return n.watchNeeds(ctx) })
 	group.Go(func() error { return users.Mirror(ctx) })
 	group.Go(func() error { return users.Polls(ctx) })
-	group.Go(func() error { return n.elector.Run(ctx, n.lead) })
+	group.Go(func() error { return n.elector.Run(ctx, n.runTerm) })
 	err = group.Wait()
 	if errors.Is(err, context.Canceled) {
 		return nil
@@ -197,12 +197,12 @@
 }
 
 // lead runs one term.
-func (n *Node) lead(ctx context.Context, g election.Grant) error {
+func (n *Node) runTerm(ctx context.Context, g election.Grant) error {
 	set := *n.set
 	set.Params.State = n.limits.within(set.Params.State)
 	l := leader.New(leader.Deps{
 		Settings: &set, Operator: n.op, Store: n.store, Cloud: n.cloud, Workers: workers.NewCommandClient(n.net.DialContext),
-		Catalog: n.catalog.Load, Usage: n.store.Budget.Usage, Attest: n.allVouch, ReadsLargeRing: n.readsLargeRing, Log: n.log,
+		Catalog: n.catalog.Load, Usage: n.store.Budget.Usage, Attest: n.collectAttestations, ReadsLargeRing: n.readsLargeRing, Log: n.log,
 	}, g)
 	n.store.Budget.SetShare(n.share(true))
 	n.leading.Store(l)
@@ -224,21 +224,21 @@
 func (n *Node) ready() bool { return n.catalog.Load() != nil && !n.lonely.Load() }
 
 // Progress tells how far jobs are if this node leads.
-func (n *Node) Progress(ctx context.Context, jobs []string) map[string]peers.Count {
+func (n *Node) Progress(ctx context.Context, jobs []string) map[string]peers.TaskCounts {
 	l := n.leading.Load()
 	if l == nil {
 		return nil
 	}
-	out := make(map[string]peers.Count, len(jobs))
+	out := make(map[string]peers.TaskCounts, len(jobs))
 	for id, p := range l.Progress(ctx, jobs) {
-		out[id] = peers.Count(p)
+		out[id] = peers.TaskCounts(p)
 	}
 	return out
 }
 
 // progress asks whoever leads.
 func (n *Node) progress(ctx context.Context, jobs []string) map[string]userapi.TaskCounts {
-	var counts map[string]peers.Count
+	var counts map[string]peers.TaskCounts
 	if n.leading.Load() != nil {
 		counts = n.Progress(ctx, jobs)
 	} else if label, _ := n.elector.Leader(); label != "" && label != n.set.Label {
@@ -255,7 +255,7 @@
 }
 
 // hello answers workers: the leader gives orders, the others name it.
-func (n *Node) hello(w http.ResponseWriter, r *http.Request) {
+func (n *Node) serveHeartbeat(w http.ResponseWriter, r *http.Request) {
 	raw, ok := userapi.ReadBody(w, r)
 	if !ok {
 		return
@@ -324,7 +324,7 @@
 		return
 	}
 	var cat provisioning.Catalog
-	if err := json.Unmarshal(row.Value, &cat); err != nil || cat.Check() != nil {
+	if err := json.Unmarshal(row.Value, &cat); err != nil || cat.Validate() != nil {
 		n.log.Error("recorded catalog is unreadable", "err", err)
 		return
 	}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -28,8 +28,8 @@
 	CloudTokens   float64 `json:"cloudTokens"`
 	// Taking is how far a takeover by this node has come; empty if none is
 	// under way.
-	Taking  string    `json:"takingOver,omitempty"`
-	Sockets SocketUse `json:"sockets"`
+	Failover string    `json:"takingOver,omitempty"`
+	Sockets  SocketUse `json:"sockets"`
 	// Threads and MemoryMB are what the process takes now.
 	Threads  int     `json:"threads"`
 	MemoryMB float64 `json:"memoryMB"`
@@ -73,7 +73,7 @@
 	s.Scarce = n.scarce(s.MemoryMB)
 	s.TooSmall = n.problems()
 	if l := n.leading.Load(); l != nil {
-		s.Taking = l.FailoverProgress()
+		s.Failover = l.FailoverProgress()
 	}
 	return s
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -19,11 +19,11 @@
 type ProgressArgs struct{ Jobs []string }
 
 // Count is how far one job is.
-type Count struct{ Done, Running int }
+type TaskCounts struct{ Done, Running int }
 
 // ProgressReply is the answer. Jobs that this node does not know are left out;
 // one that does not lead knows none.
-type ProgressReply struct{ Jobs map[string]Count }
+type ProgressReply struct{ Jobs map[string]TaskCounts }
 
 // HealthArgs asks whether the state service answers a node.
 type HealthArgs struct{}
@@ -66,12 +66,12 @@
 type Source interface {
 	// Vouch names the jobs that this process has told users, within so long a
 	// time, are cancelled; false if it can't say.
-	Vouch(span time.Duration) (cancelled []string, ok bool)
+	AttestCancellations(span time.Duration) (cancelled []string, ok bool)
 	// Healthy tells whether the state service answers this node.
 	Healthy() bool
 	// Relay serves a user's request that came in at another node.
 	Relay(ctx context.Context, req RelayArgs) RelayReply
-	Progress(ctx context.Context, jobs []string) map[string]Count
+	Progress(ctx context.Context, jobs []string) map[string]TaskCounts
 	// Status is the node's own state, as JSON.
 	Status(ctx context.Context) ([]byte, error)
 }
@@ -101,7 +101,7 @@
 
 // Vouch answers another node.
 func (s *service) Vouch(args VouchArgs, reply *VouchReply) error {
-	reply.Cancelled, reply.OK = s.src.Vouch(time.Duration(args.SpanMS) * time.Millisecond)
+	reply.Cancelled, reply.OK = s.src.AttestCancellations(time.Duration(args.SpanMS) * time.Millisecond)
 	return nil
 }
 
@@ -267,7 +267,7 @@
 }
 
 // Progress asks a node how far jobs are.
-func (p *Peers) Progress(ctx context.Context, label string, jobs []string) (map[string]Count, error) {
+func (p *Peers) Progress(ctx context.Context, label string, jobs []string) (map[string]TaskCounts, error) {
 	reply := new(ProgressReply)
 	if err := p.call(ctx, constants.MeshTimeout, label, "Mesh.Progress", ProgressArgs{jobs}, reply); err != nil {
 		return nil, err
@@ -294,7 +294,7 @@
 }
 
 // Vouch asks a node which cancellations it has told users of within a time.
-func (p *Peers) Vouch(ctx context.Context, label string, span time.Duration) (cancelled []string, ok bool) {
+func (p *Peers) AttestCancellations(ctx context.Context, label string, span time.Duration) (cancelled []string, ok bool) {
 	reply := new(VouchReply)
 	// Rounded up: never less than was asked for.
 	args := VouchArgs{SpanMS: span.Milliseconds() + 1}
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -14,9 +14,9 @@
 		}
 		return
 	}
-	p.plan.Unmet = append(p.plan.Unmet, j)
+	p.plan.Unplaced = append(p.plan.Unplaced, j)
 	if !p.gangWithinLimit(j) {
-		if j.Overdue != NoLift {
+		if j.Boost != NoBoost {
 			p.makeLimit(j)
 		}
 		return
@@ -25,7 +25,7 @@
 }
 
 func (p *pass) gangWithinLimit(j *Job) bool {
-	return p.allows(j, Need(j.Spec).Times(len(j.Waiting)))
+	return p.allows(j, TaskResources(j.Spec).Times(len(j.Waiting)))
 }
 
 // gangMachines finds machines for all waiting tasks, or none.
@@ -33,7 +33,7 @@
 	if !p.gangWithinLimit(j) {
 		return nil
 	}
-	need := Need(j.Spec)
+	need := TaskResources(j.Spec)
 	type seat struct {
 		machine *Machine
 		score   float64
@@ -45,7 +45,7 @@
 		if !p.usable(j, r) {
 			continue
 		}
-		n := r.free(j).Count(need, min(len(j.Waiting), r.Seats))
+		n := r.free(j).Count(need, min(len(j.Waiting), r.AttemptCapacity))
 		if n == 0 {
 			continue
 		}
--- a/internal/placement/limit.go
+++ b/internal/placement/limit.go
@@ -12,7 +12,7 @@
 // heldOn is a hold with its machine.
 type heldOn struct {
 	machine *Machine
-	held    Held
+	held    HeldSlot
 }
 
 // givesWay tells whether a hold gives way to the job: its pipeline's own, and
@@ -22,11 +22,11 @@
 // Without this, holds for work that may not start, as the team's limit is kept
 // for a lifted gang, stand until they lapse, while the gang waits for the limit
 // that they take: both wait for the other for a quarter of an hour.
-func givesWay(h Held, j *Job) bool {
+func givesWay(h HeldSlot, j *Job) bool {
 	switch {
-	case j.Owns(h.Pipeline), j.Overdue == LiftAll:
+	case j.Owns(h.Pipeline), j.Boost == BoostAboveAll:
 		return true
-	case j.Overdue == LiftEqual:
+	case j.Boost == BoostWithinPriority:
 		return h.Priority <= j.Priority
 	}
 	return h.Priority < j.Priority
@@ -35,18 +35,18 @@
 // leavesLimit tells whether a hold gives way to the job in their team's limit. Held
 // room counts toward it, yet a job that waits for others holds no part of it: so
 // what is held for one that may not start yet gives way to whatever of its team may.
-func leavesLimit(h Held, j *Job) bool { return h.Barred || givesWay(h, j) }
+func leavesLimit(h HeldSlot, j *Job) bool { return h.Blocked || givesWay(h, j) }
 
 // promise is a part of a team's limit that a gang will need in a moment.
 type promise struct {
 	job  *Job
-	room Room
+	room Resources
 }
 
 // promised adds a promise, or renews it.
 func (p *pass) promise(j *Job) {
 	p.unpromise(j)
-	p.promises[j.Spec.Team] = append(p.promises[j.Spec.Team], promise{j, Need(j.Spec).Times(len(j.Waiting))})
+	p.promises[j.Spec.Team] = append(p.promises[j.Spec.Team], promise{j, TaskResources(j.Spec).Times(len(j.Waiting))})
 }
 
 func (p *pass) unpromise(j *Job) {
@@ -61,7 +61,7 @@
 // Peakdale's day with a partition.
 func (p *pass) keepPromises() {
 	for _, j := range p.Jobs {
-		if j.Preparing && len(j.Waiting) > 0 && !j.Blocked && p.Teams[j.Spec.Team] != nil {
+		if j.Draining && len(j.Waiting) > 0 && !j.Blocked && p.Teams[j.Spec.Team] != nil {
 			p.promise(j)
 		}
 	}
@@ -70,11 +70,11 @@
 // allows tells whether the job's team may use extra on top, once what is held
 // for lower work has given way. What is kept for a lifted gang or promised to
 // one that waits for room being made is left to it, except by higher work.
-func (p *pass) allows(j *Job, extra Room) bool {
+func (p *pass) allows(j *Job, extra Resources) bool {
 	t := p.Teams[j.Spec.Team]
-	if j.Overdue == NoLift {
-		if j.Priority >= t.KeptFrom {
-			extra = extra.Add(t.Kept)
+	if j.Boost == NoBoost {
+		if j.Priority >= t.PromisedBelow {
+			extra = extra.Add(t.Promised)
 		}
 		extra = extra.Add(p.leaves(j))
 		for _, k := range p.promises[j.Spec.Team] {
@@ -89,14 +89,14 @@
 // yields is what is held of the job's team's limit and gives way to it, its own
 // pipeline's holds among it: whatever they are worth, they must never keep the job
 // that they are for from starting. It is asked for machine after machine, so it is kept until a hold ends.
-func (p *pass) yields(j *Job) Room {
+func (p *pass) yields(j *Job) Resources {
 	if p.yieldsTo == j {
 		return p.yielding
 	}
-	p.yieldsTo, p.yielding = j, Room{}
+	p.yieldsTo, p.yielding = j, Resources{}
 	for _, h := range p.holds[j.Spec.Team] {
 		if leavesLimit(h.held, j) {
-			p.yielding = p.yielding.Add(h.held.Room)
+			p.yielding = p.yielding.Add(h.held.Resources)
 		}
 	}
 	return p.yielding
@@ -108,16 +108,16 @@
 	r, of := h.machine, h.held.Pipeline
 	for i, k := range r.Held {
 		if k == h.held {
-			r.Held = append(append([]Held(nil), r.Held[:i]...), r.Held[i+1:]...)
+			r.Held = append(append([]HeldSlot(nil), r.Held[:i]...), r.Held[i+1:]...)
 			break
 		}
 	}
-	t := p.Teams[of.Owner]
+	t := p.Teams[of.Team]
 	if t != nil {
-		t.Used = t.Used.Sub(h.held.Room)
+		t.Used = t.Used.Sub(h.held.Resources)
 	}
-	if at := slices.Index(p.holds[of.Owner], h); at >= 0 {
-		p.holds[of.Owner] = slices.Delete(p.holds[of.Owner], at, at+1)
+	if at := slices.Index(p.holds[of.Team], h); at >= 0 {
+		p.holds[of.Team] = slices.Delete(p.holds[of.Team], at, at+1)
 	}
 }
 
@@ -135,7 +135,7 @@
 	if len(p.holds) == 0 {
 		return
 	}
-	waits, usable, without := make(map[Pipeline]bool), make(map[Pipeline]bool), make(map[string]Room)
+	waits, usable, without := make(map[Pipeline]bool), make(map[Pipeline]bool), make(map[string]Resources)
 	for _, j := range p.Jobs {
 		t := p.Teams[j.Spec.Team]
 		if len(j.Waiting) == 0 || len(p.holds[j.Spec.Team]) == 0 || t == nil {
@@ -145,12 +145,12 @@
 		if !known {
 			use = t.Used
 			for _, h := range p.holds[j.Spec.Team] {
-				use = use.Sub(h.held.Room)
+				use = use.Sub(h.held.Resources)
 			}
 			without[j.Spec.Team] = use
 		}
-		fits := j.Spec.Kind != "gang" || t.within(use.Add(Need(j.Spec).Times(len(j.Waiting))))
-		for _, pipe := range [2]Pipeline{j.Pipeline(), j.Edges()} {
+		fits := j.Spec.Kind != "gang" || t.within(use.Add(TaskResources(j.Spec).Times(len(j.Waiting))))
+		for _, pipe := range [2]Pipeline{j.Pipeline(), j.EdgePipeline()} {
 			waits[pipe] = true
 			usable[pipe] = usable[pipe] || fits
 		}
@@ -159,7 +159,7 @@
 		if usable[pipe] {
 			continue
 		}
-		for _, h := range slices.Clone(p.holds[pipe.Owner]) {
+		for _, h := range slices.Clone(p.holds[pipe.Team]) {
 			if h.held.Pipeline == pipe {
 				p.release(h)
 			}
@@ -169,7 +169,7 @@
 
 // giveWay ends as many of the holds that give way to the job as its team needs
 // to use extra on top, the lowest first.
-func (p *pass) giveWay(j *Job, extra Room) {
+func (p *pass) giveWay(j *Job, extra Resources) {
 	t := p.Teams[j.Spec.Team]
 	var list []heldOn
 	for _, h := range p.holds[j.Spec.Team] {
@@ -205,22 +205,22 @@
 // A gang that is not lifted waits, and smaller work goes on meanwhile.
 func (p *pass) makeLimit(j *Job) {
 	t := p.Teams[j.Spec.Team]
-	extra := Need(j.Spec).Times(len(j.Waiting))
-	if t.Kept != (Room{}) || !(&Team{Max: t.Max}).Allows(extra) {
+	extra := TaskResources(j.Spec).Times(len(j.Waiting))
+	if t.Promised != (Resources{}) || !(&Team{Limit: t.Limit}).Allows(extra) {
 		return // kept for another already, or of no use
 	}
 	short := extra.Sub(p.ending[j.Spec.Team])
 	p.giveWay(j, short)
-	t.Kept, t.KeptFrom = extra, 0
+	t.Promised, t.PromisedBelow = extra, 0
 	if !t.Allows(short) && !p.stopOwn(j, short) {
-		t.KeptFrom = j.Priority
+		t.PromisedBelow = j.Priority
 	}
 }
 
 // stopOwn stops tasks of the job's own team that are lower in priority, until
 // its team could use extra more once they are gone: those that lose least for
 // the room they give. It stops none if all of them are not enough.
-func (p *pass) stopOwn(j *Job, extra Room) (enough bool) {
+func (p *pass) stopOwn(j *Job, extra Resources) (enough bool) {
 	t := p.Teams[j.Spec.Team]
 	type victim struct {
 		machine *Machine
@@ -228,15 +228,15 @@
 		cost    float64
 	}
 	var list []victim
-	sum := Room{}
+	sum := Resources{}
 	for _, r := range p.Machines {
 		if !r.stoppable || r.lowest >= j.Priority {
 			continue
 		}
 		for _, s := range r.Slots {
-			if s.Job != nil && !s.Ending && s.Job.Spec.Team == j.Spec.Team && s.Job.Priority < j.Priority {
-				list = append(list, victim{r, s, s.Loss.Seconds()})
-				sum = sum.Add(s.Room)
+			if s.Job != nil && !s.Stopping && s.Job.Spec.Team == j.Spec.Team && s.Job.Priority < j.Priority {
+				list = append(list, victim{r, s, s.StopCost.Seconds()})
+				sum = sum.Add(s.Resources)
 			}
 		}
 	}
@@ -255,28 +255,28 @@
 			break
 		}
 		p.stop(j, v.machine, v.slot)
-		extra = extra.Sub(v.slot.Room)
+		extra = extra.Sub(v.slot.Resources)
 	}
 	return true
 }
 
 // stop has a task stopped for a job.
 func (p *pass) stop(j *Job, r *Machine, s Slot) {
-	p.plan.Evicts = append(p.plan.Evicts, Evict{r, s, j})
+	p.plan.Preemptions = append(p.plan.Preemptions, Preemption{r, s, j})
 	for i := range r.Slots {
-		if r.Slots[i].Try == s.Try && r.Slots[i].Index == s.Index && r.Slots[i].Job == s.Job {
-			r.Slots[i].Ending = true
+		if r.Slots[i].Attempt == s.Attempt && r.Slots[i].Index == s.Index && r.Slots[i].Job == s.Job {
+			r.Slots[i].Stopping = true
 		}
 	}
-	r.ending = r.ending.Add(s.Room)
+	r.ending = r.ending.Add(s.Resources)
 	p.able[standing{s.Job.Priority, s.Job.Guaranteed, s.Job.Spec.Team}]--
 	// It counts toward the team's limit until it is proven gone; only
 	// what the team runs beyond its guarantee shrinks already.
-	p.ending[s.Job.Spec.Team] = p.ending[s.Job.Spec.Team].Add(s.Room)
+	p.ending[s.Job.Spec.Team] = p.ending[s.Job.Spec.Team].Add(s.Resources)
 }
 
 // missed tells whether the job had aims and can meet none any more.
-func (j *Job) missed() bool { return j.Late && len(j.Targets) > 0 && j.Overdue == NoLift }
+func (j *Job) missed() bool { return j.Late && len(j.Targets) > 0 && j.Boost == NoBoost }
 
 // smallFirst puts the gangs of one rank in a better order where their team's
 // limit can't hold all that waits, each team's in the places that its gangs have:
@@ -292,7 +292,9 @@
 		}
 	}
 	for owner, at := range places {
-		size := func(j *Job) float64 { return Need(j.Spec).Times(len(j.Waiting)).Share(p.Teams[owner].Max) }
+		size := func(j *Job) float64 {
+			return TaskResources(j.Spec).Times(len(j.Waiting)).DominantShare(p.Teams[owner].Limit)
+		}
 		gangs := make([]*Job, len(at))
 		for i, k := range at {
 			gangs[i] = jobs[k]
@@ -318,18 +320,18 @@
 //
 // The job's place in the queue stays as it is: whoever may stop another's tasks
 // must stand before it, or the room goes back to what was stopped, pass after pass.
-func (p *pass) leaves(j *Job) Room {
-	if !j.missed() || j.Preparing || !p.short(j.Spec.Team) {
+func (p *pass) leaves(j *Job) Resources {
+	if !j.missed() || j.Draining || !p.short(j.Spec.Team) {
 		// One that room is being made for has its promise: to give it up for a
 		// lower job, stop that one's tasks and begin anew would go on pass by pass.
-		return Room{}
+		return Resources{}
 	}
 	k := ownerAt{j.Spec.Team, j.Priority}
 	sum, known := p.inTime[k]
 	if !known {
 		for _, o := range p.Jobs {
 			if o.Spec.Team == k.owner && o.Priority < k.priority && !o.Blocked && !o.Late {
-				sum = sum.Add(Need(o.Spec).Times(len(o.Waiting)))
+				sum = sum.Add(TaskResources(o.Spec).Times(len(o.Waiting)))
 			}
 		}
 		p.inTime[k] = sum
@@ -348,10 +350,10 @@
 	is, known := p.shortOf[owner]
 	if !known {
 		if t := p.Teams[owner]; t != nil {
-			sum := Room{}
+			sum := Resources{}
 			for _, j := range p.Jobs {
 				if j.Spec.Team == owner && !j.Blocked {
-					sum = sum.Add(Need(j.Spec).Times(len(j.Waiting)))
+					sum = sum.Add(TaskResources(j.Spec).Times(len(j.Waiting)))
 				}
 			}
 			is = !t.Allows(sum)
--- a/internal/placement/overload.go
+++ b/internal/placement/overload.go
@@ -47,7 +47,7 @@
 		w := float64(len(j.Waiting)) / rate
 		heap.Push(&in, sized{j, w})
 		sum += w
-		if sum > j.Left.Seconds() {
+		if sum > j.TimeToTarget.Seconds() {
 			out := heap.Pop(&in).(sized)
 			spared[out.job] = true
 			sum -= out.work
@@ -62,7 +62,7 @@
 func (p *pass) spareInTime(jobs []*Job) {
 	places := make(map[string][]int)
 	for i, j := range jobs {
-		if j.Spec.Kind != "gang" && !j.Late && !j.Blocked && len(j.Waiting) > 0 && p.Rate[j.Spec.Class] > 0 {
+		if j.Spec.Kind != "gang" && !j.Late && !j.Blocked && len(j.Waiting) > 0 && p.StartRate[j.Spec.Class] > 0 {
 			places[j.Spec.Class] = append(places[j.Spec.Class], i)
 		}
 	}
@@ -71,8 +71,8 @@
 		for i, k := range at {
 			list[i] = jobs[k]
 		}
-		slices.SortStableFunc(list, func(a, b *Job) int { return cmp.Compare(a.Left, b.Left) })
-		spared := sparable(list, p.Rate[class])
+		slices.SortStableFunc(list, func(a, b *Job) int { return cmp.Compare(a.TimeToTarget, b.TimeToTarget) })
+		spared := sparable(list, p.StartRate[class])
 		if len(spared) == 0 {
 			continue
 		}
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -11,8 +11,8 @@
 
 // Decide runs one pass over the world. It changes the views of machines that
 // it puts work on or stops work on; these must be made anew for the next pass.
-func Decide(w *World) *Plan {
-	p := &pass{World: w, plan: &Plan{}, ending: make(map[string]Room), holds: make(map[string][]heldOn), shortOf: make(map[string]bool), inTime: make(map[ownerAt]Room), promises: make(map[string][]promise),
+func Schedule(w *Snapshot) *Plan {
+	p := &pass{Snapshot: w, plan: &Plan{}, ending: make(map[string]Resources), holds: make(map[string][]heldOn), shortOf: make(map[string]bool), inTime: make(map[ownerAt]Resources), promises: make(map[string][]promise),
 		able: make(map[standing]int), outside: make(map[string]bool), bits: make(map[standing]uint64)}
 	var running []*Job // whose tasks may be stopped, each once
 	byName := func(a, b *Machine) int { return strings.Compare(a.Name, b.Name) }
@@ -23,17 +23,17 @@
 	for i, r := range w.Machines {
 		r.rank, r.claimed, r.roomy, r.standings = i, nil, false, 0
 		r.sum()
-		if r.Open && !r.Spot && len(r.Slots) == 0 {
+		if r.Schedulable && !r.Spot && len(r.Slots) == 0 {
 			p.whole++
 		}
-		if r.Open && r.Seats > 0 && r.Total.Sub(r.used).Fits(leanest) {
+		if r.Schedulable && r.AttemptCapacity > 0 && r.Total.Sub(r.used).Fits(leanest) {
 			p.roomy, r.roomy = append(p.roomy, r), true
 		}
 		for _, s := range r.Slots {
 			switch {
 			case s.Job == nil:
-			case s.Ending:
-				p.ending[s.Job.Spec.Team] = p.ending[s.Job.Spec.Team].Add(s.Room)
+			case s.Stopping:
+				p.ending[s.Job.Spec.Team] = p.ending[s.Job.Spec.Team].Add(s.Resources)
 			default:
 				// Counted by job first: tasks are many, standings few.
 				if s.Job.tally == 0 {
@@ -45,7 +45,7 @@
 			}
 		}
 		for _, h := range r.Held {
-			p.holds[h.Pipeline.Owner] = append(p.holds[h.Pipeline.Owner], heldOn{r, h})
+			p.holds[h.Pipeline.Team] = append(p.holds[h.Pipeline.Team], heldOn{r, h})
 		}
 	}
 	for _, j := range running {
@@ -78,7 +78,7 @@
 
 // rankAs tells whether two jobs differ only in the time that they have left.
 func rankAs(a, b *Job) bool {
-	return a.Overdue == b.Overdue && a.Priority == b.Priority && a.Guaranteed == b.Guaranteed
+	return a.Boost == b.Boost && a.Priority == b.Priority && a.Guaranteed == b.Guaranteed
 }
 
 // rank places jobs of one rank. A slot whose machine would have to fetch the
@@ -91,7 +91,7 @@
 		from int
 	}
 	var again []rest
-	if jobs[0].Overdue == NoLift {
+	if jobs[0].Boost == NoBoost {
 		p.smallFirst(jobs)
 		p.spareInTime(jobs)
 	}
@@ -101,14 +101,14 @@
 		}
 		if j.Spec.Kind == "gang" {
 			p.gang(j)
-		} else if done := p.sweep(j, 0, j.Passed.Seconds()+constants.LocalDelay); done < len(j.Waiting) {
+		} else if done := p.sweep(j, 0, j.SinceLastStart.Seconds()+constants.LocalDelay); done < len(j.Waiting) {
 			again = append(again, rest{j, done})
 		}
 	}
 	for _, r := range again {
 		done := p.sweep(r.job, r.from, math.Inf(1))
 		if done < len(r.job.Waiting) {
-			p.plan.Unmet = append(p.plan.Unmet, r.job)
+			p.plan.Unplaced = append(p.plan.Unplaced, r.job)
 			p.makeRoom(r.job, len(r.job.Waiting)-done)
 		}
 	}
@@ -132,32 +132,32 @@
 }
 
 type pass struct {
-	*World
+	*Snapshot
 	bits map[standing]uint64
 	plan *Plan
 	// whole is the number of ordinary machines with nothing on them.
 	whole int
 	// ending is what this pass has told each team's tasks to give up.
-	ending map[string]Room
+	ending map[string]Resources
 	// roomy are the machines that can take any task at all: when most are
 	// full, no job need look at all of them. classes are these by size of task, and
 	// largest is the most that any machine has of each kind.
 	roomy   []*Machine
 	classes map[sizeClass]*roomyClass
-	largest Room
+	largest Resources
 	// able are the tasks that run, by standing.
 	able map[standing]int
 	// holds are the holds, by team.
 	holds map[string][]heldOn
 	// yieldsTo is the job that yielding was reckoned for.
 	yieldsTo *Job
-	yielding Room
+	yielding Resources
 	// promises are the parts of the teams' limits that gangs will need.
 	promises map[string][]promise
 	// shortOf are the teams whose limit can't hold all that waits.
 	shortOf map[string]bool
 	// inTime is what teams' jobs below a priority wait for that can meet an aim.
-	inTime map[ownerAt]Room
+	inTime map[ownerAt]Resources
 	// outside are the teams that use more than their guarantee, as far as room
 	// has been sought for the present job; victims is room to list tasks in.
 	outside map[string]bool
@@ -173,13 +173,13 @@
 }
 
 // leanest is the least that any waiting task takes of each kind.
-func (p *pass) leanest() (least Room) {
+func (p *pass) leanest() (least Resources) {
 	for i, j := range p.Jobs {
-		n := Need(j.Spec)
+		n := TaskResources(j.Spec)
 		if i == 0 {
 			least = n
 		}
-		least = Room{min(least.VCPUs, n.VCPUs), min(least.GPUs, n.GPUs), min(least.RAM, n.RAM)}
+		least = Resources{min(least.CPUs, n.CPUs), min(least.GPUs, n.GPUs), min(least.MemoryGB, n.MemoryGB)}
 	}
 	return least
 }
@@ -187,32 +187,32 @@
 // blocks tells whether held room is closed to a job: it is open to its own
 // pipeline and to higher priority, and it never keeps another team from its
 // guarantee.
-func (h Held) blocks(j *Job) bool {
+func (h HeldSlot) blocks(j *Job) bool {
 	switch {
 	case givesWay(h, j):
 		return false
-	case j.Guaranteed && j.Spec.Team != h.Pipeline.Owner:
+	case j.Guaranteed && j.Spec.Team != h.Pipeline.Team:
 		return false
 	}
 	return true
 }
 
 // free is the room that the job may use on the machine.
-func (r *Machine) free(j *Job) Room {
-	f := r.Total.Sub(r.used)
-	for _, h := range r.Held {
+func (m *Machine) free(j *Job) Resources {
+	f := m.Total.Sub(m.used)
+	for _, h := range m.Held {
 		if h.blocks(j) {
-			f = f.Sub(h.Room)
+			f = f.Sub(h.Resources)
 		}
 	}
 	return f
 }
 
 // heldFor is the room that is kept on the machine for the job's pipeline.
-func (r *Machine) heldFor(j *Job) (sum Room, n int) {
-	for _, h := range r.Held {
+func (m *Machine) heldFor(j *Job) (sum Resources, n int) {
+	for _, h := range m.Held {
 		if j.Owns(h.Pipeline) {
-			sum = sum.Add(h.Room)
+			sum = sum.Add(h.Resources)
 			n++
 		}
 	}
@@ -237,16 +237,16 @@
 }
 
 func (p *pass) usable(j *Job, r *Machine) bool {
-	return r.Open && r.Seats > 0 && Allowed(j, r) && !j.Avoid[r.Name] && (r.claimed == nil || r.claimed == j || outranks(j, r.claimed))
+	return r.Schedulable && r.AttemptCapacity > 0 && Allowed(j, r) && !j.Avoid[r.Name] && (r.claimed == nil || r.claimed == j || outranks(j, r.claimed))
 }
 
 // outranks tells whether a job stands above another whatever the time.
 func outranks(a, b *Job) bool {
-	if a.Overdue == LiftAll || b.Overdue == LiftAll {
-		return a.Overdue > b.Overdue
+	if a.Boost == BoostAboveAll || b.Boost == BoostAboveAll {
+		return a.Boost > b.Boost
 	}
-	if a.Priority != b.Priority || a.Overdue != b.Overdue {
-		return a.Priority > b.Priority || a.Priority == b.Priority && a.Overdue > b.Overdue
+	if a.Priority != b.Priority || a.Boost != b.Boost {
+		return a.Priority > b.Priority || a.Priority == b.Priority && a.Boost > b.Boost
 	}
 	return a.Guaranteed && !b.Guaranteed
 }
@@ -267,8 +267,8 @@
 		if j.Spec.Kind != "gang" || len(j.Waiting) == 0 || j.Blocked {
 			continue
 		}
-		for name := range j.Claims {
-			if r := byName(name); r != nil && r.claimed == nil && r.Open {
+		for name := range j.ClaimedMachines {
+			if r := byName(name); r != nil && r.claimed == nil && r.Schedulable {
 				r.claimed = j
 				p.claims[j] = append(p.claims[j], r)
 			}
@@ -277,14 +277,14 @@
 }
 
 // delay estimates how long a task would wait for its image on the machine.
-func (r *Machine) delay(j *Job) float64 {
-	if left, ok := r.Cached[j.Spec.Image]; ok {
+func (m *Machine) delay(j *Job) float64 {
+	if left, ok := m.ImageWait[j.Spec.Image]; ok {
 		return left.Seconds()
 	}
-	if r.Pull <= 0 {
+	if m.FetchGBPerS <= 0 {
 		return 0
 	}
-	return j.Spec.ImageGB / r.Pull * float64(1+r.Fetching)
+	return j.Spec.ImageGB / m.FetchGBPerS * float64(1+m.Fetches)
 }
 
 // score ranks machines for a task; lower is better.
@@ -295,13 +295,13 @@
 	}
 	if j.Spec.AllowSpot && !r.Spot {
 		s += constants.SpareOrdinary
-		if j.Spec.Kind != "gang" && r.used == (Room{}) && p.whole > 0 {
+		if j.Spec.Kind != "gang" && r.used == (Resources{}) && p.whole > 0 {
 			s += constants.SpareWhole / float64(p.whole)
 		}
 	}
 	if j.Spec.Kind != "gang" {
-		full := r.used.Share(r.Total)
-		if _, have := r.Cached[j.Spec.Image]; have || !r.Spot {
+		full := r.used.DominantShare(r.Total)
+		if _, have := r.ImageWait[j.Spec.Image]; have || !r.Spot {
 			s += constants.SparePart * (1 - full)
 		} else {
 			// The image must be fetched anyway: on a machine that gangs can't
@@ -314,12 +314,12 @@
 
 // put books one task on a machine.
 func (p *pass) put(j *Job, index int, r *Machine) {
-	need := Need(j.Spec)
-	if !r.Spot && r.used == (Room{}) {
+	need := TaskResources(j.Spec)
+	if !r.Spot && r.used == (Resources{}) {
 		p.whole--
 	}
 	r.used = r.used.Add(need)
-	r.Seats--
+	r.AttemptCapacity--
 	p.Teams[j.Spec.Team].Used = p.Teams[j.Spec.Team].Used.Add(need)
 	for _, h := range r.Held {
 		if j.Owns(h.Pipeline) {
@@ -328,20 +328,20 @@
 			break
 		}
 	}
-	if t := p.Teams[j.Spec.Team]; !t.Allows(Room{}) {
-		p.giveWay(j, Room{})
+	if t := p.Teams[j.Spec.Team]; !t.Allows(Resources{}) {
+		p.giveWay(j, Resources{})
 	}
 	if j.Zones == nil {
 		j.Zones = make(map[string]int)
 	}
 	j.Zones[r.Zone]++
-	if _, ok := r.Cached[j.Spec.Image]; !ok {
+	if _, ok := r.ImageWait[j.Spec.Image]; !ok {
 		left := time.Duration(r.delay(j) * float64(time.Second))
-		if r.Cached == nil {
-			r.Cached = make(map[string]time.Duration)
+		if r.ImageWait == nil {
+			r.ImageWait = make(map[string]time.Duration)
 		}
-		r.Cached[j.Spec.Image] = left
-		r.Fetching++
+		r.ImageWait[j.Spec.Image] = left
+		r.Fetches++
 	}
 	p.plan.Starts = append(p.plan.Starts, Start{j, index, r})
 }
--- a/internal/placement/room.go
+++ b/internal/placement/room.go
@@ -17,7 +17,7 @@
 // and guarantee second: what is stopped also stands behind in the queue and
 // can't take the room back.
 func (p *pass) mayEvict(j *Job, s Slot) bool {
-	if s.Ending || s.Job == nil {
+	if s.Stopping || s.Job == nil {
 		return false
 	}
 	v := s.Job
@@ -32,7 +32,7 @@
 	is, known := p.outside[owner]
 	if !known {
 		t := p.Teams[owner]
-		is = t != nil && !t.Guards(t.Used.Sub(p.ending[owner]))
+		is = t != nil && !t.WithinGuarantee(t.Used.Sub(p.ending[owner]))
 		if p.outside != nil {
 			p.outside[owner] = is
 		}
@@ -65,7 +65,7 @@
 // queue get this: what they leave is little, and looking costs time.
 func (p *pass) makeRoom(j *Job, n int) {
 	clear(p.outside) // what this pass has placed and stopped so far changes it
-	need := Need(j.Spec)
+	need := TaskResources(j.Spec)
 	gang := j.Spec.Kind == "gang"
 	mayStop := p.mayStop(j)
 	if !p.allows(j, need) || !gang && !mayStop {
@@ -85,10 +85,10 @@
 	best := make(map[string][]option) // the n cheapest, by zone if it matters
 	var zones []string
 	for _, r := range p.Machines {
-		if !drains && !r.roomy && r.ending == (Room{}) && r.standings&stops == 0 && !p.thorough {
+		if !drains && !r.roomy && r.ending == (Resources{}) && r.standings&stops == 0 && !p.thorough {
 			continue
 		}
-		if r.claimed != nil && r.claimed != j && j.Overdue == NoLift || !p.usable(j, r) || !zoneAllows(j, r.Zone) || !r.Total.Fits(need) {
+		if r.claimed != nil && r.claimed != j && j.Boost == NoBoost || !p.usable(j, r) || !zoneAllows(j, r.Zone) || !r.Total.Fits(need) {
 			continue
 		}
 		zone := ""
@@ -163,7 +163,7 @@
 		}
 		if room >= n {
 			p.promise(j)
-			p.plan.Prepared = append(p.plan.Prepared, j)
+			p.plan.Draining = append(p.plan.Draining, j)
 		}
 	}
 	for _, o := range best[chosen] {
@@ -194,7 +194,7 @@
 // option weighs one machine for a job that needs room, as long as it may cost
 // less than the worst that the job has already. Every gang that waits looks at
 // all machines, so nothing is reckoned or kept here that can't matter.
-func (p *pass) option(j *Job, r *Machine, need Room, n int, mayStop bool, stops uint64, worst float64) (option, bool) {
+func (p *pass) option(j *Job, r *Machine, need Resources, n int, mayStop bool, stops uint64, worst float64) (option, bool) {
 	f := r.free(j).Add(r.ending)
 	o := option{machine: r, coming: f.Count(need, n)}
 	if o.coming > 0 {
@@ -206,7 +206,7 @@
 		for _, s := range r.Slots {
 			if p.mayEvict(j, s) {
 				able = append(able, s)
-				all = all.Add(s.Room)
+				all = all.Add(s.Resources)
 			}
 		}
 		p.victims = able[:0]
@@ -215,7 +215,7 @@
 				if a.Job.Priority != b.Job.Priority {
 					return cmp.Compare(a.Job.Priority, b.Job.Priority)
 				}
-				return cmp.Compare(a.Loss, b.Loss)
+				return cmp.Compare(a.StopCost, b.StopCost)
 			})
 			g, many := f, 0
 			var cost time.Duration
@@ -223,11 +223,11 @@
 				if g.Fits(need) || cost.Seconds() >= worst {
 					break
 				}
-				g = g.Add(s.Room)
-				cost += time.Duration(float64(s.Loss) * s.Room.Share(r.Total) * constants.StopWeight)
+				g = g.Add(s.Resources)
+				cost += time.Duration(float64(s.StopCost) * s.Resources.DominantShare(r.Total) * constants.StopWeight)
 				many++
 			}
-			o.cost = cost.Seconds() + r.delay(j)*need.Share(r.Total)*constants.StopWeight
+			o.cost = cost.Seconds() + r.delay(j)*need.DominantShare(r.Total)*constants.StopWeight
 			if o.cost >= worst {
 				return o, false
 			}
@@ -243,9 +243,9 @@
 		return o, false
 	}
 	o.cost = 1e6 + r.left.Seconds() + r.delay(j)
-	if j.Claims[r.Name] {
+	if j.ClaimedMachines[r.Name] {
 		o.cost -= constants.ClaimKept
-		if j.Overdue != NoLift {
+		if j.Boost != NoBoost {
 			o.cost -= constants.ClaimKeptOverdue
 		}
 	}
@@ -265,6 +265,6 @@
 				p.release(heldOn{o.machine, h})
 			}
 		}
-		p.plan.Claims = append(p.plan.Claims, Claim{j, o.machine})
+		p.plan.Claims = append(p.plan.Claims, DrainClaim{j, o.machine})
 	}
 }
--- a/internal/placement/roomy.go
+++ b/internal/placement/roomy.go
@@ -11,14 +11,14 @@
 
 // roomyClass are the machines that can take any task of a class.
 type roomyClass struct {
-	least    Room // that any waiting task of the class takes of each kind
+	least    Resources // that any waiting task of the class takes of each kind
 	listed   bool
 	machines []*Machine
 }
 
 // classOf is the class of a task's need.
-func (p *pass) classOf(need Room) sizeClass {
-	_, size := math.Frexp(need.Share(p.largest))
+func (p *pass) classOf(need Resources) sizeClass {
+	_, size := math.Frexp(need.DominantShare(p.largest))
 	return sizeClass{need.GPUs > 0, size}
 }
 
@@ -27,26 +27,26 @@
 // looks only at those that have room for the least of its class.
 func (p *pass) classify() {
 	for _, r := range p.Machines {
-		p.largest = Room{max(p.largest.VCPUs, r.Total.VCPUs), max(p.largest.GPUs, r.Total.GPUs), max(p.largest.RAM, r.Total.RAM)}
+		p.largest = Resources{max(p.largest.CPUs, r.Total.CPUs), max(p.largest.GPUs, r.Total.GPUs), max(p.largest.MemoryGB, r.Total.MemoryGB)}
 	}
 	p.classes = make(map[sizeClass]*roomyClass)
 	for _, j := range p.Jobs {
-		need := Need(j.Spec)
+		need := TaskResources(j.Spec)
 		c := p.classes[p.classOf(need)]
 		if c == nil {
 			p.classes[p.classOf(need)] = &roomyClass{least: need}
 			continue
 		}
-		c.least = Room{min(c.least.VCPUs, need.VCPUs), min(c.least.GPUs, need.GPUs), min(c.least.RAM, need.RAM)}
+		c.least = Resources{min(c.least.CPUs, need.CPUs), min(c.least.GPUs, need.GPUs), min(c.least.MemoryGB, need.MemoryGB)}
 	}
 }
 
 // roomyFor are the machines that may have room for a task of the job, in their order.
 // Room only shrinks during a pass, so what is left out once has none later either.
 func (p *pass) roomyFor(j *Job) []*Machine {
-	c := p.classes[p.classOf(Need(j.Spec))]
+	c := p.classes[p.classOf(TaskResources(j.Spec))]
 	if p.thorough || c == nil {
-		p.plan.Looked += len(p.roomy)
+		p.plan.Examined += len(p.roomy)
 		return p.roomy
 	}
 	if !c.listed {
@@ -57,6 +57,6 @@
 			}
 		}
 	}
-	p.plan.Looked += len(c.machines)
+	p.plan.Examined += len(c.machines)
 	return c.machines
 }
--- a/internal/placement/sweep.go
+++ b/internal/placement/sweep.go
@@ -35,8 +35,8 @@
 
 // takes tells whether one more task of a sweep may go to the machine, as far as its
 // team's limit lets it start at all.
-func (p *pass) takes(j *Job, r *Machine, need Room) bool {
-	if j.Spec.AllowSpot && !r.Spot && r.used == (Room{}) && p.whole <= p.Spare {
+func (p *pass) takes(j *Job, r *Machine, need Resources) bool {
+	if j.Spec.AllowSpot && !r.Spot && r.used == (Resources{}) && p.whole <= p.ReservedMachines {
 		// Whole ordinary machines are kept for gangs that can use no others.
 		return false
 	}
@@ -46,7 +46,7 @@
 // sweep places a job's waiting tasks from one on, on machines that have its
 // image within patience seconds, and tells up to which one it came.
 func (p *pass) sweep(j *Job, from int, patience float64) int {
-	need := Need(j.Spec)
+	need := TaskResources(j.Spec)
 	if !p.allows(j, need) {
 		return from
 	}
--- a/internal/provisioning/plan.go
+++ b/internal/provisioning/plan.go
@@ -10,36 +10,36 @@
 )
 
 // Pool is where machines come from: a type, in a zone, of a kind.
-type Pool struct {
+type InstancePool struct {
 	Type, Zone string
 	Spot       bool
 }
 
 // Demand is one unfinished job's tasks that are not done yet.
 type Demand struct {
-	Owner  string
-	Pieces int
-	Need   placement.Room
-	Spot   bool     // may use spot machines
-	Types  []string // nil: any
-	Zone   string   // empty: any
+	Team          string
+	Tasks         int
+	TaskResources placement.Resources
+	Spot          bool     // may use spot machines
+	Types         []string // nil: any
+	Zone          string   // empty: any
 	// Together: all at the same time and in the same zone, whichever it is.
-	Together bool
+	SameZone bool
 }
 
 // Limit is a team's largest use; more machines than it allows are no help.
-type Limit struct {
-	Owner string
-	Max   placement.Room
+type TeamLimit struct {
+	Team string
+	Max  placement.Resources
 }
 
 // View is what renting looks at.
 type View struct {
 	Catalog *Catalog
-	Have    map[Pool]int // up or on their way
-	Refused map[Pool]bool
+	Have    map[InstancePool]int // up or on their way
+	Refused map[InstancePool]bool
 	Demand  []Demand
-	Limits  []Limit
+	Limits  []TeamLimit
 	// Recent are the jobs that came within the last Window, whether done or
 	// not: as much is to be expected of the time to come.
 	Recent []Demand
@@ -66,30 +66,30 @@
 // runnable tells, for each demand, how many of its tasks the team's limit lets run
 // at once beside those before it, and how many a machine of the type takes.
 func (v View) runnable(demand []Demand, t MachineType, tell func(d Demand, n, per int)) {
-	used := make(map[string]placement.Room)
-	max := make(map[string]placement.Room)
+	used := make(map[string]placement.Resources)
+	max := make(map[string]placement.Resources)
 	for _, l := range v.Limits {
-		max[l.Owner] = l.Max
+		max[l.Team] = l.Max
 	}
 	for _, d := range demand {
-		if !allows(d.Types, t.SKU) {
+		if !allows(d.Types, t.Name) {
 			continue
 		}
-		n := d.Pieces
-		if m, ok := max[d.Owner]; ok {
-			left := m.Sub(used[d.Owner])
+		n := d.Tasks
+		if m, ok := max[d.Team]; ok {
+			left := m.Sub(used[d.Team])
 			if m.GPUs <= 0 {
 				left.GPUs = math.Inf(1)
 			}
-			if m.VCPUs <= 0 {
-				left.VCPUs = math.Inf(1)
+			if m.CPUs <= 0 {
+				left.CPUs = math.Inf(1)
 			}
-			left.RAM = math.Inf(1)
-			n = left.Count(d.Need, n)
+			left.MemoryGB = math.Inf(1)
+			n = left.Count(d.TaskResources, n)
 		}
-		used[d.Owner] = used[d.Owner].Add(d.Need.Times(n))
+		used[d.Team] = used[d.Team].Add(d.TaskResources.Times(n))
 		// A task that fills most of a machine takes all of it.
-		if per := (placement.Room{VCPUs: t.VCPUs, GPUs: t.Accelerators, RAM: t.RAMGB}).Count(d.Need, constants.MaxPieces); per >= 1 {
+		if per := (placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}).Count(d.TaskResources, constants.MaxPieces); per >= 1 {
 			tell(d, n, per)
 		}
 	}
@@ -110,7 +110,7 @@
 // Want is how many machines of one type are wanted: ordinary ones for what
 // can't run elsewhere, all together, and how many of these may be ordinary
 // ones that only stand in for spot machines.
-type Want struct{ Ordinary, All, Overflow float64 }
+type DesiredCapacity struct{ Ordinary, All, Overflow float64 }
 
 // Wants adds spare machines to the present demand: for what may come before
 // another machine could be up. Jobs come at random, so how far that strays
@@ -118,25 +118,25 @@
 // for a while nothing need stand ready. Work that spot machines could do is worth
 // an ordinary one only in part: the dearer it is, the longer that work had
 // better wait for its turn.
-func Wants(v View, t MachineType, spare float64) Want {
+func DesiredFor(v View, t MachineType, spare float64) DesiredCapacity {
 	ordinary, spot := Targets(v, t)
 	part := 1.0
-	if t.Rate > 0 && t.MarketPrice > 0 {
-		part = min(1, constants.OverflowWorth*t.MarketPrice/t.Rate)
+	if t.OnDemandPrice > 0 && t.SpotPrice > 0 {
+		part = min(1, constants.OverflowWorth*t.SpotPrice/t.OnDemandPrice)
 	}
 	newOrdinary, newSpot := v.fill(v.Recent, t)
 	ahead := 0.0
 	if v.Window > 0 {
-		ahead = t.ReadyS / v.Window.Seconds()
+		ahead = t.BootS / v.Window.Seconds()
 	}
-	w := Want{Ordinary: math.Ceil(ordinary + spare*part*math.Sqrt(newOrdinary*ahead)), Overflow: part}
+	w := DesiredCapacity{Ordinary: math.Ceil(ordinary + spare*part*math.Sqrt(newOrdinary*ahead)), Overflow: part}
 	w.All = w.Ordinary + math.Ceil(spot+spare*math.Sqrt(newSpot*ahead))
 	return w
 }
 
 // overflow is how many ordinary machines are wanted in place of spot ones, of
 // which there are this many.
-func (w Want) overflow(spot int) int {
+func (w DesiredCapacity) overflow(spot int) int {
 	return int(math.Ceil(max(0, w.All-w.Ordinary-float64(spot)) * w.Overflow))
 }
 
@@ -162,7 +162,7 @@
 // that must be in one zone, whichever it is. Without this a job that is bound to
 // a zone waits for ever once there are enough machines in the others.
 func (v View) floors(t MachineType) map[string]floor {
-	out := make(map[string]floor, len(t.Halls))
+	out := make(map[string]floor, len(t.Zones))
 	type part struct{ ordinary, spot float64 }
 	bound := make(map[string]part)
 	ordinary, all := 0, 0 // what the largest gang needs in one zone
@@ -176,7 +176,7 @@
 				b.ordinary += f
 			}
 			bound[d.Zone] = b
-		case d.Together && n == d.Pieces:
+		case d.SameZone && n == d.Tasks:
 			need := (n + per - 1) / per
 			all = max(all, need)
 			if !d.Spot {
@@ -192,7 +192,7 @@
 	// The gang gathers where there are most machines already, or will be.
 	raise := func(n int, have func(zone string) int, refused func(zone string) bool, to func(f *floor)) {
 		best, most := "", -1
-		for _, z := range t.Halls {
+		for _, z := range t.Zones {
 			if h := have(z); h > most && (h >= n || !refused(z)) {
 				best, most = z, h
 			}
@@ -203,7 +203,7 @@
 			out[best] = f
 		}
 	}
-	pool := func(z string, spot bool) Pool { return Pool{t.SKU, z, spot} }
+	pool := func(z string, spot bool) InstancePool { return InstancePool{t.Name, z, spot} }
 	raise(ordinary, func(z string) int { return max(v.Have[pool(z, false)], out[z].ordinary) }, func(z string) bool { return v.Refused[pool(z, false)] },
 		func(f *floor) { f.ordinary, f.all = max(f.ordinary, ordinary), max(f.all, ordinary) })
 	raise(all, func(z string) int { return max(v.Have[pool(z, false)]+v.Have[pool(z, true)], out[z].all) },
@@ -213,70 +213,70 @@
 }
 
 // below picks a request for a zone that has less than its floor.
-func (v View) below(t MachineType) (Request, bool) {
+func (v View) below(t MachineType) (RentRequest, bool) {
 	floors := v.floors(t)
-	for _, z := range t.Halls {
+	for _, z := range t.Zones {
 		f := floors[z]
-		ordinary, spot := v.Have[Pool{t.SKU, z, false}], v.Have[Pool{t.SKU, z, true}]
-		canOrdinary, canSpot := !v.Refused[Pool{t.SKU, z, false}], !v.Refused[Pool{t.SKU, z, true}]
+		ordinary, spot := v.Have[InstancePool{t.Name, z, false}], v.Have[InstancePool{t.Name, z, true}]
+		canOrdinary, canSpot := !v.Refused[InstancePool{t.Name, z, false}], !v.Refused[InstancePool{t.Name, z, true}]
 		if n := f.ordinary - ordinary; n > 0 && canOrdinary {
-			return Request{MachineType: t.SKU, Hall: z, Count: min(n, constants.RentBatch)}, true
+			return RentRequest{MachineType: t.Name, Zone: z, Count: min(n, constants.RentBatch)}, true
 		}
 		if n := f.all - max(ordinary, f.ordinary) - spot; n > 0 && (canSpot || canOrdinary) {
-			return Request{MachineType: t.SKU, Hall: z, Loaners: canSpot, Count: min(n, constants.RentBatch)}, true
+			return RentRequest{MachineType: t.Name, Zone: z, Spot: canSpot, Count: min(n, constants.RentBatch)}, true
 		}
 	}
-	return Request{}, false
+	return RentRequest{}, false
 }
 
 // Next picks the next request, if more machines are wanted than there are.
 // What spot machines can't be had for is rented as ordinary ones.
-func Next(v View, spare float64) (Request, bool) {
+func ScaleOut(v View, spare float64) (RentRequest, bool) {
 	types := append([]MachineType(nil), v.Catalog.MachineTypes...)
-	sort.Slice(types, func(i, j int) bool { return types[i].SKU < types[j].SKU })
+	sort.Slice(types, func(i, j int) bool { return types[i].Name < types[j].Name })
 	for _, t := range types {
 		if r, ok := v.below(t); ok {
 			return r, true
 		}
-		w := Wants(v, t, spare)
-		ordinary, spot := v.have(t.SKU)
+		w := DesiredFor(v, t, spare)
+		ordinary, spot := v.have(t.Name)
 		if n := int(w.Ordinary) - ordinary; n > 0 {
 			if zone, ok := pickZone(v, t, false); ok {
-				return Request{MachineType: t.SKU, Hall: zone, Count: min(n, constants.RentBatch)}, true
+				return RentRequest{MachineType: t.Name, Zone: zone, Count: min(n, constants.RentBatch)}, true
 			}
 		}
 		if n := int(w.All) - max(ordinary, int(w.Ordinary)) - spot; n > 0 {
 			if zone, ok := pickZone(v, t, true); ok {
-				return Request{MachineType: t.SKU, Hall: zone, Loaners: true, Count: min(n, constants.RentBatch)}, true
+				return RentRequest{MachineType: t.Name, Zone: zone, Spot: true, Count: min(n, constants.RentBatch)}, true
 			}
 		}
 		if n := int(w.Ordinary) + w.overflow(spot) - ordinary; n > 0 {
 			if zone, ok := pickZone(v, t, false); ok {
-				return Request{MachineType: t.SKU, Hall: zone, Count: min(n, constants.RentBatch)}, true
+				return RentRequest{MachineType: t.Name, Zone: zone, Count: min(n, constants.RentBatch)}, true
 			}
 		}
 	}
-	return Request{}, false
+	return RentRequest{}, false
 }
 
 // Idle is a machine with nothing on it.
-type Idle struct {
+type IdleMachine struct {
 	Name   string
-	Pool   Pool
+	Pool   InstancePool
 	Images int // what its cache holds is lost with it
 }
 
 // Surplus names the idle machines that are not wanted any more: the dear ones
 // first, and of those the ones with the least in their cache.
-func Surplus(v View, keep map[string]Want, idle []Idle) (names []string) {
-	price := func(p Pool) float64 {
+func ScaleIn(v View, keep map[string]DesiredCapacity, idle []IdleMachine) (names []string) {
+	price := func(p InstancePool) float64 {
 		t, _ := v.Catalog.Type(p.Type)
 		if p.Spot {
-			return t.MarketPrice
+			return t.SpotPrice
 		}
-		return t.Rate
+		return t.OnDemandPrice
 	}
-	idle = append([]Idle(nil), idle...)
+	idle = append([]IdleMachine(nil), idle...)
 	sort.Slice(idle, func(i, j int) bool {
 		a, b := idle[i], idle[j]
 		if x, y := price(a.Pool), price(b.Pool); x != y {
@@ -292,7 +292,7 @@
 		floors         map[string]floor
 	}
 	have := make(map[string]*count)
-	in := make(map[Pool]int, len(v.Have))
+	in := make(map[InstancePool]int, len(v.Have))
 	for p, n := range v.Have {
 		in[p] = n
 	}
@@ -304,7 +304,7 @@
 			c = &count{o, s, v.floors(t)}
 			have[m.Pool.Type] = c
 		}
-		ordinary, spot := Pool{m.Pool.Type, m.Pool.Zone, false}, Pool{m.Pool.Type, m.Pool.Zone, true}
+		ordinary, spot := InstancePool{m.Pool.Type, m.Pool.Zone, false}, InstancePool{m.Pool.Type, m.Pool.Zone, true}
 		f := c.floors[m.Pool.Zone]
 		if in[ordinary]+in[spot] <= f.all || !m.Pool.Spot && in[ordinary] <= f.ordinary {
 			continue
@@ -332,29 +332,29 @@
 
 // Memory remembers the greatest wants of the last while, so that a short lull
 // does not give machines back.
-type Memory struct {
+type DemandWindow struct {
 	window  time.Duration
 	samples []sample
 }
 
 type sample struct {
 	at   time.Time
-	want map[string]Want
+	want map[string]DesiredCapacity
 }
 
 // NewMemory remembers for the given time.
-func NewMemory(window time.Duration) *Memory { return &Memory{window: window} }
+func NewDemandWindow(window time.Duration) *DemandWindow { return &DemandWindow{window: window} }
 
 // Note adds the present wants and returns the greatest of the window.
-func (m *Memory) Note(now time.Time, want map[string]Want) map[string]Want {
+func (m *DemandWindow) Add(now time.Time, want map[string]DesiredCapacity) map[string]DesiredCapacity {
 	m.samples = append(m.samples, sample{now, want})
 	for len(m.samples) > 0 && now.Sub(m.samples[0].at) > m.window {
 		m.samples = m.samples[1:]
 	}
-	most := make(map[string]Want)
+	most := make(map[string]DesiredCapacity)
 	for _, s := range m.samples {
 		for sku, w := range s.want {
-			most[sku] = Want{max(most[sku].Ordinary, w.Ordinary), max(most[sku].All, w.All), w.Overflow}
+			most[sku] = DesiredCapacity{max(most[sku].Ordinary, w.Ordinary), max(most[sku].All, w.All), w.Overflow}
 		}
 	}
 	return most
@@ -364,11 +364,11 @@
 // loss of one hurts least.
 func pickZone(v View, t MachineType, spot bool) (string, bool) {
 	best, found, least := "", false, 0
-	for _, z := range t.Halls {
-		if v.Refused[Pool{t.SKU, z, spot}] {
+	for _, z := range t.Zones {
+		if v.Refused[InstancePool{t.Name, z, spot}] {
 			continue
 		}
-		n := v.Have[Pool{t.SKU, z, true}] + v.Have[Pool{t.SKU, z, false}]
+		n := v.Have[InstancePool{t.Name, z, true}] + v.Have[InstancePool{t.Name, z, false}]
 		if !found || n < least {
 			best, found, least = z, true, n
 		}
--- a/internal/reservations/book.go
+++ b/internal/reservations/book.go
@@ -24,29 +24,29 @@
 	Upstream   string
 	Downstream string
 	Priority   int
-	Room       placement.Room
-	Expires    time.Time
+	Resources  placement.Resources
+	ExpiresAt  time.Time
 }
 
 // Downstream is a job that holds are for.
 type Downstream struct {
-	Pipeline placement.Pipeline
-	Job      string
-	Pieces   int // 0: not known
-	Priority int
-	Need     placement.Room
+	Pipeline      placement.Pipeline
+	Job           string
+	Tasks         int // 0: not known
+	Priority      int
+	TaskResources placement.Resources
 }
 
 // Finish is the end of one upstream task.
-type Finish struct {
-	Job     string
-	Pieces  int       // m
-	Started time.Time // when the upstream's first task started
-	Ran     time.Duration
-	Machine string
+type TaskFinish struct {
+	Job               string
+	Tasks             int       // m
+	UpstreamStartedAt time.Time // when the upstream's first task started
+	Runtime           time.Duration
+	Machine           string
 	// Next are the jobs after this one that still wait to start, the first one to
 	// be served first: along edges that users name there may be several.
-	Next []Downstream
+	Downstreams []Downstream
 	// Fits tells whether the freed room can and may take a task of one.
 	Fits func(Downstream) bool
 	Now  time.Time
@@ -65,7 +65,7 @@
 }
 
 // Book keeps the holds in memory.
-type Book struct {
+type Manager struct {
 	opt    Options
 	holds  map[string][]Hold // by machine
 	stages map[string]*stage // by upstream job
@@ -73,13 +73,13 @@
 }
 
 // New makes an empty book.
-func New(opt Options) *Book {
-	return &Book{opt: opt, holds: make(map[string][]Hold), stages: make(map[string]*stage), counts: make(map[string]int)}
+func NewManager(opt Options) *Manager {
+	return &Manager{opt: opt, holds: make(map[string][]Hold), stages: make(map[string]*stage), counts: make(map[string]int)}
 }
 
 // Lapse is D of the paper's section IV: how long after the upstream's start
 // its holds last, for a first finisher after tm and n tasks.
-func (o Options) Lapse(tm time.Duration, n int) time.Duration {
+func (o Options) HoldDuration(tm time.Duration, n int) time.Duration {
 	if n < 1 {
 		n = 1
 	}
@@ -92,46 +92,46 @@
 
 // Finished takes in the end of an upstream task and reports whether its room
 // is now held.
-func (b *Book) Finished(f Finish) bool {
-	if !b.opt.Enabled {
+func (manager *Manager) TaskFinished(f TaskFinish) bool {
+	if !manager.opt.Enabled {
 		return false
 	}
-	s := b.stages[f.Job]
+	s := manager.stages[f.Job]
 	if s == nil {
-		s = &stage{first: f.Ran}
-		b.stages[f.Job] = s
+		s = &stage{first: f.Runtime}
+		manager.stages[f.Job] = s
 	}
 	s.finished++
-	s.expires = f.Started.Add(b.opt.Lapse(s.first, f.Pieces))
+	s.expires = f.UpstreamStartedAt.Add(manager.opt.HoldDuration(s.first, f.Tasks))
 	held := false
-	if len(f.Next) > 0 {
-		m, n := f.Pieces, 0
-		for _, d := range f.Next {
+	if len(f.Downstreams) > 0 {
+		m, n := f.Tasks, 0
+		for _, d := range f.Downstreams {
 			n += d.tasks(m)
 		}
-		s.next = f.Next
+		s.next = f.Downstreams
 		switch {
 		case m > n && s.released < m-n:
 			s.released++
 		case s.expires.After(f.Now):
-			held = b.holdFor(s, f.Job, f.Machine, m, f.Fits)
+			held = manager.holdFor(s, f.Job, f.Machine, m, f.Fits)
 		}
-		if m < n && !s.asked && float64(s.finished) > b.opt.Threshold*float64(m) {
+		if m < n && !s.asked && float64(s.finished) > manager.opt.Threshold*float64(m) {
 			s.asked, s.extra = true, n-m
 		}
 	}
-	if s.finished >= f.Pieces && s.extra == 0 {
-		delete(b.stages, f.Job)
+	if s.finished >= f.Tasks && s.extra == 0 {
+		delete(manager.stages, f.Job)
 	}
 	return held
 }
 
 // tasks is n of a job; unknown, it counts as the upstream's m.
 func (d Downstream) tasks(m int) int {
-	if d.Pieces == 0 {
+	if d.Tasks == 0 {
 		return m
 	}
-	return d.Pieces
+	return d.Tasks
 }
 
 // holdFor holds room for the first of a stage's jobs that has not all that it can use
@@ -141,10 +141,10 @@
 // own tasks take; all else would only stand empty and use up the team's limit, as on
 // Peakdale, where one gang of 24 had 237 machines held for it and could not start for
 // that.
-func (b *Book) holdFor(s *stage, upstream, machine string, m int, fits func(Downstream) bool) bool {
+func (manager *Manager) holdFor(s *stage, upstream, machine string, m int, fits func(Downstream) bool) bool {
 	for _, d := range s.next {
-		if b.counts[d.Job] < d.tasks(m) && fits(d) {
-			b.add(Hold{machine, d.Pipeline, upstream, d.Job, d.Priority, d.Need, s.expires})
+		if manager.counts[d.Job] < d.tasks(m) && fits(d) {
+			manager.add(Hold{machine, d.Pipeline, upstream, d.Job, d.Priority, d.TaskResources, s.expires})
 			return true
 		}
 	}
@@ -154,9 +154,9 @@
 // Freed offers room that came free elsewhere to the stages that hold more
 // than their own; fits tells whether a task of the job can use it. The highest
 // priority goes first.
-func (b *Book) Freed(machine string, fits func(Downstream) bool, now time.Time) bool {
+func (manager *Manager) OfferFreed(machine string, fits func(Downstream) bool, now time.Time) bool {
 	var names []string
-	for name, s := range b.stages {
+	for name, s := range manager.stages {
 		if s.extra > 0 {
 			if !s.expires.After(now) {
 				s.extra = 0
@@ -166,7 +166,7 @@
 		}
 	}
 	sort.Slice(names, func(i, j int) bool {
-		a, c := b.stages[names[i]], b.stages[names[j]]
+		a, c := manager.stages[names[i]], manager.stages[names[j]]
 		if a.next[0].Priority != c.next[0].Priority {
 			return a.next[0].Priority > c.next[0].Priority
 		}
@@ -174,7 +174,7 @@
 	})
 	for _, name := range names {
 		// An unknown n counts as m, and then nothing more is held from elsewhere.
-		if s := b.stages[name]; b.holdFor(s, name, machine, 0, fits) {
+		if s := manager.stages[name]; manager.holdFor(s, name, machine, 0, fits) {
 			s.extra--
 			return true
 		}
@@ -182,32 +182,32 @@
 	return false
 }
 
-func (b *Book) add(h Hold) {
-	b.holds[h.Machine] = append(b.holds[h.Machine], h)
-	b.counts[h.Downstream]++
+func (manager *Manager) add(h Hold) {
+	manager.holds[h.Machine] = append(manager.holds[h.Machine], h)
+	manager.counts[h.Downstream]++
 }
 
 // uncount takes a hold that ends out of the counts.
-func (b *Book) uncount(h Hold) {
-	if b.counts[h.Downstream]--; b.counts[h.Downstream] <= 0 {
-		delete(b.counts, h.Downstream)
+func (manager *Manager) uncount(h Hold) {
+	if manager.counts[h.Downstream]--; manager.counts[h.Downstream] <= 0 {
+		delete(manager.counts, h.Downstream)
 	}
 }
 
 // Restore puts back a hold read from a machine's record.
-func (b *Book) Restore(h Hold) {
-	if b.opt.Enabled {
-		b.add(h)
+func (manager *Manager) Restore(h Hold) {
+	if manager.opt.Enabled {
+		manager.add(h)
 	}
 }
 
 // On lists the holds on a machine.
-func (b *Book) On(machine string) []Hold { return b.holds[machine] }
+func (manager *Manager) On(machine string) []Hold { return manager.holds[machine] }
 
 // All lists every hold, by machine.
-func (b *Book) All() []Hold {
+func (manager *Manager) All() []Hold {
 	var out []Hold
-	for _, hs := range b.holds {
+	for _, hs := range manager.holds {
 		out = append(out, hs...)
 	}
 	sort.SliceStable(out, func(i, j int) bool { return out[i].Machine < out[j].Machine })
@@ -215,10 +215,10 @@
 }
 
 // Use takes up one hold on the machine for a task that is its pipeline's own.
-func (b *Book) Use(machine string, owns func(placement.Pipeline) bool) bool {
-	for i, h := range b.holds[machine] {
+func (manager *Manager) Use(machine string, owns func(placement.Pipeline) bool) bool {
+	for i, h := range manager.holds[machine] {
 		if owns(h.Pipeline) {
-			b.remove(machine, i)
+			manager.remove(machine, i)
 			return true
 		}
 	}
@@ -227,46 +227,46 @@
 
 // Override removes holds on a machine, lowest priority first, until the room
 // kept there is no more than fits.
-func (b *Book) Override(machine string, fits placement.Room) (changed bool) {
-	for len(b.holds[machine]) > 0 {
-		var sum placement.Room
+func (manager *Manager) ReleaseExcess(machine string, fits placement.Resources) (changed bool) {
+	for len(manager.holds[machine]) > 0 {
+		var sum placement.Resources
 		low := 0
-		for i, h := range b.holds[machine] {
-			sum = sum.Add(h.Room)
-			if h.Priority <= b.holds[machine][low].Priority {
+		for i, h := range manager.holds[machine] {
+			sum = sum.Add(h.Resources)
+			if h.Priority <= manager.holds[machine][low].Priority {
 				low = i
 			}
 		}
 		if fits.Fits(sum) {
 			break
 		}
-		b.remove(machine, low)
+		manager.remove(machine, low)
 		changed = true
 	}
 	return changed
 }
 
-func (b *Book) remove(machine string, i int) {
-	hs := b.holds[machine]
-	b.uncount(hs[i])
+func (manager *Manager) remove(machine string, i int) {
+	hs := manager.holds[machine]
+	manager.uncount(hs[i])
 	hs = append(append([]Hold(nil), hs[:i]...), hs[i+1:]...)
 	if len(hs) == 0 {
-		delete(b.holds, machine)
+		delete(manager.holds, machine)
 		return
 	}
-	b.holds[machine] = hs
+	manager.holds[machine] = hs
 }
 
 // Lapse removes what has expired or whose downstream job no longer waits, and
 // names the machines that changed.
-func (b *Book) Lapse(now time.Time, waits func(job string) bool) (changed []string) {
-	for machine, hs := range b.holds {
+func (manager *Manager) Expire(now time.Time, waits func(job string) bool) (changed []string) {
+	for machine, hs := range manager.holds {
 		kept := hs[:0:0]
 		for _, h := range hs {
-			if h.Expires.After(now) && waits(h.Downstream) {
+			if h.ExpiresAt.After(now) && waits(h.Downstream) {
 				kept = append(kept, h)
 			} else {
-				b.uncount(h)
+				manager.uncount(h)
 			}
 		}
 		if len(kept) == len(hs) {
@@ -274,14 +274,14 @@
 		}
 		changed = append(changed, machine)
 		if len(kept) == 0 {
-			delete(b.holds, machine)
+			delete(manager.holds, machine)
 		} else {
-			b.holds[machine] = kept
+			manager.holds[machine] = kept
 		}
 	}
-	for name, s := range b.stages {
+	for name, s := range manager.stages {
 		if s.expires.Before(now.Add(-time.Hour)) || s.extra > 0 && !slices.ContainsFunc(s.next, func(d Downstream) bool { return waits(d.Job) }) {
-			delete(b.stages, name)
+			delete(manager.stages, name)
 		}
 	}
 	sort.Strings(changed)
@@ -289,9 +289,9 @@
 }
 
 // Drop forgets the holds of a machine that is leaving.
-func (b *Book) Drop(machine string) {
-	for _, h := range b.holds[machine] {
-		b.uncount(h)
+func (manager *Manager) RemoveMachine(machine string) {
+	for _, h := range manager.holds[machine] {
+		manager.uncount(h)
 	}
-	delete(b.holds, machine)
+	delete(manager.holds, machine)
 }
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -83,14 +83,14 @@
 	for _, a := range nodes {
 		addrs = append(addrs, a)
 	}
-	cat := provisioning.Catalog{MachineTypes: []provisioning.MachineType{{SKU: "demo-4g", VCPUs: 32, Accelerators: 4, RAMGB: 256, CacheGB: 80, PullGBPerS: 1,
-		Rate: 10, MarketPrice: 5, ReadyS: 2, Halls: set.Params.Zones}}}
-	cloud := NewCloud(ctx, cat, 12, func(ctx context.Context, h provisioning.Host) {
-		wk := NewWorker(WorkerOptions{Name: h.NameID, Addr: h.Endpoint, Type: h.MachineType, Zone: h.Hall, Spot: h.Loaners, Nodes: addrs, Labels: nodes,
+	cat := provisioning.Catalog{MachineTypes: []provisioning.MachineType{{Name: "demo-4g", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 80, FetchGBPerS: 1,
+		OnDemandPrice: 10, SpotPrice: 5, BootS: 2, Zones: set.Params.Zones}}}
+	cloud := NewCloud(ctx, cat, 12, func(ctx context.Context, h provisioning.Instance) {
+		wk := NewWorker(WorkerOptions{Name: h.Name, Addr: h.Endpoint, Type: h.MachineType, Zone: h.Zone, Spot: h.Spot, Nodes: addrs, Labels: nodes,
 			Report: config.Seconds(w.ReportS), Lease: config.Seconds(w.LeaseS), Fetch: time.Second, GangWait: config.Seconds(w.GangWaitS)},
 			system{&net.Dialer{}}, stored{state}, logJudge{log}, meet)
 		if err := wk.Run(ctx); err != nil && ctx.Err() == nil {
-			log.Error("machine ended", "rig", h.NameID, "err", err)
+			log.Error("machine ended", "rig", h.Name, "err", err)
 		}
 	})
 	errs := make(chan error, 2)
