--- a/cmd/thornnotch/client.go
+++ b/cmd/thornnotch/client.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"thornnotch/internal/constants"
+	"thornnotch/internal/jobs"
 	"thornnotch/internal/node"
 	"thornnotch/internal/userapi"
 )
@@ -112,7 +113,7 @@
 	if err != nil {
 		return err
 	}
-	j, err := userapi.DecodeSpec(raw)
+	j, err := jobs.DecodeSpec(raw)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
--- a/cmd/thornnotch/main.go
+++ b/cmd/thornnotch/main.go
@@ -17,7 +17,7 @@
 	"thornnotch/internal/config"
 	"thornnotch/internal/constants"
 	"thornnotch/internal/node"
-	"thornnotch/internal/standin"
+	"thornnotch/internal/simulator"
 )
 
 // version is set at release with -ldflags.
@@ -107,7 +107,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	return standin.ServeSite(ctx, set, c.Nodes, c.Lose, log)
+	return simulator.ServeSite(ctx, set, c.Nodes, c.Lose, log)
 }
 
 func newLogger(level string) (*slog.Logger, error) {
--- a/internal/confirmations/confirmations.go
+++ b/internal/attestation/confirmations.go
@@ -1,4 +1,4 @@
-// Package confirmations lets the nodes prove to a leader, without the state service, which
+// Package attestation lets the nodes prove to a leader, without the state service, which
 // cancellations users have been told of.
 //
 // What a leader knows of cancellations comes from its watch on the state service.
@@ -8,7 +8,7 @@
 // a user is told by a process of some node. If the processes of all nodes name what
 // they have told since the watch's last proof, nothing is missing. The argument,
 // with all its conditions, is in docs/design.md (Safety, "The gap").
-package confirmations
+package attestation
 
 import (
 	"sync"
@@ -17,11 +17,11 @@
 	"thornnotch/internal/constants"
 )
 
-// Memory is what a process knows to be cancelled. A job is noted before any user
+// CancellationLog is what a process knows to be cancelled. A job is noted before any user
 // is told, so what is not in it nobody was told here.
 type CancellationLog struct {
 	mu sync.Mutex
-	// from is since when nothing is missing: the start of the process, or when
+	// completeSince is since when nothing is missing: the start of the process, or when
 	// the newest entry that was dropped was noted.
 	completeSince time.Time
 	entries       []entry // in the order of their times
@@ -33,12 +33,12 @@
 	at time.Time
 }
 
-// NewMemory makes the memory of a process that begins now.
+// NewCancellationLog makes the memory of a process that begins now.
 func NewCancellationLog(most int, now time.Time) *CancellationLog {
 	return &CancellationLog{completeSince: now, capacity: most}
 }
 
-// Note adds a job.
+// Add adds a job.
 func (m *CancellationLog) Add(id string, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -50,7 +50,7 @@
 	m.entries = append(m.entries, entry{id, now})
 }
 
-// Within names the jobs noted in so long a time before now. It reports false when
+// Since names the jobs noted in so long a time before now. It reports false when
 // some may be missing: the process is younger, or has forgotten some.
 func (m *CancellationLog) Since(span time.Duration, now time.Time) (ids []string, ok bool) {
 	m.mu.Lock()
@@ -65,17 +65,17 @@
 	return ids, true
 }
 
-// Span is for how long the nodes must vouch to reach back to the watch's last
+// Window is for how long the nodes must vouch to reach back to the watch's last
 // proof, by their clocks and counted from when they answer.
 func Window(asked, watched time.Time) time.Duration {
 	return time.Duration(float64(asked.Sub(watched))*(1+constants.ClockDrift)) + constants.AttestationMargin
 }
 
-// Late tells whether answers come too long after the question: they may reach
+// Stale tells whether answers come too long after the question: they may reach
 // back less far than was asked for.
 func Stale(asked, now time.Time) bool { return now.Sub(asked) > constants.AttestationMaxAge }
 
-// Word is what one node answers; not OK if it can't say, or does not answer.
+// Attestation is what one node answers; not OK if it can't say, or does not answer.
 type Attestation struct {
 	Cancelled []string
 	OK        bool
--- a/internal/confirmations/confirmations_test.go
+++ b/internal/attestation/confirmations_test.go
@@ -1,4 +1,4 @@
-package confirmations
+package attestation
 
 import (
 	"fmt"
--- a/internal/provisioning/cloud.go
+++ b/internal/autoscaling/cloud.go
@@ -1,6 +1,6 @@
-// Package provisioning deals with the cloud: the catalog, renting and returning
+// Package autoscaling deals with the cloud: the catalog, renting and returning
 // machines, and the list of what is rented.
-package provisioning
+package autoscaling
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 	"golang.org/x/time/rate"
 
 	"thornnotch/internal/constants"
-	"thornnotch/internal/userapi"
+	"thornnotch/internal/jobs"
 )
 
 // MachineType is one kind of machine in the catalog.
@@ -51,19 +51,19 @@
 	return MachineType{}, false
 }
 
-// Shapes is the catalog as intake needs it.
-func (c *Catalog) JobMachineTypes() []userapi.MachineType {
+// JobMachineTypes is the catalog as intake needs it.
+func (c *Catalog) JobMachineTypes() []jobs.MachineType {
 	if c == nil {
 		return nil
 	}
-	out := make([]userapi.MachineType, 0, len(c.MachineTypes))
+	out := make([]jobs.MachineType, 0, len(c.MachineTypes))
 	for _, t := range c.MachineTypes {
-		out = append(out, userapi.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, Zones: t.Zones})
+		out = append(out, jobs.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, Zones: t.Zones})
 	}
 	return out
 }
 
-// Check reports what is impossible in a catalog.
+// Validate reports what is impossible in a catalog.
 func (c *Catalog) Validate() error {
 	if len(c.MachineTypes) == 0 {
 		return errors.New("catalog: names no machine type")
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// Host is a rented machine as the cloud lists it.
+// Instance is a rented machine as the cloud lists it.
 type Instance struct {
 	Name        string  `json:"nameId"`
 	Endpoint    string  `json:"endpoint"`
@@ -91,9 +91,9 @@
 var (
 	// ErrNoCapacity: nothing of this type, zone and kind can be had now.
 	ErrNoCapacity = errors.New("no capacity")
-	// ErrRefused: the call was not carried out; try later.
+	// ErrRejected: the call was not carried out; try later.
 	ErrRejected = errors.New("cloud refused")
-	// ErrUnknown: no usable answer; the call may take effect, even late.
+	// ErrOutcomeUnknown: no usable answer; the call may take effect, even late.
 	ErrOutcomeUnknown = errors.New("cloud gave no answer")
 )
 
@@ -178,7 +178,7 @@
 	return &cat, nil
 }
 
-// Request asks for machines. Hire must never have been used for another one.
+// RentRequest asks for machines. Hire must never have been used for another one.
 type RentRequest struct {
 	ID          string `json:"hire"`
 	MachineType string `json:"rigType"`
--- a/internal/provisioning/plan.go
+++ b/internal/autoscaling/plan.go
@@ -1,4 +1,4 @@
-package provisioning
+package autoscaling
 
 import (
 	"math"
@@ -9,7 +9,7 @@
 	"thornnotch/internal/placement"
 )
 
-// Pool is where machines come from: a type, in a zone, of a kind.
+// InstancePool is where machines come from: a type, in a zone, of a kind.
 type InstancePool struct {
 	Type, Zone string
 	Spot       bool
@@ -23,11 +23,11 @@
 	Spot          bool     // may use spot machines
 	Types         []string // nil: any
 	Zone          string   // empty: any
-	// Together: all at the same time and in the same zone, whichever it is.
+	// SameZone: all at the same time and in the same zone, whichever it is.
 	SameZone bool
 }
 
-// Limit is a team's largest use; more machines than it allows are no help.
+// TeamLimit is a team's largest use; more machines than it allows are no help.
 type TeamLimit struct {
 	Team string
 	Max  placement.Resources
@@ -107,12 +107,12 @@
 	return false
 }
 
-// Want is how many machines of one type are wanted: ordinary ones for what
+// DesiredCapacity is how many machines of one type are wanted: ordinary ones for what
 // can't run elsewhere, all together, and how many of these may be ordinary
 // ones that only stand in for spot machines.
 type DesiredCapacity struct{ Ordinary, All, Overflow float64 }
 
-// Wants adds spare machines to the present demand: for what may come before
+// DesiredFor adds spare machines to the present demand: for what may come before
 // another machine could be up. Jobs come at random, so how far that strays
 // from its mean grows with the square root of it, and where nothing has come
 // for a while nothing need stand ready. Work that spot machines could do is worth
@@ -229,7 +229,7 @@
 	return RentRequest{}, false
 }
 
-// Next picks the next request, if more machines are wanted than there are.
+// ScaleOut picks the next request, if more machines are wanted than there are.
 // What spot machines can't be had for is rented as ordinary ones.
 func ScaleOut(v View, spare float64) (RentRequest, bool) {
 	types := append([]MachineType(nil), v.Catalog.MachineTypes...)
@@ -259,14 +259,14 @@
 	return RentRequest{}, false
 }
 
-// Idle is a machine with nothing on it.
+// IdleMachine is a machine with nothing on it.
 type IdleMachine struct {
 	Name   string
 	Pool   InstancePool
 	Images int // what its cache holds is lost with it
 }
 
-// Surplus names the idle machines that are not wanted any more: the dear ones
+// ScaleIn names the idle machines that are not wanted any more: the dear ones
 // first, and of those the ones with the least in their cache.
 func ScaleIn(v View, keep map[string]DesiredCapacity, idle []IdleMachine) (names []string) {
 	price := func(p InstancePool) float64 {
@@ -330,7 +330,7 @@
 	return names
 }
 
-// Memory remembers the greatest wants of the last while, so that a short lull
+// DemandWindow remembers the greatest wants of the last while, so that a short lull
 // does not give machines back.
 type DemandWindow struct {
 	window  time.Duration
@@ -342,10 +342,10 @@
 	want map[string]DesiredCapacity
 }
 
-// NewMemory remembers for the given time.
+// NewDemandWindow remembers for the given time.
 func NewDemandWindow(window time.Duration) *DemandWindow { return &DemandWindow{window: window} }
 
-// Note adds the present wants and returns the greatest of the window.
+// Add adds the present wants and returns the greatest of the window.
 func (m *DemandWindow) Add(now time.Time, want map[string]DesiredCapacity) map[string]DesiredCapacity {
 	m.samples = append(m.samples, sample{now, want})
 	for len(m.samples) > 0 && now.Sub(m.samples[0].at) > m.window {
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -23,13 +23,13 @@
 	TermKey   = "term/number"
 )
 
-// Lead is the value of the leader's key, which lives with its lease.
+// LeaderRecord is the value of the leader's key, which lives with its lease.
 type LeaderRecord struct {
 	Label string `json:"label"`
 	Term  uint64 `json:"term"`
 }
 
-// Number is the term record. Every write of a leader is conditioned on it.
+// TermRecord is the term record. Every write of a leader is conditioned on it.
 type TermRecord struct {
 	Term  uint64 `json:"term"`
 	Label string `json:"label"`
--- a/internal/userapi/check.go
+++ b/internal/jobs/admission.go
@@ -1,4 +1,4 @@
-package userapi
+package jobs
 
 import (
 	"fmt"
--- a/internal/userapi/records.go
+++ b/internal/jobs/records.go
@@ -1,4 +1,4 @@
-package userapi
+package jobs
 
 import (
 	"bytes"
@@ -18,7 +18,7 @@
 	FinalPrefix = "final/"
 )
 
-// Final is what is kept of a job for ever.
+// FinalRecord is what is kept of a job for ever.
 type FinalRecord struct {
 	Status string `json:"status"`
 	Tasks  int    `json:"pieces"`
@@ -28,7 +28,7 @@
 }
 
 // Record is what is kept of an open job. It never changes.
-type JobRecord struct {
+type Record struct {
 	Spec
 	// AtMS is when the job was accepted, in Unix milliseconds.
 	AtMS int64 `json:"atMs"`
@@ -37,7 +37,7 @@
 	Split *SplitList `json:"split,omitempty"`
 }
 
-// Split names values below SplitPrefix that hold a list of jobs. They are written
+// SplitList names values below SplitPrefix that hold a list of jobs. They are written
 // before the record that names them, each submission's under a name of its own.
 type SplitList struct {
 	Upload string `json:"upload"`
@@ -47,20 +47,20 @@
 // SplitPrefix is where the values of split lists stand.
 const SplitPrefix = "waits/"
 
-func (s SplitList) key(id string, part int) string {
+func (s SplitList) PartKey(id string, part int) string {
 	return fmt.Sprintf("%s%s/%s/%04d", SplitPrefix, id, s.Upload, part)
 }
 
-// Needs are the jobs that a record says must be done before.
+// Dependencies are the jobs that a record says must be done before.
 type Dependencies struct {
 	DependsOn []string   `json:"waitsOn"`
 	Split     *SplitList `json:"split"`
 }
 
-// None tells whether nothing need be done before.
+// Empty tells whether nothing need be done before.
 func (n Dependencies) Empty() bool { return len(n.DependsOn) == 0 && n.Split == nil }
 
-// RecordNeeds reads them from a job's record.
+// DependenciesOf reads them from a job's record.
 func DependenciesOf(v json.RawMessage) (n Dependencies) {
 	// Most records have none, and there are many.
 	if bytes.Contains(v, []byte(`"waitsOn"`)) || bytes.Contains(v, []byte(`"split"`)) {
@@ -74,7 +74,7 @@
 	List(ctx context.Context, class statestore.Class, prefix string) ([]statestore.KeyValue, uint64, error)
 }
 
-// Whole completes a list that stands in several values.
+// Load completes a list that stands in several values.
 func (n Dependencies) Load(ctx context.Context, store lister, class statestore.Class, id string) ([]string, error) {
 	if n.Split == nil {
 		return n.DependsOn, nil
@@ -97,10 +97,10 @@
 	return all, nil
 }
 
-// pack makes a job's record, and the parts of its list if that is too long for one
+// PackRecord makes a job's record, and the parts of its list if that is too long for one
 // value of so many bytes. upload names them.
-func packRecord(j Spec, atMS int64, limit int, upload string) (record json.RawMessage, parts []json.RawMessage, err error) {
-	record, err = json.Marshal(JobRecord{Spec: j, AtMS: atMS})
+func PackRecord(j Spec, atMS int64, limit int, upload string) (record json.RawMessage, parts []json.RawMessage, err error) {
+	record, err = json.Marshal(Record{Spec: j, AtMS: atMS})
 	if err != nil || len(record) <= limit-recordSlack {
 		return record, nil, err
 	}
@@ -119,7 +119,7 @@
 		}
 		parts, rest = append(parts, raw), rest[n:]
 	}
-	rec := JobRecord{Spec: j, AtMS: atMS}
+	rec := Record{Spec: j, AtMS: atMS}
 	if len(parts) > 0 {
 		rec.Split = &SplitList{Upload: upload, Parts: len(parts)}
 	}
--- a/internal/userapi/job.go
+++ b/internal/jobs/spec.go
@@ -1,5 +1,6 @@
-// Package userapi is the users' interface: it takes, reports and cancels jobs.
-package userapi
+// Package jobs defines what a job is: its specification as users submit it, the records that
+// the state service keeps of it, and the check whether it can ever run. It serves no requests.
+package jobs
 
 import (
 	"bytes"
@@ -16,7 +17,7 @@
 const (
 	KindArray = "sweep"
 	KindGang  = "gang"
-	// Service is a sweep whose tasks run until the job is cancelled. The
+	// KindService is a sweep whose tasks run until the job is cancelled. The
 	// protocol's page does not name it, its users send it (docs/questions.md).
 	KindService = "service"
 )
@@ -29,7 +30,7 @@
 	StatusCancelled = "aborted"
 )
 
-// Job is a job as users submit it.
+// Spec is a job as users submit it.
 type Spec struct {
 	ID                  string   `json:"nameId"`
 	Class               string   `json:"workload"`
@@ -51,7 +52,7 @@
 	CheckpointIntervalS float64  `json:"snapshotS"`
 	SaveS               float64  `json:"stashS"`
 	DueS                *float64 `json:"dueS,omitempty"`
-	// WaitsOn are the jobs that must be done before any task of this one starts,
+	// DependsOn are the jobs that must be done before any task of this one starts,
 	// each once.
 	DependsOn []string `json:"waitsOn,omitempty"`
 }
@@ -109,7 +110,7 @@
 	WaitsOn      []string `json:"waitsOn"`
 }
 
-// DecodeJob reads a submission. Unknown fields are ignored and null equals
+// DecodeSpec reads a submission. Unknown fields are ignored and null equals
 // omitted; every error is a *FieldError.
 func DecodeSpec(raw []byte) (*Spec, error) {
 	if trimmed := bytes.TrimSpace(raw); len(trimmed) == 0 || trimmed[0] != '{' {
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -5,7 +5,7 @@
 
 	"thornnotch/internal/config"
 	"thornnotch/internal/constants"
-	"thornnotch/internal/userapi"
+	"thornnotch/internal/jobs"
 	"thornnotch/internal/workers"
 )
 
@@ -43,12 +43,12 @@
 	}
 }
 
-// quiet is how long a worker may well be silent: a few of its reports.
+// silenceTolerance is how long a worker may well be silent: a few of its reports.
 func (l *Leader) silenceTolerance() time.Duration {
 	return time.Duration(constants.SilentAfterHeartbeats * float64(config.Seconds(l.deps.Settings.Params.Workers.ReportS)))
 }
 
-// command sends orders to a worker's own address. They may arrive minutes
+// sendCommand sends orders to a worker's own address. They may arrive minutes
 // late, so only stops go this way: a late stop names an attempt that is never
 // started again.
 //
@@ -118,7 +118,7 @@
 			continue
 		}
 		grace := j.spec.SaveS + constants.StopGrace.Seconds()
-		if j.spec.Kind == userapi.KindGang {
+		if j.spec.Kind == jobs.KindGang {
 			l.stopGang(j, grace, now)
 		} else {
 			l.stopAttempt(r, a, grace, now)
@@ -130,7 +130,7 @@
 	}
 }
 
-// probe tries to reach a worker directly: an answer shows that it hears.
+// probeAgent tries to reach a worker directly: an answer shows that it hears.
 func (l *Leader) probeAgent(r *machine, now time.Time) {
 	if now.Sub(r.lastCommandAt) >= constants.ProbeInterval {
 		l.sendCommand(r, nil, now)
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -10,21 +10,21 @@
 
 	"thornnotch/internal/constants"
 	"thornnotch/internal/election"
+	"thornnotch/internal/jobs"
 	"thornnotch/internal/leader/wal"
 	"thornnotch/internal/placement"
 	"thornnotch/internal/statestore"
-	"thornnotch/internal/userapi"
 	"thornnotch/internal/workers"
 )
 
-// committer carries the log's transactions to the state service, one at a
+// groupCommit carries the log's transactions to the state service, one at a
 // time. Each is conditioned on the term record and on the log's head, so that
 // neither a deposed leader nor a late copy of an earlier transaction can
 // change anything.
 type groupCommit struct {
 	log      *wal.Writer
 	inFlight bool
-	// final are the jobs whose tasks are all done, to be moved; off are those that
+	// finalizing are the jobs whose tasks are all done, to be moved; off are those that
 	// are cancelled with one before them.
 	finalizing   []*jobState
 	cancelled    []*jobState
@@ -34,11 +34,11 @@
 	lastCommitAt time.Time
 	// ringsAsked is when the nodes were last asked which rings they read.
 	ringsAsked time.Time
-	// more is set if the last transaction had no room for all that waited, moreSince is
+	// hasMore is set if the last transaction had no room for all that waited, moreSince is
 	// since when that has been so.
 	hasMore      bool
 	hasMoreSince time.Time
-	// since is when the present transaction was first sent.
+	// sentAt is when the present transaction was first sent.
 	sentAt time.Time
 }
 
@@ -124,13 +124,13 @@
 	})
 }
 
-// remains tells whether changes wait that have no place in the transaction under way.
+// hasRemaining tells whether changes wait that have no place in the transaction under way.
 func (l *Leader) hasRemaining() bool {
 	c := &l.commits
 	return c.log.Remaining() || len(c.finalizing) > 0 || len(c.cancelled) > 0
 }
 
-// next gathers the next transaction.
+// nextTxn gathers the next transaction.
 func (l *Leader) nextTxn() *wal.Txn {
 	c := &l.commits
 	if c.log.CheckpointDue() {
@@ -170,7 +170,7 @@
 	return c.log.Next(extras)
 }
 
-// outcome is what became of a transaction. head is set if a clash made it
+// commitResult is what became of a transaction. head is set if a clash made it
 // necessary to read it; failed are the clashing keys.
 type commitResult struct {
 	epoch  uint64
@@ -180,7 +180,7 @@
 	failed *statestore.ConflictError
 }
 
-// explain reads the head after a clash: an earlier try without an answer may
+// resolveConflict reads the head after a clash: an earlier try without an answer may
 // have been carried out after all.
 func (l *Leader) resolveConflict(ctx context.Context, c *statestore.ConflictError) commitResult {
 	row, found, err := l.deps.Store.Get(ctx, statestore.ClassRecord, wal.HeadKey)
@@ -247,14 +247,14 @@
 func (l *Leader) finalExtra(j *jobState) wal.JobWrite {
 	name := j.spec.ID
 	at := time.Now()
-	v, _ := json.Marshal(userapi.FinalRecord{Status: userapi.StatusDone, Tasks: j.spec.Tasks, AtMS: at.UnixMilli()}) // plain fields always encode
+	v, _ := json.Marshal(jobs.FinalRecord{Status: jobs.StatusDone, Tasks: j.spec.Tasks, AtMS: at.UnixMilli()}) // plain fields always encode
 	return wal.JobWrite{
-		When:   []statestore.Condition{{Key: userapi.OpenPrefix + name, Revision: j.revision}},
-		Writes: []statestore.Write{{Delete: userapi.OpenPrefix + name}, {Put: userapi.FinalPrefix + name, Value: v}},
+		When:   []statestore.Condition{{Key: jobs.OpenPrefix + name, Revision: j.revision}},
+		Writes: []statestore.Write{{Delete: jobs.OpenPrefix + name}, {Put: jobs.FinalPrefix + name, Value: v}},
 		Committed: func(uint64) {
 			l.deps.Log.Debug("job done", "id", name)
 			l.removeJob(j, time.Now())
-			l.upstreamEnded(name, userapi.FinalRecord{Status: userapi.StatusDone, AtMS: at.UnixMilli()}, time.Now())
+			l.upstreamEnded(name, jobs.FinalRecord{Status: jobs.StatusDone, AtMS: at.UnixMilli()}, time.Now())
 		},
 		// Ended already by its user.
 		Conflicted: func() { l.removeJob(j, time.Now()) },
@@ -265,7 +265,7 @@
 	}
 }
 
-// remainExtra removes a key of the earlier format.
+// legacyExtra removes a key of the earlier format.
 func (l *Leader) legacyExtra(key string, stamp uint64) wal.JobWrite {
 	c := &l.commits
 	gone := func() { delete(c.legacyKeys, key) }
@@ -309,7 +309,7 @@
 	return l.machineRecord(r), true
 }
 
-// Done gives a checkpoint a job's completed tasks.
+// DoneTasks gives a checkpoint a job's completed tasks.
 func (l *Leader) DoneTasks(name string) (out []wal.DoneTasks) {
 	j := l.jobs[name]
 	if j == nil {
@@ -322,7 +322,7 @@
 	return out
 }
 
-// bury takes a job that is over out of memory. What of it may still be on
+// removeJob takes a job that is over out of memory. What of it may still be on
 // machines is stopped, and remembered by size until it is proven gone.
 func (l *Leader) removeJob(j *jobState, now time.Time) {
 	if j.removed {
@@ -362,7 +362,7 @@
 	}
 }
 
-// settleDone lets workers forget the exits of a job's tasks that are recorded.
+// releaseRecordedExits lets workers forget the exits of a job's tasks that are recorded.
 func (l *Leader) releaseRecordedExits(j *jobState) {
 	for a, r := range j.unrecordedExits {
 		if j.recordedDone.has(a.ID.Task.Index) {
@@ -372,7 +372,7 @@
 	}
 }
 
-// noteAdd has an attempt recorded; its `run` leaves only once that stands.
+// logAttempt has an attempt recorded; its `run` leaves only once that stands.
 func (l *Leader) logAttempt(r *machine, a *workers.Attempt) {
 	if !r.metadataLogged {
 		l.logMetadata(r, nil)
@@ -385,20 +385,20 @@
 	})
 }
 
-// noteMeta has all but a machine's attempts recorded.
+// logMetadata has all but a machine's attempts recorded.
 func (l *Leader) logMetadata(r *machine, stood func()) {
 	r.metadataLogged, r.loggedMetadata = true, l.machineMetadata(r)
 	l.commits.log.MachineChanged(r.agent.Name, r.loggedMetadata, stood)
 }
 
-// clear lets a committed attempt start. A gang waits until the records of all
+// allowStart lets a committed attempt start. A gang waits until the records of all
 // its tasks stand.
 func (l *Leader) allowStart(r *machine, a *workers.Attempt) {
 	j := l.jobs[a.ID.Task.Job]
 	if j == nil {
 		return
 	}
-	if j.spec.Kind != userapi.KindGang {
+	if j.spec.Kind != jobs.KindGang {
 		a.StartAllowed = true
 		l.wakeReply(r)
 		return
--- a/internal/leader/commit_test.go
+++ b/internal/leader/commit_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestFullTransactionsFollowAtOnce: what had no room in a transaction goes out as soon
-// as that one stands. With four changes a transaction, one every CommitEvery recorded
+// as that one stands. With four changes a transaction, one every CommitInterval recorded
 // some 40 values a second, whatever rate the state service allowed: starts of 4,000
 // machines waited a minute for their record. Little is gathered as before, and the
 // routine does not spin when what was left has become needless.
--- a/internal/leader/confirmations.go
+++ b/internal/leader/confirmations.go
@@ -4,15 +4,15 @@
 	"context"
 	"time"
 
-	"thornnotch/internal/confirmations"
+	"thornnotch/internal/attestation"
 	"thornnotch/internal/constants"
 )
 
-// Vouch asks all nodes which cancellations they have told users of within a time;
+// AttestFunc asks all nodes which cancellations they have told users of within a time;
 // false unless each of them can say.
 type AttestFunc func(ctx context.Context, span time.Duration) (cancelled []string, ok bool)
 
-// askAll asks the nodes for as long as the watch is not answered.
+// collectAttestations asks the nodes for as long as the watch is not answered.
 func (l *Leader) collectAttestations(ctx context.Context) error {
 	tick := time.NewTicker(constants.AttestationInterval)
 	defer tick.Stop()
@@ -38,17 +38,17 @@
 		if asked.Sub(since) < constants.AttestationAfter {
 			continue
 		}
-		ids, ok := l.deps.Attest(ctx, confirmations.Window(asked, since))
+		ids, ok := l.deps.Attest(ctx, attestation.Window(asked, since))
 		if ok {
 			l.post(ctx, func() { l.applyAttestation(ids, asked, time.Now()) })
 		}
 	}
 }
 
-// vouched takes in what all nodes have vouched for: whatever users were told
+// applyAttestation takes in what all nodes have vouched for: whatever users were told
 // before they were asked is known.
 func (l *Leader) applyAttestation(ids []string, asked, now time.Time) {
-	if confirmations.Stale(asked, now) {
+	if attestation.Stale(asked, now) {
 		return
 	}
 	for _, id := range ids {
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"thornnotch/internal/constants"
+	"thornnotch/internal/jobs"
 	"thornnotch/internal/leader/wal"
 	"thornnotch/internal/statestore"
-	"thornnotch/internal/userapi"
 )
 
 // Jobs that wait for others. Such a job is shown to nobody, neither placement nor
@@ -16,7 +16,7 @@
 // win that key. Final records never change, so reading one decides for good; while
 // it can't be read the job waits on.
 
-// waits is what they wait for.
+// dependencyTracker is what they wait for.
 type dependencyTracker struct {
 	// after are the jobs that wait for one, by its name.
 	after map[string][]*jobState
@@ -25,7 +25,7 @@
 	wanted map[string]bool
 	asking map[string]bool
 	// unnamed are the jobs whose list of names is to be read.
-	unnamed map[*jobState]userapi.Dependencies
+	unnamed map[*jobState]jobs.Dependencies
 	retryAt time.Time
 	// fed are the jobs that were shown as feeding ones with room held for them.
 	fed []*jobState
@@ -35,14 +35,14 @@
 	w.after = make(map[string][]*jobState)
 	w.wanted = make(map[string]bool)
 	w.asking = make(map[string]bool)
-	w.unnamed = make(map[*jobState]userapi.Dependencies)
+	w.unnamed = make(map[*jobState]jobs.Dependencies)
 }
 
-// waiting tells whether a job before this one is not known to be done.
+// blockedByUpstream tells whether a job before this one is not known to be done.
 func (j *jobState) blockedByUpstream() bool { return j.upstreamsUnknown || len(j.pendingUpstreams) > 0 }
 
-// mustWait takes in what a job waits for.
-func (l *Leader) addDependencies(j *jobState, needs userapi.Dependencies) {
+// addDependencies takes in what a job waits for.
+func (l *Leader) addDependencies(j *jobState, needs jobs.Dependencies) {
 	j.upstreamsUnknown, j.hasDependencies = true, true
 	if needs.Split != nil || !l.loaded {
 		// Not all names are known, or not all open jobs.
@@ -52,7 +52,7 @@
 	l.linkUpstreams(j, needs.DependsOn)
 }
 
-// linkAll links the jobs that were read at the takeover, once all are known.
+// linkLoadedJobs links the jobs that were read at the takeover, once all are known.
 func (l *Leader) linkLoadedJobs(now time.Time) {
 	for j, needs := range l.dependencies.unnamed {
 		if needs.Split == nil {
@@ -63,7 +63,7 @@
 	l.readFinalRecords(now)
 }
 
-// link has a job wait for the jobs that are named.
+// linkUpstreams has a job wait for the jobs that are named.
 func (l *Leader) linkUpstreams(j *jobState, names []string) {
 	j.upstreamsUnknown = false
 	j.pendingUpstreams = make(map[string]bool, len(names))
@@ -80,14 +80,14 @@
 	l.propagateDemand(names)
 }
 
-// wantFinal has a job's final record read if others wait for it.
+// requestFinalRecord has a job's final record read if others wait for it.
 func (l *Leader) requestFinalRecord(name string) {
 	if len(l.dependencies.after[name]) > 0 {
 		l.dependencies.wanted[name] = true
 	}
 }
 
-// readFinals reads what decides over the jobs that wait, some at a time.
+// readFinalRecords reads what decides over the jobs that wait, some at a time.
 func (l *Leader) readFinalRecords(now time.Time) {
 	w := &l.dependencies
 	if len(w.wanted) == 0 && len(w.unnamed) == 0 || now.Before(w.retryAt) {
@@ -106,10 +106,10 @@
 		}
 		w.asking[name] = true
 		l.background.Go(func() error {
-			row, found, err := l.deps.Store.Get(l.ctx, statestore.ClassRecord, userapi.FinalPrefix+name)
+			row, found, err := l.deps.Store.Get(l.ctx, statestore.ClassRecord, jobs.FinalPrefix+name)
 			l.post(l.ctx, func() {
 				delete(w.asking, name)
-				var f userapi.FinalRecord
+				var f jobs.FinalRecord
 				if err == nil && found {
 					err = json.Unmarshal(row.Value, &f)
 				}
@@ -154,14 +154,14 @@
 	}
 }
 
-// fate takes in how a job ended, by its final record: those that wait for it have one
+// upstreamEnded takes in how a job ended, by its final record: those that wait for it have one
 // less to wait for, or are cancelled with it, and so are those that wait for them.
 // No call goes deeper than this, however long the chain.
-func (l *Leader) upstreamEnded(name string, f userapi.FinalRecord, now time.Time) {
+func (l *Leader) upstreamEnded(name string, f jobs.FinalRecord, now time.Time) {
 	w := &l.dependencies
 	type end struct {
 		name string
-		f    userapi.FinalRecord
+		f    jobs.FinalRecord
 	}
 	for queue := []end{{name, f}}; len(queue) > 0; queue = queue[1:] {
 		e := queue[0]
@@ -172,11 +172,11 @@
 			if j.removed {
 				continue
 			}
-			if e.f.Status != userapi.StatusDone {
+			if e.f.Status != jobs.StatusDone {
 				l.deps.Log.Debug("job cancelled with one before it", "id", j.spec.ID, "before", e.name)
 				l.removeJob(j, now)
 				l.commits.cancelled = append(l.commits.cancelled, j)
-				queue = append(queue, end{j.spec.ID, userapi.FinalRecord{Status: userapi.StatusCancelled}})
+				queue = append(queue, end{j.spec.ID, jobs.FinalRecord{Status: jobs.StatusCancelled}})
 				continue
 			}
 			delete(j.pendingUpstreams, e.name)
@@ -195,7 +195,7 @@
 	}
 }
 
-// mayStart is called when all jobs before this one are done. Its times count from
+// becomeStartable is called when all jobs before this one are done. Its times count from
 // when the last was, by its record; its due time from its submission.
 func (l *Leader) becomeStartable(j *jobState, now time.Time) {
 	l.updateTargets(j)
@@ -204,13 +204,13 @@
 	l.deps.Log.Debug("nothing is left to wait for", "id", j.spec.ID, "waited_s", now.Sub(j.acceptedAt).Seconds())
 }
 
-// offExtra writes the final record of a job that is cancelled with one before it.
+// cancelledExtra writes the final record of a job that is cancelled with one before it.
 func (l *Leader) cancelledExtra(j *jobState) wal.JobWrite {
 	name := j.spec.ID
-	v, _ := json.Marshal(userapi.FinalRecord{Status: userapi.StatusCancelled}) // plain fields always encode
+	v, _ := json.Marshal(jobs.FinalRecord{Status: jobs.StatusCancelled}) // plain fields always encode
 	return wal.JobWrite{
-		When:   []statestore.Condition{{Key: userapi.OpenPrefix + name, Revision: j.revision}},
-		Writes: []statestore.Write{{Delete: userapi.OpenPrefix + name}, {Put: userapi.FinalPrefix + name, Value: v}},
+		When:   []statestore.Condition{{Key: jobs.OpenPrefix + name, Revision: j.revision}},
+		Writes: []statestore.Write{{Delete: jobs.OpenPrefix + name}, {Put: jobs.FinalPrefix + name, Value: v}},
 		Retry:  func() { l.commits.cancelled = append(l.commits.cancelled, j) },
 	}
 }
--- a/internal/leader/edges.go
+++ b/internal/leader/edges.go
@@ -49,7 +49,7 @@
 	return out
 }
 
-// showEdges shows placement which held rooms are for jobs that may not start yet, and
+// addReservationEdges shows placement which held rooms are for jobs that may not start yet, and
 // which jobs such a job waits for.
 func (l *Leader) addReservationEdges(w *placement.Snapshot) {
 	for _, j := range l.dependencies.fed {
--- a/internal/leader/faults.go
+++ b/internal/leader/faults.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"thornnotch/internal/constants"
-	"thornnotch/internal/userapi"
+	"thornnotch/internal/jobs"
 	"thornnotch/internal/workers"
 )
 
@@ -24,21 +24,21 @@
 	ran time.Duration // the longest that one of them ran before it failed
 }
 
-// blame is what the failures of one job tell.
+// failureHistory is what the failures of one job tell.
 type failureHistory struct {
-	// failed are the machines on which it failed of which it is not known yet
+	// byMachine are the machines on which it failed of which it is not known yet
 	// whether that was their fault.
 	byMachine map[string]failure
-	// sound is set once a task of it has finished: it has no mistake.
+	// succeeded is set once a task of it has finished: it has no mistake.
 	succeeded bool
-	// rounds counts the tries in a row that failed after it had failed on
+	// failedRounds counts the tries in a row that failed after it had failed on
 	// several machines; zero for a job that is not taken for mistaken.
 	failedRounds int
-	// tasks counts on how many machines each task failed.
+	// machinesByTask counts on how many machines each task failed.
 	machinesByTask map[int]int
 }
 
-// mistaken tells whether the job is taken for one that fails everywhere.
+// faultyJob tells whether the job is taken for one that fails everywhere.
 func (b *failureHistory) faultyJob() bool { return b.failedRounds > 0 }
 
 // note takes in that a task failed on a machine after it had run for so long. It
@@ -74,10 +74,10 @@
 	return min(constants.RetryMax, constants.RetryBase<<min(b.failedRounds, 10)), false
 }
 
-// clear is called once the job has shown that it has no mistake.
+// reset is called once the job has shown that it has no mistake.
 func (b *failureHistory) reset() { b.failedRounds = 0 }
 
-// guilty names the machines whose fault the job's failures were, given for how
+// faultyMachines names the machines whose fault the job's failures were, given for how
 // long its tasks have run on which machines: the job did better elsewhere. A
 // machine is named once.
 func (b *failureHistory) faultyMachines(runs map[string]time.Duration, now time.Time) (machines []string) {
@@ -98,7 +98,7 @@
 	return machines
 }
 
-// failedHere takes in a task's failure.
+// taskFailed takes in a task's failure.
 func (l *Leader) taskFailed(r *machine, j *jobState, a *workers.Attempt, now time.Time) {
 	ran := time.Duration(0)
 	if !a.RunningSince.IsZero() {
@@ -135,7 +135,7 @@
 	return b
 }
 
-// judge finds out whose fault a job's failures were.
+// attributeFailures finds out whose fault a job's failures were.
 func (l *Leader) attributeFailures(j *jobState, now time.Time) {
 	if len(j.failures.byMachine) == 0 {
 		return
@@ -156,14 +156,14 @@
 	}
 }
 
-// judgeAll does that for all jobs that have failed somewhere.
+// attributeAllFailures does that for all jobs that have failed somewhere.
 func (l *Leader) attributeAllFailures(now time.Time) {
 	for _, j := range l.jobs {
 		l.attributeFailures(j, now)
 	}
 }
 
-// absolve takes back what a job with a mistake has said against machines.
+// clearMachineSuspicion takes back what a job with a mistake has said against machines.
 func (l *Leader) clearMachineSuspicion(j *jobState) {
 	for name := range j.failures.byMachine {
 		r := l.machines[name]
@@ -178,7 +178,7 @@
 	l.passDueNow = true
 }
 
-// condemn takes a machine for faulty: it gets no more tasks, and goes back once
+// quarantine takes a machine for faulty: it gets no more tasks, and goes back once
 // it has none. What has not begun to run there would only fail too.
 func (l *Leader) quarantine(r *machine, why string, now time.Time) {
 	if r.faulty {
@@ -191,7 +191,7 @@
 		if j == nil || a.StopRequested || !a.Live() || a.Status == workers.StatusRunning || a.Status == workers.StatusSaving {
 			continue
 		}
-		if j.spec.Kind != userapi.KindGang {
+		if j.spec.Kind != jobs.KindGang {
 			l.stopAttempt(r, a, 0, now)
 		} else {
 			l.stopGang(j, 0, now)
@@ -202,7 +202,7 @@
 	l.passDueNow = true
 }
 
-// retry is a task that must wait.
+// delayedTask is a task that must wait.
 type delayedTask struct {
 	task int
 	at   time.Time
--- a/internal/leader/hints.go
+++ b/internal/leader/hints.go
@@ -11,7 +11,7 @@
 	"thornnotch/internal/constants"
 )
 
-// hints are the machines whose holds and images have changed since they were
+// metadataQueue are the machines whose holds and images have changed since they were
 // recorded. A later leader serves better for knowing them, but nothing rests on
 // them, so their records are bounded in bytes a second: starts and ends come first.
 type metadataQueue struct {
@@ -20,7 +20,7 @@
 	budget *rate.Limiter // bytes
 }
 
-// newHints makes the hints of a term within the state service's limits, also those
+// newMetadataQueue makes the hints of a term within the state service's limits, also those
 // to come.
 func newMetadataQueue(state config.State, share config.BudgetSettings) metadataQueue {
 	_, changes := state.Rates(true)
@@ -32,7 +32,7 @@
 	}
 }
 
-// hintsChanged has the machine's holds and images recorded again within a while.
+// metadataChanged has the machine's holds and images recorded again within a while.
 func (l *Leader) metadataChanged(r *machine, now time.Time) {
 	l.markStale(r)
 	if _, waits := l.metadata.due[r]; !waits {
@@ -40,7 +40,7 @@
 	}
 }
 
-// recordHints records what has been due for a while, as far as the budget allows, and
+// logDueMetadata records what has been due for a while, as far as the budget allows, and
 // nothing while the records of starts and ends are behind.
 func (l *Leader) logDueMetadata(now time.Time) {
 	if l.commits.behind(now) {
--- a/internal/leader/inherit.go
+++ b/internal/leader/inherit.go
@@ -6,7 +6,7 @@
 
 	"thornnotch/internal/config"
 	"thornnotch/internal/constants"
-	"thornnotch/internal/userapi"
+	"thornnotch/internal/jobs"
 )
 
 // Users set the due time and the priority that they care about on the last job of a
@@ -20,7 +20,7 @@
 	start    time.Time // the latest; zero if nothing is due
 }
 
-// expects is how long a job's tasks are expected to run: as its owner says, by how
+// expectedRuntime is how long a job's tasks are expected to run: as its owner says, by how
 // the class has kept to that lately.
 func (l *Leader) expectedRuntime(j *jobState) time.Duration {
 	ratio := 1.0
@@ -30,7 +30,7 @@
 	return config.Seconds(j.spec.ExpectedS * ratio)
 }
 
-// keeps notes how long a task ran against what its owner expected.
+// noteRuntime notes how long a task ran against what its owner expected.
 func (l *Leader) noteRuntime(j *jobState, ran time.Duration) {
 	if j.spec.ExpectedS <= 0 {
 		return
@@ -43,7 +43,7 @@
 	l.runtimeRatios[j.spec.Class] = was + (ratio-was)*constants.RuntimeRatioWeight
 }
 
-// latest is when a job must start at the latest for itself and those that need it to
+// latestStart is when a job must start at the latest for itself and those that need it to
 // be in time; zero if nothing is due.
 func (l *Leader) latestStart(j *jobState) (at time.Time) {
 	if j.spec.DueS != nil {
@@ -55,7 +55,7 @@
 	return at
 }
 
-// inherit reckons anew what the jobs of these names are needed for, and those before
+// propagateDemand reckons anew what the jobs of these names are needed for, and those before
 // them as far as that changes anything.
 func (l *Leader) propagateDemand(names []string) {
 	for queue := names; len(queue) > 0; queue = queue[1:] {
@@ -79,7 +79,7 @@
 			continue
 		}
 		p.downstreamDemand = d
-		p.view.Priority = max(userapi.Priority(p.spec.PriorityClass), d.priority)
+		p.view.Priority = max(jobs.Priority(p.spec.PriorityClass), d.priority)
 		l.updateTargets(p)
 		for name := range p.pendingUpstreams {
 			queue = append(queue, name)
@@ -87,7 +87,7 @@
 	}
 }
 
-// aim sets the latest starts that a job has to meet: its users', and that of those
+// updateTargets sets the latest starts that a job has to meet: its users', and that of those
 // that need it.
 func (l *Leader) updateTargets(j *jobState) {
 	j.view.Targets = l.targets(j.spec, j.view.Submitted.Sub(j.acceptedAt))
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -8,22 +8,22 @@
 
 	"thornnotch/internal/config"
 	"thornnotch/internal/constants"
+	"thornnotch/internal/jobs"
 	"thornnotch/internal/leader/wal"
 	"thornnotch/internal/placement"
 	"thornnotch/internal/reservations"
-	"thornnotch/internal/userapi"
 	"thornnotch/internal/workers"
 )
 
-// seat is an attempt with the machine that it is on.
+// placedAttempt is an attempt with the machine that it is on.
 type placedAttempt struct {
 	machine *machine
 	attempt *workers.Attempt
 }
 
-// job is one accepted job that has not ended.
+// jobState is one accepted job that has not ended.
 type jobState struct {
-	spec     *userapi.Spec
+	spec     *jobs.Spec
 	view     placement.Job
 	revision uint64 // revision of its record, which never changes
 	// servedAt is when a task of it was last given a place, or it came.
@@ -33,12 +33,12 @@
 	recordedDone bitset // those whose completion is recorded
 	doneCount    int
 	firstWaiting int // no task below it waits
-	// exits are attempts reported done whose completion is not yet recorded.
+	// unrecordedExits are attempts reported done whose completion is not yet recorded.
 	unrecordedExits map[*workers.Attempt]*machine
 	// stale is set when the view for placement must be made anew.
 	stale bool
 
-	// seats are the attempts not proven gone or exited, by task.
+	// attempts are the attempts not proven gone or exited, by task.
 	attempts map[int][]placedAttempt
 	started  time.Time // first time that a task ran
 	// placed is set once any task was given a place: the job no longer waits
@@ -46,33 +46,33 @@
 	placed bool
 
 	runtimes runtimeStats
-	// again are the tasks that have run in part already, whose last run tells
+	// restartedTasks are the tasks that have run in part already, whose last run tells
 	// nothing of the whole.
 	restartedTasks map[int]bool
-	// inherited jobs were open when this term began: how long their tasks had
+	// fromEarlierTerm jobs were open when this term began: how long their tasks had
 	// run by then is not known, so they tell nothing of machines.
 	fromEarlierTerm bool
 
-	// gangTry is the number of a gang's present attempt. short is set while a
+	// gangAttempt is the number of a gang's present attempt. short is set while a
 	// task that it lost before it ran may be replaced under that number.
 	gangAttempt   uint64
 	replacingTask bool
 
-	// blame is what its failures tell; retry are tasks that must wait after
+	// failures is what its failures tell; retry are tasks that must wait after
 	// failing again and again while the others do well.
 	failures     failureHistory
 	delayedTasks []delayedTask
 	notBefore    time.Time
 	avoid        map[string]time.Time
 	waitCounted  bool // how it fared among the largest of its class is known
-	// before are the jobs that must be done first and are not known to be, asks is
+	// pendingUpstreams are the jobs that must be done first and are not known to be, asks is
 	// set while not even their names are.
 	pendingUpstreams map[string]bool
 	upstreamsUnknown bool
 	hasDependencies  bool // it named jobs to wait for, whether or not they are done
-	// needed is what the jobs that need this one ask for.
+	// downstreamDemand is what the jobs that need this one ask for.
 	downstreamDemand demand
-	// accepted is when it was submitted; its view counts from when it could start.
+	// acceptedAt is when it was submitted; its view counts from when it could start.
 	acceptedAt time.Time
 	complete   bool // all tasks are done, the final record is being written
 	finalizing bool // a transaction with the final record is under way
@@ -106,11 +106,11 @@
 
 // addJob takes in a job's record.
 func (l *Leader) addJob(key string, v json.RawMessage, stamp uint64, now time.Time) {
-	name := key[len(userapi.OpenPrefix):]
+	name := key[len(jobs.OpenPrefix):]
 	if l.jobs[name] != nil || l.removedJobs[name] {
 		return
 	}
-	var rec userapi.JobRecord
+	var rec jobs.Record
 	err := json.Unmarshal(v, &rec)
 	spec := rec.Spec
 	if err != nil || spec.ID != name || spec.Tasks < 1 || spec.Tasks > constants.MaxTasks {
@@ -123,7 +123,7 @@
 		unrecordedExits: make(map[*workers.Attempt]*machine), stale: true, attempts: make(map[int][]placedAttempt), avoid: make(map[string]time.Time),
 		restartedTasks: make(map[int]bool),
 	}
-	j.view = placement.Job{Spec: &spec, Priority: userapi.Priority(spec.PriorityClass), Order: stamp, Submitted: now, Targets: l.targets(&spec, 0)}
+	j.view = placement.Job{Spec: &spec, Priority: jobs.Priority(spec.PriorityClass), Order: stamp, Submitted: now, Targets: l.targets(&spec, 0)}
 	if at := time.UnixMilli(rec.AtMS); rec.AtMS > 0 && at.Before(now) {
 		j.view.Submitted = at
 	}
@@ -133,7 +133,7 @@
 	l.pipelines[p] = append(l.pipelines[p], j)
 	l.arrivals[spec.Class]++
 	l.updateLargestGang(&spec)
-	if needs := (userapi.Dependencies{DependsOn: spec.DependsOn, Split: rec.Split}); !needs.Empty() {
+	if needs := (jobs.Dependencies{DependsOn: spec.DependsOn, Split: rec.Split}); !needs.Empty() {
 		l.addDependencies(j, needs)
 	} else {
 		l.noteArrival(j, now)
@@ -142,7 +142,7 @@
 	l.deps.Log.Debug("job", "id", name, "owner", spec.Team, "workload", spec.Class, "pieces", spec.Tasks)
 }
 
-// comes counts a job that may start among those that came lately.
+// noteArrival counts a job that may start among those that came lately.
 func (l *Leader) noteArrival(j *jobState, now time.Time) {
 	if at := j.view.Submitted; now.Sub(at) <= constants.ArrivalRateWindow {
 		l.scaling.recentArrivals = append(l.scaling.recentArrivals, arrival{at, demandOf(j, j.spec.Tasks), l.wantsWhole(j.spec)})
@@ -154,7 +154,7 @@
 // without aims goes by the job's own due time. The image may have to be fetched
 // first. They count from when the job could start; its due time counts from its
 // submission, and it has waited for so long.
-func (l *Leader) targets(spec *userapi.Spec, waited time.Duration) (out []time.Duration) {
+func (l *Leader) targets(spec *jobs.Spec, waited time.Duration) (out []time.Duration) {
 	fetch := 0.0
 	if cat := l.deps.Catalog(); cat != nil {
 		for _, t := range cat.MachineTypes {
@@ -185,7 +185,7 @@
 	return out
 }
 
-// share is how many jobs of a class come, against the most frequent class.
+// classShare is how many jobs of a class come, against the most frequent class.
 func (l *Leader) classShare(class string) float64 {
 	most := 0.0
 	for _, n := range l.arrivals {
@@ -197,7 +197,7 @@
 	return max(l.arrivals[class], 0) / most
 }
 
-// jobGone is called when a job's record has left the open ones: this leader
+// jobRecordDeleted is called when a job's record has left the open ones: this leader
 // has finished it, or its user has cancelled it.
 func (l *Leader) jobRecordDeleted(name string, now time.Time) {
 	if j := l.jobs[name]; j != nil {
@@ -208,7 +208,7 @@
 	delete(l.removedJobs, name)
 }
 
-// halt stops one attempt.
+// stopAttempt stops one attempt.
 func (l *Leader) stopAttempt(r *machine, a *workers.Attempt, grace float64, now time.Time) {
 	if r.agent.RequestStop(a, grace, now) {
 		l.removeAttempt(r, a)
@@ -218,7 +218,7 @@
 	l.passDueNow = true
 }
 
-// haltGang stops all attempts of a gang together.
+// stopGang stops all attempts of a gang together.
 func (l *Leader) stopGang(j *jobState, grace float64, now time.Time) {
 	j.replacingTask, j.stale = false, true
 	seats := sortedAttempts(j)
@@ -245,7 +245,7 @@
 	return out
 }
 
-// occupy notes an attempt with its job.
+// addAttempt notes an attempt with its job.
 func (l *Leader) addAttempt(r *machine, a *workers.Attempt) {
 	l.markStale(r)
 	j := l.jobs[a.ID.Task.Job]
@@ -258,7 +258,7 @@
 	j.placed = true
 }
 
-// vacate takes an attempt off its job once it is gone or has exited.
+// removeAttempt takes an attempt off its job once it is gone or has exited.
 func (l *Leader) removeAttempt(r *machine, a *workers.Attempt) {
 	l.markStale(r)
 	l.commits.log.AttemptGone(r.agent.Name, recordAttempt(a))
@@ -289,7 +289,7 @@
 	}
 }
 
-// events takes in what a report or the clock says of a machine's attempts.
+// applyEvents takes in what a report or the clock says of a machine's attempts.
 func (l *Leader) applyEvents(r *machine, list []workers.Event, now time.Time) {
 	if len(list) > 0 {
 		l.markStale(r)
@@ -338,11 +338,11 @@
 	}
 }
 
-// lost is called when a task of a gang is gone or has ended undone. While the
+// gangTaskLost is called when a task of a gang is gone or has ended undone. While the
 // gang still waits for its start, a replacement with the same attempt number
 // completes it; else the others go too, and it starts anew.
 func (l *Leader) gangTaskLost(r *machine, j *jobState, a *workers.Attempt, replace bool, now time.Time) {
-	if j == nil || j.spec.Kind != userapi.KindGang || j.complete {
+	if j == nil || j.spec.Kind != jobs.KindGang || j.complete {
 		return
 	}
 	if replace && l.mayReplace(j, a) {
@@ -354,10 +354,10 @@
 	l.stopGang(j, 0, now)
 }
 
-// dissolve stops what an earlier term had placed of a gang that lacks tasks: it
+// stopIncompleteGang stops what an earlier term had placed of a gang that lacks tasks: it
 // can't be completed any more, and would wait in vain.
 func (l *Leader) stopIncompleteGang(j *jobState, now time.Time) {
-	if n := len(j.attempts); j.spec.Kind == userapi.KindGang && n > 0 && n < j.spec.Tasks && !j.complete {
+	if n := len(j.attempts); j.spec.Kind == jobs.KindGang && n > 0 && n < j.spec.Tasks && !j.complete {
 		l.stopGang(j, j.spec.SaveS+constants.StopGrace.Seconds(), now)
 	}
 }
@@ -381,7 +381,7 @@
 	return true
 }
 
-// exited takes in a task's exit.
+// taskExited takes in a task's exit.
 func (l *Leader) taskExited(r *machine, j *jobState, a *workers.Attempt, now time.Time) {
 	l.deps.Log.Debug("task ended", "piece", a.ID.Task, "try", a.ID.Number, "rig", r.agent.Name, "cause", a.Cause, "saved", a.Saved)
 	if j == nil || a.ID.Task.Index >= j.spec.Tasks {
@@ -406,13 +406,13 @@
 	l.gangTaskLost(r, j, a, replace, now)
 }
 
-// finish records a task's completion. The worker may forget it only once the
+// taskCompleted records a task's completion. The worker may forget it only once the
 // record stands.
 func (l *Leader) taskCompleted(r *machine, j *jobState, a *workers.Attempt, now time.Time) {
 	first := !j.doneTasks.has(a.ID.Task.Index)
 	j.unrecordedExits[a], j.stale = r, true
 	l.noteStragglerSignal(r, j, a, now)
-	if j.spec.Kind == userapi.KindGang {
+	if j.spec.Kind == jobs.KindGang {
 		// A gang's tasks complete together: one done, all done.
 		if first {
 			for i := range j.spec.Tasks {
@@ -431,11 +431,11 @@
 	l.attributeFailures(j, now) // now: the job may be over in a moment
 	r.failedJobs = nil          // it has carried a task to its end
 	l.releaseRecordedExits(j)
-	if first || j.spec.Kind == userapi.KindGang {
+	if first || j.spec.Kind == jobs.KindGang {
 		l.reserve(r, j, a, now)
 	}
 	// Another attempt of a task that is done has no purpose.
-	if j.spec.Kind != userapi.KindGang {
+	if j.spec.Kind != jobs.KindGang {
 		for _, s := range j.attempts[a.ID.Task.Index] {
 			l.stopAttempt(s.machine, s.attempt, 0, now)
 		}
@@ -443,7 +443,7 @@
 	l.checkComplete(j)
 }
 
-// noteDone has a task's completion recorded, before its worker may forget it.
+// logDone has a task's completion recorded, before its worker may forget it.
 func (l *Leader) logDone(j *jobState, task int) {
 	l.commits.log.TasksDone(j.spec.ID, []int{task}, func() {
 		if j.removed {
@@ -477,7 +477,7 @@
 	l.offerFreedResources(r, now)
 }
 
-// offer gives freed room to stages that hold room from elsewhere.
+// offerFreedResources gives freed room to stages that hold room from elsewhere.
 func (l *Leader) offerFreedResources(r *machine, now time.Time) {
 	if !r.schedulable(now) {
 		return
@@ -487,7 +487,7 @@
 	}
 }
 
-// mayHold tells whether a machine can and may take a task of a job.
+// canHold tells whether a machine can and may take a task of a job.
 func (l *Leader) canHold(r *machine, d reservations.Downstream) bool {
 	j := l.jobs[d.Job]
 	return j != nil && placement.Allowed(&j.view, l.placementMachine(r)) && l.freeResources(r).Fits(d.TaskResources)
--- a/internal/leader/largest.go
+++ b/internal/leader/largest.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"thornnotch/internal/constants"
+	"thornnotch/internal/jobs"
 	"thornnotch/internal/placement"
-	"thornnotch/internal/userapi"
 )
 
 // The users want most of the largest jobs of each class to begin within four
@@ -14,7 +14,7 @@
 // largest jobs fare is therefore followed, class by class; where too many of
 // them begin late, those that wait are lifted over others.
 
-// largest follows the largest gangs of one class.
+// gangWaitStats follows the largest gangs of one class.
 type gangWaitStats struct {
 	size int
 	// good and late count how they fared, older ones for less.
@@ -48,9 +48,9 @@
 	return placement.NoBoost
 }
 
-// sized keeps the largest size of each class up to date.
-func (l *Leader) updateLargestGang(spec *userapi.Spec) {
-	if spec.Kind != userapi.KindGang {
+// updateLargestGang keeps the largest size of each class up to date.
+func (l *Leader) updateLargestGang(spec *jobs.Spec) {
+	if spec.Kind != jobs.KindGang {
 		return
 	}
 	g := l.gangWaits[spec.Class]
@@ -65,11 +65,11 @@
 	}
 }
 
-// fared notes once how a job fared, if it is one of the largest: when it begins,
+// countGangWait notes once how a job fared, if it is one of the largest: when it begins,
 // or when it has waited too long.
 func (l *Leader) countGangWait(j *jobState, now time.Time) {
 	g := l.gangWaits[j.spec.Class]
-	if j.waitCounted || j.blockedByUpstream() || j.fromEarlierTerm && !j.started.IsZero() || g == nil || j.spec.Kind != userapi.KindGang || j.spec.Tasks < g.size {
+	if j.waitCounted || j.blockedByUpstream() || j.fromEarlierTerm && !j.started.IsZero() || g == nil || j.spec.Kind != jobs.KindGang || j.spec.Tasks < g.size {
 		return
 	}
 	late := now.Sub(j.view.Submitted) > constants.LargeGangLateAfter
@@ -80,7 +80,7 @@
 	g.note(late)
 }
 
-// lifted names the classes whose largest jobs are to be lifted.
+// boostedClasses names the classes whose largest jobs are to be lifted.
 func (l *Leader) boostedClasses() map[string]placement.StarvingClass {
 	out := make(map[string]placement.StarvingClass)
 	for class, g := range l.gangWaits {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -14,15 +14,15 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"thornnotch/internal/autoscaling"
 	"thornnotch/internal/config"
 	"thornnotch/internal/constants"
 	"thornnotch/internal/election"
+	"thornnotch/internal/jobs"
 	"thornnotch/internal/leader/wal"
 	"thornnotch/internal/placement"
-	"thornnotch/internal/provisioning"
 	"thornnotch/internal/reservations"
 	"thornnotch/internal/statestore"
-	"thornnotch/internal/userapi"
 	"thornnotch/internal/workers"
 )
 
@@ -36,9 +36,9 @@
 
 // Cloud is what the leader needs of the cloud.
 type Cloud interface {
-	Rent(ctx context.Context, r provisioning.RentRequest) ([]string, error)
+	Rent(ctx context.Context, r autoscaling.RentRequest) ([]string, error)
 	Return(ctx context.Context, names []string) error
-	List(ctx context.Context, from string) (hosts []provisioning.Instance, next string, err error)
+	List(ctx context.Context, from string) (hosts []autoscaling.Instance, next string, err error)
 }
 
 // Workers sends orders straight to a worker; the answer is its report.
@@ -54,13 +54,13 @@
 	Cloud    Cloud
 	Workers  Workers
 	// Catalog gives the newest catalog, or nil while none is known.
-	Catalog func() *provisioning.Catalog
-	// Vouch asks all nodes for the cancellations that they know of; nil: the
+	Catalog func() *autoscaling.Catalog
+	// Attest asks all nodes for the cancellations that they know of; nil: the
 	// watch alone counts.
 	Attest AttestFunc
 	// ReadsLargeRing asks whether all nodes read the log's large ring; nil: they don't.
 	ReadsLargeRing func(ctx context.Context) bool
-	// Drawn tells what this node's calls of a class have drawn; may be nil.
+	// Usage tells what this node's calls of a class have drawn; may be nil.
 	Usage func(statestore.Class) statestore.Usage
 	Log   *slog.Logger
 }
@@ -68,7 +68,7 @@
 // errDeposed ends a term: another node leads.
 var errDeposed = errors.New("deposed: another node has raised the term")
 
-// ErrTooLarge ends a term whose transactions are larger than the state service
+// ErrTxnTooLarge ends a term whose transactions are larger than the state service
 // takes. The next one writes smaller ones; whatever of this one is still under way
 // can't be carried out any more.
 var ErrTxnTooLarge = errors.New("the state service refuses transactions of this size")
@@ -88,7 +88,7 @@
 	ctx        context.Context
 	background *errgroup.Group
 
-	// takeover is how far the takeover has come, for operators; empty once it
+	// failoverProgress is how far the takeover has come, for operators; empty once it
 	// is over. It is read by others.
 	failoverProgress atomic.Pointer[string]
 	// fleet is how many machines are known; it is read by others.
@@ -117,7 +117,7 @@
 	reservations               *reservations.Manager
 	attemptNumbers             attemptNumbers
 	commandsInFlight           int // direct orders under way
-	// commandingSilent are those of them to workers that have not been heard lately.
+	// silentCommandsInFlight are those of them to workers that have not been heard lately.
 	silentCommandsInFlight int
 	passDueNow             bool // a placement pass is due
 	lastPass               time.Time
@@ -131,18 +131,18 @@
 	lastRound, resumedAt          time.Time
 	termStartedAt                 time.Time // the term, here
 	termUnverified, verifyingTerm bool
-	// finished are jobs that ended here before the watch has told so.
+	// removedJobs are jobs that ended here before the watch has told so.
 	removedJobs map[string]bool
 	// endedJobs are jobs that are over while attempts of them may still run.
 	endedJobs map[string]*endedJob
 	gangWaits map[string]*gangWaitStats // by class
-	// waits is what the jobs that wait for others wait for.
+	// dependencies is what the jobs that wait for others wait for.
 	dependencies dependencyTracker
-	// kept is, by class, how long tasks ran lately against what was expected.
+	// runtimeRatios is, by class, how long tasks ran lately against what was expected.
 	runtimeRatios map[string]float64
 	// arrivals counts the jobs of each class, older ones for less.
 	arrivals map[string]float64
-	// rates are the tasks of each class placed a second, of late.
+	// placementRates are the tasks of each class placed a second, of late.
 	placementRates placementRates
 }
 
@@ -153,8 +153,10 @@
 		deps: d, grant: g, lease: config.Seconds(w.LeaseS),
 		events: make(chan func(), 256), done: make(chan struct{}),
 		jobs: make(map[string]*jobState), machines: make(map[string]*machine), teams: d.Settings.Params.Teams,
-		reservations: reservations.NewManager(reservations.Options{Enabled: d.Operator.Holds.Enabled, Alpha: d.Operator.Holds.Alpha,
-			P: d.Operator.Holds.P, Threshold: d.Operator.Holds.Threshold}),
+		reservations: reservations.NewManager(reservations.Options{
+			Enabled: d.Operator.Holds.Enabled, Alpha: d.Operator.Holds.Alpha,
+			P: d.Operator.Holds.P, Threshold: d.Operator.Holds.Threshold,
+		}),
 		certaintyWindow: certaintyWindow(w),
 		attemptNumbers:  attemptNumbers{term: g.Term},
 		removedJobs:     make(map[string]bool),
@@ -175,7 +177,7 @@
 	return l
 }
 
-// certaintyOf is for how long after the last moment W up to which all cancellations
+// certaintyWindow is for how long after the last moment W up to which all cancellations
 // are known workers may be answered. A job whose user was told at C was recorded
 // after W, so C ≥ W. The last report answered 200 is looked at by W + certainty,
 // and its worker counts its lease from when it sent it, which was earlier. So its
@@ -188,7 +190,7 @@
 	return max(cancel-lease-drift-constants.WorkerKillDelay, time.Second)
 }
 
-// do runs f on the leader's routine. It reports false once the term is over.
+// post runs f on the leader's routine. It reports false once the term is over.
 func (l *Leader) post(ctx context.Context, f func()) bool {
 	select {
 	case l.events <- f:
@@ -299,7 +301,7 @@
 	})
 }
 
-// passDue is when the next placement pass may run. A pass that takes long is
+// nextPassAt is when the next placement pass may run. A pass that takes long is
 // followed by a longer pause: reports and records must not wait for passes.
 func (l *Leader) nextPassAt() time.Time {
 	return l.lastPass.Add(min(max(constants.MinPassInterval, constants.PassIntervalFactor*l.lastPassDuration), constants.MaxPassInterval))
@@ -322,22 +324,22 @@
 	return at
 }
 
-// Fleet is how many machines are known.
+// Machines is how many machines are known.
 func (l *Leader) Machines() int { return int(l.fleet.Load()) }
 
-// end stops the term.
+// endTerm stops the term.
 func (l *Leader) endTerm(err error) {
 	if l.termErr == nil {
 		l.termErr = err
 	}
 }
 
-// follow learns of submissions and cancellations.
+// watchJobs learns of submissions and cancellations.
 func (l *Leader) watchJobs(ctx context.Context, epoch uint64) error {
 	block := constants.WatchBlock
 	for ctx.Err() == nil {
 		asked := time.Now()
-		next, log, err := l.deps.Store.Watch(ctx, userapi.OpenPrefix, epoch, block)
+		next, log, err := l.deps.Store.Watch(ctx, jobs.OpenPrefix, epoch, block)
 		// After an outage certainty must come back at once, before workers have
 		// to be sent away: the first watch does not wait for a change.
 		block = constants.WatchBlock
@@ -362,7 +364,7 @@
 			}
 			for _, c := range log {
 				if c.Delete != "" {
-					l.jobRecordDeleted(c.Delete[len(userapi.OpenPrefix):], now)
+					l.jobRecordDeleted(c.Delete[len(jobs.OpenPrefix):], now)
 					continue
 				}
 				l.addJob(c.Put, c.Value, c.Revision, now)
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
+	"thornnotch/internal/autoscaling"
 	"thornnotch/internal/leader/wal"
 	"thornnotch/internal/placement"
-	"thornnotch/internal/provisioning"
 	"thornnotch/internal/workers"
 )
 
@@ -14,7 +14,7 @@
 	agent   *workers.Agent
 	addedAt time.Time
 
-	// metaNoted is set once its type, place and so on are in the log.
+	// metadataLogged is set once its type, place and so on are in the log.
 	metadataLogged bool
 	loggedMetadata wal.Machine // as it was noted last
 
@@ -26,7 +26,7 @@
 	countedUsage []teamUse
 
 	images []image // least recently used first
-	// bad is set once it is taken for faulty. accusers are the jobs that failed
+	// faulty is set once it is taken for faulty. accusers are the jobs that failed
 	// on it of which it is not known yet whether they fail elsewhere too;
 	// pausedUntil is until when it gets no tasks for that.
 	faulty      bool
@@ -34,10 +34,10 @@
 	pausedUntil time.Time
 	pending     *pendingReply
 	leaving     bool // being returned; it gets no more tasks
-	// leavingSafe is set once the record says so, or none exists.
+	// leavingRecorded is set once the record says so, or none exists.
 	leavingRecorded bool
 	idleSince       time.Time
-	// calling is set while a direct order is under way; called is when the
+	// commandInFlight is set while a direct order is under way; called is when the
 	// last one was sent.
 	commandInFlight bool
 	lastCommandAt   time.Time
@@ -46,9 +46,9 @@
 	slowUntil   time.Time
 	slowSignals []time.Time
 	slowCount   int
-	// suspect is set while a start it was sent is missing from its reports.
+	// startOverdue is set while a start it was sent is missing from its reports.
 	startOverdue bool
-	// blind is set while a report is taken in that came after a long silence.
+	// heartbeatGap is set while a report is taken in that came after a long silence.
 	heartbeatGap bool
 }
 
@@ -64,7 +64,7 @@
 	return r
 }
 
-// forget drops a machine that is no more.
+// removeMachine drops a machine that is no more.
 func (l *Leader) removeMachine(r *machine) {
 	delete(l.machines, r.agent.Name)
 	delete(l.metadata.due, r)
@@ -78,17 +78,17 @@
 func (l *Leader) markStale(r *machine) { r.stale = true }
 
 // pool is where the machine was rented from.
-func (r *machine) pool() provisioning.InstancePool {
-	return provisioning.InstancePool{Type: r.agent.Type, Zone: r.agent.Zone, Spot: r.agent.Spot}
+func (r *machine) pool() autoscaling.InstancePool {
+	return autoscaling.InstancePool{Type: r.agent.Type, Zone: r.agent.Zone, Spot: r.agent.Spot}
 }
 
-// open tells whether new tasks may be put on the machine.
+// schedulable tells whether new tasks may be put on the machine.
 func (r *machine) schedulable(now time.Time) bool {
 	return r.agent.Registered && !r.leaving && !r.faulty && !now.Before(r.pausedUntil) && r.agent.ReclaimAt.IsZero() && r.agent.Epoch > r.agent.ExpiredEpoch && !r.slow(now) &&
 		!r.agent.RepliesLost && !r.agent.EpochUnconfirmed && !r.startOverdue
 }
 
-// room is what is free on the machine beside its tasks and holds.
+// freeResources is what is free on the machine beside its tasks and holds.
 func (l *Leader) freeResources(r *machine) placement.Resources {
 	t, ok := l.deps.Catalog().Type(r.agent.Type)
 	if !ok {
@@ -101,7 +101,7 @@
 	return f
 }
 
-// used is what the machine's attempts take.
+// usedResources is what the machine's attempts take.
 func (l *Leader) usedResources(r *machine) (sum placement.Resources) {
 	for _, a := range r.agent.Attempts {
 		if a.Live() {
@@ -111,7 +111,7 @@
 	return sum
 }
 
-// needOf is what an attempt takes. One whose job is gone is remembered by
+// resourcesOf is what an attempt takes. One whose job is gone is remembered by
 // size, as it still occupies its machine.
 func (l *Leader) resourcesOf(a *workers.Attempt) placement.Resources {
 	if j := l.jobs[a.ID.Task.Job]; j != nil {
@@ -123,7 +123,7 @@
 	return placement.Resources{}
 }
 
-// ownerOf is the team that an attempt counts for.
+// teamOf is the team that an attempt counts for.
 func (l *Leader) teamOf(a *workers.Attempt) string {
 	if j := l.jobs[a.ID.Task.Job]; j != nil {
 		return j.spec.Team
@@ -142,7 +142,7 @@
 	attempts int // attempts not proven gone
 }
 
-// shape is the machine as the job rules see it.
+// placementMachine is the machine as the job rules see it.
 func (l *Leader) placementMachine(r *machine) *placement.Machine {
 	return &placement.Machine{Name: r.agent.Name, Type: r.agent.Type, Zone: r.agent.Zone, Spot: r.agent.Spot}
 }
--- a/internal/leader/pace.go
+++ b/internal/leader/pace.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"thornnotch/internal/constants"
-	"thornnotch/internal/userapi"
+	"thornnotch/internal/jobs"
 	"thornnotch/internal/workers"
 )
 
@@ -16,7 +16,7 @@
 // tasks of a machine that is found slow are saved, stopped and started
 // elsewhere, and the machine gets no new ones for a while.
 
-// pace is what a job's finished tasks tell of its run time.
+// runtimeStats is what a job's finished tasks tell of its run time.
 type runtimeStats struct {
 	runs []time.Duration
 	// middle is the middle of runs, as it was reckoned last; zero when that
@@ -47,7 +47,7 @@
 	return p.middle, true
 }
 
-// suspicion is how strongly a task's run time so far speaks against its
+// slowness is how strongly a task's run time so far speaks against its
 // machine: 0 for nothing out of the ordinary, 2 for a clear case.
 func (p *runtimeStats) slowness(ran time.Duration, pieces int) int {
 	typical, ok := p.typical(pieces)
@@ -66,7 +66,7 @@
 // slow tells whether the machine is kept from new tasks for slowness.
 func (r *machine) slow(now time.Time) bool { return now.Before(r.slowUntil) }
 
-// checkPace looks for slow machines and takes their tasks elsewhere.
+// detectStragglers looks for slow machines and takes their tasks elsewhere.
 func (l *Leader) detectStragglers(now time.Time) {
 	for _, r := range l.sortedMachines() {
 		// Of a machine that can't be heard nothing is known: its tasks may be
@@ -84,7 +84,7 @@
 		sum := len(marks)
 		for _, a := range r.agent.Attempts {
 			j := l.jobs[a.ID.Task.Job]
-			if j == nil || j.spec.Kind == userapi.KindGang || a.Status != workers.StatusRunning || a.RunningSince.IsZero() {
+			if j == nil || j.spec.Kind == jobs.KindGang || a.Status != workers.StatusRunning || a.RunningSince.IsZero() {
 				continue
 			}
 			sum += j.runtimes.slowness(r.agent.LastHeartbeat.Sub(a.RunningSince), j.spec.Tasks)
@@ -99,7 +99,7 @@
 		l.deps.Log.Info("machine is slow", "rig", r.agent.Name, "zone", r.agent.Zone, "spared_s", pause.Seconds())
 		for _, a := range r.agent.SortedAttempts() {
 			j := l.jobs[a.ID.Task.Job]
-			if j == nil || j.spec.Kind == userapi.KindGang || a.StopRequested || !a.Live() {
+			if j == nil || j.spec.Kind == jobs.KindGang || a.StopRequested || !a.Live() {
 				continue
 			}
 			// A task that can't save would lose more than it wins.
@@ -113,10 +113,10 @@
 	}
 }
 
-// notePace takes in a finished task.
+// noteStragglerSignal takes in a finished task.
 func (l *Leader) noteStragglerSignal(r *machine, j *jobState, a *workers.Attempt, now time.Time) {
 	// When a task ended on a machine that was not heard meanwhile is not known.
-	if r.heartbeatGap || a.RunningSince.IsZero() || j.spec.Kind == userapi.KindGang || j.fromEarlierTerm || j.restartedTasks[a.ID.Task.Index] {
+	if r.heartbeatGap || a.RunningSince.IsZero() || j.spec.Kind == jobs.KindGang || j.fromEarlierTerm || j.restartedTasks[a.ID.Task.Index] {
 		return
 	}
 	ran := now.Sub(a.RunningSince)
--- a/internal/leader/provisioning.go
+++ b/internal/leader/provisioning.go
@@ -7,17 +7,17 @@
 	"sort"
 	"time"
 
+	"thornnotch/internal/autoscaling"
 	"thornnotch/internal/constants"
+	"thornnotch/internal/jobs"
 	"thornnotch/internal/placement"
-	"thornnotch/internal/provisioning"
-	"thornnotch/internal/userapi"
 )
 
-// provisioningState is what the leader knows of renting.
+// scalingState is what the leader knows of renting.
 type scalingState struct {
 	callInFlight bool
 	requestCount uint64
-	// listed is when the last page of the cloud's list came in; listFrom is where
+	// listedAt is when the last page of the cloud's list came in; listFrom is where
 	// the next page begins while a list is being read, and pagedLast is set if the
 	// last call was for a page.
 	listedAt   time.Time
@@ -25,13 +25,13 @@
 	listedLast bool
 	// booting are machines rented that have not reported yet.
 	booting map[string]booting
-	refused map[provisioning.InstancePool]time.Time
+	refused map[autoscaling.InstancePool]time.Time
 	// unreachableUntil is until when a zone counts as cut off.
 	unreachableUntil map[string]time.Time
 	unplacedJobs     []*placement.Job
-	// returned are machines given back, which lists may still show.
+	// terminated are machines given back, which lists may still show.
 	terminated     map[string]time.Time
-	memory         *provisioning.DemandWindow
+	memory         *autoscaling.DemandWindow
 	recentArrivals []arrival
 	// backoff is the pause after a call that the cloud did not carry out, zero
 	// while it answers; retryAt is when the next call may go out.
@@ -43,27 +43,27 @@
 // arrival is a job that came a short while ago.
 type arrival struct {
 	at     time.Time
-	demand provisioning.Demand
+	demand autoscaling.Demand
 	whole  bool // a gang that whole ordinary machines are kept for
 }
 
 type booting struct {
-	pool  provisioning.InstancePool
+	pool  autoscaling.InstancePool
 	since time.Time
 	noted time.Time // when this term learnt of it
 }
 
 func (m *scalingState) init() {
 	m.booting = make(map[string]booting)
-	m.refused = make(map[provisioning.InstancePool]time.Time)
+	m.refused = make(map[autoscaling.InstancePool]time.Time)
 	m.unreachableUntil = make(map[string]time.Time)
 	m.terminated = make(map[string]time.Time)
-	m.memory = provisioning.NewDemandWindow(constants.DemandWindow)
+	m.memory = autoscaling.NewDemandWindow(constants.DemandWindow)
 }
 
 func (m *scalingState) unmet(jobs []*placement.Job, _ time.Time) { m.unplacedJobs = jobs }
 
-// arrived is called when a machine reports for the first time in this term.
+// machineRegistered is called when a machine reports for the first time in this term.
 func (l *Leader) machineRegistered(r *machine, now time.Time) {
 	if b, ok := l.scaling.booting[r.agent.Name]; ok {
 		l.deps.Log.Info("machine up", "rig", r.agent.Name, "zone", r.agent.Zone, "spot", r.agent.Spot, "after_s", math.Round(now.Sub(b.since).Seconds()))
@@ -72,7 +72,7 @@
 	r.idleSince = now
 }
 
-// provision runs the dealings with the cloud: one call at a time.
+// scale runs the dealings with the cloud: one call at a time.
 func (l *Leader) scale(now time.Time) {
 	m := &l.scaling
 	for _, r := range l.machines {
@@ -120,7 +120,7 @@
 	return max(time.Duration(l.deps.Settings.Params.Cloud.ListLagS*float64(time.Second)), constants.MinListInterval)
 }
 
-// silent is how long nothing has been heard of the machine in this term, while
+// silentFor is how long nothing has been heard of the machine in this term, while
 // the leader itself could hear.
 func (l *Leader) silentFor(r *machine, now time.Time) time.Duration {
 	last := r.addedAt
@@ -187,7 +187,7 @@
 	}
 }
 
-// leave starts the return of a machine: first its record says so, then the
+// beginLeaving starts the return of a machine: first its record says so, then the
 // cloud is told.
 func (l *Leader) beginLeaving(r *machine, why string, now time.Time) {
 	l.deps.Log.Info("machine to be returned", "rig", r.agent.Name, "why", why)
@@ -200,7 +200,7 @@
 	l.passDueNow = true
 }
 
-// returns names the machines to give back now.
+// machinesToReturn names the machines to give back now.
 func (l *Leader) machinesToReturn(now time.Time) (names []string) {
 	for _, r := range l.machines {
 		if !r.leaving || !r.leavingRecorded {
@@ -309,9 +309,9 @@
 	return true
 }
 
-// listed takes in the cloud's list. It lags and may go backwards: what is
+// machinesListed takes in the cloud's list. It lags and may go backwards: what is
 // absent from it proves nothing.
-func (l *Leader) machinesListed(hosts []provisioning.Instance, now time.Time) {
+func (l *Leader) machinesListed(hosts []autoscaling.Instance, now time.Time) {
 	m := &l.scaling
 	for _, h := range hosts {
 		if _, gone := m.terminated[h.Name]; gone {
@@ -335,13 +335,13 @@
 		default:
 			if _, known := m.booting[h.Name]; !known {
 				since := now.Add(-time.Duration(h.AgeS * float64(time.Second)))
-				m.booting[h.Name] = booting{provisioning.InstancePool{Type: h.MachineType, Zone: h.Zone, Spot: h.Spot}, since, now}
+				m.booting[h.Name] = booting{autoscaling.InstancePool{Type: h.MachineType, Zone: h.Zone, Spot: h.Spot}, since, now}
 			}
 		}
 	}
 }
 
-func (l *Leader) rent(req provisioning.RentRequest, pool provisioning.InstancePool, now time.Time) {
+func (l *Leader) rent(req autoscaling.RentRequest, pool autoscaling.InstancePool, now time.Time) {
 	m := &l.scaling
 	m.callInFlight, m.listedLast = true, false
 	m.requestCount++
@@ -352,7 +352,7 @@
 			now := time.Now()
 			m.callInFlight = false
 			switch {
-			case errors.Is(err, provisioning.ErrNoCapacity):
+			case errors.Is(err, autoscaling.ErrNoCapacity):
 				l.cloudFailed("rent", nil, now)
 				m.refused[pool] = now.Add(constants.NoCapacityPause)
 			case l.cloudFailed("rent", err, now):
@@ -372,18 +372,18 @@
 	})
 }
 
-// wanted names the next machines to rent, if any.
-func (l *Leader) nextRental(now time.Time) (provisioning.RentRequest, provisioning.InstancePool, bool) {
+// nextRental names the next machines to rent, if any.
+func (l *Leader) nextRental(now time.Time) (autoscaling.RentRequest, autoscaling.InstancePool, bool) {
 	if l.deps.Catalog() == nil || !l.loaded {
-		return provisioning.RentRequest{}, provisioning.InstancePool{}, false
+		return autoscaling.RentRequest{}, autoscaling.InstancePool{}, false
 	}
-	req, ok := provisioning.ScaleOut(l.scalingView(now), l.deps.Operator.Renting.Spare)
-	return req, provisioning.InstancePool{Type: req.MachineType, Zone: req.Zone, Spot: req.Spot}, ok
+	req, ok := autoscaling.ScaleOut(l.scalingView(now), l.deps.Operator.Renting.Spare)
+	return req, autoscaling.InstancePool{Type: req.MachineType, Zone: req.Zone, Spot: req.Spot}, ok
 }
 
-// provisioningView shows the present state to renting.
-func (l *Leader) scalingView(now time.Time) provisioning.View {
-	v := provisioning.View{Catalog: l.deps.Catalog(), Have: make(map[provisioning.InstancePool]int), Refused: make(map[provisioning.InstancePool]bool)}
+// scalingView shows the present state to renting.
+func (l *Leader) scalingView(now time.Time) autoscaling.View {
+	v := autoscaling.View{Catalog: l.deps.Catalog(), Have: make(map[autoscaling.InstancePool]int), Refused: make(map[autoscaling.InstancePool]bool)}
 	for _, r := range l.machines {
 		// A silent machine is not counted on: it is replaced before it is
 		// given up.
@@ -394,8 +394,8 @@
 	for z, is := range l.unreachableZones(now) {
 		for _, t := range v.Catalog.MachineTypes {
 			if is {
-				v.Refused[provisioning.InstancePool{Type: t.Name, Zone: z}] = true
-				v.Refused[provisioning.InstancePool{Type: t.Name, Zone: z, Spot: true}] = true
+				v.Refused[autoscaling.InstancePool{Type: t.Name, Zone: z}] = true
+				v.Refused[autoscaling.InstancePool{Type: t.Name, Zone: z, Spot: true}] = true
 			}
 		}
 	}
@@ -419,19 +419,21 @@
 		v.Recent = append(v.Recent, n.demand)
 	}
 	for _, t := range l.teams {
-		v.Limits = append(v.Limits, provisioning.TeamLimit{Team: t.Name, Max: placement.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax}})
+		v.Limits = append(v.Limits, autoscaling.TeamLimit{Team: t.Name, Max: placement.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax}})
 	}
 	return v
 }
 
 // demandOf is what so many tasks of a job ask of the market.
-func demandOf(j *jobState, pieces int) provisioning.Demand {
-	return provisioning.Demand{Team: j.spec.Team, Tasks: pieces, TaskResources: placement.TaskResources(j.spec),
+func demandOf(j *jobState, pieces int) autoscaling.Demand {
+	return autoscaling.Demand{
+		Team: j.spec.Team, Tasks: pieces, TaskResources: placement.TaskResources(j.spec),
 		Spot: j.spec.AllowSpot, Types: j.spec.MachineTypes, Zone: j.spec.Zone,
-		SameZone: j.spec.Kind == userapi.KindGang && j.spec.SameZone}
+		SameZone: j.spec.Kind == jobs.KindGang && j.spec.SameZone,
+	}
 }
 
-// giveUpSurplus returns machines that have been idle for a while and that the
+// releaseSurplus returns machines that have been idle for a while and that the
 // demand of the last while would not have needed.
 func (l *Leader) releaseSurplus(now time.Time) {
 	m := &l.scaling
@@ -442,18 +444,18 @@
 	l.detectStragglers(now)
 	l.attributeAllFailures(now)
 	v := l.scalingView(now)
-	want := make(map[string]provisioning.DesiredCapacity)
+	want := make(map[string]autoscaling.DesiredCapacity)
 	for _, t := range v.Catalog.MachineTypes {
-		want[t.Name] = provisioning.DesiredFor(v, t, l.deps.Operator.Renting.Keep)
+		want[t.Name] = autoscaling.DesiredFor(v, t, l.deps.Operator.Renting.Keep)
 	}
 	keep := m.memory.Add(now, want)
-	var idle []provisioning.IdleMachine
+	var idle []autoscaling.IdleMachine
 	for _, r := range l.machines {
 		if r.schedulable(now) && len(r.agent.Attempts) == 0 && len(l.reservations.On(r.agent.Name)) == 0 && now.Sub(r.idleSince) > constants.IdleReturnAfter {
-			idle = append(idle, provisioning.IdleMachine{Name: r.agent.Name, Pool: r.pool(), Images: len(r.images)})
+			idle = append(idle, autoscaling.IdleMachine{Name: r.agent.Name, Pool: r.pool(), Images: len(r.images)})
 		}
 	}
-	for _, name := range provisioning.ScaleIn(v, keep, idle) {
+	for _, name := range autoscaling.ScaleIn(v, keep, idle) {
 		l.beginLeaving(l.machines[name], "idle", now)
 	}
 }
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -46,8 +46,10 @@
 }
 
 func recordHold(h reservations.Hold) wal.Hold {
-	return wal.Hold{Team: h.Pipeline.Team, Class: h.Pipeline.Class, Upstream: h.Upstream, Downstream: h.Downstream, Edge: h.Pipeline.Downstream != "",
-		Priority: h.Priority, Resources: recordRoom(h.Resources), Expires: h.ExpiresAt.UnixMilli()}
+	return wal.Hold{
+		Team: h.Pipeline.Team, Class: h.Pipeline.Class, Upstream: h.Upstream, Downstream: h.Downstream, Edge: h.Pipeline.Downstream != "",
+		Priority: h.Priority, Resources: recordRoom(h.Resources), Expires: h.ExpiresAt.UnixMilli(),
+	}
 }
 
 func recordAttempt(a *workers.Attempt) wal.Attempt {
@@ -59,11 +61,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return &workers.Attempt{ID: workers.AttemptID{Task: task, Number: r.Number}, Epoch: r.Epoch,
-		Committed: true, StartAllowed: true, FromEarlierTerm: true, Sent: true, PlacedAt: now}, nil
+	return &workers.Attempt{
+		ID: workers.AttemptID{Task: task, Number: r.Number}, Epoch: r.Epoch,
+		Committed: true, StartAllowed: true, FromEarlierTerm: true, Sent: true, PlacedAt: now,
+	}, nil
 }
 
-// meta is what is recorded of a machine beside its attempts.
+// machineMetadata is what is recorded of a machine beside its attempts.
 func (l *Leader) machineMetadata(r *machine) wal.Machine {
 	rec := wal.Machine{Type: r.agent.Type, Zone: r.agent.Zone, Spot: r.agent.Spot, Endpoint: r.agent.Endpoint, Epoch: r.agent.Epoch, Leaving: r.leaving}
 	for _, h := range l.reservations.On(r.agent.Name) {
@@ -79,7 +83,7 @@
 	return rec
 }
 
-// record is all that is recorded of a machine.
+// machineRecord is all that is recorded of a machine.
 func (l *Leader) machineRecord(r *machine) wal.Machine {
 	rec := l.machineMetadata(r)
 	for _, a := range r.agent.SortedAttempts() {
@@ -95,7 +99,7 @@
 	return rec
 }
 
-// restore takes in what was recorded of a machine.
+// restoreMachine takes in what was recorded of a machine.
 func (l *Leader) restoreMachine(name string, rec *wal.Machine, now time.Time) error {
 	r := l.machine(name, now)
 	r.metadataLogged = true
@@ -152,7 +156,7 @@
 	j.stale = true
 }
 
-// restoreOld reads the records of the earlier format. A machine's record that
+// restoreLegacy reads the records of the earlier format. A machine's record that
 // can't be read may hide a task that still runs, so it ends the takeover; one
 // of completed tasks can't do harm: its tasks run again.
 func (l *Leader) restoreLegacy(machines, dids []statestore.KeyValue, now time.Time) error {
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -8,7 +8,7 @@
 	"thornnotch/internal/workers"
 )
 
-// waiter is a report that has not been answered yet.
+// pendingReply is a report that has not been answered yet.
 type pendingReply struct {
 	shift   uint64
 	arrived time.Time
@@ -16,7 +16,7 @@
 	reply   chan<- Reply
 }
 
-// observe takes in a report, by whichever way it came.
+// applyHeartbeat takes in a report, by whichever way it came.
 func (l *Leader) applyHeartbeat(r *machine, rep *workers.Heartbeat, direct bool, now time.Time) (fresh bool) {
 	if rep.Token > l.grant.Term {
 		l.endTerm(errDeposed)
@@ -71,7 +71,7 @@
 	Answer workers.CommandBatch
 }
 
-// Hello answers a worker's report. The answer may be kept back for a moment
+// Heartbeat answers a worker's report. The answer may be kept back for a moment
 // so that orders can go with it.
 func (l *Leader) Heartbeat(ctx context.Context, rep *workers.Heartbeat) (Reply, bool) {
 	ch := make(chan Reply, 1)
@@ -139,14 +139,14 @@
 	}
 }
 
-// wake has a waiting report answered, as there are orders for it.
+// wakeReply has a waiting report answered, as there are orders for it.
 func (l *Leader) wakeReply(r *machine) {
 	if r.pending != nil {
 		l.repliesDue = append(l.repliesDue, r)
 	}
 }
 
-// flush answers the reports that have waited long enough or that orders can
+// flushReplies answers the reports that have waited long enough or that orders can
 // go with.
 func (l *Leader) flushReplies(now time.Time) {
 	for _, r := range l.repliesDue {
@@ -162,7 +162,7 @@
 	}
 }
 
-// startsPend tells whether a start waits only for its record: its `run` can go
+// hasUnrecordedStart tells whether a start waits only for its record: its `run` can go
 // into the present answer, and would wait for the worker's next report else.
 func (r *machine) hasUnrecordedStart() bool {
 	for _, a := range r.agent.Attempts {
@@ -173,7 +173,7 @@
 	return false
 }
 
-// answer answers a waiting report if it is time to.
+// replyIfDue answers a waiting report if it is time to.
 func (l *Leader) replyIfDue(r *machine, now time.Time) {
 	w := r.pending
 	if w == nil {
--- a/internal/leader/scheduling.go
+++ b/internal/leader/scheduling.go
@@ -8,12 +8,12 @@
 
 	"thornnotch/internal/config"
 	"thornnotch/internal/constants"
+	"thornnotch/internal/jobs"
 	"thornnotch/internal/placement"
-	"thornnotch/internal/userapi"
 	"thornnotch/internal/workers"
 )
 
-// pass runs placement over the present state and books what it decides.
+// runSchedulingPass runs placement over the present state and books what it decides.
 func (l *Leader) runSchedulingPass(now time.Time) {
 	l.passDueNow = false
 	l.lastPass = now
@@ -22,11 +22,11 @@
 		// world that may be half a minute old.
 		return
 	}
-	w, jobs := l.snapshotForPlacement(now)
+	w, states := l.snapshotForPlacement(now)
 	plan := placement.Schedule(w)
 	for _, s := range plan.Starts {
 		l.machines[s.Machine.Name].stale = true
-		jobs[s.Job.Spec.ID].stale = true
+		states[s.Job.Spec.ID].stale = true
 	}
 	for _, e := range plan.Preemptions {
 		l.machines[e.Machine.Name].stale = true
@@ -40,9 +40,9 @@
 	for _, e := range plan.Preemptions {
 		l.preempt(e, now)
 	}
-	l.startPlanned(plan, jobs, now)
+	l.startPlanned(plan, states, now)
 	for _, s := range plan.Starts {
-		if j := jobs[s.Job.Spec.ID]; j != nil && len(j.attempts) == j.spec.Tasks {
+		if j := states[s.Job.Spec.ID]; j != nil && len(j.attempts) == j.spec.Tasks {
 			j.replacingTask = false
 		}
 	}
@@ -113,7 +113,7 @@
 // hundredth rounds for the log.
 func hundredth(v float64) float64 { return math.Round(v*100) / 100 }
 
-// spare is how many whole ordinary machines ought to be free for the gangs
+// reservedMachines is how many whole ordinary machines ought to be free for the gangs
 // that are to be expected: as many as came lately. Only gangs that can use no
 // others, may stop nobody, and are meant to start soon need any.
 func (l *Leader) reservedMachines(now time.Time) int {
@@ -135,8 +135,8 @@
 }
 
 // wantsWhole tells whether whole machines are kept for jobs like this one.
-func (l *Leader) wantsWhole(spec *userapi.Spec) bool {
-	if spec.Kind != userapi.KindGang || spec.AllowSpot || userapi.Priority(spec.PriorityClass) > userapi.Priority("standard") {
+func (l *Leader) wantsWhole(spec *jobs.Spec) bool {
+	if spec.Kind != jobs.KindGang || spec.AllowSpot || jobs.Priority(spec.PriorityClass) > jobs.Priority("standard") {
 		return false
 	}
 	for _, o := range l.deps.Settings.Params.Objectives {
@@ -147,13 +147,13 @@
 	return false
 }
 
-// ownerUse is what one attempt or hold adds to its team's use.
+// teamUse is what one attempt or hold adds to its team's use.
 type teamUse struct {
 	team      string
 	resources placement.Resources
 }
 
-// count replaces what a machine adds to the teams' use.
+// setTeamUsage replaces what a machine adds to the teams' use.
 func (l *Leader) setTeamUsage(r *machine, uses []teamUse) {
 	for _, u := range r.countedUsage {
 		l.teamUsage[u.team] = l.teamUsage[u.team].Sub(u.resources)
@@ -164,7 +164,7 @@
 	r.countedUsage = uses
 }
 
-// world shows the present state to placement. Machines and jobs that have not
+// snapshotForPlacement shows the present state to placement. Machines and jobs that have not
 // changed are shown as before.
 func (l *Leader) snapshotForPlacement(now time.Time) (*placement.Snapshot, map[string]*jobState) {
 	w := &placement.Snapshot{Now: now, Teams: make(map[string]*placement.Team), StartRate: l.placementRates}
@@ -198,8 +198,10 @@
 	l.addReservationEdges(w)
 	w.ReservedMachines = min(l.reservedMachines(now), int(float64(ordinary)*constants.GangReserveMaxShare))
 	for _, t := range l.teams {
-		w.Teams[t.Name] = &placement.Team{Name: t.Name, Used: l.teamUsage[t.Name],
-			Guarantee: placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs}, Limit: placement.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax}}
+		w.Teams[t.Name] = &placement.Team{
+			Name: t.Name, Used: l.teamUsage[t.Name],
+			Guarantee: placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs}, Limit: placement.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax},
+		}
 	}
 	placement.MarkGuaranteed(all, w.Teams)
 	placement.MarkStarving(all, l.boostedClasses(), now)
@@ -217,7 +219,7 @@
 	return time.Duration(float64(constants.MaxViewAge) * max(1, float64(machines)/constants.ViewAgeBaseMachines))
 }
 
-// showMachine makes a machine's view anew.
+// refreshMachineView makes a machine's view anew.
 func (l *Leader) refreshMachineView(r *machine, now time.Time) {
 	r.stale, r.viewAt = false, now
 	l.counts.Views++
@@ -259,7 +261,7 @@
 	r.view = pr
 }
 
-// show brings a job's view for placement up to date.
+// refreshJobView brings a job's view for placement up to date.
 func (l *Leader) refreshJobView(j *jobState, now time.Time) {
 	v := &j.view
 	v.UpdateSlack(now, l.classShare(j.spec.Class))
@@ -287,7 +289,7 @@
 		}
 		v.Avoid[name] = true
 	}
-	if j.spec.Kind == userapi.KindGang {
+	if j.spec.Kind == jobs.KindGang {
 		// A gang starts as a whole, and not before the last task of an
 		// earlier attempt is proven gone.
 		if len(j.attempts) == 0 {
@@ -327,12 +329,12 @@
 	}
 }
 
-// outlook estimates how long an attempt goes on, and what stopping it throws
+// estimateStopCost estimates how long an attempt goes on, and what stopping it throws
 // away, in seconds of the room that it takes.
 func (l *Leader) estimateStopCost(j *jobState, a *workers.Attempt, now time.Time) (left, loss time.Duration) {
 	expect := time.Duration(j.spec.ExpectedS * float64(time.Second))
 	again := constants.RestartCost
-	if j.spec.Kind == userapi.KindGang {
+	if j.spec.Kind == jobs.KindGang {
 		// The whole gang goes, and finds whole machines again less easily.
 		again *= constants.GangRestartFactor * time.Duration(j.spec.Tasks)
 	}
@@ -352,7 +354,7 @@
 	return left, loss + again
 }
 
-// evict stops a task to make room; a gang goes as a whole.
+// preempt stops a task to make room; a gang goes as a whole.
 func (l *Leader) preempt(e placement.Preemption, now time.Time) {
 	r := l.machines[e.Machine.Name]
 	if r == nil || e.Victim.Job == nil {
@@ -364,7 +366,7 @@
 	}
 	l.deps.Log.Debug("makes room", "piece", workers.TaskID{Job: j.spec.ID, Index: e.Victim.Index}, "rig", r.agent.Name, "for", e.For.Spec.ID)
 	grace := j.spec.SaveS + constants.StopGrace.Seconds()
-	if j.spec.Kind == userapi.KindGang {
+	if j.spec.Kind == jobs.KindGang {
 		l.stopGang(j, grace, now)
 		return
 	}
@@ -376,12 +378,12 @@
 	l.sendStops(r, now)
 }
 
-// place turns the starts of a plan into attempts. Their `run` leaves only once
+// startPlanned turns the starts of a plan into attempts. Their `run` leaves only once
 // the machines' records with them stand.
-func (l *Leader) startPlanned(plan *placement.Plan, jobs map[string]*jobState, now time.Time) {
+func (l *Leader) startPlanned(plan *placement.Plan, states map[string]*jobState, now time.Time) {
 	gangTry := make(map[string]uint64)
 	for _, s := range plan.Starts {
-		j := jobs[s.Job.Spec.ID]
+		j := states[s.Job.Spec.ID]
 		r := l.machines[s.Machine.Name]
 		if j == nil || r == nil {
 			continue
@@ -395,13 +397,15 @@
 				l.endTerm(errAttemptNumbersExhausted)
 				return
 			}
-			if j.spec.Kind == userapi.KindGang {
+			if j.spec.Kind == jobs.KindGang {
 				gangTry[j.spec.ID] = try
 				j.gangAttempt = try
 			}
 		}
-		a := &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: j.spec.ID, Index: s.Index}, Number: try},
-			Epoch: r.agent.Epoch, PlacedAt: now}
+		a := &workers.Attempt{
+			ID:    workers.AttemptID{Task: workers.TaskID{Job: j.spec.ID, Index: s.Index}, Number: try},
+			Epoch: r.agent.Epoch, PlacedAt: now,
+		}
 		r.agent.Attempts[a.ID] = a
 		j.servedAt = now
 		l.placementRates.add(j.spec.Class)
@@ -417,7 +421,7 @@
 	}
 }
 
-// rates are the tasks of each class that are placed a second, older ones counted
+// placementRates are the tasks of each class that are placed a second, older ones counted
 // for less.
 type placementRates map[string]float64
 
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -39,7 +39,7 @@
 	UnwrittenS float64 `json:"unwrittenS"`
 }
 
-// MachineCount counts the machines of one pool.
+// PoolStatus counts the machines of one pool.
 type PoolStatus struct {
 	Type string  `json:"type"`
 	Zone string  `json:"zone"`
@@ -54,7 +54,7 @@
 	Faulty int `json:"faulty"`
 }
 
-// QueueCount counts one team's jobs of one class.
+// QueueStatus counts one team's jobs of one class.
 type QueueStatus struct {
 	Class string `json:"class"`
 	Team  string `json:"team"`
@@ -66,7 +66,7 @@
 	Done    int `json:"tasksDone"`
 }
 
-// TeamUse is what a team uses of its levels, held room included.
+// TeamStatus is what a team uses of its levels, held room included.
 type TeamStatus struct {
 	Team      string  `json:"team"`
 	CPUs      float64 `json:"cpus"`
@@ -79,7 +79,7 @@
 	GPUsLimit float64 `json:"gpusLimit"`
 }
 
-// HoldView is one hold with the time until it lapses.
+// HoldStatus is one hold with the time until it lapses.
 type HoldStatus struct {
 	Machine  string  `json:"rig"`
 	Team     string  `json:"team"`
@@ -106,8 +106,10 @@
 }
 
 func (l *Leader) status(now time.Time) Status {
-	st := Status{Term: l.grant.Term, Booting: len(l.scaling.booting),
-		State: RecordingStatus{Healthy: l.commits.backoff == 0, SureS: now.Sub(l.certainUntil).Seconds(), Backlog: l.commits.log.Backlog()}, Work: l.counts, Waiting: len(l.events)}
+	st := Status{
+		Term: l.grant.Term, Booting: len(l.scaling.booting),
+		State: RecordingStatus{Healthy: l.commits.backoff == 0, SureS: now.Sub(l.certainUntil).Seconds(), Backlog: l.commits.log.Backlog()}, Work: l.counts, Waiting: len(l.events),
+	}
 	if l.commits.log.InFlight() {
 		st.State.UnwrittenS = now.Sub(l.commits.sentAt).Seconds()
 	}
@@ -199,8 +201,10 @@
 	})
 	for _, t := range l.teams {
 		u, h := use[t.Name], held[t.Name]
-		st.Teams = append(st.Teams, TeamStatus{Team: t.Name, CPUs: u.CPUs + h.CPUs, GPUs: u.GPUs + h.GPUs, HeldCPUs: h.CPUs, HeldGPUs: h.GPUs,
-			CPUsOwn: t.CPUs, GPUsOwn: t.GPUs, CPUsLimit: t.CPUsMax, GPUsLimit: t.GPUsMax})
+		st.Teams = append(st.Teams, TeamStatus{
+			Team: t.Name, CPUs: u.CPUs + h.CPUs, GPUs: u.GPUs + h.GPUs, HeldCPUs: h.CPUs, HeldGPUs: h.GPUs,
+			CPUsOwn: t.CPUs, GPUsOwn: t.GPUs, CPUsLimit: t.CPUsMax, GPUsLimit: t.GPUsMax,
+		})
 	}
 	return st
 }
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -8,12 +8,12 @@
 	"time"
 
 	"thornnotch/internal/constants"
+	"thornnotch/internal/jobs"
 	"thornnotch/internal/leader/wal"
 	"thornnotch/internal/statestore"
-	"thornnotch/internal/userapi"
 )
 
-// Takeover tells how far the takeover has come; empty once it is over.
+// FailoverProgress tells how far the takeover has come; empty once it is over.
 func (l *Leader) FailoverProgress() string {
 	if s := l.failoverProgress.Load(); s != nil {
 		return *s
@@ -26,7 +26,7 @@
 	l.failoverProgress.Store(&s)
 }
 
-// followTakeover follows which of the machines that the records name have reported. The
+// trackFailover follows which of the machines that the records name have reported. The
 // takeover is over once all have, or those that have not must have lost their
 // leases.
 func (l *Leader) trackFailover(now time.Time) {
@@ -48,13 +48,13 @@
 	l.setProgress("%d of %d machines heard", heard, all)
 }
 
-// load reads all records of the earlier terms. Reading starts after the term
+// loadRecords reads all records of the earlier terms. Reading starts after the term
 // was raised, so no older leader can change them any more.
 func (l *Leader) loadRecords(ctx context.Context) (epoch uint64, err error) {
 	start := time.Now()
 	l.termStartedAt = start
 	l.setProgress("reading the jobs")
-	open, epoch, err := l.listRecords(ctx, userapi.OpenPrefix)
+	open, epoch, err := l.listRecords(ctx, jobs.OpenPrefix)
 	if err != nil {
 		return 0, err
 	}
@@ -147,7 +147,7 @@
 	l.commits.log.AllowLargeRing(head.Ring > 0 && l.deps.Operator.Log.LargeRing)
 }
 
-// askRings asks, now and then, whether all nodes read the log's large ring, if the
+// checkLargeRingSupport asks, now and then, whether all nodes read the log's large ring, if the
 // fleet has grown so large that it is wanted.
 func (l *Leader) checkLargeRingSupport(now time.Time) {
 	c := &l.commits
@@ -166,7 +166,7 @@
 	})
 }
 
-// readKey reads one record, trying again for as long as the term lasts.
+// getRecord reads one record, trying again for as long as the term lasts.
 func (l *Leader) getRecord(ctx context.Context, key string) (statestore.KeyValue, bool, error) {
 	for {
 		row, found, err := l.deps.Store.Get(ctx, statestore.ClassLease, key)
@@ -178,13 +178,13 @@
 	}
 }
 
-// read lists one kind of record, trying again for as long as the term lasts:
+// listRecords lists one kind of record, trying again for as long as the term lasts:
 // giving the lead up over one failed answer would only start it all anew.
 func (l *Leader) listRecords(ctx context.Context, prefix string) ([]statestore.KeyValue, uint64, error) {
 	for {
 		asked := time.Now()
 		rows, epoch, err := l.deps.Store.List(ctx, statestore.ClassLease, prefix)
-		if prefix == userapi.OpenPrefix {
+		if prefix == jobs.OpenPrefix {
 			l.watchedUntil, l.certainUntil = asked, asked
 		}
 		if err == nil || ctx.Err() != nil {
--- a/internal/leader/wal/checkpoint.go
+++ b/internal/leader/wal/checkpoint.go
@@ -6,7 +6,7 @@
 	"thornnotch/internal/constants"
 )
 
-// Source gives the checkpoint its contents, each as it is when its part is
+// StateSource gives the checkpoint its contents, each as it is when its part is
 // written. It must include whatever may be on machines.
 type StateSource interface {
 	// Machine is a machine's record; ok is false for one that is gone.
--- a/internal/leader/wal/record.go
+++ b/internal/leader/wal/record.go
@@ -96,14 +96,14 @@
 	Epoch  uint64 `json:"h"`
 }
 
-// Job is the owner and size of an attempt's job: the job may be over while a
+// JobUse is the owner and size of an attempt's job: the job may be over while a
 // task of it still stands on a machine and counts.
 type JobUse struct {
 	Team      string    `json:"w"`
 	Resources Resources `json:"r"`
 }
 
-// Room is CPUs, GPUs and memory, in this order.
+// Resources is CPUs, GPUs and memory, in this order.
 type Resources [3]float64
 
 // Hold is room kept for a pipeline.
@@ -138,14 +138,14 @@
 	Images   []Image           `json:"i,omitempty"`
 }
 
-// Change is what one entry says of one machine.
+// MachineChange is what one entry says of one machine.
 type MachineChange struct {
-	// Meta replaces all but the attempts.
+	// Metadata replaces all but the attempts.
 	Metadata *Machine          `json:"m,omitempty"`
 	Placed   []Attempt         `json:"a,omitempty"`
 	Gone     []Attempt         `json:"x,omitempty"` // proven to be off the machine
 	Jobs     map[string]JobUse `json:"j,omitempty"`
-	// Gone: the cloud has taken the machine back.
+	// Removed: the cloud has taken the machine back.
 	Removed bool `json:"g,omitempty"`
 }
 
@@ -166,13 +166,13 @@
 	Done     map[string][]DoneTasks `json:"d,omitempty"`
 }
 
-// Done is a run of a job's completed tasks: bits from task First on.
+// DoneTasks is a run of a job's completed tasks: bits from task First on.
 type DoneTasks struct {
 	First int    `json:"f"`
 	Bits  []byte `json:"b"`
 }
 
-// Row is one key as the state service lists it.
+// KeyValue is one key as the state service lists it.
 type KeyValue struct {
 	Key   string
 	Value json.RawMessage
--- a/internal/leader/wal/ring.go
+++ b/internal/leader/wal/ring.go
@@ -14,11 +14,11 @@
 	return w.Backlog()+added < min(w.head.ring(), h.ring())-constants.LogSlack
 }
 
-// SetLarge says whether entries may stand in the large ring. It is used once the
+// AllowLargeRing says whether entries may stand in the large ring. It is used once the
 // checkpoint is so large that it would have to be written again and again in the other.
 func (w *Writer) AllowLargeRing(allowed bool) { w.large = allowed }
 
-// WantsLarge tells whether the checkpoint is too large for the ring that all versions
+// WantsLargeRing tells whether the checkpoint is too large for the ring that all versions
 // read.
 func (w *Writer) WantsLargeRing() bool {
 	return w.head.Ring == 0 && w.head.Parts > w.largeParts
--- a/internal/leader/wal/writer.go
+++ b/internal/leader/wal/writer.go
@@ -23,11 +23,11 @@
 	PartBytes uint64 `json:"partBytes"`
 }
 
-// Extra is a change of other keys that goes with a transaction.
+// JobWrite is a change of other keys that goes with a transaction.
 type JobWrite struct {
 	When   []statestore.Condition
 	Writes []statestore.Write
-	// Stood is called once the transaction is known to stand; Clash when it
+	// Committed is called once the transaction is known to stand; Clash when it
 	// will never be carried out because of this part, Again when it will not
 	// because of another: this one must be asked for anew.
 	Committed  func(epoch uint64)
@@ -82,15 +82,17 @@
 	check  *checkpoint // advanced by this transaction
 	last   bool        // it completes the checkpoint
 	parts  int
-	// Unsure is set once a try had no answer: it may be carried out yet.
+	// Retried is set once a try had no answer: it may be carried out yet.
 	Retried bool
 }
 
 // NewWriter goes on behind the head that was read, with its revision.
 func NewWriter(term uint64, lim Limits, head Head, stamp uint64) *Writer {
-	return &Writer{term: term, lim: lim, head: head, stamp: stamp,
+	return &Writer{
+		term: term, lim: lim, head: head, stamp: stamp,
 		largeRing: constants.LogLargeRingSize, largeParts: constants.LogRingSize / constants.LargeRingParts,
-		changes: make(map[string]*change), done: make(map[string][]int)}
+		changes: make(map[string]*change), done: make(map[string][]int),
+	}
 }
 
 func (w *Writer) change(machine string) *change {
@@ -103,7 +105,7 @@
 	return c
 }
 
-// Add records that an attempt may be on a machine from now on.
+// AttemptPlaced records that an attempt may be on a machine from now on.
 func (w *Writer) AttemptPlaced(machine string, a Attempt, id string, j JobUse, stood func()) {
 	c := w.change(machine)
 	c.Placed = append(c.Placed, a)
@@ -119,7 +121,7 @@
 	}
 }
 
-// Del records that an attempt is proven to be off its machine.
+// AttemptGone records that an attempt is proven to be off its machine.
 func (w *Writer) AttemptGone(machine string, a Attempt) {
 	c := w.change(machine)
 	for i, b := range c.Placed {
@@ -135,7 +137,7 @@
 	c.Gone = append(c.Gone, a)
 }
 
-// Meta records a machine's other data.
+// MachineChanged records a machine's other data.
 func (w *Writer) MachineChanged(machine string, r Machine, stood func()) {
 	r.Attempts, r.Jobs = nil, nil
 	c := w.change(machine)
@@ -145,14 +147,14 @@
 	}
 }
 
-// Gone records that a machine is no more.
+// MachineRemoved records that a machine is no more.
 func (w *Writer) MachineRemoved(machine string) {
 	c := w.change(machine)
 	c.MachineChange = MachineChange{Removed: true}
 	c.stood, c.addFns = nil, nil
 }
 
-// Done records completed tasks of a job.
+// TasksDone records completed tasks of a job.
 func (w *Writer) TasksDone(job string, tasks []int, stood func()) {
 	if w.done[job] == nil {
 		w.jobs = append(w.jobs, job)
@@ -329,14 +331,14 @@
 	return raw
 }
 
-// Unknown notes that a try of the transaction had no answer.
+// OutcomeUnknown notes that a try of the transaction had no answer.
 func (w *Writer) OutcomeUnknown() {
 	if w.flight != nil {
 		w.flight.Retried = true
 	}
 }
 
-// Stood takes in that the transaction was carried out at this revision.
+// Committed takes in that the transaction was carried out at this revision.
 func (w *Writer) Committed(epoch uint64) {
 	t := w.flight
 	w.flight = nil
@@ -357,13 +359,13 @@
 	}
 }
 
-// Ours tells whether a head that was read is the one of the transaction under
+// WroteHead tells whether a head that was read is the one of the transaction under
 // way, which then was carried out.
 func (w *Writer) WroteHead(h Head) bool {
 	return w.flight != nil && h.Term == w.flight.head.Term && h.Turn == w.flight.head.Turn
 }
 
-// Clashed takes in that the transaction was refused for conditions of its
+// Conflicted takes in that the transaction was refused for conditions of its
 // extras. These never come to hold again, so no copy of it can be carried out
 // later. The rest goes on without the extras.
 func (w *Writer) Conflicted(failed func(key string) bool) {
--- a/internal/node/confirmations.go
+++ b/internal/node/confirmations.go
@@ -5,10 +5,10 @@
 	"sync"
 	"time"
 
-	"thornnotch/internal/confirmations"
+	"thornnotch/internal/attestation"
 )
 
-// Vouch tells another node which cancellations this process has told users of.
+// AttestCancellations tells another node which cancellations this process has told users of.
 func (n *Node) AttestCancellations(span time.Duration) (cancelled []string, ok bool) {
 	u := n.intake.Load()
 	if u == nil {
@@ -17,14 +17,14 @@
 	return u.AttestCancellations(span)
 }
 
-// allVouch asks this node and all others.
+// collectAttestations asks this node and all others.
 func (n *Node) collectAttestations(ctx context.Context, span time.Duration) (cancelled []string, ok bool) {
-	words := make([]confirmations.Attestation, 1+len(n.set.Known))
+	words := make([]attestation.Attestation, 1+len(n.set.Known))
 	var wait sync.WaitGroup
 	for i, k := range n.set.Known {
 		wait.Go(func() { words[1+i].Cancelled, words[1+i].OK = n.peers.AttestCancellations(ctx, k.Label, span) })
 	}
 	words[0].Cancelled, words[0].OK = n.AttestCancellations(span)
 	wait.Wait()
-	return confirmations.Unanimous(words, n.set.Params.Count)
+	return attestation.Unanimous(words, n.set.Params.Count)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -17,12 +17,13 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"thornnotch/internal/autoscaling"
 	"thornnotch/internal/config"
 	"thornnotch/internal/constants"
 	"thornnotch/internal/election"
+	"thornnotch/internal/jobs"
 	"thornnotch/internal/leader"
 	"thornnotch/internal/peers"
-	"thornnotch/internal/provisioning"
 	"thornnotch/internal/statestore"
 	"thornnotch/internal/userapi"
 	"thornnotch/internal/workers"
@@ -51,10 +52,10 @@
 	op      config.Operator
 	log     *slog.Logger
 	store   *statestore.Client
-	cloud   *provisioning.Cloud
+	cloud   *autoscaling.Cloud
 	elector *election.Elector
 	peers   *peers.Peers
-	catalog atomic.Pointer[provisioning.Catalog]
+	catalog atomic.Pointer[autoscaling.Catalog]
 	leading atomic.Pointer[leader.Leader]
 	// helpers are nodes that the state service answers while it does not
 	// answer this one; lonely is set when no other node answers either.
@@ -71,8 +72,10 @@
 
 // New makes a node from its settings.
 func New(set *config.Settings, op config.Operator, network Network, log *slog.Logger) *Node {
-	n := &Node{net: network, set: set, op: op, log: log,
-		sockets: newSockets(set.SocketLimit()), version: buildVersion()}
+	n := &Node{
+		net: network, set: set, op: op, log: log,
+		sockets: newSockets(set.SocketLimit()), version: buildVersion(),
+	}
 	n.store = statestore.New(set.Services.State, statestore.NewBudget(n.share(false)), network.DialContext)
 	n.store.OnRateLimited = func() {
 		if n.limits.refused(time.Now()) {
@@ -80,7 +83,7 @@
 			n.store.Budget.SetShare(n.share(n.leading.Load() != nil))
 		}
 	}
-	n.cloud = provisioning.NewCloud(set.Services.Cloud, set.Params.Cloud.RPS*op.Budgets.Use, network.DialContext)
+	n.cloud = autoscaling.NewCloud(set.Services.Cloud, set.Params.Cloud.RPS*op.Budgets.Use, network.DialContext)
 	n.elector = election.New(set.Label, n.store, log)
 	addrs := make(map[string]string)
 	for _, k := range set.Known {
@@ -113,7 +116,7 @@
 	return max(constants.MinConcurrentSubmits, int(changes*(1+constants.UserRequestTimeout.Seconds())))
 }
 
-// FitMachine keeps the Go runtime within the machine's limits.
+// LimitRuntime keeps the Go runtime within the machine's limits.
 func LimitRuntime(lim config.Limits) {
 	if lim.MemMB > 0 {
 		debug.SetMemoryLimit(int64(lim.MemMB * constants.MemoryShare * (1 << 20)))
@@ -127,7 +130,7 @@
 
 // Run serves until ctx ends.
 func (n *Node) Run(ctx context.Context) error {
-	users, err := userapi.NewServer(n.store, n.set.Params.Teams, n.set.Params.State, n.submitsAtOnce(), func() []userapi.MachineType { return n.catalog.Load().JobMachineTypes() }, n.progress, n.ready, n.log)
+	users, err := userapi.NewServer(n.store, n.set.Params.Teams, n.set.Params.State, n.submitsAtOnce(), func() []jobs.MachineType { return n.catalog.Load().JobMachineTypes() }, n.progress, n.ready, n.log)
 	if err != nil {
 		return err
 	}
@@ -196,7 +199,7 @@
 	return err
 }
 
-// lead runs one term.
+// runTerm runs one term.
 func (n *Node) runTerm(ctx context.Context, g election.Grant) error {
 	set := *n.set
 	set.Params.State = n.limits.within(set.Params.State)
@@ -254,7 +257,7 @@
 	return out
 }
 
-// hello answers workers: the leader gives orders, the others name it.
+// serveHeartbeat answers workers: the leader gives orders, the others name it.
 func (n *Node) serveHeartbeat(w http.ResponseWriter, r *http.Request) {
 	raw, ok := userapi.ReadBody(w, r)
 	if !ok {
@@ -323,7 +326,7 @@
 	if err != nil || !found {
 		return
 	}
-	var cat provisioning.Catalog
+	var cat autoscaling.Catalog
 	if err := json.Unmarshal(row.Value, &cat); err != nil || cat.Validate() != nil {
 		n.log.Error("recorded catalog is unreadable", "err", err)
 		return
@@ -331,7 +334,7 @@
 	n.catalog.Store(&cat)
 }
 
-func (n *Node) recordCatalog(ctx context.Context, cat *provisioning.Catalog) {
+func (n *Node) recordCatalog(ctx context.Context, cat *autoscaling.Catalog) {
 	raw, err := json.Marshal(cat)
 	if err != nil {
 		return
