--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -26,7 +26,7 @@
 	RequestTokens float64 `json:"stateRequestTokens"`
 	WriteTokens   float64 `json:"stateWriteTokens"`
 	CloudTokens   float64 `json:"cloudTokens"`
-	// Taking is how far a takeover by this node has come; empty if none is
+	// Failover is how far a takeover by this node has come; empty if none is
 	// under way.
 	Failover string    `json:"takingOver,omitempty"`
 	Sockets  SocketUse `json:"sockets"`
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -18,7 +18,7 @@
 // ProgressArgs asks how far jobs are.
 type ProgressArgs struct{ Jobs []string }
 
-// Count is how far one job is.
+// TaskCounts is how far one job is.
 type TaskCounts struct{ Done, Running int }
 
 // ProgressReply is the answer. Jobs that this node does not know are left out;
@@ -58,7 +58,7 @@
 
 // FormatsReply is the answer. A version that does not know the question fails it.
 type FormatsReply struct {
-	// LogRing is the largest ring of log entries that it reads (entries).
+	// LogRingSize is the largest ring of log entries that it reads (entries).
 	LogRing uint64
 }
 
@@ -293,7 +293,7 @@
 	return reply.OK, nil
 }
 
-// Vouch asks a node which cancellations it has told users of within a time.
+// AttestCancellations asks a node which cancellations it has told users of within a time.
 func (p *Peers) AttestCancellations(ctx context.Context, label string, span time.Duration) (cancelled []string, ok bool) {
 	reply := new(VouchReply)
 	// Rounded up: never less than was asked for.
--- a/internal/placement/limit.go
+++ b/internal/placement/limit.go
@@ -43,7 +43,7 @@
 	room Resources
 }
 
-// promised adds a promise, or renews it.
+// promise adds a promise, or renews it.
 func (p *pass) promise(j *Job) {
 	p.unpromise(j)
 	p.promises[j.Spec.Team] = append(p.promises[j.Spec.Team], promise{j, TaskResources(j.Spec).Times(len(j.Waiting))})
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -9,11 +9,13 @@
 	"thornnotch/internal/constants"
 )
 
-// Decide runs one pass over the world. It changes the views of machines that
+// Schedule runs one pass over the world. It changes the views of machines that
 // it puts work on or stops work on; these must be made anew for the next pass.
 func Schedule(w *Snapshot) *Plan {
-	p := &pass{Snapshot: w, plan: &Plan{}, ending: make(map[string]Resources), holds: make(map[string][]heldOn), shortOf: make(map[string]bool), inTime: make(map[ownerAt]Resources), promises: make(map[string][]promise),
-		able: make(map[standing]int), outside: make(map[string]bool), bits: make(map[standing]uint64)}
+	p := &pass{
+		Snapshot: w, plan: &Plan{}, ending: make(map[string]Resources), holds: make(map[string][]heldOn), shortOf: make(map[string]bool), inTime: make(map[ownerAt]Resources), promises: make(map[string][]promise),
+		able: make(map[standing]int), outside: make(map[string]bool), bits: make(map[standing]uint64),
+	}
 	var running []*Job // whose tasks may be stopped, each once
 	byName := func(a, b *Machine) int { return strings.Compare(a.Name, b.Name) }
 	if !slices.IsSortedFunc(w.Machines, byName) {
--- a/internal/reservations/book.go
+++ b/internal/reservations/book.go
@@ -37,14 +37,14 @@
 	TaskResources placement.Resources
 }
 
-// Finish is the end of one upstream task.
+// TaskFinish is the end of one upstream task.
 type TaskFinish struct {
 	Job               string
 	Tasks             int       // m
 	UpstreamStartedAt time.Time // when the upstream's first task started
 	Runtime           time.Duration
 	Machine           string
-	// Next are the jobs after this one that still wait to start, the first one to
+	// Downstreams are the jobs after this one that still wait to start, the first one to
 	// be served first: along edges that users name there may be several.
 	Downstreams []Downstream
 	// Fits tells whether the freed room can and may take a task of one.
@@ -64,7 +64,7 @@
 	next  []Downstream
 }
 
-// Book keeps the holds in memory.
+// Manager keeps the holds in memory.
 type Manager struct {
 	opt    Options
 	holds  map[string][]Hold // by machine
@@ -72,12 +72,12 @@
 	counts map[string]int    // holds, by downstream job
 }
 
-// New makes an empty book.
+// NewManager makes an empty book.
 func NewManager(opt Options) *Manager {
 	return &Manager{opt: opt, holds: make(map[string][]Hold), stages: make(map[string]*stage), counts: make(map[string]int)}
 }
 
-// Lapse is D of the paper's section IV: how long after the upstream's start
+// HoldDuration is D of the paper's section IV: how long after the upstream's start
 // its holds last, for a first finisher after tm and n tasks.
 func (o Options) HoldDuration(tm time.Duration, n int) time.Duration {
 	if n < 1 {
@@ -90,7 +90,7 @@
 	return time.Duration(d)
 }
 
-// Finished takes in the end of an upstream task and reports whether its room
+// TaskFinished takes in the end of an upstream task and reports whether its room
 // is now held.
 func (manager *Manager) TaskFinished(f TaskFinish) bool {
 	if !manager.opt.Enabled {
@@ -151,7 +151,7 @@
 	return false
 }
 
-// Freed offers room that came free elsewhere to the stages that hold more
+// OfferFreed offers room that came free elsewhere to the stages that hold more
 // than their own; fits tells whether a task of the job can use it. The highest
 // priority goes first.
 func (manager *Manager) OfferFreed(machine string, fits func(Downstream) bool, now time.Time) bool {
@@ -225,7 +225,7 @@
 	return false
 }
 
-// Override removes holds on a machine, lowest priority first, until the room
+// ReleaseExcess removes holds on a machine, lowest priority first, until the room
 // kept there is no more than fits.
 func (manager *Manager) ReleaseExcess(machine string, fits placement.Resources) (changed bool) {
 	for len(manager.holds[machine]) > 0 {
@@ -257,7 +257,7 @@
 	manager.holds[machine] = hs
 }
 
-// Lapse removes what has expired or whose downstream job no longer waits, and
+// Expire removes what has expired or whose downstream job no longer waits, and
 // names the machines that changed.
 func (manager *Manager) Expire(now time.Time, waits func(job string) bool) (changed []string) {
 	for machine, hs := range manager.holds {
@@ -288,7 +288,7 @@
 	return changed
 }
 
-// Drop forgets the holds of a machine that is leaving.
+// RemoveMachine forgets the holds of a machine that is leaving.
 func (manager *Manager) RemoveMachine(machine string) {
 	for _, h := range manager.holds[machine] {
 		manager.uncount(h)
--- a/internal/standin/cloud.go
+++ b/internal/simulator/cloud.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"context"
@@ -9,16 +9,16 @@
 	"sync"
 	"time"
 
-	"thornnotch/internal/provisioning"
+	"thornnotch/internal/autoscaling"
 )
 
 // Boot starts a machine's worker once it is up; the worker ends with ctx.
-type Boot func(ctx context.Context, h provisioning.Instance)
+type Boot func(ctx context.Context, h autoscaling.Instance)
 
 // Cloud is a cloud that boots machines after their catalog time.
 type Cloud struct {
 	ctx     context.Context
-	catalog provisioning.Catalog
+	catalog autoscaling.Catalog
 	boot    Boot
 	mu      sync.Mutex
 	next    int
@@ -29,14 +29,14 @@
 }
 
 type host struct {
-	provisioning.Instance
+	autoscaling.Instance
 	since time.Time
 	stop  context.CancelFunc
 	end   chan struct{} // closed once nothing of it runs
 }
 
 // NewCloud makes a cloud with room for so many machines.
-func NewCloud(ctx context.Context, catalog provisioning.Catalog, room int, boot Boot) *Cloud {
+func NewCloud(ctx context.Context, catalog autoscaling.Catalog, room int, boot Boot) *Cloud {
 	return &Cloud{ctx: ctx, catalog: catalog, boot: boot, room: room, hosts: make(map[string]*host), hires: make(map[string][]string)}
 }
 
@@ -132,7 +132,7 @@
 		c.mu.Lock()
 		reply(w, http.StatusOK, fields{})
 	case "GET /hosts":
-		machines := []provisioning.Instance{}
+		machines := []autoscaling.Instance{}
 		for _, h := range c.hosts {
 			h.AgeS = time.Since(h.since).Seconds()
 			machines = append(machines, h.Instance)
@@ -145,7 +145,7 @@
 }
 
 func (c *Cloud) rent(w http.ResponseWriter, r *http.Request) {
-	var in provisioning.RentRequest
+	var in autoscaling.RentRequest
 	if json.NewDecoder(r.Body).Decode(&in) != nil || in.ID == "" || in.Count < 1 || in.Count > 50 {
 		reply(w, http.StatusBadRequest, fields{"error": "malformed"})
 		return
@@ -173,11 +173,13 @@
 }
 
 // add makes a machine that is up after a while.
-func (c *Cloud) add(typ provisioning.MachineType, hall string, spot bool, boots time.Duration) string {
+func (c *Cloud) add(typ autoscaling.MachineType, hall string, spot bool, boots time.Duration) string {
 	name := fmt.Sprintf("m-%06d", c.next)
 	ctx, stop := context.WithCancel(c.ctx)
-	h := &host{Instance: provisioning.Instance{Name: name, Endpoint: fmt.Sprintf("127.0.0.1:%d", 21000+c.next), MachineType: typ.Name,
-		Zone: hall, Spot: spot, Status: "starting"}, since: time.Now(), stop: stop, end: make(chan struct{})}
+	h := &host{Instance: autoscaling.Instance{
+		Name: name, Endpoint: fmt.Sprintf("127.0.0.1:%d", 21000+c.next), MachineType: typ.Name,
+		Zone: hall, Spot: spot, Status: "starting",
+	}, since: time.Now(), stop: stop, end: make(chan struct{})}
 	c.next++
 	c.hosts[name] = h
 	go func() {
--- a/internal/standin/state.go
+++ b/internal/simulator/state.go
@@ -1,8 +1,8 @@
-// Package standin holds test doubles of the outside systems, written from
+// Package simulator holds test doubles of the outside systems, written from
 // their protocol: the state service, the cloud, workers, and a network between
 // them. Tests use them, and so does a first run on a laptop. They are simple
 // and honest about it: no disk, no limits on rates, one process.
-package standin
+package simulator
 
 import (
 	"encoding/json"
--- a/internal/statestore/budget.go
+++ b/internal/statestore/budget.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// Drawn is what the calls of one class have drawn so far.
+// Usage is what the calls of one class have drawn so far.
 type Usage struct {
 	Requests, Writes uint64
 	WaitS            float64 // time that they waited for tokens
@@ -77,7 +77,7 @@
 	drawn    [len(Classes)]Usage
 }
 
-// Drawn tells what the calls of a class have drawn so far.
+// Usage tells what the calls of a class have drawn so far.
 func (b *Budget) Usage(c Class) Usage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -151,7 +151,7 @@
 	return true
 }
 
-// Left tells the tokens now in both buckets.
+// Available tells the tokens now in both buckets.
 func (b *Budget) Available() (requests, writes float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -23,26 +23,26 @@
 var (
 	// ErrUnavailable: the request was not executed (503 or 429).
 	ErrUnavailable = errors.New("state service unavailable")
-	// ErrUnknown: no usable answer; the request may have been, or may yet
+	// ErrOutcomeUnknown: no usable answer; the request may have been, or may yet
 	// be, executed.
 	ErrOutcomeUnknown = errors.New("state service gave no answer")
-	// ErrRefused: the request is not one that the service takes (400), and was not
+	// ErrRejected: the request is not one that the service takes (400), and was not
 	// executed: it is larger than the limits allow now.
 	ErrRejected = errors.New("state service refuses the request")
-	// ErrNoLease: the lease has ended.
+	// ErrLeaseExpired: the lease has ended.
 	ErrLeaseExpired = errors.New("no such lease")
 	// ErrCompacted: the watch's start is too old; the keys must be read again.
 	ErrCompacted = errors.New("watch start too old")
 )
 
-// Row is one key with its value and the revision of its last change.
+// KeyValue is one key with its value and the revision of its last change.
 type KeyValue struct {
 	Key      string          `json:"k"`
 	Value    json.RawMessage `json:"v"`
 	Revision uint64          `json:"stamp"`
 }
 
-// Cond demands that a key has this revision; 0 means that it does not exist.
+// Condition demands that a key has this revision; 0 means that it does not exist.
 type Condition struct {
 	Key      string `json:"k"`
 	Revision uint64 `json:"stamp"`
@@ -64,12 +64,12 @@
 	Revision uint64          `json:"stamp"`
 }
 
-// Conflict reports the conditions that did not hold. Nothing was written.
+// ConflictError reports the conditions that did not hold. Nothing was written.
 type ConflictError struct{ Failed []string }
 
 func (c *ConflictError) Error() string { return fmt.Sprintf("conflict on %v", c.Failed) }
 
-// Has tells whether the condition on key failed.
+// HasKey tells whether the condition on key failed.
 func (c *ConflictError) HasKey(key string) bool {
 	for _, k := range c.Failed {
 		if k == key {
@@ -87,9 +87,9 @@
 	http, lease *http.Client
 	Budget      *Budget
 	health      health
-	// patience bounds transactions.
+	// txnTimeout bounds transactions.
 	txnTimeout txnTimeout
-	// Limited, if set, is called with each refusal for too many calls.
+	// OnRateLimited, if set, is called with each refusal for too many calls.
 	OnRateLimited func()
 }
 
@@ -112,7 +112,7 @@
 	}
 }
 
-// patience is how long a transaction may take. It can be sent again, so a lost answer
+// txnTimeout is how long a transaction may take. It can be sent again, so a lost answer
 // should not be waited for long; but if the service is slow throughout, whoever never
 // waits longer hears no answer at all.
 type txnTimeout struct {
@@ -138,14 +138,14 @@
 	p.wait = min(max(p.wait/2, constants.TxnTimeoutFactor*after), constants.StateTimeout)
 }
 
-// Answers tells when the service last answered this node usefully.
+// LastSuccess tells when the service last answered this node usefully.
 func (c *Client) LastSuccess() time.Time {
 	c.health.mu.Lock()
 	defer c.health.mu.Unlock()
 	return c.health.answers
 }
 
-// Failing tells for how long the service has not answered this node usefully;
+// FailingFor tells for how long the service has not answered this node usefully;
 // 0 while it does.
 func (c *Client) FailingFor() time.Duration {
 	c.health.mu.Lock()
@@ -283,7 +283,7 @@
 	}
 }
 
-// Multi runs a transaction. A *Conflict means that conditions failed and
+// Txn runs a transaction. A *Conflict means that conditions failed and
 // nothing was written; ErrUnknown that it may or may not have been.
 func (c *Client) Txn(ctx context.Context, class Class, when []Condition, writes []Write) (revision uint64, err error) {
 	if err := c.Budget.Take(ctx, class, len(writes)); err != nil {
@@ -331,7 +331,7 @@
 	return 0, unexpected(http.MethodPost, "/multi", status, raw)
 }
 
-// Acquire makes a lease.
+// GrantLease makes a lease.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (tenure uint64, err error) {
 	if err := c.Budget.Take(ctx, ClassLease, 0); err != nil {
 		return 0, fmt.Errorf("lease: %w: %w", ErrUnavailable, err)
@@ -352,7 +352,7 @@
 	return out.Tenure, nil
 }
 
-// Renew keeps a lease alive; ErrNoLease means that it has ended.
+// RenewLease keeps a lease alive; ErrNoLease means that it has ended.
 func (c *Client) RenewLease(ctx context.Context, tenure uint64) error {
 	if err := c.Budget.Take(ctx, ClassLease, 0); err != nil {
 		return fmt.Errorf("renew: %w: %w", ErrUnavailable, err)
@@ -370,14 +370,14 @@
 	return unexpected(http.MethodPost, path, status, raw)
 }
 
-// Release ends a lease at once, as on an orderly shutdown.
+// RevokeLease ends a lease at once, as on an orderly shutdown.
 func (c *Client) RevokeLease(ctx context.Context, tenure uint64) error {
 	path := fmt.Sprintf("/holds/%d", tenure)
 	_, _, err := c.call(ctx, ClassLease, constants.StateTimeout, http.MethodDelete, path, nil, nil)
 	return err
 }
 
-// Follow waits until a key below prefix has changed after revision from, or
+// Watch waits until a key below prefix has changed after revision from, or
 // until block has passed.
 func (c *Client) Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (revision uint64, changes []Change, err error) {
 	if err := c.Budget.Take(ctx, ClassLease, 0); err != nil {
--- a/internal/seeded/seeded.go
+++ b/internal/testseed/seeded.go
@@ -1,6 +1,6 @@
-// Package seeded runs a package's generated tests with a fixed seed, so that
+// Package testseed runs a package's generated tests with a fixed seed, so that
 // they say the same every time.
-package seeded
+package testseed
 
 import (
 	"flag"
--- a/internal/userapi/dependencies.go
+++ b/internal/userapi/dependencies.go
@@ -10,6 +10,7 @@
 	"strconv"
 
 	"thornnotch/internal/constants"
+	"thornnotch/internal/jobs"
 	"thornnotch/internal/statestore"
 )
 
@@ -23,12 +24,12 @@
 
 // putParts writes the values of a long list, ahead of the record that names them.
 // What is left of a submission that comes no further is never looked at.
-func (s *Server) putParts(ctx context.Context, id string, n Dependencies, parts []json.RawMessage) error {
+func (s *Server) putParts(ctx context.Context, id string, n jobs.Dependencies, parts []json.RawMessage) error {
 	for at := 0; at < len(parts); {
 		var writes []statestore.Write
 		size := 0
 		for len(writes) < s.ops && at < len(parts) && (size == 0 || size+len(parts[at]) <= constants.TxnBytes) {
-			writes = append(writes, statestore.Write{Put: n.Split.key(id, at), Value: parts[at]})
+			writes = append(writes, statestore.Write{Put: n.Split.PartKey(id, at), Value: parts[at]})
 			size += len(parts[at])
 			at++
 		}
@@ -54,7 +55,7 @@
 		ask = ask[len(batch):]
 		var when []statestore.Condition
 		for _, id := range batch {
-			when = append(when, statestore.Condition{Key: OpenPrefix + id}, statestore.Condition{Key: FinalPrefix + id})
+			when = append(when, statestore.Condition{Key: jobs.OpenPrefix + id}, statestore.Condition{Key: jobs.FinalPrefix + id})
 		}
 		_, err := s.multi(ctx, statestore.ClassSubmit, when, nil)
 		var conflict *statestore.ConflictError
@@ -65,10 +66,10 @@
 			return "", err
 		}
 		for _, id := range batch {
-			if conflict.HasKey(OpenPrefix+id) || conflict.HasKey(FinalPrefix+id) {
+			if conflict.HasKey(jobs.OpenPrefix+id) || conflict.HasKey(jobs.FinalPrefix+id) {
 				continue
 			}
-			_, found, err := s.store.Get(ctx, statestore.ClassSubmit, OpenPrefix+id)
+			_, found, err := s.store.Get(ctx, statestore.ClassSubmit, jobs.OpenPrefix+id)
 			if err == nil && !found {
 				_, found, err = s.lookFinal(ctx, id, statestore.ClassSubmit)
 			}
@@ -96,7 +97,7 @@
 		}
 		seen[id] = true
 		if f, ok := s.finals.Get(id); ok {
-			if f.Status == StatusCancelled {
+			if f.Status == jobs.StatusCancelled {
 				return true, nil
 			}
 			continue
@@ -110,7 +111,7 @@
 			if !found {
 				return false, fmt.Errorf("%s is neither open nor final as known here", id)
 			}
-			if st.Status == StatusCancelled {
+			if st.Status == jobs.StatusCancelled {
 				return true, nil
 			}
 			continue
@@ -125,7 +126,7 @@
 }
 
 // whole reads the rest of a list that stands in several values, once.
-func (s *Server) whole(ctx context.Context, id string, n Dependencies, class statestore.Class) ([]string, error) {
+func (s *Server) whole(ctx context.Context, id string, n jobs.Dependencies, class statestore.Class) ([]string, error) {
 	if n.Split == nil {
 		return n.DependsOn, nil
 	}
@@ -140,7 +141,7 @@
 // brought up to a moment after the question: what is open in it then was not
 // cancelled, and what is not open has a final record, which never changes.
 func (s *Server) waits(ctx context.Context, id string, row statestore.KeyValue, class statestore.Class) (cancelled bool, err error) {
-	needs := DependenciesOf(row.Value)
+	needs := jobs.DependenciesOf(row.Value)
 	if needs.Empty() {
 		return false, nil
 	}
@@ -155,7 +156,7 @@
 
 // cancelledBefore tells the same for a mirror that has been brought up to a moment
 // after the question, and notes a job that nothing is before any more.
-func (s *Server) cancelledBefore(ctx context.Context, id string, needs Dependencies, class statestore.Class) (cancelled bool, err error) {
+func (s *Server) cancelledBefore(ctx context.Context, id string, needs jobs.Dependencies, class statestore.Class) (cancelled bool, err error) {
 	list, err := s.whole(ctx, id, needs, class)
 	if err != nil {
 		return false, err
@@ -165,11 +166,11 @@
 	case err != nil:
 		return false, err
 	case cancelled:
-		s.settle(id, FinalRecord{Status: StatusCancelled})
+		s.settle(id, jobs.FinalRecord{Status: jobs.StatusCancelled})
 		return true, nil
 	}
 	for _, n := range list {
-		if f, ok := s.finals.Get(n); !ok || f.Status != StatusDone {
+		if f, ok := s.finals.Get(n); !ok || f.Status != jobs.StatusDone {
 			return false, nil
 		}
 	}
@@ -201,7 +202,7 @@
 		case err != nil:
 			a.answer <- answer{err: err}
 		case cancelled:
-			a.answer <- answer{finalState(a.id, FinalRecord{Status: StatusCancelled}), true, nil}
+			a.answer <- answer{finalState(a.id, jobs.FinalRecord{Status: jobs.StatusCancelled}), true, nil}
 		default:
 			open[a.id] = o.stamp
 			tell = append(tell, a)
@@ -216,7 +217,7 @@
 
 // malformed answers a submission that can't be read.
 func malformed(w http.ResponseWriter, err error) {
-	var fe *FieldError
+	var fe *jobs.FieldError
 	if errors.As(err, &fe) {
 		WriteJSON(w, http.StatusBadRequest, problem{fe.Problem, fe.Field})
 		return
--- a/internal/userapi/mirror.go
+++ b/internal/userapi/mirror.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"thornnotch/internal/constants"
+	"thornnotch/internal/jobs"
 	"thornnotch/internal/statestore"
 )
 
@@ -24,7 +25,7 @@
 // opened is what is kept of one open job.
 type opened struct {
 	stamp uint64
-	needs Dependencies
+	needs jobs.Dependencies
 }
 
 func newMirror() *mirror { return &mirror{open: make(map[string]opened)} }
@@ -43,7 +44,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if o, ok := m.open[id]; ok {
-		o.needs = Dependencies{}
+		o.needs = jobs.Dependencies{}
 		m.open[id] = o
 	}
 }
@@ -53,12 +54,12 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if o, ok := m.open[id]; ok {
-		o.needs = Dependencies{DependsOn: list}
+		o.needs = jobs.Dependencies{DependsOn: list}
 		m.open[id] = o
 	}
 }
 
-func (m *mirror) learn(id string, stamp uint64, needs Dependencies) {
+func (m *mirror) learn(id string, stamp uint64, needs jobs.Dependencies) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if o, ok := m.open[id]; ok && o.stamp == stamp {
@@ -85,7 +86,7 @@
 	defer m.mu.Unlock()
 	m.open = make(map[string]opened, len(rows))
 	for _, r := range rows {
-		m.open[r.Key[len(OpenPrefix):]] = opened{r.Revision, DependenciesOf(r.Value)}
+		m.open[r.Key[len(jobs.OpenPrefix):]] = opened{r.Revision, jobs.DependenciesOf(r.Value)}
 	}
 	m.epoch = epoch
 }
@@ -110,11 +111,11 @@
 		switch {
 		case c.Revision <= m.epoch:
 		case c.Delete != "":
-			delete(m.open, c.Delete[len(OpenPrefix):])
+			delete(m.open, c.Delete[len(jobs.OpenPrefix):])
 		default:
-			id := c.Put[len(OpenPrefix):]
+			id := c.Put[len(jobs.OpenPrefix):]
 			if o, ok := m.open[id]; !ok || o.stamp != c.Revision {
-				m.open[id] = opened{c.Revision, DependenciesOf(c.Value)}
+				m.open[id] = opened{c.Revision, jobs.DependenciesOf(c.Value)}
 			}
 		}
 	}
@@ -132,7 +133,7 @@
 // Mirror keeps the mirror near the truth until ctx ends.
 func (s *Server) Mirror(ctx context.Context) error {
 	for ctx.Err() == nil {
-		rows, epoch, err := s.store.List(ctx, statestore.ClassPoll, OpenPrefix)
+		rows, epoch, err := s.store.List(ctx, statestore.ClassPoll, jobs.OpenPrefix)
 		if err != nil {
 			sleep(ctx, constants.MirrorInterval)
 			continue
@@ -142,7 +143,7 @@
 		for ctx.Err() == nil {
 			sleep(ctx, constants.MirrorInterval)
 			from := s.mirror.at()
-			next, log, err := s.store.Watch(ctx, OpenPrefix, from, constants.MirrorBlock)
+			next, log, err := s.store.Watch(ctx, jobs.OpenPrefix, from, constants.MirrorBlock)
 			if errors.Is(err, statestore.ErrCompacted) {
 				break // what was missed is read anew
 			}
@@ -167,7 +168,7 @@
 	if from == 0 {
 		return errNoMirror
 	}
-	next, log, err := s.store.Watch(ctx, OpenPrefix, from, 0)
+	next, log, err := s.store.Watch(ctx, jobs.OpenPrefix, from, 0)
 	if err != nil {
 		return err
 	}
--- a/internal/userapi/poll.go
+++ b/internal/userapi/poll.go
@@ -11,6 +11,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"thornnotch/internal/constants"
+	"thornnotch/internal/jobs"
 	"thornnotch/internal/statestore"
 )
 
@@ -158,10 +159,10 @@
 			waiting = append(waiting, a)
 			continue
 		}
-		conds := []statestore.Condition{{Key: OpenPrefix + a.id, Revision: o.stamp}}
+		conds := []statestore.Condition{{Key: jobs.OpenPrefix + a.id, Revision: o.stamp}}
 		if o.stamp == 0 {
 			// Neither open nor final at one moment: nobody's job.
-			conds = append(conds, statestore.Condition{Key: FinalPrefix + a.id})
+			conds = append(conds, statestore.Condition{Key: jobs.FinalPrefix + a.id})
 		}
 		if len(c.when)+len(conds) > max(s.conds, len(conds)) {
 			later = append(later, a)
@@ -214,7 +215,7 @@
 		failed[key] = true
 	}
 	for _, a := range c.polls {
-		if failed[OpenPrefix+a.id] || failed[FinalPrefix+a.id] {
+		if failed[jobs.OpenPrefix+a.id] || failed[jobs.FinalPrefix+a.id] {
 			clashed = append(clashed, a)
 		} else {
 			others = append(others, a)
--- a/internal/userapi/server.go
+++ b/internal/userapi/server.go
@@ -13,9 +13,10 @@
 
 	lru "github.com/hashicorp/golang-lru/v2"
 
+	"thornnotch/internal/attestation"
 	"thornnotch/internal/config"
-	"thornnotch/internal/confirmations"
 	"thornnotch/internal/constants"
+	"thornnotch/internal/jobs"
 	"thornnotch/internal/statestore"
 )
 
@@ -27,7 +28,7 @@
 	Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (uint64, []statestore.Change, error)
 }
 
-// Tasks counts a job's tasks, for display only.
+// TaskCounts counts a job's tasks, for display only.
 type TaskCounts struct{ Done, Running int }
 
 // Progress tells how far these open jobs are; those not known are left out.
@@ -38,13 +39,13 @@
 type Server struct {
 	store    Store
 	teams    []config.Team
-	catalog  func() []MachineType
+	catalog  func() []jobs.MachineType
 	progress Progress
 	ready    func() bool
 	log      *slog.Logger
-	finals   *lru.Cache[string, FinalRecord]
+	finals   *lru.Cache[string, jobs.FinalRecord]
 	// cancelled is what this process can vouch for.
-	cancelled *confirmations.CancellationLog
+	cancelled *attestation.CancellationLog
 	mirror    *mirror
 	asks      chan ask
 	conds     int // conditions that one transaction takes
@@ -61,15 +62,17 @@
 
 // NewServer makes the users' interface. submits is how many submissions it takes
 // at once.
-func NewServer(store Store, teams []config.Team, state config.State, submits int, catalog func() []MachineType, progress Progress, ready func() bool, log *slog.Logger) (*Server, error) {
-	finals, err := lru.New[string, FinalRecord](constants.FinalCache)
+func NewServer(store Store, teams []config.Team, state config.State, submits int, catalog func() []jobs.MachineType, progress Progress, ready func() bool, log *slog.Logger) (*Server, error) {
+	finals, err := lru.New[string, jobs.FinalRecord](constants.FinalCache)
 	if err != nil {
 		return nil, err
 	}
-	return &Server{store: store, teams: teams, catalog: catalog, progress: progress, ready: ready, log: log, finals: finals, cancelled: confirmations.NewCancellationLog(vouchesKept(state.WriteRPS), time.Now()),
+	return &Server{
+		store: store, teams: teams, catalog: catalog, progress: progress, ready: ready, log: log, finals: finals, cancelled: attestation.NewCancellationLog(vouchesKept(state.WriteRPS), time.Now()),
 		mirror: newMirror(), asks: make(chan ask, constants.PollQueue), conds: constants.CondsPerOp * max(state.TxnOps, 1),
 		ops: max(state.TxnOps, 1), valueBytes: int(state.ValueKB * 1024),
-		submits: make(chan struct{}, max(submits, 1))}, nil
+		submits: make(chan struct{}, max(submits, 1)),
+	}, nil
 }
 
 // Register adds the users' endpoints.
@@ -80,7 +83,7 @@
 	mux.HandleFunc("GET /ready", s.readiness)
 }
 
-// State is a job as users are told of it.
+// JobStatus is a job as users are told of it.
 type JobStatus struct {
 	ID      string `json:"nameId"`
 	Status  string `json:"status"`
@@ -146,7 +149,7 @@
 		later(w, "too many submissions at once")
 		return
 	}
-	j, err := DecodeSpec(raw)
+	j, err := jobs.DecodeSpec(raw)
 	if err != nil {
 		s.log.Debug("malformed submission", "err", err)
 		malformed(w, err)
@@ -159,7 +162,7 @@
 		later(w, "the machine types are not known yet")
 		return
 	}
-	if err := CanRun(j, s.teams, cat); err != nil {
+	if err := jobs.CanRun(j, s.teams, cat); err != nil {
 		// A job accepted under an older catalog stays accepted.
 		st, found, lookErr := s.look(ctx, j.ID, statestore.ClassSubmit)
 		switch {
@@ -196,32 +199,32 @@
 		// one cancelled in any case.
 		cancelled, _ = s.before(ctx, j.DependsOn, statestore.ClassSubmit)
 	}
-	value, parts, err := packRecord(*j, time.Now().UnixMilli(), s.valueBytes, s.upload())
+	value, parts, err := jobs.PackRecord(*j, time.Now().UnixMilli(), s.valueBytes, s.upload())
 	if err != nil {
 		WriteJSON(w, http.StatusBadRequest, problem{Error: err.Error()})
 		return
 	}
-	write := statestore.Write{Put: OpenPrefix + j.ID, Value: value}
+	write := statestore.Write{Put: jobs.OpenPrefix + j.ID, Value: value}
 	if cancelled {
-		raw, _ := json.Marshal(FinalRecord{Status: StatusCancelled}) // plain fields always encode
-		write, parts = statestore.Write{Put: FinalPrefix + j.ID, Value: raw}, nil
+		raw, _ := json.Marshal(jobs.FinalRecord{Status: jobs.StatusCancelled}) // plain fields always encode
+		write, parts = statestore.Write{Put: jobs.FinalPrefix + j.ID, Value: raw}, nil
 	}
-	if err := s.putParts(ctx, j.ID, DependenciesOf(value), parts); err != nil {
+	if err := s.putParts(ctx, j.ID, jobs.DependenciesOf(value), parts); err != nil {
 		later(w, "the job can't be recorded now")
 		return
 	}
 	epoch, err := s.multi(ctx, statestore.ClassSubmit,
-		[]statestore.Condition{{Key: OpenPrefix + j.ID}, {Key: FinalPrefix + j.ID}}, []statestore.Write{write})
+		[]statestore.Condition{{Key: jobs.OpenPrefix + j.ID}, {Key: jobs.FinalPrefix + j.ID}}, []statestore.Write{write})
 	var conflict *statestore.ConflictError
 	switch {
 	case err == nil:
 		if cancelled {
-			s.settle(j.ID, FinalRecord{Status: StatusCancelled})
-			WriteJSON(w, http.StatusCreated, JobStatus{ID: j.ID, Status: StatusCancelled})
+			s.settle(j.ID, jobs.FinalRecord{Status: jobs.StatusCancelled})
+			WriteJSON(w, http.StatusCreated, JobStatus{ID: j.ID, Status: jobs.StatusCancelled})
 			return
 		}
-		s.mirror.learn(j.ID, epoch, DependenciesOf(value))
-		WriteJSON(w, http.StatusCreated, JobStatus{ID: j.ID, Status: StatusPending})
+		s.mirror.learn(j.ID, epoch, jobs.DependenciesOf(value))
+		WriteJSON(w, http.StatusCreated, JobStatus{ID: j.ID, Status: jobs.StatusPending})
 	case errors.As(err, &conflict):
 		st, found, err := s.look(ctx, j.ID, statestore.ClassSubmit)
 		if err != nil || !found {
@@ -256,16 +259,16 @@
 		return finalState(id, f), true, nil
 	}
 	known := s.mirror.known(id)
-	row, found, err := s.store.Get(ctx, class, OpenPrefix+id)
+	row, found, err := s.store.Get(ctx, class, jobs.OpenPrefix+id)
 	if err != nil {
 		return JobStatus{}, false, err
 	}
 	if found {
-		s.mirror.learn(id, row.Revision, DependenciesOf(row.Value))
+		s.mirror.learn(id, row.Revision, jobs.DependenciesOf(row.Value))
 		if off, err := s.waits(ctx, id, row, class); err != nil {
 			return JobStatus{}, false, err
 		} else if off {
-			return finalState(id, FinalRecord{Status: StatusCancelled}), true, nil
+			return finalState(id, jobs.FinalRecord{Status: jobs.StatusCancelled}), true, nil
 		}
 		var tasks map[string]TaskCounts
 		if s.progress != nil {
@@ -281,19 +284,19 @@
 
 // openState is a job that is neither done nor cancelled.
 func openState(id string, t TaskCounts) JobStatus {
-	st := JobStatus{ID: id, Status: StatusPending, Done: &t.Done, Running: &t.Running}
+	st := JobStatus{ID: id, Status: jobs.StatusPending, Done: &t.Done, Running: &t.Running}
 	if t.Running > 0 {
-		st.Status = StatusRunning
+		st.Status = jobs.StatusRunning
 	}
 	return st
 }
 
 func (s *Server) lookFinal(ctx context.Context, id string, class statestore.Class) (JobStatus, bool, error) {
-	row, found, err := s.store.Get(ctx, class, FinalPrefix+id)
+	row, found, err := s.store.Get(ctx, class, jobs.FinalPrefix+id)
 	if err != nil || !found {
 		return JobStatus{}, false, err
 	}
-	var f FinalRecord
+	var f jobs.FinalRecord
 	if err := json.Unmarshal(row.Value, &f); err != nil {
 		return JobStatus{}, false, err
 	}
@@ -303,22 +306,22 @@
 
 // settle remembers a job's final state. Whatever tells a user of it comes after:
 // this process vouches for what it has told.
-func (s *Server) settle(id string, f FinalRecord) {
-	if f.Status == StatusCancelled {
+func (s *Server) settle(id string, f jobs.FinalRecord) {
+	if f.Status == jobs.StatusCancelled {
 		s.cancelled.Add(id, time.Now())
 	}
 	s.finals.Add(id, f)
 }
 
-// Vouch names the jobs that this process has told users, within so long a time,
+// AttestCancellations names the jobs that this process has told users, within so long a time,
 // are cancelled, and maybe some more that are. It reports false when it can't say.
 func (s *Server) AttestCancellations(span time.Duration) (ids []string, ok bool) {
 	return s.cancelled.Since(span, time.Now())
 }
 
-func finalState(id string, f FinalRecord) JobStatus {
+func finalState(id string, f jobs.FinalRecord) JobStatus {
 	done, running := 0, 0
-	if f.Status == StatusDone {
+	if f.Status == jobs.StatusDone {
 		done = f.Tasks
 	}
 	return JobStatus{ID: id, Status: f.Status, Done: &done, Running: &running}
@@ -326,7 +329,7 @@
 
 func (s *Server) poll(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
-	if !ValidID(id) {
+	if !jobs.ValidID(id) {
 		WriteJSON(w, http.StatusNotFound, problem{Error: "no such job"})
 		return
 	}
@@ -345,7 +348,7 @@
 
 func (s *Server) cancel(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
-	if !ValidID(id) {
+	if !jobs.ValidID(id) {
 		WriteJSON(w, http.StatusNotFound, problem{Error: "no such job"})
 		return
 	}
@@ -356,7 +359,7 @@
 		return
 	}
 	for range 3 {
-		row, open, err := s.store.Get(ctx, statestore.ClassCancel, OpenPrefix+id)
+		row, open, err := s.store.Get(ctx, statestore.ClassCancel, jobs.OpenPrefix+id)
 		if err != nil {
 			break
 		}
@@ -372,19 +375,19 @@
 			WriteJSON(w, http.StatusOK, JobStatus{ID: id, Status: st.Status})
 			return
 		}
-		f := FinalRecord{Status: StatusCancelled}
+		f := jobs.FinalRecord{Status: jobs.StatusCancelled}
 		value, err := json.Marshal(f)
 		if err != nil {
 			break
 		}
-		_, err = s.multi(ctx, statestore.ClassCancel, []statestore.Condition{{Key: OpenPrefix + id, Revision: row.Revision}},
-			[]statestore.Write{{Delete: OpenPrefix + id}, {Put: FinalPrefix + id, Value: value}})
+		_, err = s.multi(ctx, statestore.ClassCancel, []statestore.Condition{{Key: jobs.OpenPrefix + id, Revision: row.Revision}},
+			[]statestore.Write{{Delete: jobs.OpenPrefix + id}, {Put: jobs.FinalPrefix + id, Value: value}})
 		var conflict *statestore.ConflictError
 		switch {
 		case err == nil:
 			s.settle(id, f)
 			s.mirror.forget(id, 0)
-			WriteJSON(w, http.StatusOK, JobStatus{ID: id, Status: StatusCancelled})
+			WriteJSON(w, http.StatusOK, JobStatus{ID: id, Status: jobs.StatusCancelled})
 			return
 		case !errors.As(err, &conflict):
 			later(w, "the cancellation can't be recorded now")
--- a/internal/workers/courier.go
+++ b/internal/workers/courier.go
@@ -12,10 +12,10 @@
 	"thornnotch/internal/constants"
 )
 
-// Courier carries orders to workers' own addresses.
+// CommandClient carries orders to workers' own addresses.
 type CommandClient struct{ http *http.Client }
 
-// NewCourier makes a courier that reaches workers through dial.
+// NewCommandClient makes a courier that reaches workers through dial.
 func NewCommandClient(dial func(ctx context.Context, network, addr string) (net.Conn, error)) *CommandClient {
 	return &CommandClient{&http.Client{Transport: &http.Transport{
 		DialContext: dial, MaxConnsPerHost: 2, MaxIdleConnsPerHost: 1, MaxIdleConns: constants.MaxIdleCommandConns,
--- a/internal/workers/machine.go
+++ b/internal/workers/machine.go
@@ -17,14 +17,14 @@
 // planned until it is proven gone.
 type Attempt struct {
 	ID AttemptID
-	// Shift is the worker's session that the attempt was planned for.
+	// Epoch is the worker's session that the attempt was planned for.
 	Epoch uint64
 	// Committed is set once the machine's record with this attempt stands.
 	Committed bool
-	// Cleared is set by the owner when `run` may be sent; a gang waits for
+	// StartAllowed is set by the owner when `run` may be sent; a gang waits for
 	// the records of all its tasks.
 	StartAllowed bool
-	// Inherited attempts were recorded by an earlier term, which may have an
+	// FromEarlierTerm attempts were recorded by an earlier term, which may have an
 	// answer with `run` still under way.
 	FromEarlierTerm bool
 	// Sent tells that a `run` went out, last in the answer to report SentTick.
@@ -38,74 +38,74 @@
 	Status string
 	Cause  string
 	Saved  bool
-	// Halt is set when the task must stop; Grace is the time it gets to save.
+	// StopRequested is set when the task must stop; Grace is the time it gets to save.
 	StopRequested   bool
 	GraceS          float64
 	StopRequestedAt time.Time
 	StopSentAt      time.Time // when a stop was last sent directly
-	// Settled is set once what the exit means is durably recorded, so that
+	// ExitRecorded is set once what the exit means is durably recorded, so that
 	// the worker may forget it.
 	ExitRecorded bool
 	// SeenAt is when it was first reported, RanAt when first running.
 	FirstReportedAt, RunningSince time.Time
-	// PlannedAt is when it was placed here.
+	// PlacedAt is when it was placed here.
 	PlacedAt time.Time
 }
 
 // Live tells whether the attempt may be, or may come to be, on its machine.
 func (a *Attempt) Live() bool { return a.Status != StatusExited }
 
-// Machine is the leader's view of one worker: its newest session and the
+// Agent is the leader's view of one worker: its newest session and the
 // attempts that are not proven gone.
 type Agent struct {
 	Name, Endpoint, Type, Zone string
 	Spot                       bool
 
 	Epoch, Sequence uint64
-	// ReportTick is the newest report's own number: a message with a number
+	// HeartbeatSequence is the newest report's own number: a message with a number
 	// up to it that comes as a report is a late copy.
 	HeartbeatSequence uint64
-	// Deaf is set while the worker's reports arrive but our answers evidently
+	// RepliesLost is set while the worker's reports arrive but our answers evidently
 	// do not reach it. It gets neither work nor a 200 until it shows that it
 	// hears again.
 	RepliesLost bool
-	// Doubt is set when a session has ended although the worker goes on
+	// EpochUnconfirmed is set when a session has ended although the worker goes on
 	// reporting: it may hear again, or never have heard our answers. It gets
 	// no work until something we sent has evidently arrived.
 	EpochUnconfirmed   bool
 	EpochUnconfirmedAt time.Time
-	// Ignored counts the reports in a row that show a stop not carried out.
+	// IgnoredStops counts the reports in a row that show a stop not carried out.
 	IgnoredStops int
-	// Warrant is the highest token that the worker has reported.
+	// Token is the highest token that the worker has reported.
 	Token uint64
-	// Known is set once a report has arrived in this term.
+	// Registered is set once a report has arrived in this term.
 	Registered bool
 	// Heard is when the last report arrived, Answered when the last one
 	// arrived that was answered 200. The worker's lease counts from when it
 	// sent that report, which was earlier still.
 	LastHeartbeat, LastAcknowledged time.Time
-	// TokenSeen is when the worker first showed that it has our own token;
+	// TokenConfirmedAt is when the worker first showed that it has our own token;
 	// nobody else can have renewed its lease since.
 	TokenConfirmedAt time.Time
-	// EndedShift is the newest session proven to be over.
+	// ExpiredEpoch is the newest session proven to be over.
 	ExpiredEpoch uint64
-	// Recall is when the cloud takes the machine away; zero if it does not.
+	// ReclaimAt is when the cloud takes the machine away; zero if it does not.
 	ReclaimAt time.Time
 
 	Attempts map[AttemptID]*Attempt
 }
 
-// NewMachine makes an empty view.
+// NewAgent makes an empty view.
 func NewAgent(name string) *Agent {
 	return &Agent{Name: name, Attempts: make(map[AttemptID]*Attempt)}
 }
 
-// Why says how an attempt came to its end.
+// EventKind says how an attempt came to its end.
 type EventKind int
 
 // Ends of attempts.
 const (
-	// Ended: the worker reports it exited; Attempt.Cause tells more.
+	// EventExited: the worker reports it exited; Attempt.Cause tells more.
 	EventExited EventKind = iota
 	// Gone: proven to be off the machine with no exit seen.
 	EventGone
@@ -212,12 +212,12 @@
 	return events, true
 }
 
-// heard notes that something we sent has arrived.
+// noteReachable notes that something we sent has arrived.
 func (agent *Agent) noteReachable() {
 	agent.RepliesLost, agent.EpochUnconfirmed, agent.IgnoredStops = false, false, 0
 }
 
-// KeptSession ends the doubt about a worker that has kept its session for
+// ConfirmEpoch ends the doubt about a worker that has kept its session for
 // longer than it could have without our answers.
 func (agent *Agent) ConfirmEpoch(lease time.Duration, now time.Time) {
 	if agent.EpochUnconfirmed && now.Sub(agent.EpochUnconfirmedAt) > lease+lease/2 {
@@ -225,7 +225,7 @@
 	}
 }
 
-// listen looks for signs that orders do not reach the worker: starts that two
+// detectLostReplies looks for signs that orders do not reach the worker: starts that two
 // later reports do not list, or stops that several do not heed. Starts that
 // never arrived are withdrawn; the report that shows it proves them gone.
 func (agent *Agent) detectLostReplies(r *Heartbeat, listed map[AttemptID]bool, now time.Time) {
@@ -260,7 +260,7 @@
 	}
 }
 
-// Suspect tells whether a start went out so long ago that the worker must have
+// StartOverdue tells whether a start went out so long ago that the worker must have
 // reported it, and has not.
 func (agent *Agent) StartOverdue(now time.Time) bool {
 	for _, a := range agent.Attempts {
@@ -271,7 +271,7 @@
 	return false
 }
 
-// Copy tells whether a report is a late copy of one that has been taken in,
+// IsDuplicate tells whether a report is a late copy of one that has been taken in,
 // or of an older session. It renews nothing and is not answered.
 func (agent *Agent) IsDuplicate(r *Heartbeat) bool {
 	return r.Epoch < agent.Epoch || r.Epoch <= agent.ExpiredEpoch || r.Epoch == agent.Epoch && r.Sequence <= agent.HeartbeatSequence
@@ -309,7 +309,7 @@
 	return []Event{{EventGone, a}}
 }
 
-// endSession takes all attempts of sessions up to shift off the machine.
+// expireEpoch takes all attempts of sessions up to shift off the machine.
 func (agent *Agent) expireEpoch(shift uint64) (events []Event) {
 	agent.ExpiredEpoch = max(agent.ExpiredEpoch, shift)
 	for _, a := range agent.Attempts {
@@ -321,7 +321,7 @@
 	return events
 }
 
-// CheckLease ends the worker's session once it must have lapsed by itself:
+// ExpireLease ends the worker's session once it must have lapsed by itself:
 // the worker has our own token, so no other leader can have renewed it, and
 // the last report that we answered came in longer ago than the lease lasts.
 // A worker that has not shown our token may still be renewed by an older
@@ -333,7 +333,7 @@
 	return agent.expireEpoch(agent.Epoch)
 }
 
-// LeaseOver tells whether the session that we know must have lapsed.
+// LeaseExpired tells whether the session that we know must have lapsed.
 func (agent *Agent) LeaseExpired(term uint64, lease time.Duration, now time.Time) bool {
 	if !agent.Registered || agent.Token != term || agent.TokenConfirmedAt.IsZero() {
 		return false
@@ -346,7 +346,7 @@
 	return now.Sub(last) > limit
 }
 
-// Returned takes everything off a machine that the cloud has confirmed gone.
+// Terminated takes everything off a machine that the cloud has confirmed gone.
 func (agent *Agent) Terminated() (events []Event) {
 	for _, a := range agent.Attempts {
 		events = append(events, agent.drop(a)...)
@@ -355,7 +355,7 @@
 	return events
 }
 
-// Withdraw marks an attempt as no longer wanted. It reports true when no
+// RequestStop marks an attempt as no longer wanted. It reports true when no
 // `run` can ever have left for it, so that it is gone at once.
 func (agent *Agent) RequestStop(a *Attempt, grace float64, now time.Time) (gone bool) {
 	if a.Status == StatusExited {
@@ -374,7 +374,7 @@
 	return false
 }
 
-// Orders lists what the worker must be told. Starts go only into the answer
+// Commands lists what the worker must be told. Starts go only into the answer
 // to a report of the session that they were planned for, and only once their
 // record stands; answering marks them as sent.
 func (agent *Agent) Commands(answering bool, now time.Time) []Command {
@@ -407,7 +407,7 @@
 	return out
 }
 
-// HasOrders tells whether Orders would list anything.
+// HasCommands tells whether Orders would list anything.
 func (agent *Agent) HasCommands() bool {
 	for _, a := range agent.Attempts {
 		switch {
@@ -419,7 +419,7 @@
 	return false
 }
 
-// Sorted lists the attempts in a fixed order.
+// SortedAttempts lists the attempts in a fixed order.
 func (agent *Agent) SortedAttempts() []*Attempt {
 	list := make([]*Attempt, 0, len(agent.Attempts))
 	for _, a := range agent.Attempts {
--- a/internal/workers/wire.go
+++ b/internal/workers/wire.go
@@ -38,7 +38,7 @@
 	VerbForget = "forget"
 )
 
-// Piece is a task as a worker reports it.
+// TaskReport is a task as a worker reports it.
 type TaskReport struct {
 	Task    string `json:"piece"`
 	Attempt uint64 `json:"try"`
@@ -47,7 +47,7 @@
 	Saved   bool   `json:"saved,omitempty"`
 }
 
-// Report is what a worker tells of itself.
+// Heartbeat is what a worker tells of itself.
 type Heartbeat struct {
 	Machine     string       `json:"rig"`
 	Endpoint    string       `json:"endpoint"`
@@ -61,7 +61,7 @@
 	Tasks       []TaskReport `json:"pieces"`
 }
 
-// Order tells a worker what to do with a task.
+// Command tells a worker what to do with a task.
 type Command struct {
 	Verb    string   `json:"verb"`
 	Task    string   `json:"piece"`
@@ -69,7 +69,7 @@
 	GraceS  *float64 `json:"windDownS,omitempty"`
 }
 
-// Answer is the answer to a report; with Shift it is a direct command.
+// CommandBatch is the answer to a report; with Shift it is a direct command.
 type CommandBatch struct {
 	Token    uint64    `json:"warrant"`
 	Epoch    uint64    `json:"shift,omitempty"`
@@ -94,7 +94,7 @@
 	return TaskID{job, n}, nil
 }
 
-// DecodeReport reads and checks a report.
+// DecodeHeartbeat reads and checks a report.
 func DecodeHeartbeat(raw []byte) (*Heartbeat, error) {
 	if t := bytes.TrimSpace(raw); len(t) == 0 || t[0] != '{' {
 		return nil, errors.New("the report is not a JSON object")
