--- a/cmd/thornnotch/main.go
+++ b/cmd/thornnotch/main.go
@@ -67,7 +67,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	node.LimitRuntime(set.Params.Limits)
+	node.LimitRuntime(set.Params.MachineLimits)
 	network := node.System{Dialer: &net.Dialer{Timeout: constants.DialTimeout}}
 	return node.New(set, op, network, log).Run(ctx)
 }
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	for _, w := range set.Warnings(max(c.Machines, constants.MinWorkers)) {
+	for _, w := range set.SizingWarnings(max(c.Machines, constants.MinWorkers)) {
 		fmt.Println("warning:", w)
 	}
 	fmt.Println("the settings are good")
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -16,20 +16,20 @@
 // Settings is the file that the platform hands over. Unknown fields are
 // ignored: new ones may be added at any time.
 type Settings struct {
-	Label    string   `toml:"label"`
-	Site     string   `toml:"site"`
-	Listen   string   `toml:"listen"`
-	MeshAddr string   `toml:"mesh_addr"`
-	Known    []Peer   `toml:"known"`
-	Services Services `toml:"services"`
-	Params   Params   `toml:"params"`
+	NodeName   string   `toml:"label"`
+	Site       string   `toml:"site"`
+	Listen     string   `toml:"listen"`
+	PeerListen string   `toml:"mesh_addr"`
+	Peers      []Peer   `toml:"known"`
+	Services   Services `toml:"services"`
+	Params     Params   `toml:"params"`
 }
 
 // Peer is another controller node.
 type Peer struct {
-	Label string `toml:"label"`
-	Site  string `toml:"site"`
-	Addr  string `toml:"addr"`
+	Name string `toml:"label"`
+	Site string `toml:"site"`
+	Addr string `toml:"addr"`
 }
 
 // Services are the addresses of the outside systems.
@@ -40,64 +40,64 @@
 
 // Params are the settings that all nodes share.
 type Params struct {
-	Count      int         `toml:"count"`
-	Zones      []string    `toml:"zones"`
-	ClockOffMS float64     `toml:"clock_off_ms"`
-	Teams      []Team      `toml:"teams"`
-	Objectives []Objective `toml:"objectives"`
-	Workers    Workers     `toml:"workers"`
-	State      State       `toml:"state"`
-	Cloud      Cloud       `toml:"cloud"`
-	Limits     Limits      `toml:"machine_limits"`
+	Count         int           `toml:"count"`
+	Zones         []string      `toml:"zones"`
+	ClockOffMS    float64       `toml:"clock_off_ms"`
+	Teams         []Team        `toml:"teams"`
+	SLOs          []SLO         `toml:"objectives"`
+	Workers       WorkerTimings `toml:"workers"`
+	State         StateLimits   `toml:"state"`
+	Cloud         CloudLimits   `toml:"cloud"`
+	MachineLimits MachineLimits `toml:"machine_limits"`
 }
 
 // Team has a guaranteed level and a limit; 0 means none.
 type Team struct {
-	Name    string  `toml:"name"`
-	CPUs    float64 `toml:"cpus"`
-	CPUsMax float64 `toml:"cpus_max"`
-	GPUs    float64 `toml:"gpus"`
-	GPUsMax float64 `toml:"gpus_max"`
+	Name           string  `toml:"name"`
+	GuaranteedCPUs float64 `toml:"cpus"`
+	MaxCPUs        float64 `toml:"cpus_max"`
+	GuaranteedGPUs float64 `toml:"gpus"`
+	MaxGPUs        float64 `toml:"gpus_max"`
 }
 
 // Kinds of aims that the service goes by. Others are ignored: new ones may come.
 const (
-	AimWait      = "wait"      // a job's tasks started within a time
-	AimFinished  = "finished"  // a job done within a time
-	AimDeadline  = "deadline"  // a job done by so many times its due time
-	AimGuarantee = "guarantee" // what fits its team's guarantee started within a time
+	SLOWait       = "wait"      // a job's tasks started within a time
+	SLOCompletion = "finished"  // a job done within a time
+	SLODeadline   = "deadline"  // a job done by so many times its due time
+	SLOGuarantee  = "guarantee" // what fits its team's guarantee started within a time
 )
 
 // Objective is one aim of the users.
-type Objective struct {
-	Kind    string   `toml:"kind"`
-	Class   string   `toml:"class"`
-	WithinS float64  `toml:"within_s"`
-	Share   *float64 `toml:"share"`
-	Times   *float64 `toml:"times"`
+type SLO struct {
+	Kind          string   `toml:"kind"`
+	Class         string   `toml:"class"`
+	WithinS       float64  `toml:"within_s"`
+	Share         *float64 `toml:"share"`
+	DueTimeFactor *float64 `toml:"times"`
 }
 
 // Due is by how many times its due time a job is to be done, for an aim of kind
 // deadline.
-func (o Objective) Due() float64 {
-	if o.Times == nil {
+func (o SLO) DueFactor() float64 {
+	if o.DueTimeFactor == nil {
 		return 1
 	}
-	return *o.Times
+	return *o.DueTimeFactor
 }
 
-func (o Objective) check(p *problems, key string) {
+func (o SLO) check(p *problems, key string) {
 	switch o.Kind {
-	case AimWait, AimFinished, AimGuarantee:
+	case SLOWait, SLOCompletion, SLOGuarantee:
 		p.positive(key+".within_s", o.WithinS)
-	case AimDeadline:
-		if o.Times != nil {
-			p.positive(key+".times", *o.Times)
+	case SLODeadline:
+		if o.DueTimeFactor != nil {
+			p.positive(key+".times", *o.DueTimeFactor)
 		}
 	default:
 		return
 	}
-	if o.Kind != AimGuarantee {
+	if o.Kind != SLOGuarantee {
 		p.text(key+".class", o.Class)
 	}
 	switch {
@@ -109,26 +109,26 @@
 }
 
 // Workers are the workers' timings, in seconds.
-type Workers struct {
-	ReportS   float64 `toml:"report_s"`
-	LeaseS    float64 `toml:"lease_s"`
-	GangWaitS float64 `toml:"gang_wait_s"`
-	GangPeerS float64 `toml:"gang_peer_s"`
-	CancelS   float64 `toml:"cancel_s"`
+type WorkerTimings struct {
+	HeartbeatS    float64 `toml:"report_s"`
+	LeaseS        float64 `toml:"lease_s"`
+	GangWaitS     float64 `toml:"gang_wait_s"`
+	GangPeerS     float64 `toml:"gang_peer_s"`
+	CancelWithinS float64 `toml:"cancel_s"`
 }
 
 // State limits the calls to the state service.
-type State struct {
+type StateLimits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
 	// Next are limits that hold from some moment on, without notice; nil: none.
-	Next *StateNext `toml:"next"`
+	Next *UpcomingStateLimits `toml:"next"`
 }
 
 // StateNext are limits to come. What is not named stays.
-type StateNext struct {
+type UpcomingStateLimits struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
 	ValueKB  *float64 `toml:"value_kb"`
@@ -137,7 +137,7 @@
 
 // least has values and transactions keep within the smaller of both limits from
 // the start: a larger one may be under way when the limits fall.
-func (s State) least() State {
+func (s StateLimits) withUpcomingSizes() StateLimits {
 	if s.Next != nil && s.Next.ValueKB != nil {
 		s.ValueKB = min(s.ValueKB, *s.Next.ValueKB)
 	}
@@ -148,7 +148,7 @@
 }
 
 // Rates are the rates allowed now, or those to come once they have fallen.
-func (s State) Rates(fallen bool) (rps, writeRPS float64) {
+func (s StateLimits) Rates(fallen bool) (rps, writeRPS float64) {
 	rps, writeRPS = s.RPS, s.WriteRPS
 	if fallen && s.Next != nil && s.Next.RPS != nil {
 		rps = min(rps, *s.Next.RPS)
@@ -160,13 +160,13 @@
 }
 
 // Cloud limits the calls to the cloud.
-type Cloud struct {
+type CloudLimits struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
 // Limits are the node's own machine.
-type Limits struct {
+type MachineLimits struct {
 	Cores   float64 `toml:"cores"`
 	MemMB   float64 `toml:"mem_mb"`
 	Sockets int     `toml:"sockets"`
@@ -198,7 +198,7 @@
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	s.Params.State = s.Params.State.least()
+	s.Params.State = s.Params.State.withUpcomingSizes()
 	return &s, nil
 }
 
@@ -238,21 +238,21 @@
 
 func (s *Settings) check() error {
 	var p problems
-	p.text("label", s.Label)
+	p.text("label", s.NodeName)
 	p.text("site", s.Site)
 	p.addr("listen", s.Listen)
-	p.addr("mesh_addr", s.MeshAddr)
+	p.addr("mesh_addr", s.PeerListen)
 	p.addr("services.cloud", s.Services.Cloud)
 	p.addr("services.state", s.Services.State)
-	seen := map[string]bool{s.Label: true}
-	for i, k := range s.Known {
+	seen := map[string]bool{s.NodeName: true}
+	for i, k := range s.Peers {
 		key := fmt.Sprintf("known[%d]", i)
-		p.text(key+".label", k.Label)
+		p.text(key+".label", k.Name)
 		p.addr(key+".addr", k.Addr)
-		if seen[k.Label] {
-			p.add(key+".label", "%q stands twice", k.Label)
+		if seen[k.Name] {
+			p.add(key+".label", "%q stands twice", k.Name)
 		}
-		seen[k.Label] = true
+		seen[k.Name] = true
 	}
 	if s.Params.Count < 1 {
 		p.add("params.count", "must be 1 or more, is %d", s.Params.Count)
@@ -268,27 +268,27 @@
 			p.add(key+".name", "%q stands twice", t.Name)
 		}
 		teams[t.Name] = true
-		p.amount(key+".cpus", t.CPUs)
-		p.amount(key+".cpus_max", t.CPUsMax)
-		p.amount(key+".gpus", t.GPUs)
-		p.amount(key+".gpus_max", t.GPUsMax)
-		if t.CPUsMax > 0 && t.CPUs > t.CPUsMax {
+		p.amount(key+".cpus", t.GuaranteedCPUs)
+		p.amount(key+".cpus_max", t.MaxCPUs)
+		p.amount(key+".gpus", t.GuaranteedGPUs)
+		p.amount(key+".gpus_max", t.MaxGPUs)
+		if t.MaxCPUs > 0 && t.GuaranteedCPUs > t.MaxCPUs {
 			p.add(key+".cpus", "is above cpus_max")
 		}
-		if t.GPUsMax > 0 && t.GPUs > t.GPUsMax {
+		if t.MaxGPUs > 0 && t.GuaranteedGPUs > t.MaxGPUs {
 			p.add(key+".gpus", "is above gpus_max")
 		}
 	}
-	for i, o := range s.Params.Objectives {
+	for i, o := range s.Params.SLOs {
 		o.check(&p, fmt.Sprintf("params.objectives[%d]", i))
 	}
 	w := s.Params.Workers
-	p.positive("params.workers.report_s", w.ReportS)
+	p.positive("params.workers.report_s", w.HeartbeatS)
 	p.positive("params.workers.lease_s", w.LeaseS)
 	p.positive("params.workers.gang_wait_s", w.GangWaitS)
 	p.positive("params.workers.gang_peer_s", w.GangPeerS)
-	p.positive("params.workers.cancel_s", w.CancelS)
-	if w.CancelS > 0 && w.CancelS <= w.LeaseS {
+	p.positive("params.workers.cancel_s", w.CancelWithinS)
+	if w.CancelWithinS > 0 && w.CancelWithinS <= w.LeaseS {
 		p.add("params.workers.cancel_s", "must be above lease_s, or no cancellation can be kept")
 	}
 	p.positive("params.state.rps", s.Params.State.RPS)
@@ -309,10 +309,10 @@
 	}
 	p.positive("params.cloud.rps", s.Params.Cloud.RPS)
 	p.amount("params.cloud.list_lag_s", s.Params.Cloud.ListLagS)
-	p.amount("params.machine_limits.cores", s.Params.Limits.Cores)
-	p.amount("params.machine_limits.mem_mb", s.Params.Limits.MemMB)
-	if s.Params.Limits.Sockets < 0 {
-		p.add("params.machine_limits.sockets", "must be 0 or more, is %d", s.Params.Limits.Sockets)
+	p.amount("params.machine_limits.cores", s.Params.MachineLimits.Cores)
+	p.amount("params.machine_limits.mem_mb", s.Params.MachineLimits.MemMB)
+	if s.Params.MachineLimits.Sockets < 0 {
+		p.add("params.machine_limits.sockets", "must be 0 or more, is %d", s.Params.MachineLimits.Sockets)
 	}
 	return errors.Join(p...)
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -15,10 +15,10 @@
 // Operator holds the operators' own settings. Every field has a default, so
 // the file may be absent or name only what differs.
 type Operator struct {
-	Holds   HoldSettings   `yaml:"holds"`
-	Budgets BudgetSettings `yaml:"budgets"`
-	Renting RentSettings   `yaml:"renting"`
-	Log     LogSettings    `yaml:"log"`
+	Holds   HoldSettings    `yaml:"holds"`
+	Budgets BudgetSettings  `yaml:"budgets"`
+	Scaling ScalingSettings `yaml:"renting"`
+	Log     LogSettings     `yaml:"log"`
 }
 
 // LogSettings steer the leader's write-ahead log.
@@ -30,7 +30,7 @@
 }
 
 // RentSettings steer how many machines are rented.
-type RentSettings struct {
+type ScalingSettings struct {
 	// Spare is how many machines more than the present demand fills are
 	// rented, in units of the square root of that number.
 	Spare float64 `yaml:"spare"`
@@ -69,7 +69,7 @@
 	return Operator{
 		Holds:   HoldSettings{Enabled: true, SubmissionOrder: true, Alpha: constants.HoldAlpha, P: constants.HoldP, Threshold: constants.HoldThreshold},
 		Budgets: BudgetSettings{LeaderShare: constants.LeaderShare, LeaderWriteShare: constants.LeaderWriteShare, Use: constants.BudgetUse},
-		Renting: RentSettings{Spare: constants.ScaleOutSpare, Keep: constants.ScaleInSpare},
+		Scaling: ScalingSettings{Spare: constants.ScaleOutSpare, Keep: constants.ScaleInSpare},
 		Log:     LogSettings{LargeRing: true},
 	}
 }
@@ -119,11 +119,11 @@
 	if !(op.Budgets.Use > 0 && op.Budgets.Use <= 1) {
 		bad("budgets.use", "above 0 and at most 1", op.Budgets.Use)
 	}
-	if !(op.Renting.Spare >= 0 && op.Renting.Spare <= 1000) {
-		bad("renting.spare", "from 0 to 1000", op.Renting.Spare)
+	if !(op.Scaling.Spare >= 0 && op.Scaling.Spare <= 1000) {
+		bad("renting.spare", "from 0 to 1000", op.Scaling.Spare)
 	}
-	if !(op.Renting.Keep >= 0 && op.Renting.Keep <= 1000) {
-		bad("renting.keep", "from 0 to 1000", op.Renting.Keep)
+	if !(op.Scaling.Keep >= 0 && op.Scaling.Keep <= 1000) {
+		bad("renting.keep", "from 0 to 1000", op.Scaling.Keep)
 	}
 	if err := errors.Join(errs...); err != nil {
 		return Operator{}, err
--- a/internal/jobs/admission.go
+++ b/internal/jobs/admission.go
@@ -14,7 +14,7 @@
 }
 
 // CanRun tells whether a job could ever run; the error says why not.
-func CanRun(j *Spec, teams []config.Team, types []MachineType) error {
+func CheckRunnable(j *Spec, teams []config.Team, types []MachineType) error {
 	var team *config.Team
 	for i := range teams {
 		if teams[i].Name == j.Team {
@@ -38,7 +38,7 @@
 	if j.Kind == KindGang {
 		n = float64(j.Tasks)
 	}
-	if team.CPUsMax > 0 && n*j.CPUs > team.CPUsMax || team.GPUsMax > 0 && n*j.GPUs > team.GPUsMax {
+	if team.MaxCPUs > 0 && n*j.CPUs > team.MaxCPUs || team.MaxGPUs > 0 && n*j.GPUs > team.MaxGPUs {
 		return fmt.Errorf("pieces: the job needs more than the limit of team %q", j.Team)
 	}
 	if j.Kind == KindGang && j.SameZone && j.SpreadZones && j.Tasks > 1 {
--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -24,14 +24,14 @@
 	Tasks  int    `json:"pieces"`
 	// AtMS is when the leader found the job done, in Unix milliseconds; 0 if it is
 	// not known. Jobs that waited for this one count their times from it.
-	AtMS int64 `json:"atMs,omitempty"`
+	FinishedAtMS int64 `json:"atMs,omitempty"`
 }
 
 // Record is what is kept of an open job. It never changes.
 type Record struct {
 	Spec
 	// AtMS is when the job was accepted, in Unix milliseconds.
-	AtMS int64 `json:"atMs"`
+	AcceptedAtMS int64 `json:"atMs"`
 	// Split says where the rest of WaitsOn stands if the list is too long for one
 	// value; nil: it is whole.
 	Split *SplitList `json:"split,omitempty"`
@@ -45,10 +45,10 @@
 }
 
 // SplitPrefix is where the values of split lists stand.
-const SplitPrefix = "waits/"
+const SplitListPrefix = "waits/"
 
 func (s SplitList) PartKey(id string, part int) string {
-	return fmt.Sprintf("%s%s/%s/%04d", SplitPrefix, id, s.Upload, part)
+	return fmt.Sprintf("%s%s/%s/%04d", SplitListPrefix, id, s.Upload, part)
 }
 
 // Dependencies are the jobs that a record says must be done before.
@@ -61,7 +61,7 @@
 func (n Dependencies) Empty() bool { return len(n.DependsOn) == 0 && n.Split == nil }
 
 // DependenciesOf reads them from a job's record.
-func DependenciesOf(v json.RawMessage) (n Dependencies) {
+func DecodeDependencies(v json.RawMessage) (n Dependencies) {
 	// Most records have none, and there are many.
 	if bytes.Contains(v, []byte(`"waitsOn"`)) || bytes.Contains(v, []byte(`"split"`)) {
 		_ = json.Unmarshal(v, &n) // whoever uses the record says what is wrong with it
@@ -79,7 +79,7 @@
 	if n.Split == nil {
 		return n.DependsOn, nil
 	}
-	rows, _, err := store.List(ctx, class, SplitPrefix+id+"/"+n.Split.Upload+"/")
+	rows, _, err := store.List(ctx, class, SplitListPrefix+id+"/"+n.Split.Upload+"/")
 	if err != nil {
 		return nil, err
 	}
@@ -99,8 +99,8 @@
 
 // PackRecord makes a job's record, and the parts of its list if that is too long for one
 // value of so many bytes. upload names them.
-func PackRecord(j Spec, atMS int64, limit int, upload string) (record json.RawMessage, parts []json.RawMessage, err error) {
-	record, err = json.Marshal(Record{Spec: j, AtMS: atMS})
+func EncodeRecord(j Spec, atMS int64, limit int, upload string) (record json.RawMessage, parts []json.RawMessage, err error) {
+	record, err = json.Marshal(Record{Spec: j, AcceptedAtMS: atMS})
 	if err != nil || len(record) <= limit-recordSlack {
 		return record, nil, err
 	}
@@ -119,7 +119,7 @@
 		}
 		parts, rest = append(parts, raw), rest[n:]
 	}
-	rec := Record{Spec: j, AtMS: atMS}
+	rec := Record{Spec: j, AcceptedAtMS: atMS}
 	if len(parts) > 0 {
 		rec.Split = &SplitList{Upload: upload, Parts: len(parts)}
 	}
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -45,7 +45,7 @@
 
 // silenceTolerance is how long a worker may well be silent: a few of its reports.
 func (l *Leader) silenceTolerance() time.Duration {
-	return time.Duration(constants.SilentAfterHeartbeats * float64(config.Seconds(l.deps.Settings.Params.Workers.ReportS)))
+	return time.Duration(constants.SilentAfterHeartbeats * float64(config.Seconds(l.deps.Settings.Params.Workers.HeartbeatS)))
 }
 
 // sendCommand sends orders to a worker's own address. They may arrive minutes
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -247,14 +247,14 @@
 func (l *Leader) finalExtra(j *jobState) wal.JobWrite {
 	name := j.spec.ID
 	at := time.Now()
-	v, _ := json.Marshal(jobs.FinalRecord{Status: jobs.StatusDone, Tasks: j.spec.Tasks, AtMS: at.UnixMilli()}) // plain fields always encode
+	v, _ := json.Marshal(jobs.FinalRecord{Status: jobs.StatusDone, Tasks: j.spec.Tasks, FinishedAtMS: at.UnixMilli()}) // plain fields always encode
 	return wal.JobWrite{
 		Conditions: []statestore.Condition{{Key: jobs.OpenPrefix + name, Revision: j.revision}},
 		Writes:     []statestore.Write{{Delete: jobs.OpenPrefix + name}, {Put: jobs.FinalPrefix + name, Value: v}},
 		Committed: func(uint64) {
 			l.deps.Log.Debug("job done", "id", name)
 			l.removeJob(j, time.Now())
-			l.upstreamEnded(name, jobs.FinalRecord{Status: jobs.StatusDone, AtMS: at.UnixMilli()}, time.Now())
+			l.upstreamEnded(name, jobs.FinalRecord{Status: jobs.StatusDone, FinishedAtMS: at.UnixMilli()}, time.Now())
 		},
 		// Ended already by its user.
 		Conflicted: func() { l.removeJob(j, time.Now()) },
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -182,7 +182,7 @@
 			delete(j.pendingUpstreams, e.name)
 			// By an earlier leader's clock, which may be ahead of ours: it has
 			// happened all the same, and long after the submission for all we know.
-			if at := time.UnixMilli(e.f.AtMS); e.f.AtMS > 0 && at.After(j.view.Submitted) {
+			if at := time.UnixMilli(e.f.FinishedAtMS); e.f.FinishedAtMS > 0 && at.After(j.view.Submitted) {
 				j.view.Submitted = at
 				if at.After(now) {
 					j.view.Submitted = now
--- a/internal/leader/hints.go
+++ b/internal/leader/hints.go
@@ -22,7 +22,7 @@
 
 // newMetadataQueue makes the hints of a term within the state service's limits, also those
 // to come.
-func newMetadataQueue(state config.State, share config.BudgetSettings) metadataQueue {
+func newMetadataQueue(state config.StateLimits, share config.BudgetSettings) metadataQueue {
 	_, changes := state.Rates(true)
 	value := state.ValueKB * 1024
 	perSecond := max(value, constants.MetadataWriteShare*share.LeaderWriteShare*share.Use*changes*value)
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -124,7 +124,7 @@
 		restartedTasks: make(map[int]bool),
 	}
 	j.view = placement.Job{Spec: &spec, Priority: jobs.Priority(spec.PriorityClass), Order: stamp, Submitted: now, Targets: l.targets(&spec, 0)}
-	if at := time.UnixMilli(rec.AtMS); rec.AtMS > 0 && at.Before(now) {
+	if at := time.UnixMilli(rec.AcceptedAtMS); rec.AcceptedAtMS > 0 && at.Before(now) {
 		j.view.Submitted = at
 	}
 	j.acceptedAt = j.view.Submitted
@@ -163,18 +163,18 @@
 			}
 		}
 	}
-	for _, o := range l.deps.Settings.Params.Objectives {
+	for _, o := range l.deps.Settings.Params.SLOs {
 		if o.Class != spec.Class {
 			continue
 		}
 		switch o.Kind {
-		case config.AimWait:
+		case config.SLOWait:
 			out = append(out, config.Seconds(o.WithinS-fetch))
-		case config.AimFinished:
+		case config.SLOCompletion:
 			out = append(out, config.Seconds(o.WithinS-spec.ExpectedS-fetch))
-		case config.AimDeadline:
+		case config.SLODeadline:
 			if spec.DueS != nil {
-				out = append(out, config.Seconds(*spec.DueS*o.Due()-spec.ExpectedS-fetch)-waited)
+				out = append(out, config.Seconds(*spec.DueS*o.DueFactor()-spec.ExpectedS-fetch)-waited)
 			}
 		}
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -184,8 +184,8 @@
 // tasks are gone by W + certainty + lease·(1+drift) + lag, however long the report
 // or the answer were on their way, and that must be no later than
 // W + cancel·(1−drift) (TestGapBound).
-func certaintyWindow(w config.Workers) time.Duration {
-	cancel, lease := config.Seconds(w.CancelS), config.Seconds(w.LeaseS)
+func certaintyWindow(w config.WorkerTimings) time.Duration {
+	cancel, lease := config.Seconds(w.CancelWithinS), config.Seconds(w.LeaseS)
 	drift := time.Duration(float64(cancel+lease) * constants.ClockDrift)
 	return max(cancel-lease-drift-constants.WorkerKillDelay, time.Second)
 }
--- a/internal/leader/provisioning.go
+++ b/internal/leader/provisioning.go
@@ -377,7 +377,7 @@
 	if l.deps.Catalog() == nil || !l.loaded {
 		return autoscaling.RentRequest{}, autoscaling.InstancePool{}, false
 	}
-	req, ok := autoscaling.ScaleOut(l.scalingView(now), l.deps.Operator.Renting.Spare)
+	req, ok := autoscaling.ScaleOut(l.scalingView(now), l.deps.Operator.Scaling.Spare)
 	return req, autoscaling.InstancePool{Type: req.MachineType, Zone: req.Zone, Spot: req.Spot}, ok
 }
 
@@ -419,7 +419,7 @@
 		v.Recent = append(v.Recent, n.demand)
 	}
 	for _, t := range l.teams {
-		v.Limits = append(v.Limits, autoscaling.TeamLimit{Team: t.Name, Max: placement.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax}})
+		v.Limits = append(v.Limits, autoscaling.TeamLimit{Team: t.Name, Max: placement.Resources{CPUs: t.MaxCPUs, GPUs: t.MaxGPUs}})
 	}
 	return v
 }
@@ -446,7 +446,7 @@
 	v := l.scalingView(now)
 	want := make(map[string]autoscaling.DesiredCapacity)
 	for _, t := range v.Catalog.MachineTypes {
-		want[t.Name] = autoscaling.DesiredFor(v, t, l.deps.Operator.Renting.Keep)
+		want[t.Name] = autoscaling.DesiredFor(v, t, l.deps.Operator.Scaling.Keep)
 	}
 	keep := m.memory.Add(now, want)
 	var idle []autoscaling.IdleMachine
--- a/internal/leader/scheduling.go
+++ b/internal/leader/scheduling.go
@@ -139,8 +139,8 @@
 	if spec.Kind != jobs.KindGang || spec.AllowSpot || jobs.Priority(spec.PriorityClass) > jobs.Priority("standard") {
 		return false
 	}
-	for _, o := range l.deps.Settings.Params.Objectives {
-		if o.Kind == config.AimWait && o.Class == spec.Class && config.Seconds(o.WithinS) <= constants.GangReserveMaxAim {
+	for _, o := range l.deps.Settings.Params.SLOs {
+		if o.Kind == config.SLOWait && o.Class == spec.Class && config.Seconds(o.WithinS) <= constants.GangReserveMaxAim {
 			return true
 		}
 	}
@@ -200,7 +200,7 @@
 	for _, t := range l.teams {
 		w.Teams[t.Name] = &placement.Team{
 			Name: t.Name, Used: l.teamUsage[t.Name],
-			Guarantee: placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs}, Limit: placement.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax},
+			Guarantee: placement.Resources{CPUs: t.GuaranteedCPUs, GPUs: t.GuaranteedGPUs}, Limit: placement.Resources{CPUs: t.MaxCPUs, GPUs: t.MaxGPUs},
 		}
 	}
 	placement.MarkGuaranteed(all, w.Teams)
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -203,7 +203,7 @@
 		u, h := use[t.Name], held[t.Name]
 		st.Teams = append(st.Teams, TeamStatus{
 			Team: t.Name, CPUs: u.CPUs + h.CPUs, GPUs: u.GPUs + h.GPUs, HeldCPUs: h.CPUs, HeldGPUs: h.GPUs,
-			CPUsOwn: t.CPUs, GPUsOwn: t.GPUs, CPUsLimit: t.CPUsMax, GPUsLimit: t.GPUsMax,
+			CPUsOwn: t.GuaranteedCPUs, GPUsOwn: t.GuaranteedGPUs, CPUsLimit: t.MaxCPUs, GPUsLimit: t.MaxGPUs,
 		})
 	}
 	return st
--- a/internal/node/confirmations.go
+++ b/internal/node/confirmations.go
@@ -19,10 +19,10 @@
 
 // collectAttestations asks this node and all others.
 func (n *Node) collectAttestations(ctx context.Context, span time.Duration) (cancelled []string, ok bool) {
-	words := make([]attestation.Attestation, 1+len(n.set.Known))
+	words := make([]attestation.Attestation, 1+len(n.set.Peers))
 	var wait sync.WaitGroup
-	for i, k := range n.set.Known {
-		wait.Go(func() { words[1+i].Cancelled, words[1+i].Complete = n.peers.AttestCancellations(ctx, k.Label, span) })
+	for i, k := range n.set.Peers {
+		wait.Go(func() { words[1+i].Cancelled, words[1+i].Complete = n.peers.AttestCancellations(ctx, k.Name, span) })
 	}
 	words[0].Cancelled, words[0].Complete = n.AttestCancellations(span)
 	wait.Wait()
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -41,7 +41,7 @@
 }
 
 // within is what the leader may write.
-func (l *limits) within(s config.State) config.State {
+func (l *limits) within(s config.StateLimits) config.StateLimits {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for range l.halved {
--- a/internal/node/needs.go
+++ b/internal/node/needs.go
@@ -16,7 +16,7 @@
 
 // warn logs which settings are too small for so many workers, and has status tell it.
 func (n *Node) warn(workers int) {
-	problems := n.set.Warnings(workers)
+	problems := n.set.SizingWarnings(workers)
 	n.tooSmall.Store(&problems)
 	for _, problem := range problems {
 		n.log.Warn("settings are too small", "problem", problem)
@@ -56,10 +56,10 @@
 	for _, t := range n.set.Params.Teams {
 		need := 0.0
 		if gpus > 0 {
-			need = t.GPUs / gpus
+			need = t.GuaranteedGPUs / gpus
 		}
 		if cpus > 0 {
-			need = max(need, t.CPUs/cpus)
+			need = max(need, t.GuaranteedCPUs/cpus)
 		}
 		sum += need
 	}
@@ -81,7 +81,7 @@
 	if n.sockets.user() {
 		out = append(out, "sockets")
 	}
-	if lim := n.set.Params.Limits.MemMB; lim > 0 && memory > constants.MemoryScarce*lim {
+	if lim := n.set.Params.MachineLimits.MemMB; lim > 0 && memory > constants.MemoryScarce*lim {
 		out = append(out, "memory")
 	}
 	requests, changes := n.store.Budget.Available()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -84,10 +84,10 @@
 		}
 	}
 	n.cloud = autoscaling.NewCloud(set.Services.Cloud, set.Params.Cloud.RPS*op.Budgets.Use, network.DialContext)
-	n.elector = election.New(set.Label, n.store, log)
+	n.elector = election.New(set.NodeName, n.store, log)
 	addrs := make(map[string]string)
-	for _, k := range set.Known {
-		addrs[k.Label] = k.Addr
+	for _, k := range set.Peers {
+		addrs[k.Name] = k.Addr
 	}
 	n.peers = peers.NewClient(addrs, network.DialContext)
 	return n
@@ -117,7 +117,7 @@
 }
 
 // LimitRuntime keeps the Go runtime within the machine's limits.
-func LimitRuntime(lim config.Limits) {
+func LimitRuntime(lim config.MachineLimits) {
 	if lim.MemMB > 0 {
 		debug.SetMemoryLimit(int64(lim.MemMB * constants.MemoryShare * (1 << 20)))
 		// Collect seldom: the memory limit above keeps the heap in bounds.
@@ -150,7 +150,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	listen = door{listen, n.sockets}
-	meshListen, err := n.net.Listen("tcp", n.set.MeshAddr)
+	meshListen, err := n.net.Listen("tcp", n.set.PeerListen)
 	if err != nil {
 		return fmt.Errorf("mesh: %w", err)
 	}
@@ -160,8 +160,8 @@
 		ErrorLog:  slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
 		ConnState: n.sockets.follow, ConnContext: n.sockets.accepted,
 	}
-	attrs := []any{"label", n.set.Label, "site", n.set.Site, "listen", n.set.Listen}
-	bySockets, byMemory := n.set.Fits()
+	attrs := []any{"label", n.set.NodeName, "site", n.set.Site, "listen", n.set.Listen}
+	bySockets, byMemory := n.set.WorkerCapacity()
 	if !math.IsInf(bySockets, 1) {
 		attrs = append(attrs, "room_for_workers_by_sockets", bySockets)
 	}
@@ -184,13 +184,13 @@
 		return srv.Shutdown(stop)
 	})
 	group.Go(func() error {
-		return peers.Serve(ctx, meshListen, n, max(1, len(n.set.Known))*constants.MeshConnsPerNode)
+		return peers.Serve(ctx, meshListen, n, max(1, len(n.set.Peers))*constants.MeshConnsPerNode)
 	})
 	group.Go(func() error { return n.keepCatalog(ctx) })
 	group.Go(func() error { return n.watchHealth(ctx) })
 	group.Go(func() error { return n.watchNeeds(ctx) })
-	group.Go(func() error { return users.Mirror(ctx) })
-	group.Go(func() error { return users.Polls(ctx) })
+	group.Go(func() error { return users.FollowOpenJobs(ctx) })
+	group.Go(func() error { return users.ServeStatusQueries(ctx) })
 	group.Go(func() error { return n.elector.Run(ctx, n.runTerm) })
 	err = group.Wait()
 	if errors.Is(err, context.Canceled) {
@@ -244,7 +244,7 @@
 	var counts map[string]peers.TaskCounts
 	if n.leading.Load() != nil {
 		counts = n.Progress(ctx, jobs)
-	} else if label, _ := n.elector.Leader(); label != "" && label != n.set.Label {
+	} else if label, _ := n.elector.Leader(); label != "" && label != n.set.NodeName {
 		var err error
 		if counts, err = n.peers.Progress(ctx, label, jobs); err != nil {
 			return nil
@@ -283,7 +283,7 @@
 		return
 	}
 	body := map[string]string{}
-	if label, _ := n.elector.Leader(); label != "" && label != n.set.Label {
+	if label, _ := n.elector.Leader(); label != "" && label != n.set.NodeName {
 		body["foreman"] = label
 	}
 	// A worker that is sent on has no use for this connection.
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -41,7 +41,7 @@
 		}
 		helpers, reached := n.askHealth(ctx)
 		n.helpers.Store(&helpers)
-		n.lonely.Store(reached == 0 && len(n.set.Known) > 0 && failing > constants.IsolatedAfter)
+		n.lonely.Store(reached == 0 && len(n.set.Peers) > 0 && failing > constants.IsolatedAfter)
 	}
 }
 
@@ -49,16 +49,16 @@
 func (n *Node) askHealth(ctx context.Context) (helpers []string, reached int) {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
-	for _, k := range n.set.Known {
+	for _, k := range n.set.Peers {
 		wait.Go(func() {
-			ok, err := n.peers.Health(ctx, k.Label)
+			ok, err := n.peers.Health(ctx, k.Name)
 			mu.Lock()
 			defer mu.Unlock()
 			if err == nil {
 				reached++
 			}
 			if ok {
-				helpers = append(helpers, k.Label)
+				helpers = append(helpers, k.Name)
 			}
 		})
 	}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -66,7 +66,7 @@
 const revisionShown = 12
 
 func (n *Node) own() NodeStatus {
-	s := NodeStatus{Label: n.set.Label, Reachable: true, Version: n.version, Leads: n.leading.Load() != nil, CloudTokens: n.cloud.Tokens()}
+	s := NodeStatus{Label: n.set.NodeName, Reachable: true, Version: n.version, Leads: n.leading.Load() != nil, CloudTokens: n.cloud.Tokens()}
 	s.Leader, s.Term = n.elector.Leader()
 	s.RequestTokens, s.WriteTokens = n.store.Budget.Available()
 	s.Sockets, s.Threads, s.MemoryMB = n.sockets.use(), threads(), memoryMB()
@@ -105,10 +105,10 @@
 		}
 	}
 	raw, err := n.Status(ctx)
-	add(n.set.Label, raw, err)
-	for _, k := range n.set.Known {
-		raw, err := n.peers.Status(ctx, k.Label)
-		add(k.Label, raw, err)
+	add(n.set.NodeName, raw, err)
+	for _, k := range n.set.Peers {
+		raw, err := n.peers.Status(ctx, k.Name)
+		add(k.Name, raw, err)
 	}
 	return all
 }
--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -90,7 +90,7 @@
 	cloud := NewCloud(ctx, cat, 12, func(ctx context.Context, h autoscaling.Instance) {
 		wk := NewWorker(WorkerOptions{
 			Name: h.Name, Addr: h.Endpoint, Type: h.MachineType, Zone: h.Zone, Spot: h.Spot, Nodes: addrs, Labels: nodes,
-			Report: config.Seconds(w.ReportS), Lease: config.Seconds(w.LeaseS), Fetch: time.Second, GangWait: config.Seconds(w.GangWaitS),
+			Report: config.Seconds(w.HeartbeatS), Lease: config.Seconds(w.LeaseS), Fetch: time.Second, GangWait: config.Seconds(w.GangWaitS),
 		},
 			system{&net.Dialer{}}, stored{state}, logJudge{log}, meet)
 		if err := wk.Run(ctx); err != nil && ctx.Err() == nil {
--- a/internal/userapi/dependencies.go
+++ b/internal/userapi/dependencies.go
@@ -141,7 +141,7 @@
 // brought up to a moment after the question: what is open in it then was not
 // cancelled, and what is not open has a final record, which never changes.
 func (s *Server) waits(ctx context.Context, id string, row statestore.KeyValue, class statestore.Class) (cancelled bool, err error) {
-	needs := jobs.DependenciesOf(row.Value)
+	needs := jobs.DecodeDependencies(row.Value)
 	if needs.Empty() {
 		return false, nil
 	}
--- a/internal/userapi/mirror.go
+++ b/internal/userapi/mirror.go
@@ -86,7 +86,7 @@
 	defer m.mu.Unlock()
 	m.open = make(map[string]opened, len(rows))
 	for _, r := range rows {
-		m.open[r.Key[len(jobs.OpenPrefix):]] = opened{r.Revision, jobs.DependenciesOf(r.Value)}
+		m.open[r.Key[len(jobs.OpenPrefix):]] = opened{r.Revision, jobs.DecodeDependencies(r.Value)}
 	}
 	m.epoch = epoch
 }
@@ -115,7 +115,7 @@
 		default:
 			id := c.Put[len(jobs.OpenPrefix):]
 			if o, ok := m.open[id]; !ok || o.stamp != c.Revision {
-				m.open[id] = opened{c.Revision, jobs.DependenciesOf(c.Value)}
+				m.open[id] = opened{c.Revision, jobs.DecodeDependencies(c.Value)}
 			}
 		}
 	}
@@ -131,7 +131,7 @@
 }
 
 // Mirror keeps the mirror near the truth until ctx ends.
-func (s *Server) Mirror(ctx context.Context) error {
+func (s *Server) FollowOpenJobs(ctx context.Context) error {
 	for ctx.Err() == nil {
 		rows, epoch, err := s.store.List(ctx, statestore.ClassPoll, jobs.OpenPrefix)
 		if err != nil {
--- a/internal/userapi/poll.go
+++ b/internal/userapi/poll.go
@@ -54,7 +54,7 @@
 
 // Polls settles polls until ctx ends. Several batches are under way at a time: one
 // transaction takes few conditions, and its answer may be long on its way or lost.
-func (s *Server) Polls(ctx context.Context) error {
+func (s *Server) ServeStatusQueries(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(1 + constants.PollBatches)
 	// Reads have places of their own: batches wait for them, never the reverse.
--- a/internal/userapi/server.go
+++ b/internal/userapi/server.go
@@ -62,7 +62,7 @@
 
 // NewServer makes the users' interface. submits is how many submissions it takes
 // at once.
-func NewServer(store Store, teams []config.Team, state config.State, submits int, catalog func() []jobs.MachineType, progress Progress, ready func() bool, log *slog.Logger) (*Server, error) {
+func NewServer(store Store, teams []config.Team, state config.StateLimits, submits int, catalog func() []jobs.MachineType, progress Progress, ready func() bool, log *slog.Logger) (*Server, error) {
 	finals, err := lru.New[string, jobs.FinalRecord](constants.FinalCache)
 	if err != nil {
 		return nil, err
@@ -162,7 +162,7 @@
 		later(w, "the machine types are not known yet")
 		return
 	}
-	if err := jobs.CanRun(j, s.teams, cat); err != nil {
+	if err := jobs.CheckRunnable(j, s.teams, cat); err != nil {
 		// A job accepted under an older catalog stays accepted.
 		st, found, lookErr := s.look(ctx, j.ID, statestore.ClassSubmit)
 		switch {
@@ -199,7 +199,7 @@
 		// one cancelled in any case.
 		cancelled, _ = s.before(ctx, j.DependsOn, statestore.ClassSubmit)
 	}
-	value, parts, err := jobs.PackRecord(*j, time.Now().UnixMilli(), s.valueBytes, s.upload())
+	value, parts, err := jobs.EncodeRecord(*j, time.Now().UnixMilli(), s.valueBytes, s.upload())
 	if err != nil {
 		WriteJSON(w, http.StatusBadRequest, problem{Error: err.Error()})
 		return
@@ -209,7 +209,7 @@
 		raw, _ := json.Marshal(jobs.FinalRecord{Status: jobs.StatusCancelled}) // plain fields always encode
 		write, parts = statestore.Write{Put: jobs.FinalPrefix + j.ID, Value: raw}, nil
 	}
-	if err := s.putParts(ctx, j.ID, jobs.DependenciesOf(value), parts); err != nil {
+	if err := s.putParts(ctx, j.ID, jobs.DecodeDependencies(value), parts); err != nil {
 		later(w, "the job can't be recorded now")
 		return
 	}
@@ -223,7 +223,7 @@
 			WriteJSON(w, http.StatusCreated, JobStatus{ID: j.ID, Status: jobs.StatusCancelled})
 			return
 		}
-		s.mirror.learn(j.ID, epoch, jobs.DependenciesOf(value))
+		s.mirror.learn(j.ID, epoch, jobs.DecodeDependencies(value))
 		WriteJSON(w, http.StatusCreated, JobStatus{ID: j.ID, Status: jobs.StatusPending})
 	case errors.As(err, &conflict):
 		st, found, err := s.look(ctx, j.ID, statestore.ClassSubmit)
@@ -264,7 +264,7 @@
 		return JobStatus{}, false, err
 	}
 	if found {
-		s.mirror.learn(id, row.Revision, jobs.DependenciesOf(row.Value))
+		s.mirror.learn(id, row.Revision, jobs.DecodeDependencies(row.Value))
 		if off, err := s.waits(ctx, id, row, class); err != nil {
 			return JobStatus{}, false, err
 		} else if off {
