--- a/internal/constants/users.go
+++ b/internal/constants/users.go
@@ -23,6 +23,9 @@
 	// UserRequestTimeout bounds the work for one submission or cancellation; users give up
 	// after 5 s.
 	UserRequestTimeout = 3500 * time.Millisecond
+	// CancelAttempts is how often a cancellation is tried when the job's record goes meanwhile:
+	// it is final then, so the second one finds that.
+	CancelAttempts = 3
 	// PollTimeout is the same for a poll; users give up after 2 s.
 	PollTimeout = 1700 * time.Millisecond
 	// MinConcurrentSubmits is the least number of submissions that a node takes at once.
@@ -46,9 +49,9 @@
 	PollBatches = 8
 	// MaxPollReads bounds the reads under way for polls whose proof failed.
 	MaxPollReads = 4
-	// MirrorInterval is the least time between two updates of the replica of the open jobs:
+	// ReplicaUpdateInterval is the least time between two updates of the replica of the open jobs:
 	// it only keeps proofs from failing, so it need not be quick.
-	MirrorInterval = 1 * time.Second
-	// MirrorBlock is how long such an update waits for a change.
-	MirrorBlock = 20 * time.Second
+	ReplicaUpdateInterval = 1 * time.Second
+	// ReplicaWatchWait is how long such an update waits for a change.
+	ReplicaWatchWait = 20 * time.Second
 )
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -56,7 +56,8 @@
 	fieldCheckpointIntervalS = "snapshotS"
 	fieldSaveS               = "stashS"
 	fieldDueS                = "dueS"
-	fieldDependsOn           = "waitsOn"
+	// FieldDependsOn is exported as whether these jobs exist is checked outside this package.
+	FieldDependsOn = "waitsOn"
 )
 
 // Spec is a job as users submit it and as it is recorded.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -130,7 +130,16 @@
 
 // Run serves until ctx ends.
 func (n *Node) Run(ctx context.Context) error {
-	users, err := userapi.NewServer(n.store, n.set.Params.Teams, n.set.Params.State, n.submitsAtOnce(), func() []jobs.MachineType { return n.catalog.Load().JobMachineTypes() }, n.progress, n.ready, n.log)
+	users, err := userapi.NewServer(userapi.Options{
+		Store:          n.store,
+		Teams:          n.set.Params.Teams,
+		Limits:         n.set.Params.State,
+		MaxSubmissions: n.submitsAtOnce(),
+		MachineTypes:   func() []jobs.MachineType { return n.catalog.Load().JobMachineTypes() },
+		Progress:       n.progress,
+		Ready:          n.ready,
+		Log:            n.log,
+	})
 	if err != nil {
 		return err
 	}
--- /dev/null
+++ b/internal/userapi/store_test.go
@@ -0,0 +1,148 @@
+package userapi
+
+import (
+	"context"
+	"encoding/json"
+	"log/slog"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"time"
+
+	"thornnotch/internal/config"
+	"thornnotch/internal/jobs"
+	"thornnotch/internal/jobs/jobstest"
+	"thornnotch/internal/statestore"
+)
+
+// memoryStore is a state service in a map.
+type memoryStore struct {
+	mu       sync.Mutex
+	rows     map[string]statestore.KeyValue
+	revision uint64
+	// unavailable has it answer 503.
+	unavailable bool
+	// gets and transactions count calls; beforeTxn, if set, runs ahead of each transaction.
+	gets, transactions int
+	beforeTxn          func()
+}
+
+func newMemoryStore() *memoryStore {
+	return &memoryStore{rows: map[string]statestore.KeyValue{}}
+}
+
+func (m *memoryStore) Get(_ context.Context, _ statestore.Class, key string) (statestore.KeyValue, bool, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.gets++
+	if m.unavailable {
+		return statestore.KeyValue{}, false, statestore.ErrUnavailable
+	}
+	row, ok := m.rows[key]
+	return row, ok, nil
+}
+
+func (m *memoryStore) Txn(_ context.Context, _ statestore.Class, conditions []statestore.Condition, writes []statestore.Write) (uint64, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.transactions++
+	if m.beforeTxn != nil {
+		m.beforeTxn()
+	}
+	if m.unavailable {
+		return 0, statestore.ErrOutcomeUnknown
+	}
+	conflict := &statestore.ConflictError{}
+	for _, condition := range conditions {
+		if m.rows[condition.Key].Revision != condition.Revision {
+			conflict.FailedKeys = append(conflict.FailedKeys, condition.Key)
+		}
+	}
+	if len(conflict.FailedKeys) > 0 {
+		return 0, conflict
+	}
+	m.revision++
+	for _, write := range writes {
+		if write.Delete != "" {
+			delete(m.rows, write.Delete)
+		} else {
+			m.rows[write.Put] = statestore.KeyValue{Key: write.Put, Value: write.Value, Revision: m.revision}
+		}
+	}
+	return m.revision, nil
+}
+
+func (m *memoryStore) List(context.Context, statestore.Class, string) ([]statestore.KeyValue, uint64, error) {
+	return nil, 0, statestore.ErrUnavailable
+}
+
+func (m *memoryStore) Watch(context.Context, string, uint64, time.Duration) (uint64, []statestore.Change, error) {
+	return 0, nil, statestore.ErrUnavailable
+}
+
+// putOpen puts a job's open record.
+func (m *memoryStore) putOpen(id string, revision uint64) {
+	key := jobs.OpenPrefix + id
+	m.rows[key] = statestore.KeyValue{Key: key, Value: json.RawMessage(`{}`), Revision: revision}
+}
+
+// putFinal puts a job's final record.
+func (m *memoryStore) putFinal(t jobstest.Fataler, id string, final jobs.FinalRecord, revision uint64) {
+	t.Helper()
+	value, err := json.Marshal(final)
+	if err != nil {
+		t.Fatal(err)
+	}
+	key := jobs.FinalPrefix + id
+	m.rows[key] = statestore.KeyValue{Key: key, Value: value, Revision: revision}
+}
+
+// g8 is the type of machine that the submission of package jobstest fits.
+var g8 = []jobs.MachineType{{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, Zones: []string{"a"}}}
+
+// allRunning is a leader that knows every job.
+func allRunning(_ context.Context, ids []string) map[string]TaskCounts {
+	counts := map[string]TaskCounts{}
+	for _, id := range ids {
+		counts[id] = TaskCounts{Done: 3, Running: 13}
+	}
+	return counts
+}
+
+// newTestServer makes a server on a store; edit changes what it is made of.
+func newTestServer(t jobstest.Fataler, store Store, edit func(options *Options)) *Server {
+	t.Helper()
+	options := Options{
+		Store:          store,
+		Teams:          []config.Team{{Name: "vision", MaxGPUs: 16}},
+		Limits:         config.StateLimits{TxnOps: 12, ValueKB: 16},
+		MaxSubmissions: 4,
+		MachineTypes:   func() []jobs.MachineType { return g8 },
+		Progress:       allRunning,
+		Ready:          func() bool { return true },
+		Log:            slog.New(slog.DiscardHandler),
+	}
+	if edit != nil {
+		edit(&options)
+	}
+	server, err := NewServer(options)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return server
+}
+
+// handlerOf has a server's endpoints in a handler of their own.
+func handlerOf(server *Server) http.Handler {
+	mux := http.NewServeMux()
+	server.Register(mux)
+	return mux
+}
+
+// request asks a handler.
+func request(handler http.Handler, method, path, body string) *httptest.ResponseRecorder {
+	response := httptest.NewRecorder()
+	handler.ServeHTTP(response, httptest.NewRequest(method, path, strings.NewReader(body)))
+	return response
+}
