--- /dev/null
+++ b/internal/node/state_limits_fall_test.go
@@ -0,0 +1,60 @@
+package node
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"thornnotch/internal/config"
+	"thornnotch/internal/jobs"
+	"thornnotch/internal/simulator"
+)
+
+// The state service lowers its limits while a site works.
+
+// TestLimitsFall: the state service lowers its limits without notice, to what the
+// settings announce, while jobs come and end and a leader does. No request is too
+// large, the rate is found from the refusals, and all goes on.
+func TestLimitsFall(t *testing.T) {
+	valueKB, ops, writeRPS := 2.0, 4, 20.0
+	layout := smallSite()
+	layout.params.State.Next = &config.UpcomingStateLimits{ValueKB: &valueKB, TxnOps: &ops, WriteRPS: &writeRPS}
+	layout.params.State.ValueKB, layout.params.State.TxnOps = valueKB, ops // as the settings are read
+	for seed := range uint64(2) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			runScenarioOnce(t, layout, seed, nil, func(sc *scenario) {
+				sc.submitChains(3)
+				sc.state.SetLimits(simulator.RequestLimits{ValueBytes: 2048, WritesPerTxn: 4, WritesPerSecond: writeRPS})
+				for n := range 60 {
+					job := testJob(0, teamOf(n), jobs.KindArray, 1)
+					job.ExpectedS = 1
+					sc.submitNext(job)
+					if n == 30 {
+						sc.restartLeader(sc.duration(100*time.Millisecond, 3*time.Second))
+					}
+					time.Sleep(sc.duration(0, 300*time.Millisecond))
+				}
+				time.Sleep(10 * time.Second)
+				if refused := sc.state.Counts().TooLarge; refused > 0 {
+					sc.t.Errorf("%d requests were too large", refused)
+				}
+			})
+		})
+	}
+}
+
+// TestSmallerThanAnnounced: the limits on sizes fall to less than anybody announced,
+// amid lost answers. The leader writes smaller transactions and goes on.
+func TestSmallerThanAnnounced(t *testing.T) {
+	runScenarioOnce(t, smallSite(), 7, nil, func(sc *scenario) {
+		sc.submitChains(2)
+		sc.state.SetFate(func(_ string, writes int) simulator.Fate { return simulator.Fate{Lost: writes > 2 && sc.intn(4) == 0} })
+		sc.state.SetLimits(simulator.RequestLimits{ValueBytes: 4096, WritesPerTxn: 4})
+		for n := range 10 {
+			sc.submitNext(testJob(0, teamOf(n), jobs.KindArray, 6))
+		}
+		time.Sleep(40 * time.Second)
+		sc.checkTookPlace(sc.state.Counts().TooLarge > 0, "nothing was too large")
+		sc.state.SetFate(nil)
+	})
+}
