--- a/internal/userapi/status_queries.go
+++ b/internal/userapi/status_queries.go
@@ -18,9 +18,8 @@
 // statusQuery is a user's question for a job's status that waits for its answer.
 type statusQuery struct {
 	id string
-	// ctx is the request's own: it crosses the queue with the query, and ends when the
-	// user has given up.
-	ctx context.Context
+	// ctx is the request's own; it ends when the user has given up.
+	ctx context.Context //nolint:containedctx // it crosses a queue with the query
 	// answer takes one answer without blocking.
 	answer chan statusAnswer
 }
--- a/internal/userapi/submission_test.go
+++ b/internal/userapi/submission_test.go
@@ -140,6 +140,21 @@
 	}
 }
 
+// askUntilAnswered posts to a path until there is an answer. There must be one unless all
+// attempts at a transaction go without.
+func askUntilAnswered(t *rapid.T, handler http.Handler, store *lossyStore, path, body string) (status int, answer string) {
+	for {
+		unanswered := store.nextUnanswered()
+		response := request(handler, "POST", path, body)
+		if response.Code != http.StatusServiceUnavailable {
+			return response.Code, response.Body.String()
+		}
+		if unanswered < constants.UserTxnAttempts {
+			t.Fatalf("%s: 503 after %d without an answer", path, unanswered)
+		}
+	}
+}
+
 // TestUnansweredIsSentAgain: a user's transaction whose answer is lost, or that is
 // carried out late, is sent again at once. The user is answered, what was answered
 // holds, and what comes late changes nothing.
@@ -150,19 +165,8 @@
 		fates := rapid.SliceOfN(rapid.SampledFrom([]string{answered, answered, answerLost, carriedOutLate}), 0, 12).Draw(t, "fates")
 		store := &lossyStore{memoryStore: newMemoryStore(), fates: fates}
 		handler := handlerOf(newTestServer(t, store, nil))
-		// ask asks until there is an answer. There must be one unless all attempts at a
-		// transaction go without.
 		ask := func(path, body string) (status int, answer string) {
-			for {
-				unanswered := store.nextUnanswered()
-				response := request(handler, "POST", path, body)
-				if response.Code != http.StatusServiceUnavailable {
-					return response.Code, response.Body.String()
-				}
-				if unanswered < constants.UserTxnAttempts {
-					t.Fatalf("%s: 503 after %d without an answer", path, unanswered)
-				}
-			}
+			return askUntilAnswered(t, handler, store, path, body)
 		}
 
 		status, answer := ask("/work", good)
