--- a/internal/leader/attempt_numbers.go
+++ b/internal/leader/attempt_numbers.go
@@ -2,13 +2,13 @@
 
 import "thornnotch/internal/constants"
 
-// attemptNumbers gives out the attempt numbers of one term. No two terms share one:
-// the low bits count, the term stands above them, and what the low bits can't count
-// goes on above the term. Numbers up to the first carry are as earlier versions made
-// them.
+// attemptNumbers allocates the attempt numbers of one term. Numbers of different terms never
+// collide: from low to high, a number consists of the low bits of a counter, the term, and the
+// high bits of the counter (the carry). Up to the first carry, the numbers are the same as in
+// earlier versions.
 type attemptNumbers struct{ term, used uint64 }
 
-// next is a new number; false once the term has none left.
+// next allocates a number. It returns false once the term has no numbers left.
 func (n *attemptNumbers) next() (number uint64, ok bool) {
 	used := n.used + 1
 	carry := used >> constants.AttemptCounterBits
@@ -19,7 +19,7 @@
 	return carry<<(constants.AttemptCounterBits+constants.TermBits) | n.term<<constants.AttemptCounterBits | used&(1<<constants.AttemptCounterBits-1), true
 }
 
-// owns tells whether a number is one of this term's.
+// owns reports whether a number belongs to this term.
 func (n *attemptNumbers) owns(number uint64) bool {
 	if n.term >= 1<<constants.TermBits {
 		return number>>constants.AttemptCounterBits == n.term
--- a/internal/leader/attempt_numbers_test.go
+++ b/internal/leader/attempt_numbers_test.go
@@ -8,9 +8,10 @@
 	"thornnotch/internal/constants"
 )
 
-// TestAttemptNumbersAreUnique: numbers of different terms, or given out at different
-// times of one, differ; each is known as its term's own and no other's. A busy fleet
-// of thousands of machines starts a million tasks within an hour.
+// TestAttemptNumbersAreUnique: numbers of different terms, and numbers allocated at different
+// times within a term, are distinct, and owns recognizes exactly the numbers of its own term.
+// The carry is reached in practice: a busy fleet of thousands of machines starts a million
+// tasks, the range of the low bits, within an hour.
 func TestAttemptNumbersAreUnique(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) attemptNumbers {
@@ -33,36 +34,37 @@
 		x, okA := a.next()
 		y, okB := b.next()
 		if !okA || !okB {
-			t.Fatalf("%+v or %+v has no number left", a, b)
+			t.Fatalf("%+v or %+v has no numbers left", a, b)
 		}
 		if (x == y) != same {
-			t.Fatalf("%+v gives %d, %+v gives %d", a, x, b, y)
+			t.Fatalf("%+v allocates %d, %+v allocates %d", a, x, b, y)
 		}
 		if !a.owns(x) || b.owns(x) != (a.term == b.term) {
-			t.Fatalf("%d of %+v: own %v, of %+v %v", x, a, a.owns(x), b, b.owns(x))
+			t.Fatalf("number %d: owned by its allocator %+v: %v, owned by %+v: %v", x, a, a.owns(x), b, b.owns(x))
 		}
 	})
 }
 
-// TestAttemptNumbersOfEarlierVersions: the first million of a term are as the version
-// in production makes and reads them, and a term too large to carry ends in time.
-func TestAttemptNumbersOfEarlierVersions(t *testing.T) {
+// TestAttemptNumbersMatchEarlierVersions: the first million numbers of a term must keep the
+// layout that the version in production writes and reads. A term too large to leave room for
+// the carry must run out of numbers instead of going on.
+func TestAttemptNumbersMatchEarlierVersions(t *testing.T) {
 	n := attemptNumbers{term: 7}
-	if try, _ := n.next(); try != 7<<20|1 {
-		t.Errorf("the first is %d", try)
+	if number, _ := n.next(); number != 7<<20|1 {
+		t.Errorf("first number: %d", number)
 	}
 	n.used = 1<<20 - 2
-	if try, ok := n.next(); !ok || try != 7<<20|(1<<20-1) {
-		t.Errorf("the last without a carry is %d, %v", try, ok)
+	if number, ok := n.next(); !ok || number != 7<<20|(1<<20-1) {
+		t.Errorf("last number before the carry: %d, ok %v", number, ok)
 	}
-	if try, ok := n.next(); !ok || try != 1<<44|7<<20 {
-		t.Errorf("the first with a carry is %d, %v", try, ok)
+	if number, ok := n.next(); !ok || number != 1<<44|7<<20 {
+		t.Errorf("first number with a carry: %d, ok %v", number, ok)
 	}
 	large := attemptNumbers{term: 1 << constants.TermBits, used: 1<<20 - 2}
-	if try, ok := large.next(); !ok || !large.owns(try) {
-		t.Errorf("%d, %v", try, ok)
+	if number, ok := large.next(); !ok || !large.owns(number) {
+		t.Errorf("last number of a term that is too large for a carry: %d, ok %v", number, ok)
 	}
-	if try, ok := large.next(); ok {
-		t.Errorf("a term above the carry's place goes on with %d", try)
+	if number, ok := large.next(); ok {
+		t.Errorf("a term that is too large for a carry allocated %d after its last number", number)
 	}
 }
--- a/internal/leader/attempt_records.go
+++ b/internal/leader/attempt_records.go
@@ -5,7 +5,8 @@
 	"thornnotch/internal/workers"
 )
 
-// logAttempt has an attempt recorded. Its run command leaves only once that is committed.
+// logAttempt appends a new attempt to the write-ahead log. Its run command is sent only after
+// the record is committed.
 func (l *Leader) logAttempt(machine *machineState, attempt *workers.Attempt) {
 	if !machine.metadataLogged {
 		l.logMetadata(machine, nil)
@@ -18,8 +19,8 @@
 	})
 }
 
-// allowStart lets a committed attempt start. A gang waits until all its tasks' attempts are
-// committed.
+// allowStart lets a committed attempt start. The attempts of a gang may start only once those
+// of all its tasks are committed.
 func (l *Leader) allowStart(machine *machineState, attempt *workers.Attempt) {
 	job := l.jobs.get(attempt.ID.Task.Job)
 	if job == nil {
@@ -44,7 +45,8 @@
 	}
 }
 
-// allowForget lets a worker forget an exit that is recorded, or of no interest.
+// allowForget lets a worker discard an exit once it is recorded or if no record of it is
+// needed.
 func (l *Leader) allowForget(machine *machineState, attempt *workers.Attempt) {
 	if !attempt.ExitRecorded {
 		attempt.ExitRecorded = true
@@ -52,7 +54,8 @@
 	}
 }
 
-// releaseRecordedExits lets workers forget the exits of a job's tasks that are recorded.
+// releaseRecordedExits lets workers discard the exits of a job's tasks whose completion is
+// recorded.
 func (l *Leader) releaseRecordedExits(job *jobState) {
 	for attempt, machine := range job.unrecordedExits {
 		if job.progress.isRecorded(attempt.ID.Task.Index) {
--- a/internal/leader/attempt_records_test.go
+++ b/internal/leader/attempt_records_test.go
@@ -7,9 +7,9 @@
 	"thornnotch/internal/jobs"
 )
 
-// TestGangStartsWithItsLastRecord: no task of a gang may start before the attempts of all
-// its tasks are committed; with the last one all may.
-func TestGangStartsWithItsLastRecord(t *testing.T) {
+// TestGangStartsWhenAllAttemptsCommitted: no task of a gang may start until the attempts of
+// all its tasks are committed; then all of them may.
+func TestGangStartsWhenAllAttemptsCommitted(t *testing.T) {
 	const tasks = 3
 	now := time.Now()
 	l := testLeader(t)
@@ -30,7 +30,7 @@
 		last := i == tasks-1
 		for _, other := range placed {
 			if other.attempt.StartAllowed != last {
-				t.Errorf("%d of %d committed: task %d may start: %v", i+1, tasks, other.attempt.ID.Task.Index, !last)
+				t.Errorf("%d of %d attempts committed: task %d allowed to start: %v", i+1, tasks, other.attempt.ID.Task.Index, !last)
 			}
 		}
 	}
--- a/internal/leader/class_stats.go
+++ b/internal/leader/class_stats.go
@@ -8,7 +8,7 @@
 	"thornnotch/internal/jobs"
 )
 
-// classStats is how the jobs of each class have come and fared of late.
+// classStats holds recent statistics for each job class.
 type classStats struct {
 	arrivals       classArrivals
 	placementRates placementRates
@@ -25,25 +25,26 @@
 	}
 }
 
-// fade has what was counted count for less after some time.
+// fade decays the counts and rates by the time elapsed.
 func (s *classStats) fade(elapsed time.Duration) {
 	s.arrivals.fade(elapsed)
 	s.placementRates.fade(elapsed)
 }
 
-// classArrivals counts the jobs of each class, older ones for less.
+// classArrivals counts the jobs of each class. Counts decay, so older jobs weigh less.
 type classArrivals map[string]float64
 
 func (a classArrivals) add(class string) { a[class]++ }
 
-// fade has what has come count for less after some time.
+// fade reduces all counts by the time elapsed.
 func (a classArrivals) fade(elapsed time.Duration) {
 	for class := range a {
 		a[class] *= 1 - elapsed.Seconds()/constants.ArrivalWindow.Seconds()
 	}
 }
 
-// share is how many jobs of a class come, against the most frequent class.
+// share returns the number of jobs of a class relative to that of the most frequent class, 1
+// if no jobs have been counted yet.
 func (a classArrivals) share(class string) float64 {
 	most := 0.0
 	for _, count := range a {
@@ -55,24 +56,24 @@
 	return max(a[class], 0) / most
 }
 
-// placementRates are the tasks of each class that are placed a second, older ones counted
-// for less.
+// placementRates estimates how many tasks of each class are placed per second. Older
+// placements weigh less.
 type placementRates map[string]float64
 
 func (r placementRates) add(class string) { r[class] += 1 / constants.StartRateWindow.Seconds() }
 
-// fade has what was placed count for less after some time.
+// fade reduces all rates by the time elapsed.
 func (r placementRates) fade(elapsed time.Duration) {
 	for class := range r {
 		r[class] *= 1 - elapsed.Seconds()/constants.StartRateWindow.Seconds()
 	}
 }
 
-// runtimeRatios is, by class, how long tasks ran lately against what their owners
-// expected.
+// runtimeRatios is a moving average, by class, of how long tasks ran relative to their owners'
+// estimates.
 type runtimeRatios map[string]float64
 
-// record takes in how long a task of a job ran.
+// record adds the run time of one of the job's tasks. Jobs without an estimate are ignored.
 func (r runtimeRatios) record(spec *jobs.Spec, ran time.Duration) {
 	if spec.ExpectedS <= 0 {
 		return
@@ -85,8 +86,8 @@
 	r[spec.Class] = previous + (ratio-previous)*constants.RuntimeRatioWeight
 }
 
-// expected is how long a job's tasks are expected to run: as its owner says, corrected
-// within bounds by how the class has kept to that lately.
+// expected returns the expected run time of the job's tasks: the owner's estimate, corrected
+// by the recent ratio of its class. The correction is bounded in both directions.
 func (r runtimeRatios) expected(spec *jobs.Spec) time.Duration {
 	ratio := 1.0
 	if observed, ok := r[spec.Class]; ok {
--- a/internal/leader/demand_propagation_test.go
+++ b/internal/leader/demand_propagation_test.go
@@ -13,8 +13,9 @@
 	"thornnotch/internal/jobs"
 )
 
-// demandModel is a random graph of jobs that depend on earlier ones, and a leader that
-// knows them. It tells what each must inherit, computed anew over the whole graph.
+// demandModel is a random dependency graph of jobs, each of which may depend on earlier ones,
+// and a leader that holds them. It computes the demand that each job must inherit by a full
+// pass over the graph.
 type demandModel struct {
 	leader *Leader
 	now    time.Time
@@ -23,7 +24,7 @@
 
 type demandNode struct {
 	job       *jobState
-	upstreams []int // nodes that it depends on
+	upstreams []int // indices of the nodes that it depends on
 }
 
 func newDemandModel(t *testing.T) *demandModel {
@@ -33,8 +34,8 @@
 	return m
 }
 
-// drawSpec draws the next job: its priority, its due time, and on which of the earlier
-// ones it depends.
+// drawSpec draws the next job: its priority, its due time and the earlier jobs that it depends
+// on.
 func (m *demandModel) drawSpec(rt *rapid.T) (spec jobs.Spec, upstreams []int) {
 	spec = jobs.Spec{
 		ID: fmt.Sprintf("j-%d", len(m.nodes)), Class: "w", Team: "a", Kind: jobs.KindArray, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i",
@@ -55,7 +56,7 @@
 	return spec, upstreams
 }
 
-// submit gives the leader a job, submitted some time ago.
+// submit adds a job to the leader. Each job has its own submission time in the past.
 func (m *demandModel) submit(rt *rapid.T, spec jobs.Spec, upstreams []int) {
 	rt.Helper()
 	n := len(m.nodes)
@@ -68,8 +69,8 @@
 	m.nodes = append(m.nodes, &demandNode{m.leader.jobs.get(spec.ID), upstreams})
 }
 
-// mayCancel cancels some job, one time in six.
-func (m *demandModel) mayCancel(rt *rapid.T) {
+// maybeCancel cancels a random job with a probability of one in six.
+func (m *demandModel) maybeCancel(rt *rapid.T) {
 	if rapid.IntRange(0, 5).Draw(rt, "cancel") > 0 {
 		return
 	}
@@ -79,9 +80,9 @@
 	}
 }
 
-// want is the priority and the latest start that a job must have for those that depend on
-// it, given that theirs are right.
-func (m *demandModel) want(i int) (priority int, latestStart time.Time) {
+// wantDemand returns the priority and latest start that a job must have for the jobs that
+// depend on it, given that theirs are correct.
+func (m *demandModel) wantDemand(i int) (priority int, latestStart time.Time) {
 	spec := m.nodes[i].job.spec
 	priority = jobs.Priority(spec.PriorityClass)
 	for _, downstream := range m.nodes[i+1:] {
@@ -99,36 +100,36 @@
 	return priority, latestStart
 }
 
-// TestInheritance: whatever the graph, and in whatever order jobs come and are
-// cancelled, each job has the highest priority of all that need it, and the latest
-// start that lets the longest path to any due time be kept; computed by change, it
-// equals a full computation.
-func TestInheritance(t *testing.T) {
+// TestDemandPropagation: in any graph, and in any order of submissions and cancellations, each
+// job has the highest priority of all jobs that depend on it and the latest start that lets
+// the longest path to any due time finish in time. The incremental computation must give the
+// same result as a full one.
+func TestDemandPropagation(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := newDemandModel(t)
 		for range rapid.IntRange(1, 14).Draw(rt, "jobs") {
 			spec, upstreams := m.drawSpec(rt)
 			m.submit(rt, spec, upstreams)
-			m.mayCancel(rt)
+			m.maybeCancel(rt)
 		}
-		// From the last to the first: jobs depend on earlier ones only.
+		// From the last job to the first, as jobs depend only on earlier ones.
 		for i, node := range slices.Backward(m.nodes) {
 			if node.job.removed {
 				continue
 			}
-			priority, latestStart := m.want(i)
+			priority, latestStart := m.wantDemand(i)
 			got := node.job
 			if got.view.Priority != priority || !got.downstreamDemand.latestStart.Equal(latestStart) {
-				rt.Fatalf("job %d: priority %d and start %v, want %d and %v", i, got.view.Priority, got.downstreamDemand.latestStart, priority, latestStart)
+				rt.Fatalf("job %d: priority %d and latest start %v, want %d and %v", i, got.view.Priority, got.downstreamDemand.latestStart, priority, latestStart)
 			}
 		}
 	})
 }
 
-// TestTimesCountFromTheLastEnd: a job's times count from when the last job before it
-// was done, as its record says, whichever record is read first and whatever the clock
-// of the leader that wrote it; its due time counts from its submission.
-func TestTimesCountFromTheLastEnd(t *testing.T) {
+// TestWaitCountsFromLastUpstreamEnd: a job's wait counts from the recorded end of its last
+// upstream job, in any order of reads and with any clock error of the leader that wrote the
+// final records. Its due time counts from its submission.
+func TestWaitCountsFromLastUpstreamEnd(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.UnixMilli(1_700_000_000_000)
 		l := testLeader(t)
@@ -139,7 +140,8 @@
 		accepted, last := job.acceptedAt, job.acceptedAt
 		now = now.Add(100 * time.Second)
 		for _, upstream := range spec.DependsOn {
-			// Up to a minute off, or not recorded.
+			// The recorded time is up to a minute ahead of our clock, up to a minute before
+			// the submission, or missing.
 			finished := now.Add(time.Duration(rapid.IntRange(-160, 60).Draw(rt, "finishedS")) * time.Second)
 			final := jobs.FinalRecord{Status: jobs.StatusDone, FinishedAtMS: finished.UnixMilli()}
 			if rapid.IntRange(0, 4).Draw(rt, "recorded") == 0 {
@@ -153,11 +155,11 @@
 			last = now
 		}
 		if !job.view.Submitted.Equal(last) || !job.acceptedAt.Equal(accepted) {
-			rt.Fatalf("counts from %v, want %v", job.view.Submitted, last)
+			rt.Fatalf("wait counts from %v, want %v", job.view.Submitted, last)
 		}
-		want := accepted.Add(300*time.Second - 30*time.Second - 5*time.Second) // to run, and for the image
+		want := accepted.Add(300*time.Second - 30*time.Second - 5*time.Second) // run time, image fetch
 		if got := last.Add(job.view.Targets[0]); !got.Equal(want) {
-			rt.Fatalf("must start at %v to be in time, want %v", got, want)
+			rt.Fatalf("latest start %v, want %v", got, want)
 		}
 	})
 }
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -6,51 +6,52 @@
 	"thornnotch/internal/jobs"
 )
 
-// Jobs that depend on others. Such a job is shown to nobody, neither placement nor
-// autoscaling, until each job that it names is done by its final record: that all
-// its tasks are done in the log is too early, as its user's cancellation can still
-// win that key. Final records never change, so reading one decides for good; while
-// it can't be read the job waits on.
+// Jobs with dependencies. Such a job is hidden from placement and autoscaling until the final
+// record of each job that it names says that the job is done. The log saying that all tasks of
+// the upstream job are done is not enough, because its user's cancellation can still win the
+// race to write the final record. Final records never change, so each has to be read only
+// once. While one can't be read, the job keeps waiting.
 
-// addDependencies takes in what a job waits for.
+// addDependencies registers the dependencies of a new job.
 func (l *Leader) addDependencies(job *jobState, dependencies jobs.Dependencies) {
-	job.upstreams.unknown, job.upstreams.declared = true, true
+	job.upstreams.unlinked, job.upstreams.declared = true, true
 	if dependencies.Split != nil || !l.failover.recordsLoaded() {
-		// Not all names are known, or not all open jobs.
+		// Some names are still to be read, or not all open jobs are loaded yet.
 		l.dependencies.addUnlinked(job, dependencies)
 		return
 	}
 	l.linkUpstreams(job, dependencies.DependsOn)
 }
 
-// linkLoadedJobs links the jobs that were read during the failover, once all are known.
+// linkLoadedJobs links the jobs that were loaded during the failover, once all open jobs are
+// known.
 func (l *Leader) linkLoadedJobs(now time.Time) {
-	for job, names := range l.dependencies.takeListed() {
+	for job, names := range l.dependencies.takeResolved() {
 		l.linkUpstreams(job, names)
 	}
 	l.readFinalRecords(now)
 }
 
-// linkUpstreams has a job wait for the jobs that are named.
+// linkUpstreams makes a job wait for the named jobs.
 func (l *Leader) linkUpstreams(job *jobState, names []string) {
 	for _, name := range job.upstreams.waitFor(names) {
 		l.dependencies.addDownstream(name, job)
 		if l.jobs.get(name) == nil {
-			l.dependencies.requestFinal(name) // not open: it must be final
+			l.dependencies.requestFinal(name) // not open, so it must have a final record
 		}
 	}
 	l.propagateDemand(names)
 }
 
-// upstreamEnded takes in how a job ended, by its final record: those that depend on it
-// have one less to wait for, or are cancelled with it, and so are those that depend on
-// them. No call goes deeper than this, however long the chain.
+// upstreamEnded handles the end of a job according to its final record. A downstream job waits
+// for one job less if that job is done, and is cancelled otherwise, as are all jobs downstream
+// of it. It uses a queue instead of recursion, so long chains can't exhaust the stack.
 func (l *Leader) upstreamEnded(id string, final jobs.FinalRecord, now time.Time) {
-	type ending struct {
+	type endedUpstream struct {
 		id    string
 		final jobs.FinalRecord
 	}
-	for queue := []ending{{id, final}}; len(queue) > 0; queue = queue[1:] {
+	for queue := []endedUpstream{{id, final}}; len(queue) > 0; queue = queue[1:] {
 		upstream := queue[0]
 		for _, job := range l.dependencies.takeDownstreams(upstream.id) {
 			switch {
@@ -59,41 +60,42 @@
 				l.upstreamDone(job, upstream.id, upstream.final, now)
 			default:
 				l.cancelWithUpstream(job, upstream.id, now)
-				queue = append(queue, ending{job.spec.ID, jobs.FinalRecord{Status: jobs.StatusCancelled}})
+				queue = append(queue, endedUpstream{job.spec.ID, jobs.FinalRecord{Status: jobs.StatusCancelled}})
 			}
 		}
 	}
 }
 
-// cancelWithUpstream cancels a job, as one that it depends on will never be done.
+// cancelWithUpstream cancels a job because one that it depends on will never be done.
 func (l *Leader) cancelWithUpstream(job *jobState, upstream string, now time.Time) {
 	l.deps.Log.Debug("job cancelled with upstream", "job", job.spec.ID, "upstream", upstream)
 	l.removeJob(job, now)
 	l.recordCancellation(job)
 }
 
-// upstreamDone is called when a job that this one depends on is done. The times of this
-// one count from when the last was, by its record; its due time from its submission.
+// upstreamDone handles the completion of a job that this one depends on. This job's wait
+// counts from the recorded end of its last upstream job; its due time still counts from its
+// submission.
 func (l *Leader) upstreamDone(job *jobState, upstream string, final jobs.FinalRecord, now time.Time) {
 	job.upstreams.done(upstream)
 	finishedAt := time.UnixMilli(final.FinishedAtMS)
 	if final.FinishedAtMS > 0 && finishedAt.After(job.view.Submitted) {
-		// By an earlier leader's clock, which may be ahead of ours: it has happened all
-		// the same, and long after the submission for all we know.
+		// The time is from the clock of an earlier leader, which may be ahead of ours. The job
+		// has ended by now in any case, so now is the latest possible time.
 		if finishedAt.After(now) {
 			finishedAt = now
 		}
 		job.view.Submitted = finishedAt
 	}
 	if !job.upstreams.blocked() {
-		l.becomeStartable(job, now)
+		l.dependenciesSatisfied(job, now)
 	}
 }
 
-// becomeStartable is called when all jobs before this one are done.
-func (l *Leader) becomeStartable(job *jobState, now time.Time) {
+// dependenciesSatisfied makes a job eligible to start once all its upstream jobs are done.
+func (l *Leader) dependenciesSatisfied(job *jobState, now time.Time) {
 	l.updateTargets(job)
 	job.servedAt = now
-	l.noteArrival(job, now)
+	l.recordArrival(job, now)
 	l.deps.Log.Debug("dependencies satisfied", "job", job.spec.ID, "waited_s", now.Sub(job.acceptedAt).Seconds())
 }
--- a/internal/leader/dependency_tracker.go
+++ b/internal/leader/dependency_tracker.go
@@ -7,76 +7,77 @@
 	"thornnotch/internal/jobs"
 )
 
-// dependencyTracker is which jobs depend on which, and what must be read to decide over
-// those that wait.
+// dependencyTracker holds the dependencies between jobs, and which records must be read to
+// resolve those of waiting jobs.
 type dependencyTracker struct {
-	// downstreams are the jobs that wait for one, by its ID.
+	// downstreams are the jobs that depend on a job, by its ID.
 	downstreams map[string][]*jobState
-	// finalsWanted are the jobs whose final record is to be read.
-	finalsWanted map[string]bool
-	// unlinked are the jobs whose list of names is to be read, or that wait until all
-	// open jobs are known.
+	// pendingFinals are the IDs of the jobs whose final record has to be read.
+	pendingFinals map[string]bool
+	// unlinked are the jobs whose dependency lists are still to be read, or that wait until
+	// all open jobs are loaded.
 	unlinked map[*jobState]jobs.Dependencies
-	// reading are the reads under way, by key; retryAt is when to go on after one failed.
-	reading map[finalRead]bool
-	retryAt time.Time
-	// reservedUpstreams are the jobs that were shown as upstreams of ones with
-	// reservations.
+	// activeReads are the reads in progress. After a failed read, none is started before
+	// retryAt.
+	activeReads map[dependencyRead]bool
+	retryAt     time.Time
+	// reservedUpstreams are the jobs marked as upstream of a job that has reservations.
 	reservedUpstreams []*jobState
 }
 
-// finalRead names one read under way: a job's final record, or its list of names.
-type finalRead struct {
-	job       string
-	namesList bool
+// dependencyRead identifies a read in progress: of a job's final record or of its dependency
+// list.
+type dependencyRead struct {
+	job    string
+	isList bool
 }
 
 func newDependencyTracker() dependencyTracker {
 	return dependencyTracker{
-		downstreams:  make(map[string][]*jobState),
-		finalsWanted: make(map[string]bool),
-		unlinked:     make(map[*jobState]jobs.Dependencies),
-		reading:      make(map[finalRead]bool),
+		downstreams:   make(map[string][]*jobState),
+		pendingFinals: make(map[string]bool),
+		unlinked:      make(map[*jobState]jobs.Dependencies),
+		activeReads:   make(map[dependencyRead]bool),
 	}
 }
 
-// downstreamsOf are the jobs that wait for one. Some may have been removed.
+// downstreamsOf returns the jobs that depend on a job. Some may have been removed since.
 func (d *dependencyTracker) downstreamsOf(id string) []*jobState { return d.downstreams[id] }
 
-// addDownstream has a job wait for another.
+// addDownstream makes a job depend on another.
 func (d *dependencyTracker) addDownstream(upstream string, job *jobState) {
 	d.downstreams[upstream] = append(d.downstreams[upstream], job)
 }
 
-// takeDownstreams hands over the jobs that wait for one that has ended.
+// takeDownstreams removes and returns the jobs that depend on a job that has ended.
 func (d *dependencyTracker) takeDownstreams(upstream string) []*jobState {
 	downstreams := d.downstreams[upstream]
 	delete(d.downstreams, upstream)
-	delete(d.finalsWanted, upstream)
+	delete(d.pendingFinals, upstream)
 	return downstreams
 }
 
-// requestFinal has a job's final record read if others wait for it.
+// requestFinal requests a read of a job's final record if other jobs depend on it.
 func (d *dependencyTracker) requestFinal(id string) {
 	if len(d.downstreams[id]) > 0 {
-		d.finalsWanted[id] = true
+		d.pendingFinals[id] = true
 	}
 }
 
-// addUnlinked notes a job that can't be linked yet.
+// addUnlinked adds a job that can't be linked to its upstream jobs yet.
 func (d *dependencyTracker) addUnlinked(job *jobState, dependencies jobs.Dependencies) {
 	d.unlinked[job] = dependencies
 }
 
-// takeUnlinked takes a job off those that are not linked yet. It tells whether it was one.
+// takeUnlinked removes a job from those not linked yet and reports whether it was among them.
 func (d *dependencyTracker) takeUnlinked(job *jobState) bool {
 	_, found := d.unlinked[job]
 	delete(d.unlinked, job)
 	return found
 }
 
-// takeListed hands over the jobs that are not linked yet and whose names are all known.
-func (d *dependencyTracker) takeListed() map[*jobState][]string {
+// takeResolved removes and returns the unlinked jobs whose dependency lists are complete.
+func (d *dependencyTracker) takeResolved() map[*jobState][]string {
 	listed := make(map[*jobState][]string)
 	for job, dependencies := range d.unlinked {
 		if dependencies.Split == nil {
@@ -87,64 +88,63 @@
 	return listed
 }
 
-// startFinalReads chooses the final records to be read next, and notes that their reads
-// are under way.
+// startFinalReads selects the final records to read next and marks these reads as in progress.
 func (d *dependencyTracker) startFinalReads(isOpen func(id string) bool) (ids []string) {
-	for id := range d.finalsWanted {
-		if d.readsFull() {
+	for id := range d.pendingFinals {
+		if d.atReadLimit() {
 			break
 		}
-		read := finalRead{job: id}
+		read := dependencyRead{job: id}
 		switch {
-		case d.reading[read]:
+		case d.activeReads[read]:
 		case isOpen(id), len(d.downstreams[id]) == 0:
-			delete(d.finalsWanted, id) // it is open after all, or nobody waits
+			delete(d.pendingFinals, id) // open after all, or no longer needed by any job
 		default:
-			d.reading[read] = true
+			d.activeReads[read] = true
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// dependencyList is a job whose list of names is to be read.
+// dependencyList identifies a dependency list that has to be read.
 type dependencyList struct {
 	job          *jobState
 	dependencies jobs.Dependencies
 }
 
-// startListReads chooses the lists of names to be read next, and notes that their reads
-// are under way.
+// startListReads selects the dependency lists to read next and marks these reads as in
+// progress.
 func (d *dependencyTracker) startListReads() (lists []dependencyList) {
 	for job, dependencies := range d.unlinked {
-		read := finalRead{job: job.spec.ID, namesList: true}
+		read := dependencyRead{job: job.spec.ID, isList: true}
 		switch {
 		case job.removed:
 			delete(d.unlinked, job)
-		case d.readsFull(), d.reading[read]:
+		case d.atReadLimit(), d.activeReads[read]:
 		default:
-			d.reading[read] = true
+			d.activeReads[read] = true
 			lists = append(lists, dependencyList{job, dependencies})
 		}
 	}
 	return lists
 }
 
-// endRead notes that a read is no longer under way.
-func (d *dependencyTracker) endRead(read finalRead) { delete(d.reading, read) }
+// endRead marks a read as finished.
+func (d *dependencyTracker) endRead(read dependencyRead) { delete(d.activeReads, read) }
 
-// readsDue tells whether anything may be read now.
+// readsDue reports whether there are records to read and reads are not paused after a failure.
 func (d *dependencyTracker) readsDue(now time.Time) bool {
-	return len(d.finalsWanted)+len(d.unlinked) > 0 && !now.Before(d.retryAt)
+	return len(d.pendingFinals)+len(d.unlinked) > 0 && !now.Before(d.retryAt)
 }
 
-// readsFull tells whether no more reads may be started at present.
-func (d *dependencyTracker) readsFull() bool { return len(d.reading) >= constants.MaxFinalReads }
+// atReadLimit reports whether the maximum number of reads is in progress.
+func (d *dependencyTracker) atReadLimit() bool { return len(d.activeReads) >= constants.MaxFinalReads }
 
-// readFailed has the next reads wait.
+// readFailed pauses reads after a failure.
 func (d *dependencyTracker) readFailed(now time.Time) { d.retryAt = now.Add(constants.FinalReadRetry) }
 
-// clearReservedUpstreams takes back what markReservedUpstream has marked.
+// clearReservedUpstreams removes the marks that markReservedUpstream has set.
 func (d *dependencyTracker) clearReservedUpstreams() {
 	for _, job := range d.reservedUpstreams {
 		job.view.ReservedDownstreams = nil
@@ -152,8 +152,8 @@
 	d.reservedUpstreams = d.reservedUpstreams[:0]
 }
 
-// markReservedUpstream marks a job as upstream of one that has a reservation. It tells
-// whether it was not marked before.
+// markReservedUpstream marks a job as upstream of one that has reservations. It reports
+// whether the mark is new.
 func (d *dependencyTracker) markReservedUpstream(upstream *jobState, downstream string) bool {
 	view := &upstream.view
 	if view.ReservedDownstreams[downstream] {
--- a/internal/leader/doc.go
+++ b/internal/leader/doc.go
@@ -1,30 +1,30 @@
-// Package leader makes the decisions of one term: it takes in heartbeats and submissions,
-// records what it decides, and commands the workers.
+// Package leader makes the decisions of one leadership term: it receives heartbeats and
+// submissions, records its decisions and sends commands to the workers.
 //
-// A [Leader] is made for one granted term and run once. One goroutine, the loop, owns all
-// scheduling state; everything else reaches it as an event (loop.go shows an event's whole
-// way). The loop makes no calls to outside systems: it queues them, and each is made on a
-// goroutine of its own that hands its result back as an event.
+// A [Leader] is created for one granted term and runs once. A single goroutine, the event
+// loop, owns all scheduling state; everything else reaches that state by posting events
+// (loop.go describes the path of an event). The loop never calls external systems itself: it
+// queues the calls, and each runs on its own goroutine and returns its result as an event.
 //
-// The state is divided into components, types of this package or packages below it. A
-// component keeps its fields to itself; the Leader's methods carry what one decides to the
-// others:
+// The state is split into components, which are types of this package or packages below it.
+// Each component keeps its fields private; the methods of Leader pass the decisions of one
+// component to the others:
 //
-//   - term: whether the term lasts, what ended it, stalls, attempt numbers
-//   - leader/certainty: up to when all cancellations are known, and so whether workers may
-//     be acknowledged
-//   - leader/wal and groupCommit: the write-ahead log, and its transactions
+//   - term: whether the term lasts, why it ended, detection of process stalls, attempt numbers
+//   - leader/certainty: up to which time all cancellations are known, and so whether workers
+//     may be acknowledged
+//   - leader/wal and groupCommit: the write-ahead log and its transactions
 //   - failover, recovery.go, legacy.go: taking over from an earlier term
-//   - metadataQueue: holds and images, recorded within a budget
-//   - jobTable, dependencyTracker: accepted jobs, and what they wait for
-//   - classStats: how the jobs of each class come and fare
+//   - metadataQueue: records of reservations and cached images, written within a byte budget
+//   - jobTable, dependencyTracker: accepted jobs and the dependencies between them
+//   - classStats: arrivals, placements, run times and waits by job class
 //   - passTimer, teamUsage, placement_snapshot.go, plan_execution.go: when a scheduling pass
-//     runs, what it is shown, and carrying out its plan
-//   - fleet, leader/health: machines, and which of them are to be avoided
-//   - scalingState: dealings with the cloud
+//     runs, its input, and the execution of its plan
+//   - fleet, leader/health: machines, and which of them to avoid
+//   - scalingState: renting machines from the cloud and returning them
 //   - loadLog and status: what operators see
 //
-// Safety rests on records in the state service, not on the lease or on timing: no attempt
-// starts, no worker forgets and no user is told before the record that it needs is
-// committed. The argument is in docs/design.md (Safety).
+// Safety depends on records in the state service, not on the lease or on timing: no attempt
+// starts, no worker discards an exit and no user gets an answer before the record that it
+// depends on is committed. docs/design.md (Safety) gives the argument.
 package leader
--- a/internal/leader/drain.go
+++ b/internal/leader/drain.go
@@ -6,8 +6,9 @@
 	"thornnotch/internal/jobs"
 )
 
-// drain stops what runs on a machine that the cloud takes away or that is returned,
-// while there is time to save. A reclaim notice may be half as long as it says.
+// drain stops the attempts on a machine that the cloud reclaims or that is being returned,
+// while there is time for them to save their progress. It acts at once, because the
+// actual notice of a reclaim may be half as long as announced.
 func (l *Leader) drain(machine *machineState, now time.Time) {
 	for _, attempt := range machine.agent.SortedAttempts() {
 		if attempt.StopRequested || !attempt.Live() {
--- a/internal/leader/final_records.go
+++ b/internal/leader/final_records.go
@@ -9,7 +9,8 @@
 	"thornnotch/internal/statestore"
 )
 
-// readFinalRecords reads what decides over the jobs that wait, some at a time.
+// readFinalRecords starts the reads that waiting jobs need, up to the limit of concurrent
+// reads.
 func (l *Leader) readFinalRecords(now time.Time) {
 	if !l.dependencies.readsDue(now) {
 		return
@@ -23,18 +24,19 @@
 	}
 }
 
-// readFinal reads the final record of a job.
+// readFinal reads the final record of a job and handles its end.
 func (l *Leader) readFinal(id string) {
 	l.calls.queue(func(ctx context.Context) func() {
 		row, found, err := l.deps.Store.Get(ctx, statestore.ClassRecord, jobs.FinalPrefix+id)
 		return func() {
-			l.dependencies.endRead(finalRead{job: id})
+			l.dependencies.endRead(dependencyRead{job: id})
 			var final jobs.FinalRecord
 			if err == nil && found {
 				err = json.Unmarshal(row.Value, &final)
 			}
 			if err != nil || !found {
-				// Not readable now; or not final: then the watch brings it.
+				// The read failed, or there is no final record yet. In that case the watch
+				// will report the job's end.
 				l.dependencies.readFailed(time.Now())
 				return
 			}
@@ -44,15 +46,16 @@
 	})
 }
 
-// readDependencyList reads the names of the jobs that one depends on, and links it to them.
+// readDependencyList reads the dependency list of a job and links the job to those that it
+// names.
 func (l *Leader) readDependencyList(job *jobState, dependencies jobs.Dependencies) {
 	id := job.spec.ID
 	l.calls.queue(func(ctx context.Context) func() {
 		names, err := dependencies.Load(ctx, l.deps.Store, statestore.ClassRecord, id)
 		return func() {
-			l.dependencies.endRead(finalRead{job: id, namesList: true})
+			l.dependencies.endRead(dependencyRead{job: id, isList: true})
 			if err != nil {
-				l.deps.Log.Warn("dependencies can't be read", "job", id, "error", err)
+				l.deps.Log.Warn("reading dependency list failed", "job", id, "error", err)
 				l.dependencies.readFailed(time.Now())
 				return
 			}
--- a/internal/leader/finish_reservations.go
+++ b/internal/leader/finish_reservations.go
@@ -29,8 +29,8 @@
 	l.offerFreedResources(machine, now)
 }
 
-// offerFreedResources offers what came free on a machine to jobs that have reservations
-// elsewhere.
+// offerFreedResources offers resources freed on a machine to downstream jobs that pre-reserve
+// slots released by other jobs.
 func (l *Leader) offerFreedResources(machine *machineState, now time.Time) {
 	if !machine.schedulable(now) {
 		return
@@ -41,15 +41,16 @@
 	}
 }
 
-// mayReserve tells whether a machine can and may take a task of a job.
+// mayReserve reports whether a machine may run a task of the downstream job and has enough
+// free resources for it.
 func (l *Leader) mayReserve(machine *machineState, downstream reservations.Downstream) bool {
 	job := l.jobs.get(downstream.Job)
 	return job != nil && placement.Allowed(&job.view, l.placementMachine(machine)) && l.freeResources(machine).Fits(downstream.TaskResources)
 }
 
-// downstreams are the jobs that come after one in its pipeline and wait to start:
-// those that name it, or else the next one of its team and class, if the operators
-// want reservations for these.
+// downstreams returns the jobs that follow a job in its pipeline and have not started: the
+// jobs that depend on it, or, where no dependencies are declared, the next job of its team and
+// class if the operators enabled reservations in submission order.
 func (l *Leader) downstreams(upstream *jobState) []reservations.Downstream {
 	if upstream.upstreams.declared || len(l.dependencies.downstreamsOf(upstream.spec.ID)) > 0 {
 		return l.downstreamEdges(upstream)
@@ -71,8 +72,8 @@
 	}
 }
 
-// hasWaitingTasks tells whether a job has tasks that are neither done nor placed: its
-// reservations serve nothing else.
+// hasWaitingTasks reports whether a job has tasks that are neither done nor placed. Only these
+// can use the job's reservations.
 func (l *Leader) hasWaitingTasks(id string) bool {
 	job := l.jobs.get(id)
 	return job != nil && len(job.attempts) < job.progress.remaining()
--- a/internal/leader/gang_recovery.go
+++ b/internal/leader/gang_recovery.go
@@ -8,9 +8,10 @@
 	"thornnotch/internal/workers"
 )
 
-// gangTaskLost is called when a task of a gang is gone or has ended undone. While the
-// gang still waits for its start, a replacement with the same attempt number
-// completes it; else the others go too, and it starts anew.
+// gangTaskLost handles a task of a gang whose attempt is gone or exited without completing. If
+// the gang has not started yet and a replacement is allowed, the task is placed again under
+// the same attempt number. Otherwise the remaining tasks are stopped and the gang restarts as
+// a whole.
 func (l *Leader) gangTaskLost(machine *machineState, job *jobState, attempt *workers.Attempt, replace bool, now time.Time) {
 	if job == nil || job.spec.Kind != jobs.KindGang || job.complete {
 		return
@@ -19,24 +20,24 @@
 		job.gang.replacingTask = true
 		job.markStale()
 		job.retry.avoidMachine(machine.agent.Name, now.Add(constants.AvoidFor))
-		l.deps.Log.Debug("task of a waiting gang to be replaced", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.agent.Name)
+		l.deps.Log.Debug("replacing lost task of waiting gang", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.agent.Name)
 		return
 	}
 	l.stopGang(job, 0, now)
 }
 
-// stopIncompleteGang stops what an earlier term had placed of a gang that lacks tasks: it
-// can't be completed any more, and would wait in vain.
+// stopIncompleteGang stops the attempts of a gang that an earlier term placed only in part.
+// Such a gang can't be completed any more and would wait forever.
 func (l *Leader) stopIncompleteGang(job *jobState, now time.Time) {
 	if n := len(job.attempts); job.spec.Kind == jobs.KindGang && n > 0 && n < job.spec.Tasks && !job.complete {
 		l.stopGang(job, job.stopGrace(), now)
 	}
 }
 
-// mayReplaceTask tells whether the rest of the gang still waits, as far as is
-// known. Should it have started after all, the rest exits for want of the lost
-// task, and that stops the replacement too. Attempts of earlier terms are not
-// completed: what their leader sent last is not known.
+// mayReplaceTask reports whether the other tasks of the gang are still waiting for its start,
+// as far as is known. If they have started after all, they exit because the lost task is
+// missing, and that stops the replacement too. Gangs with attempts of earlier terms get no
+// replacement, because the last commands of an earlier leader are unknown.
 func (l *Leader) mayReplaceTask(job *jobState, lost *workers.Attempt) bool {
 	if lost.StopRequested || lost.FromEarlierTerm || len(job.attempts) == 0 {
 		return false
@@ -53,7 +54,8 @@
 	return true
 }
 
-// waitsForStart tells whether an attempt was not seen beyond waiting for its gang.
+// waitsForStart reports whether an attempt has not been reported in any state after waiting
+// for its gang.
 func waitsForStart(attempt *workers.Attempt) bool {
 	return attempt.Status == "" || attempt.Status == workers.StatusFetching || attempt.Status == workers.StatusWaiting
 }
--- a/internal/leader/gang_reserve.go
+++ b/internal/leader/gang_reserve.go
@@ -9,8 +9,9 @@
 	"thornnotch/internal/placement"
 )
 
-// reservedMachines is how many whole on-demand machines other work leaves free for gangs:
-// as many as the expected ones need, up to a share of those that there are.
+// reservedMachines returns how many whole on-demand machines other jobs must leave free for
+// gangs: as many as the gangs expected soon need, up to a share of the schedulable on-demand
+// machines.
 func (l *Leader) reservedMachines(machines []*placement.Machine, now time.Time) int {
 	onDemand := 0
 	for _, machine := range machines {
@@ -21,10 +22,10 @@
 	return min(l.scaling.recentArrivals.expectedGangMachines(l.deps.Catalog(), now), int(float64(onDemand)*constants.GangReserveMaxShare))
 }
 
-// reservesWholeMachines tells whether whole machines are kept for jobs like this one: only
-// gangs that can use no spot machines, may stop nobody, and are meant to start soon need
-// any.
-func (l *Leader) reservesWholeMachines(spec *jobs.Spec) bool {
+// qualifiesForGangReserve reports whether whole machines are reserved for jobs like this one.
+// Only gangs that can't use spot machines, have too low a priority to preempt other jobs and
+// are expected to start soon need them.
+func (l *Leader) qualifiesForGangReserve(spec *jobs.Spec) bool {
 	if spec.Kind != jobs.KindGang || spec.AllowSpot || jobs.Priority(spec.PriorityClass) > jobs.Priority("standard") {
 		return false
 	}
--- a/internal/leader/gang_starvation.go
+++ b/internal/leader/gang_starvation.go
@@ -8,23 +8,23 @@
 	"thornnotch/internal/placement"
 )
 
-// The users want most of the largest jobs of each class to begin within four
-// minutes. Large gangs need many whole machines at once, and where there is more
-// work than room, smaller work takes each machine as it comes free. How the
-// largest gangs fare is therefore followed, class by class; where too many of
-// them begin late, those that wait are boosted over others.
+// Users expect most of the largest gangs of each class to start within four minutes. Large
+// gangs need many whole machines at once, and when demand exceeds capacity, smaller jobs take
+// each machine as soon as it is free. The waits of the largest gangs are therefore tracked by
+// class, and where too many of them start late, those still waiting are boosted over other
+// jobs.
 
-// gangWaits follows, by class, how long the largest gangs wait.
+// gangWaits tracks, by class, how long the largest gangs wait.
 type gangWaits map[string]*gangWaitStats
 
-// gangWaitStats follows the largest gangs of one class.
+// gangWaitStats holds the statistics of the largest gangs of one class.
 type gangWaitStats struct {
-	size int // tasks of the largest
-	// onTime and late count how they fared, older ones for less.
+	size int // tasks of the largest gang
+	// onTime and late count the observed gangs. Counts decay, so older ones weigh less.
 	onTime, late float64
 }
 
-// record takes in how one of them fared.
+// record adds one observed gang.
 func (s *gangWaitStats) record(late bool) {
 	s.onTime *= constants.LargeGangWaitDecay
 	s.late *= constants.LargeGangWaitDecay
@@ -35,8 +35,9 @@
 	}
 }
 
-// boost tells how far they must be boosted: over others of their priority when
-// too many begin late, over all others when the users' bound is near.
+// boost returns how far the waiting ones must be boosted: over other jobs of their priority
+// when too many start late, over all other jobs when the share of late ones is near the
+// users' bound of a half.
 func (s *gangWaitStats) boost() placement.Boost {
 	lateShare := 0.0
 	if s.late > 0 {
@@ -51,7 +52,7 @@
 	return placement.NoBoost
 }
 
-// addJob keeps the largest size of each class up to date.
+// addJob resets the statistics of a class when a gang larger than all before it is submitted.
 func (g gangWaits) addJob(spec *jobs.Spec) {
 	if spec.Kind != jobs.KindGang {
 		return
@@ -59,13 +60,13 @@
 	if stats := g[spec.Class]; stats != nil && spec.Tasks <= stats.size {
 		return
 	}
-	// A few are taken to have begun in time, so that one late one does not
-	// decide.
+	// A few gangs are assumed to have started in time, so that a single late one does not
+	// trigger a boost.
 	g[spec.Class] = &gangWaitStats{size: spec.Tasks, onTime: constants.LargeGangPriorOnTime}
 }
 
-// observe notes once how a job fared, if it is one of the largest gangs: when it begins,
-// or when it has waited too long.
+// observe records, once per job, whether one of the largest gangs started in time: when it
+// starts, or when it has waited too long.
 func (g gangWaits) observe(job *jobState, now time.Time) {
 	if job.spec.Kind != jobs.KindGang || job.gang.waitCounted || job.upstreams.blocked() {
 		return
@@ -83,7 +84,7 @@
 	stats.record(late)
 }
 
-// boostedClasses names the classes whose largest gangs are to be boosted.
+// boostedClasses returns the classes whose largest gangs are to be boosted.
 func (g gangWaits) boostedClasses() map[string]placement.StarvingClass {
 	classes := make(map[string]placement.StarvingClass)
 	for class, stats := range g {
--- a/internal/leader/job_admission.go
+++ b/internal/leader/job_admission.go
@@ -10,7 +10,7 @@
 	"thornnotch/internal/jobs"
 )
 
-// addJob takes in a job's record.
+// addJob adds a job from its open record.
 func (l *Leader) addJob(key string, value json.RawMessage, revision uint64, now time.Time) {
 	id := key[len(jobs.OpenPrefix):]
 	if l.jobs.knows(id) {
@@ -20,7 +20,7 @@
 	err := json.Unmarshal(value, &record)
 	spec := record.Spec
 	if err != nil || spec.ID != id || spec.Tasks < 1 || spec.Tasks > constants.MaxTasks {
-		l.deps.Log.Error("unreadable job", "key", key, "error", err)
+		l.deps.Log.Error("invalid job record", "key", key, "error", err)
 		return
 	}
 	job := newJobState(&spec, revision, submittedAt(&record, now), now)
@@ -31,14 +31,14 @@
 	if dependencies := (jobs.Dependencies{DependsOn: spec.DependsOn, Split: record.Split}); !dependencies.Empty() {
 		l.addDependencies(job, dependencies)
 	} else {
-		l.noteArrival(job, now)
+		l.recordArrival(job, now)
 	}
 	l.passes.request()
 	l.deps.Log.Debug("job accepted", "job", id, "team", spec.Team, "class", spec.Class, "tasks", spec.Tasks)
 }
 
-// submittedAt is when a job was submitted by its record, whose clock may be ahead of
-// ours; now, if the record does not tell.
+// submittedAt returns the submission time in a job's record, or now if the record has none or
+// the clock of the node that wrote it was ahead of ours.
 func submittedAt(record *jobs.Record, now time.Time) time.Time {
 	if at := time.UnixMilli(record.AcceptedAtMS); record.AcceptedAtMS > 0 && at.Before(now) {
 		return at
@@ -46,15 +46,15 @@
 	return now
 }
 
-// noteArrival counts a job that may start among those that came lately.
-func (l *Leader) noteArrival(job *jobState, now time.Time) {
+// recordArrival counts a job that has become eligible to start among the recent arrivals.
+func (l *Leader) recordArrival(job *jobState, now time.Time) {
 	l.scaling.recentArrivals.add(arrival{
-		at: job.view.Submitted, demand: demandOf(job, job.spec.Tasks), reservesMachines: l.reservesWholeMachines(job.spec),
+		at: job.view.Submitted, demand: demandOf(job, job.spec.Tasks), reservesMachines: l.qualifiesForGangReserve(job.spec),
 	}, now)
 }
 
-// jobRecordDeleted is called when a job's record has left the open ones: this leader
-// has finished it, or its user has cancelled it.
+// jobRecordDeleted handles the deletion of a job's open record: either this leader has
+// finished the job, or its user has cancelled it.
 func (l *Leader) jobRecordDeleted(id string, now time.Time) {
 	if job := l.jobs.get(id); job != nil {
 		l.removeJob(job, now)
@@ -63,8 +63,8 @@
 	l.jobs.recordDeleted(id)
 }
 
-// removeJob takes a job that is over out of memory. What of it may still be on
-// machines is stopped, and remembered by size until it is proven gone.
+// removeJob removes a job that has ended. Attempts that may still be on machines are stopped,
+// and the job's team and resources are kept until they are proven gone.
 func (l *Leader) removeJob(job *jobState, now time.Time) {
 	if job.removed {
 		return
@@ -73,7 +73,7 @@
 	l.jobs.remove(job, len(placed))
 	l.dependencies.requestFinal(job.spec.ID)
 	if len(job.upstreams.pending) > 0 {
-		l.propagateDemand(slices.Collect(maps.Keys(job.upstreams.pending))) // they are needed less
+		l.propagateDemand(slices.Collect(maps.Keys(job.upstreams.pending))) // their demand may drop
 	}
 	for attempt, machine := range job.unrecordedExits {
 		l.allowForget(machine, attempt)
--- a/internal/leader/job_attempts.go
+++ b/internal/leader/job_attempts.go
@@ -7,11 +7,12 @@
 	"thornnotch/internal/workers"
 )
 
-// stopGrace is for how long a task of the job may save its progress before it is killed,
-// in seconds.
+// stopGrace returns the time, in seconds, that a task of the job has to save its progress
+// before it is killed.
 func (j *jobState) stopGrace() float64 { return j.spec.SaveS + constants.StopGrace.Seconds() }
 
-// stopAttempt stops one attempt.
+// stopAttempt requests the stop of an attempt. An attempt whose run command was never sent is
+// removed at once.
 func (l *Leader) stopAttempt(machine *machineState, attempt *workers.Attempt, grace float64, now time.Time) {
 	if machine.agent.RequestStop(attempt, grace, now) {
 		l.removeAttempt(machine, attempt)
@@ -21,7 +22,7 @@
 	l.passes.request()
 }
 
-// stopGang stops all attempts of a gang together.
+// stopGang stops all attempts of a gang.
 func (l *Leader) stopGang(job *jobState, grace float64, now time.Time) {
 	job.gang.replacingTask = false
 	job.markStale()
@@ -34,7 +35,7 @@
 	}
 }
 
-// addAttempt notes an attempt with its job.
+// addAttempt adds an attempt to its job.
 func (l *Leader) addAttempt(machine *machineState, attempt *workers.Attempt) {
 	machine.markStale()
 	job := l.jobs.get(attempt.ID.Task.Job)
@@ -46,13 +47,13 @@
 	job.placed = true
 }
 
-// removeAttempt takes an attempt off its job once it is gone or has exited.
+// removeAttempt removes an attempt from its job once it is gone or has exited.
 func (l *Leader) removeAttempt(machine *machineState, attempt *workers.Attempt) {
 	machine.markStale()
 	l.wal.AttemptGone(machine.agent.Name, recordAttempt(attempt))
 	job := l.jobs.get(attempt.ID.Task.Job)
 	if job == nil {
-		l.jobs.endedAttemptGone(attempt.ID.Task.Job)
+		l.jobs.removeAttemptOfEndedJob(attempt.ID.Task.Job)
 		return
 	}
 	job.markStale()
--- a/internal/leader/job_final_writes.go
+++ b/internal/leader/job_final_writes.go
@@ -9,7 +9,7 @@
 	"thornnotch/internal/statestore"
 )
 
-// recordCompletion has a job whose tasks are all done moved to the final records.
+// recordCompletion queues the write of a completed job's final record.
 func (l *Leader) recordCompletion(job *jobState) {
 	l.commits.recordCompleted(finalRecord{
 		obsolete: func() bool { return job.removed || job.finalizing },
@@ -20,8 +20,8 @@
 	})
 }
 
-// completionWrite moves a job from the open to the final records. It fails if the user's
-// cancellation came first: exactly one of both wins.
+// completionWrite returns the write that replaces the job's open record with its final one. It
+// conflicts if the user's cancellation was written first, so exactly one of the two succeeds.
 func (l *Leader) completionWrite(job *jobState) wal.JobWrite {
 	id := job.spec.ID
 	final := jobs.FinalRecord{Status: jobs.StatusDone, Tasks: job.spec.Tasks, FinishedAtMS: time.Now().UnixMilli()}
@@ -31,7 +31,7 @@
 		l.removeJob(job, time.Now())
 		l.upstreamEnded(id, final, time.Now())
 	}
-	// Ended already by its user.
+	// The user's cancellation was written first.
 	write.Conflicted = func() { l.removeJob(job, time.Now()) }
 	write.Retry = func() {
 		job.finalizing = false
@@ -40,25 +40,25 @@
 	return write
 }
 
-// recordCancellation has the final record written of a job that is cancelled with one that
-// it depends on.
+// recordCancellation queues the write of the final record of a job that is cancelled because
+// an upstream job was.
 func (l *Leader) recordCancellation(job *jobState) {
 	l.commits.recordCancelled(func() wal.JobWrite { return l.cancellationWrite(job) })
 }
 
-// cancellationWrite moves a job that is cancelled with one that it depends on to the final
-// records.
+// cancellationWrite returns the write that replaces the open record of a job with a final one,
+// for a job that is cancelled because an upstream job was.
 func (l *Leader) cancellationWrite(job *jobState) wal.JobWrite {
 	write := finalWrite(job, jobs.FinalRecord{Status: jobs.StatusCancelled})
 	write.Retry = func() { l.recordCancellation(job) }
 	return write
 }
 
-// finalWrite moves a job from the open to the final records, unless its open record is
-// gone.
+// finalWrite returns the write that replaces a job's open record with its final one, on the
+// condition that the open record still exists.
 func finalWrite(job *jobState, final jobs.FinalRecord) wal.JobWrite {
 	id := job.spec.ID
-	value, _ := json.Marshal(final) // plain fields always encode
+	value, _ := json.Marshal(final) // can't fail: the record has only plain fields
 	return wal.JobWrite{
 		Conditions: []statestore.Condition{{Key: jobs.OpenPrefix + id, Revision: job.revision}},
 		Writes:     []statestore.Write{{Delete: jobs.OpenPrefix + id}, {Put: jobs.FinalPrefix + id, Value: value}},
--- a/internal/leader/job_state.go
+++ b/internal/leader/job_state.go
@@ -9,75 +9,78 @@
 	"thornnotch/internal/workers"
 )
 
-// jobState is one accepted job that has not ended.
+// jobState is the state of an accepted job that has not ended.
 type jobState struct {
 	spec     *jobs.Spec
-	revision uint64 // of its record, which never changes
-	// acceptedAt is when it was submitted; its view counts from when it could start.
+	revision uint64 // revision of the job's record, which never changes
+	// acceptedAt is the submission time. The submission time in view moves on to the end of
+	// the last upstream job.
 	acceptedAt time.Time
 
-	// view is the job as placement sees it; stale is set when it must be made anew.
+	// view is the job as shown to placement; stale is set when it has to be rebuilt.
 	view  placement.Job
 	stale bool
 
 	progress taskProgress
-	// unrecordedExits are attempts reported done whose completion is not yet recorded:
-	// their workers must not forget them.
+	// unrecordedExits are attempts that were reported done and whose completion is not
+	// recorded yet. Their workers must keep the exits until it is.
 	unrecordedExits map[*workers.Attempt]*machineState
 
 	attempts taskAttempts
-	// placed is set once any task was given a machine: the job no longer waits to start.
+	// placed is set once any task has been placed: the job no longer waits to start.
 	placed bool
-	// servedAt is when a task of it was last given a machine, or it came.
+	// servedAt is when a task of the job was last placed; until then, when the job was added
+	// or became eligible to start.
 	servedAt time.Time
-	started  time.Time // first time that a task ran
+	started  time.Time // when a task was first reported running
 
 	gang      gangState
 	retry     retryState
 	upstreams upstreamState
-	// downstreamDemand is what the jobs that need this one ask for.
+	// downstreamDemand is the demand inherited from the jobs that depend on this one.
 	downstreamDemand demand
 
-	// failures and runtimes are what its tasks tell of their machines, and of itself.
+	// failures and runtimes are the evidence from its tasks on the health of machines and of
+	// the job itself.
 	failures health.FailureHistory
 	runtimes health.Runtimes
-	// restartedTasks are the tasks that have run in part already, whose last run tells
-	// nothing of the whole.
+	// restartedTasks are tasks that have run in part before. The run time of their last
+	// attempt is not that of the whole task.
 	restartedTasks map[int]bool
-	// fromEarlierTerm jobs were open when this term began: how long their tasks had
-	// run by then is not known, so they tell nothing of machines.
+	// fromEarlierTerm is set if the job was open when this term began. It is not known how
+	// long its tasks had run by then, so their run times are no evidence on machines.
 	fromEarlierTerm bool
 
-	complete   bool // all tasks are done, the final record is being written
-	finalizing bool // a transaction with the final record is under way
+	complete   bool // all tasks are done; the final record is to be written
+	finalizing bool // a transaction with the final record is in progress
 	removed    bool // cancelled or ended
 }
 
-// markStale has the job's view made anew for the next pass. Whatever changes its tasks or
-// attempts must call it.
+// markStale makes the next pass rebuild the job's view. It must be called on every change to
+// the job's tasks or attempts.
 func (j *jobState) markStale() { j.stale = true }
 
-// gangState is what is kept of a gang beside its attempts.
+// gangState is the state of a gang beyond its attempts.
 type gangState struct {
-	// attemptNumber is the number of its present attempt. replacingTask is set while a
-	// task that it lost before it ran may be replaced under that number.
+	// attemptNumber is the number of the gang's current attempt. replacingTask is set while a
+	// task that was lost before the gang started may be replaced under that number.
 	attemptNumber uint64
 	replacingTask bool
-	// waitCounted is set once it is known how it fared among the largest of its class.
+	// waitCounted is set once the gang is counted in the waits of its class's largest gangs.
 	waitCounted bool
 }
 
-// upstreamState is what a job waits for.
+// upstreamState holds the jobs that a job depends on.
 type upstreamState struct {
-	declared bool // it named jobs to wait for, whether or not they are done
-	unknown  bool // not even their names are known
-	// pending are those that are not known to be done.
+	declared bool // the job has dependencies, whether or not they are done
+	unlinked bool // the upstream jobs are not linked yet
+	// pending are the upstream jobs that are not known to be done.
 	pending map[string]bool
 }
 
-// waitFor has the job wait for the named ones. It returns them, each once.
+// waitFor sets the jobs to wait for. It returns their names without duplicates.
 func (u *upstreamState) waitFor(names []string) []string {
-	u.unknown = false
+	u.unlinked = false
 	u.pending = make(map[string]bool, len(names))
 	var distinct []string
 	for _, name := range names {
@@ -89,11 +92,11 @@
 	return distinct
 }
 
-// done notes that an upstream is done.
+// done removes an upstream job that is done.
 func (u *upstreamState) done(name string) { delete(u.pending, name) }
 
-// blocked tells whether a job before this one is not known to be done.
-func (u *upstreamState) blocked() bool { return u.unknown || len(u.pending) > 0 }
+// blocked reports whether any upstream job is not known to be done.
+func (u *upstreamState) blocked() bool { return u.unlinked || len(u.pending) > 0 }
 
 func newJobState(spec *jobs.Spec, revision uint64, submitted, now time.Time) *jobState {
 	return &jobState{
--- a/internal/leader/job_table.go
+++ b/internal/leader/job_table.go
@@ -8,25 +8,25 @@
 	"thornnotch/internal/workers"
 )
 
-// jobTable holds the jobs of a term: the open ones, and what must be remembered of
-// those that have ended.
+// jobTable holds the open jobs of a term, and what has to be kept of those that have ended.
 type jobTable struct {
 	open map[string]*jobState
-	// removed are the IDs of jobs that ended here before the watch has told so: what
-	// the watch still says of their submission is late.
+	// removed are the IDs of jobs that were removed here before the watch reported the
+	// deletion of their records. Submissions that the watch still reports of them are
+	// outdated.
 	removed map[string]bool
-	// ended are the jobs that are over while attempts of them may still run.
+	// ended are the jobs that have ended while attempts of theirs may still be running.
 	ended map[string]*endedJob
-	// pipelines are the jobs of each team and class in the order that they came.
+	// pipelines are the jobs of each team and class, in the order in which they were added.
 	pipelines map[placement.Pipeline][]*jobState
 }
 
-// endedJob is what is remembered of a job that is over while attempts of it may
-// still be on machines.
+// endedJob is what is kept of a job that has ended while attempts of it may still be on
+// machines.
 type endedJob struct {
 	team      string
-	resources placement.Resources // of each task
-	attempts  int                 // attempts not proven gone
+	resources placement.Resources // per task
+	attempts  int                 // number of attempts not proven gone
 }
 
 func newJobTable() jobTable {
@@ -38,27 +38,28 @@
 	}
 }
 
-// get finds an open job; nil if there is none of this ID.
+// get returns an open job, or nil if there is none with this ID.
 func (t *jobTable) get(id string) *jobState { return t.open[id] }
 
-// len is how many jobs are open.
+// len returns the number of open jobs.
 func (t *jobTable) len() int { return len(t.open) }
 
-// all iterates over the open jobs, in no order.
+// all iterates over the open jobs in no particular order.
 func (t *jobTable) all() iter.Seq[*jobState] { return maps.Values(t.open) }
 
-// knows tells whether a job is open, or was removed before the watch has told so.
+// knows reports whether a job is open, or was removed before the watch reported the deletion
+// of its record.
 func (t *jobTable) knows(id string) bool { return t.open[id] != nil || t.removed[id] }
 
-// add takes in a job.
+// add adds an open job.
 func (t *jobTable) add(job *jobState) {
 	t.open[job.spec.ID] = job
 	pipeline := job.view.Pipeline()
 	t.pipelines[pipeline] = append(t.pipelines[pipeline], job)
 }
 
-// remove takes out a job that is over. If attempts of it may still be on machines, what
-// they take is remembered.
+// remove removes a job that has ended. If it has attempts that may still be on machines, their
+// team and resources are kept.
 func (t *jobTable) remove(job *jobState, attempts int) {
 	id := job.spec.ID
 	job.removed = true
@@ -69,11 +70,11 @@
 	delete(t.open, id)
 }
 
-// recordDeleted is called once the watch has told that a job's record is gone. It tells
-// changes in order: nothing older of the job can follow.
+// recordDeleted is called when the watch reports the deletion of a job's open record. The
+// watch delivers changes in order, so no older change of that record can follow.
 func (t *jobTable) recordDeleted(id string) { delete(t.removed, id) }
 
-// restoreEnded counts an attempt, read from the records, of a job that is over.
+// restoreEnded counts an attempt of an ended job that was restored from the records.
 func (t *jobTable) restoreEnded(id, team string, resources placement.Resources) {
 	if t.ended[id] == nil {
 		t.ended[id] = &endedJob{team: team, resources: resources}
@@ -81,15 +82,16 @@
 	t.ended[id].attempts++
 }
 
-// endedAttemptFound counts an attempt, found on a machine, of a job that is over.
+// endedAttemptFound counts an attempt of an ended job that a machine has reported.
 func (t *jobTable) endedAttemptFound(id string) {
 	if ended := t.ended[id]; ended != nil {
 		ended.attempts++
 	}
 }
 
-// endedAttemptGone is called when an attempt is gone whose job is over.
-func (t *jobTable) endedAttemptGone(id string) {
+// removeAttemptOfEndedJob stops counting an attempt of an ended job, and drops the job with
+// its last attempt.
+func (t *jobTable) removeAttemptOfEndedJob(id string) {
 	ended := t.ended[id]
 	if ended == nil {
 		return
@@ -100,7 +102,8 @@
 	}
 }
 
-// resourcesOf is what an attempt takes. One whose job is over still occupies its machine.
+// resourcesOf returns the resources that an attempt takes. An attempt whose job has ended
+// still occupies its machine.
 func (t *jobTable) resourcesOf(attempt *workers.Attempt) placement.Resources {
 	if job := t.open[attempt.ID.Task.Job]; job != nil {
 		return placement.TaskResources(job.spec)
@@ -111,7 +114,7 @@
 	return placement.Resources{}
 }
 
-// teamOf is the team that an attempt counts for.
+// teamOf returns the team that an attempt is accounted to.
 func (t *jobTable) teamOf(attempt *workers.Attempt) string {
 	if job := t.open[attempt.ID.Task.Job]; job != nil {
 		return job.spec.Team
@@ -122,12 +125,11 @@
 	return ""
 }
 
-// nextInPipeline is the earliest job of an upstream's pipeline that still waits to
-// start. A job that waits for others has a pipeline of its own.
+// nextInPipeline returns the earliest other job in the pipeline of an upstream job that has
+// not started and has no dependencies: jobs with dependencies have pipelines of their own.
 func (t *jobTable) nextInPipeline(upstream *jobState) *jobState {
 	pipeline := upstream.view.Pipeline()
-	// Jobs come in the order of their records, but for those that were read
-	// during the failover.
+	// Jobs are added in the order of their records, except those loaded during the failover.
 	var earliest *jobState
 	kept := t.pipelines[pipeline][:0]
 	for _, job := range t.pipelines[pipeline] {
--- a/internal/leader/job_table_test.go
+++ b/internal/leader/job_table_test.go
@@ -7,9 +7,9 @@
 	"thornnotch/internal/workers"
 )
 
-// TestEndedJobsAreRemembered: what a job takes is known until the last of its attempts is
-// gone, and no longer.
-func TestEndedJobsAreRemembered(t *testing.T) {
+// TestEndedJobsAreKeptUntilAttemptsAreGone: the team and resources of an ended job are kept
+// until the last of its attempts is gone, and no longer.
+func TestEndedJobsAreKeptUntilAttemptsAreGone(t *testing.T) {
 	now := time.Unix(1000, 0)
 	spec := arraySpec("j-1", 3)
 	table := newJobTable()
@@ -20,32 +20,32 @@
 	table.endedAttemptFound("j-1")
 	for range 3 {
 		if table.teamOf(attempt) != spec.Team || table.resourcesOf(attempt).GPUs != spec.GPUs {
-			t.Fatalf("forgotten while attempts may run: team %q, %+v", table.teamOf(attempt), table.resourcesOf(attempt))
+			t.Fatalf("ended job dropped while attempts may run: team %q, resources %+v", table.teamOf(attempt), table.resourcesOf(attempt))
 		}
-		table.endedAttemptGone("j-1")
+		table.removeAttemptOfEndedJob("j-1")
 	}
 	if table.teamOf(attempt) != "" || len(table.ended) != 0 {
-		t.Errorf("remembered for ever: %+v", table.ended)
+		t.Errorf("ended job kept after its last attempt is gone: %+v", table.ended)
 	}
 }
 
-// TestRemovedJobsAreKnownUntilTheWatchHasTold: a late submission of a job that has ended
-// here must not open it again.
-func TestRemovedJobsAreKnownUntilTheWatchHasTold(t *testing.T) {
+// TestRemovedJobsAreKnownUntilWatchReportsDeletion: a job that was removed here must not be
+// added again by an outdated submission event.
+func TestRemovedJobsAreKnownUntilWatchReportsDeletion(t *testing.T) {
 	now := time.Unix(1000, 0)
 	spec := arraySpec("j-1", 1)
 	table := newJobTable()
 	if table.knows("j-1") {
-		t.Fatal("known before it came")
+		t.Fatal("known before it was added")
 	}
 	job := newJobState(&spec, 1, now, now)
 	table.add(job)
 	table.remove(job, 0)
 	if table.get("j-1") != nil || !table.knows("j-1") || len(table.ended) != 0 {
-		t.Errorf("open %v, known %v, ended %v", table.get("j-1") != nil, table.knows("j-1"), table.ended)
+		t.Errorf("after the removal: open %v, known %v, ended jobs %v", table.get("j-1") != nil, table.knows("j-1"), table.ended)
 	}
 	table.recordDeleted("j-1")
 	if table.knows("j-1") {
-		t.Error("remembered for ever")
+		t.Error("still known after the deletion was reported")
 	}
 }
--- a/internal/leader/job_test.go
+++ b/internal/leader/job_test.go
@@ -7,9 +7,9 @@
 	"thornnotch/internal/workers"
 )
 
-// TestStartsFollowTheirRecord walks one job through placement, record, start,
-// exit and completion: no command leaves before the record that it needs.
-func TestStartsFollowTheirRecord(t *testing.T) {
+// TestCommandsWaitForTheirRecord follows a job through placement, record, start, exit and
+// completion: no command is sent before the record that it depends on is committed.
+func TestCommandsWaitForTheirRecord(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
 	machine := addMachine(l, "m-1", "east", now)
@@ -18,50 +18,50 @@
 
 	l.runSchedulingPass(now)
 	if got := commands(); len(job.attempts) != 2 || len(got) != 0 {
-		t.Fatalf("%d placed, commands %v before the record", len(job.attempts), got)
+		t.Fatalf("%d tasks placed, commands before the attempts are recorded: %v", len(job.attempts), got)
 	}
 	revision := commitAll(l, 100)
 	if got := commands(); len(got) != 2 || got[0].Verb != workers.VerbRun {
-		t.Fatalf("after the record: %v", got)
+		t.Fatalf("commands after the attempts are recorded: %v", got)
 	}
 
 	l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusRunning, ""), false, now)
 	if len(machine.images) != 1 || !machine.images[0].fetched || l.metadata.due[machine].IsZero() {
-		t.Errorf("the image is not noted for the next leader")
+		t.Errorf("the cached image is not queued to be recorded")
 	}
 
 	l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusExited, workers.CauseDone), false, now)
 	if got := commands(); !job.complete || len(got) != 0 {
-		t.Fatalf("complete %v, commands %v before completion is recorded", job.complete, got)
+		t.Fatalf("complete %v, commands before the completion is recorded: %v", job.complete, got)
 	}
 	commitAll(l, revision)
 	if got := commands(); len(got) != 2 || got[0].Verb != workers.VerbForget {
-		t.Fatalf("after completion: %v", got)
+		t.Fatalf("commands after the completion is recorded: %v", got)
 	}
 	if l.jobs.get("j-1") != nil {
-		t.Errorf("the job is still open")
+		t.Errorf("the job is still open after its completion")
 	}
 }
 
-// TestCancelledTasksStillCount: a cancelled job's tasks count for their team
-// until they are proven gone, also for the next leader.
-func TestCancelledTasksStillCount(t *testing.T) {
+// TestCancelledTasksCountUntilGone: tasks of a cancelled job count towards their team's use
+// until they are proven gone, and are recorded for the next leader.
+func TestCancelledTasksCountUntilGone(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
 	machine := addMachine(l, "m-1", "east", now)
 	addJob(t, l, arraySpec("j-1", 3), now)
 	startAndReport(l, machine, now)
-	machine.agent.Endpoint = "" // nothing to be told directly here
+	machine.agent.Endpoint = "" // no direct commands
 	l.jobRecordDeleted("j-1", now)
 	if got := l.snapshotForPlacement(now).Teams["a"].Used.GPUs; got != 3 {
 		t.Errorf("%v GPUs in use after the cancellation, want 3", got)
 	}
 	record := l.machineRecord(machine)
 	if len(record.Attempts) != 3 || record.Jobs["j-1"].Team != "a" || resourcesFromRecord(record.Jobs["j-1"].Resources).GPUs != 1 {
-		t.Errorf("the record does not carry them: %+v", record)
+		t.Errorf("the record lacks the cancelled job's attempts: %+v", record)
 	}
 	l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusExited, workers.CauseStopped), false, now)
 	if l.snapshotForPlacement(now).Teams["a"].Used.GPUs != 0 {
-		t.Errorf("they count for ever")
+		t.Errorf("the tasks still count after their exit")
 	}
 }
--- a/internal/leader/job_view.go
+++ b/internal/leader/job_view.go
@@ -7,8 +7,8 @@
 	"thornnotch/internal/jobs"
 )
 
-// refreshView brings the job's view for placement up to date. classShare is how many
-// jobs of its class come, against the most frequent class.
+// refreshView updates the job's view for placement. classShare is the number of jobs of its
+// class relative to that of the most frequent class.
 func (j *jobState) refreshView(classShare float64, now time.Time) {
 	view := &j.view
 	view.UpdateSlack(now, classShare)
@@ -20,18 +20,18 @@
 	j.stale = false
 	view.TasksByZone = j.attempts.countByZone()
 	view.AvoidMachines = j.retry.machinesToAvoid(now)
-	// The list is kept for its room.
+	// The slice is reused to avoid an allocation.
 	view.WaitingTasks = view.WaitingTasks[:0]
 	if j.spec.Kind == jobs.KindGang {
-		j.showWaitingGang()
+		j.listWaitingGangTasks()
 	} else {
-		j.showWaitingTasks(now)
+		j.listWaitingTasks(now)
 	}
 }
 
-// showWaitingGang lists the tasks of a gang that wait for a machine. A gang starts as a
-// whole, and not before the last task of an earlier attempt is proven gone.
-func (j *jobState) showWaitingGang() {
+// listWaitingGangTasks lists the tasks of a gang that wait for a machine. A gang starts as a
+// whole, and only after all tasks of an earlier attempt are proven gone.
+func (j *jobState) listWaitingGangTasks() {
 	if len(j.attempts) == 0 {
 		j.gang.replacingTask = false
 	}
@@ -46,11 +46,12 @@
 	}
 }
 
-// showWaitingTasks lists the first tasks of an array or service that wait for a machine.
-func (j *jobState) showWaitingTasks(now time.Time) {
+// listWaitingTasks lists the first tasks of an array or service that wait for a machine.
+func (j *jobState) listWaitingTasks(now time.Time) {
 	limit := constants.MaxWaitingTasks
 	if j.failures.JobIsFaulty() {
-		// One task tells whether it still fails, and takes no room of others.
+		// A single task shows whether the job still fails, and leaves the capacity to
+		// other jobs.
 		limit = max(0, 1-len(j.attempts))
 	}
 	foundFirst := false
--- a/internal/leader/job_view_test.go
+++ b/internal/leader/job_view_test.go
@@ -12,10 +12,10 @@
 	"thornnotch/internal/workers"
 )
 
-// TestWaitingTasksOfAnArray: whatever is placed, lost, done and delayed, placement is
-// shown the first tasks that wait, in order: those that are not done, have no attempt and
-// need not wait before they are tried again.
-func TestWaitingTasksOfAnArray(t *testing.T) {
+// TestArrayWaitingTasks: after any sequence of placed, lost, completed and delayed tasks,
+// placement is shown the first waiting tasks in order: those that are not done, have no
+// attempt and are not delayed by a retry.
+func TestArrayWaitingTasks(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.Unix(1000, 0)
 		spec := arraySpec("j-1", rapid.IntRange(1, 2*constants.MaxWaitingTasks).Draw(rt, "tasks"))
@@ -43,13 +43,13 @@
 			job.markStale()
 			job.refreshView(1, now)
 			if want := waitingTasks(job, delayedUntil, now); !slices.Equal(job.view.WaitingTasks, want) {
-				rt.Fatalf("shown %v, want %v", job.view.WaitingTasks, want)
+				rt.Fatalf("waiting tasks %v, want %v", job.view.WaitingTasks, want)
 			}
 		}
 	})
 }
 
-// waitingTasks looks at all tasks of an array for those that placement is to be shown.
+// waitingTasks returns the expected waiting tasks by a scan of the whole array.
 func waitingTasks(job *jobState, delayedUntil map[int]time.Time, now time.Time) (waiting []int) {
 	for task := range job.spec.Tasks {
 		if !job.progress.isDone(task) && len(job.attempts[task]) == 0 && !now.Before(delayedUntil[task]) {
@@ -59,42 +59,42 @@
 	return waiting[:min(len(waiting), constants.MaxWaitingTasks)]
 }
 
-// TestWaitingTasksOfAGang: all at once while it has no attempts, none while some of them
-// are not gone, and the lost one alone while it may be replaced.
-func TestWaitingTasksOfAGang(t *testing.T) {
+// TestGangWaitingTasks: all tasks of a gang wait while it has no attempts, none while some
+// attempts are not gone, and only the lost one while it may be replaced.
+func TestGangWaitingTasks(t *testing.T) {
 	now := time.Unix(1000, 0)
-	spec := gangOfTwo("j-1")
+	spec := twoTaskGang("j-1")
 	gang := newJobState(&spec, 1, now, now)
 	machine := &machineState{agent: workers.NewAgent("m-1")}
-	shown := func() []int {
+	refreshed := func() []int {
 		gang.markStale()
 		gang.refreshView(1, now)
 		return gang.view.WaitingTasks
 	}
-	if got := shown(); !slices.Equal(got, []int{0, 1}) {
-		t.Errorf("at first %v", got)
+	if got := refreshed(); !slices.Equal(got, []int{0, 1}) {
+		t.Errorf("waiting tasks before any placement: %v", got)
 	}
 	attempt := &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: "j-1", Index: 0}}}
 	gang.attempts.add(machine, attempt)
-	if got := shown(); len(got) != 0 {
-		t.Errorf("while one attempt is not gone %v", got)
+	if got := refreshed(); len(got) != 0 {
+		t.Errorf("waiting tasks while an attempt is not gone: %v", got)
 	}
 	gang.gang.replacingTask = true
-	if got := shown(); !slices.Equal(got, []int{1}) {
-		t.Errorf("while a task may be replaced %v", got)
+	if got := refreshed(); !slices.Equal(got, []int{1}) {
+		t.Errorf("waiting tasks while a task may be replaced: %v", got)
 	}
 	gang.attempts.remove(attempt)
-	if got := shown(); !slices.Equal(got, []int{0, 1}) || gang.gang.replacingTask {
-		t.Errorf("after the last is gone %v, replacing %v", got, gang.gang.replacingTask)
+	if got := refreshed(); !slices.Equal(got, []int{0, 1}) || gang.gang.replacingTask {
+		t.Errorf("waiting tasks after the last attempt is gone: %v, replacing a task: %v", got, gang.gang.replacingTask)
 	}
 	gang.progress.completeAll()
-	if got := shown(); len(got) != 0 {
-		t.Errorf("after the end %v", got)
+	if got := refreshed(); len(got) != 0 {
+		t.Errorf("waiting tasks after completion: %v", got)
 	}
 }
 
-// TestStopCost: what stopping a task throws away is its work unless it saves it, and a
-// gang is dearer than its tasks.
+// TestStopCost: stopping a task that can't save its progress loses all its work, and stopping
+// a gang costs more than stopping single tasks.
 func TestStopCost(t *testing.T) {
 	now := time.Unix(1000, 0)
 	running := &workers.Attempt{RunningSince: now.Add(-time.Minute)}
@@ -120,7 +120,7 @@
 		},
 	} {
 		if remaining, loss := estimateStopCost(&c.spec, c.attempt, now); remaining != c.remaining || loss != c.loss {
-			t.Errorf("%s: %v left and %v lost, want %v and %v", c.name, remaining, loss, c.remaining, c.loss)
+			t.Errorf("%s: remaining time %v and loss %v, want %v and %v", c.name, remaining, loss, c.remaining, c.loss)
 		}
 	}
 }
