--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -8,7 +8,8 @@
 	"thornnotch/internal/workers"
 )
 
-// taskFailed takes in a task's failure.
+// taskFailed handles the exit of a failed task: it sets the backoff of the task or of the
+// whole job, and updates the suspicion against the machine.
 func (l *Leader) taskFailed(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
 	ran := time.Duration(0)
 	if !attempt.RunningSince.IsZero() {
@@ -28,12 +29,13 @@
 		return
 	}
 	if machine.health.Suspect(job.spec.ID, now) {
-		l.quarantine(machine, "several jobs failed on it", now)
+		l.quarantine(machine, "several jobs failed on this machine", now)
 	}
 	l.attributeFailures(job, now)
 }
 
-// attributeFailures finds out whose fault a job's failures were.
+// attributeFailures quarantines the machines that the job's failures can now be attributed
+// to.
 func (l *Leader) attributeFailures(job *jobState, now time.Time) {
 	if !job.failures.Unattributed() {
 		return
@@ -41,12 +43,12 @@
 	for _, name := range job.failures.TakeFaultyMachines(job.longestRuns(), now) {
 		job.failures.ClearJob()
 		if machine := l.fleet.get(name); machine != nil {
-			l.quarantine(machine, "a job that does well elsewhere failed on it", now)
+			l.quarantine(machine, "a job that runs elsewhere failed on this machine", now)
 		}
 	}
 }
 
-// longestRuns is for how long the job's tasks have been seen to run, by machine.
+// longestRuns returns the longest observed run time of the job's running tasks, by machine.
 func (j *jobState) longestRuns() map[string]time.Duration {
 	runs := make(map[string]time.Duration)
 	for _, placed := range j.attempts {
@@ -60,14 +62,14 @@
 	return runs
 }
 
-// attributeAllFailures does that for all jobs that have failed somewhere.
+// attributeAllFailures calls attributeFailures for every open job.
 func (l *Leader) attributeAllFailures(now time.Time) {
 	for job := range l.jobs.all() {
 		l.attributeFailures(job, now)
 	}
 }
 
-// clearMachineSuspicion takes back what a faulty job has said against machines.
+// clearMachineSuspicion withdraws the suspicions against machines that a faulty job raised.
 func (l *Leader) clearMachineSuspicion(job *jobState) {
 	for _, name := range job.failures.SuspectMachines() {
 		if machine := l.fleet.get(name); machine != nil {
@@ -77,8 +79,8 @@
 	l.passes.request()
 }
 
-// quarantine takes a machine for faulty: it gets no more tasks, and goes back once
-// it has none. What has not begun to run there would only fail too.
+// quarantine marks a machine as faulty: it gets no more tasks and is returned once it is
+// empty. Attempts that have not started there are stopped, as they would fail too.
 func (l *Leader) quarantine(machine *machineState, reason string, now time.Time) {
 	if !machine.health.Quarantine() {
 		return
@@ -86,7 +88,7 @@
 	l.deps.Log.Warn("machine quarantined", "machine", machine.agent.Name, "zone", machine.agent.Zone, "reason", reason)
 	for _, attempt := range machine.agent.SortedAttempts() {
 		job := l.jobs.get(attempt.ID.Task.Job)
-		if job == nil || attempt.StopRequested || !attempt.Live() || hasBegun(attempt) {
+		if job == nil || attempt.StopRequested || !attempt.Live() || hasStarted(attempt) {
 			continue
 		}
 		if job.spec.Kind != jobs.KindGang {
@@ -100,7 +102,8 @@
 	l.passes.request()
 }
 
-// hasBegun tells whether an attempt was seen to run and has not ended.
-func hasBegun(attempt *workers.Attempt) bool {
+// hasStarted reports whether an attempt has been reported as running or saving and has not
+// exited.
+func hasStarted(attempt *workers.Attempt) bool {
 	return attempt.Status == workers.StatusRunning || attempt.Status == workers.StatusSaving
 }
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -11,82 +11,83 @@
 	"thornnotch/internal/workers"
 )
 
-// On the machines of failingSite a task runs for so long, and fails after so long where
-// it fails.
+// Timing of the simulated cluster: how long a task runs if it succeeds, how long until it
+// fails otherwise, the interval between steps, and the simulated time in total.
 const (
-	siteTaskRuntime = 10 * time.Second
-	siteTaskFailure = 500 * time.Millisecond
-	siteStep        = 250 * time.Millisecond
-	siteDuration    = 45 * time.Second
+	simTaskRuntime  = 10 * time.Second
+	simFailureDelay = 500 * time.Millisecond
+	simStep         = 250 * time.Millisecond
+	simDuration     = 45 * time.Second
 )
 
-// failingSite models machines that carry out what the leader commands. Faulty machines
-// fail every task, and every machine fails the tasks of jobs with a mistake.
-type failingSite struct {
-	leader   *Leader
-	faulty   map[string]bool // machines
-	mistaken map[string]bool // jobs
-	tasks    map[string]map[workers.AttemptID]*siteTask
+// simulatedCluster simulates machines that execute the leader's commands. Faulty machines
+// fail every task, and tasks of faulty jobs fail on every machine.
+type simulatedCluster struct {
+	leader        *Leader
+	faultyMachine map[string]bool
+	faultyJob     map[string]bool
+	tasks         map[string]map[workers.AttemptID]*simulatedTask
 
 	startsByJob map[string]int
-	// startsByFaulty counts the starts on each faulty machine.
-	startsByFaulty map[string]int
-	// failedSoundJob are the faulty machines on which a job without a mistake failed.
-	failedSoundJob map[string]bool
-	revision       uint64
+	// startsByFaultyMachine counts the starts on each faulty machine.
+	startsByFaultyMachine map[string]int
+	// failedHealthyJob marks the faulty machines on which a healthy job failed.
+	failedHealthyJob map[string]bool
+	revision         uint64
 }
 
-// siteTask is what a machine knows of one task.
-type siteTask struct {
+// simulatedTask is the state of one attempt on its machine.
+type simulatedTask struct {
 	status    workers.TaskStatus
 	cause     workers.ExitCause
 	startedAt time.Time
 }
 
-func newFailingSite(t *testing.T) *failingSite {
+func newSimulatedCluster(t *testing.T) *simulatedCluster {
 	t.Helper()
-	site := &failingSite{
-		leader: testLeader(t), faulty: map[string]bool{}, mistaken: map[string]bool{},
-		tasks: map[string]map[workers.AttemptID]*siteTask{}, startsByJob: map[string]int{},
-		startsByFaulty: map[string]int{}, failedSoundJob: map[string]bool{}, revision: 100,
+	cluster := &simulatedCluster{
+		leader: testLeader(t), faultyMachine: map[string]bool{}, faultyJob: map[string]bool{},
+		tasks: map[string]map[workers.AttemptID]*simulatedTask{}, startsByJob: map[string]int{},
+		startsByFaultyMachine: map[string]int{}, failedHealthyJob: map[string]bool{}, revision: 100,
 	}
-	site.leader.teams[0].MaxGPUs = 64
-	site.leader.teams[0].GuaranteedGPUs = 64
-	return site
+	cluster.leader.teams[0].MaxGPUs = 64
+	cluster.leader.teams[0].GuaranteedGPUs = 64
+	return cluster
 }
 
-// drawMachines adds twelve machines, of which the first two may be faulty.
-func (s *failingSite) drawMachines(rt *rapid.T, now time.Time) {
+// drawMachines adds twelve machines; each of the first two may be faulty.
+func (s *simulatedCluster) drawMachines(rt *rapid.T, now time.Time) {
 	for i := range 12 {
 		name := fmt.Sprintf("m-%02d", i)
 		addMachine(s.leader, name, "east", now)
-		s.tasks[name] = map[workers.AttemptID]*siteTask{}
-		s.faulty[name] = i < 2 && rapid.Bool().Draw(rt, "faulty")
+		s.tasks[name] = map[workers.AttemptID]*simulatedTask{}
+		s.faultyMachine[name] = i < 2 && rapid.Bool().Draw(rt, "faulty machine")
 	}
 }
 
-// drawJobs submits arrays and gangs, of which all but the first may have a mistake.
-func (s *failingSite) drawJobs(t *testing.T, rt *rapid.T, now time.Time) {
+// drawJobs submits random arrays and gangs; all but the first may be faulty.
+func (s *simulatedCluster) drawJobs(t *testing.T, rt *rapid.T, now time.Time) {
 	t.Helper()
 	for i := range rapid.IntRange(2, 6).Draw(rt, "jobs") {
-		spec := arraySpec(fmt.Sprint("j-", i), rapid.IntRange(1, 8).Draw(rt, "pieces"))
+		spec := arraySpec(fmt.Sprint("j-", i), rapid.IntRange(1, 8).Draw(rt, "tasks"))
 		if rapid.IntRange(0, 2).Draw(rt, "gang") == 0 {
 			spec.Kind, spec.SameZone = jobs.KindGang, true
 		}
-		if i > 0 && rapid.IntRange(0, 3).Draw(rt, "mistaken") == 0 {
-			s.mistaken[spec.ID] = true
+		if i > 0 && rapid.IntRange(0, 3).Draw(rt, "faulty job") == 0 {
+			s.faultyJob[spec.ID] = true
 		}
 		addJob(t, s.leader, spec, now)
 	}
 }
 
-// step lets the leader decide, and the machines obey and report.
-func (s *failingSite) step(now time.Time) {
+// step runs a scheduling pass, executes the leader's commands and sends a heartbeat from each
+// machine.
+func (s *simulatedCluster) step(now time.Time) {
 	s.leader.runSchedulingPass(now)
 	s.revision = commitAll(s.leader, s.revision)
 	for _, machine := range s.leader.fleet.sortedByName() {
 		for _, command := range machine.agent.Commands(true, now) {
-			s.obey(machine.agent.Name, command, now)
+			s.execute(machine.agent.Name, command, now)
 		}
 		s.leader.applyHeartbeat(machine, s.heartbeat(machine, now), false, now)
 	}
@@ -94,107 +95,109 @@
 	s.leader.attributeAllFailures(now)
 }
 
-// obey carries out a command on a machine.
-func (s *failingSite) obey(machine string, command workers.Command, now time.Time) {
-	here := s.tasks[machine]
+// execute executes a command on a machine.
+func (s *simulatedCluster) execute(machine string, command workers.Command, now time.Time) {
+	attempts := s.tasks[machine]
 	taskID, _ := workers.ParseTaskID(command.Task)
 	id := workers.AttemptID{Task: taskID, Number: command.Attempt}
-	task := here[id]
+	task := attempts[id]
 	switch command.Verb {
 	case workers.VerbRun:
 		if task != nil {
 			return
 		}
-		here[id] = &siteTask{workers.StatusRunning, "", now}
+		attempts[id] = &simulatedTask{workers.StatusRunning, "", now}
 		s.startsByJob[taskID.Job]++
-		if s.faulty[machine] {
-			s.startsByFaulty[machine]++
+		if s.faultyMachine[machine] {
+			s.startsByFaultyMachine[machine]++
 		}
 	case workers.VerbStop:
 		if task != nil && task.status != workers.StatusExited {
 			task.status, task.cause = workers.StatusExited, workers.CauseStopped
 		}
 	case workers.VerbForget:
-		delete(here, id)
+		delete(attempts, id)
 	}
 }
 
-// heartbeat is what a machine reports now, its tasks gone on.
-func (s *failingSite) heartbeat(machine *machineState, now time.Time) *workers.Heartbeat {
+// heartbeat advances a machine's tasks to the current time and returns its next heartbeat.
+func (s *simulatedCluster) heartbeat(machine *machineState, now time.Time) *workers.Heartbeat {
 	heartbeat := nextHeartbeat(s.leader, machine, "", "")
 	heartbeat.Epoch, heartbeat.Tasks = 1, nil
 	for id, task := range s.tasks[machine.agent.Name] {
-		s.goOn(machine.agent.Name, id, task, now)
+		s.advance(machine.agent.Name, id, task, now)
 		heartbeat.Tasks = append(heartbeat.Tasks, workers.TaskReport{Task: id.Task.String(), Attempt: id.Number, Status: task.status, Cause: task.cause})
 	}
 	return heartbeat
 }
 
-// goOn lets a running task fail or complete if it is time to.
-func (s *failingSite) goOn(machine string, id workers.AttemptID, task *siteTask, now time.Time) {
+// advance lets a running task fail or complete if its time has come.
+func (s *simulatedCluster) advance(machine string, id workers.AttemptID, task *simulatedTask, now time.Time) {
 	if task.status != workers.StatusRunning {
 		return
 	}
-	ran, mistaken := now.Sub(task.startedAt), s.mistaken[id.Task.Job]
+	ran, faultyJob := now.Sub(task.startedAt), s.faultyJob[id.Task.Job]
 	switch {
-	case (s.faulty[machine] || mistaken) && ran >= siteTaskFailure:
+	case (s.faultyMachine[machine] || faultyJob) && ran >= simFailureDelay:
 		task.status, task.cause = workers.StatusExited, workers.CauseError
-		if !mistaken {
-			s.failedSoundJob[machine] = true
+		if !faultyJob {
+			s.failedHealthyJob[machine] = true
 		}
-	case ran >= siteTaskRuntime:
+	case ran >= simTaskRuntime:
 		task.status, task.cause = workers.StatusExited, workers.CauseDone
 	}
 }
 
-// checkMachines checks that those that failed sound jobs, and no others, are in
-// quarantine, and were given little to fail.
-func (s *failingSite) checkMachines(rt *rapid.T) {
+// checkMachines checks that no healthy machine is quarantined, that each machine on which a
+// healthy job failed is, and that faulty machines received few tasks.
+func (s *simulatedCluster) checkMachines(rt *rapid.T) {
 	for machine := range s.leader.fleet.all() {
 		name, quarantined := machine.agent.Name, machine.health.Faulty()
-		if quarantined && !s.faulty[name] {
-			rt.Fatalf("%s is taken for faulty and is not", name)
+		if quarantined && !s.faultyMachine[name] {
+			rt.Fatalf("healthy machine %s is quarantined", name)
 		}
-		if s.failedSoundJob[name] && !quarantined {
-			rt.Fatalf("%s failed a sound job's tasks and is not taken for faulty", name)
+		if s.failedHealthyJob[name] && !quarantined {
+			rt.Fatalf("%s failed tasks of a healthy job and is not quarantined", name)
 		}
-		if s.startsByFaulty[name] > 16 {
-			rt.Fatalf("%s was given %d tasks to fail", name, s.startsByFaulty[name])
+		if s.startsByFaultyMachine[name] > 16 {
+			rt.Fatalf("faulty machine %s received %d tasks", name, s.startsByFaultyMachine[name])
 		}
 	}
 }
 
-// checkJobs checks that all sound jobs are over, and the others were tried seldom.
-func (s *failingSite) checkJobs(rt *rapid.T) {
+// checkJobs checks that all healthy jobs have completed and that faulty ones were retried
+// rarely.
+func (s *simulatedCluster) checkJobs(rt *rapid.T) {
 	for job := range s.leader.jobs.all() {
 		id := job.spec.ID
-		if !s.mistaken[id] {
-			rt.Fatalf("%s has %d of %d tasks done after %v", id, job.progress.completed(), job.spec.Tasks, siteDuration)
+		if !s.faultyJob[id] {
+			rt.Fatalf("job %s: %d of %d tasks done after %v", id, job.progress.completed(), job.spec.Tasks, simDuration)
 		}
-		// A first try of all, some machines to find out by, then the pauses
-		// double: one task a try, or all of a gang.
-		if most := 8*job.spec.Tasks + 12; s.startsByJob[id] > most {
-			rt.Fatalf("mistaken %s was started %d times, at most %d", id, s.startsByJob[id], most)
+		// All tasks start once, then a few more on other machines until the job is found
+		// faulty. From then on the backoff doubles, and each retry starts one task or a
+		// whole gang.
+		if limit := 8*job.spec.Tasks + 12; s.startsByJob[id] > limit {
+			rt.Fatalf("tasks of faulty job %s were started %d times, want at most %d", id, s.startsByJob[id], limit)
 		}
 	}
 }
 
-// TestFaultyMachinesAndMistakenJobs guards against Peakdale's rough day: eight
-// tasks of an array that met one faulty machine held the whole job back for a
-// minute, and the machine took the next job's. Whatever of both comes together:
-// faulty machines are found by what they were given first, no good machine is
-// taken for faulty, a mistaken job is tried seldom, and the others come to their
-// end soon.
-func TestFaultyMachinesAndMistakenJobs(t *testing.T) {
+// TestFaultyMachinesAndFaultyJobs guards against a failure attributed to the wrong side. Eight
+// tasks of an array once failed on one faulty machine: the whole job was held back for a
+// minute, and the machine went on to fail the next job's tasks. In any mix of faulty machines
+// and faulty jobs, faulty machines must be quarantined after their first failures, healthy
+// machines must not be, faulty jobs must be retried rarely, and healthy jobs must complete
+// soon.
+func TestFaultyMachinesAndFaultyJobs(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		start := time.Unix(1000, 0)
-		site := newFailingSite(t)
-		site.drawMachines(rt, start)
-		site.drawJobs(t, rt, start)
-		for elapsed := siteStep; elapsed <= siteDuration; elapsed += siteStep {
-			site.step(start.Add(elapsed))
+		cluster := newSimulatedCluster(t)
+		cluster.drawMachines(rt, start)
+		cluster.drawJobs(t, rt, start)
+		for elapsed := simStep; elapsed <= simDuration; elapsed += simStep {
+			cluster.step(start.Add(elapsed))
 		}
-		site.checkMachines(rt)
-		site.checkJobs(rt)
+		cluster.checkMachines(rt)
+		cluster.checkJobs(rt)
 	})
 }
--- a/internal/leader/health/delays.go
+++ b/internal/leader/health/delays.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// TaskDelays are the tasks of a job that must wait before they are tried again.
+// TaskDelays holds the tasks of a job that may not be retried before a given time.
 type TaskDelays struct{ delays []taskDelay }
 
 type taskDelay struct {
@@ -10,12 +10,12 @@
 	until time.Time
 }
 
-// Add has a task wait until then.
+// Add delays a task until the given time.
 func (d *TaskDelays) Add(task int, until time.Time) {
 	d.delays = append(d.delays, taskDelay{task, until})
 }
 
-// Waiting tells whether a task has to wait. Delays that are over are dropped.
+// Waiting reports whether a task is delayed. It removes expired delays.
 func (d *TaskDelays) Waiting(task int, now time.Time) bool {
 	kept := d.delays[:0]
 	found := false
@@ -29,6 +29,6 @@
 	return found
 }
 
-// Empty tells whether no delay is listed; those that are over count until Waiting drops
+// Empty reports whether there are no delays. Expired delays count until Waiting removes
 // them.
 func (d *TaskDelays) Empty() bool { return len(d.delays) == 0 }
--- a/internal/leader/health/failures.go
+++ b/internal/leader/health/failures.go
@@ -1,9 +1,9 @@
-// Package health judges machines by what happens to tasks on them: whose fault
-// failures are, and which machines run their tasks slowly. It does no I/O, and
-// knows jobs and machines by name alone.
+// Package health assesses machines by the tasks that run on them: it attributes task failures
+// to machines or jobs, and detects machines that run their tasks slowly. It does no I/O and
+// identifies jobs and machines by name.
 //
-// All of it lives in memory. After a failover a faulty machine has to fail once
-// more, and a job with a mistake to fail on a few machines.
+// All state is in memory. After a failover a faulty machine has to fail a task again, and a
+// faulty job has to fail on several machines again, before they are recognized.
 package health
 
 import (
@@ -12,41 +12,40 @@
 	"thornnotch/internal/constants"
 )
 
-// failure is how the tasks of one job failed on one machine.
+// failure summarizes the failures of one job's tasks on one machine.
 type failure struct {
-	at  time.Time     // of the latest one
-	ran time.Duration // the longest that one of them ran before it failed
+	at  time.Time     // time of the latest failure
+	ran time.Duration // longest run time before a failure
 }
 
-// FailureHistory is what the failures of one job tell. Its zero value is that of a
-// job without any.
+// FailureHistory tracks the failures of one job's tasks and attributes them to machines or to
+// the job itself. The zero value is an empty history.
 //
-// A task that fails speaks against its machine or against its job: a faulty
-// machine fails whatever starts on it, a job that was submitted with a mistake
-// fails wherever it starts. What tells them apart is how the job fares
-// elsewhere. A machine with room and images, which fails at once all that it is
-// given, would otherwise take task after task; and a job whose tasks met one such
-// machine, eight at a time, would be held back as if it failed everywhere.
+// A task may fail because its machine is faulty and fails every task, or because its job is
+// faulty and fails on every machine. The job's tasks on other machines tell the two apart.
+// Without this distinction a faulty machine with free resources and cached images, which fails
+// its tasks immediately, would attract task after task; and a job that had eight tasks fail at
+// once on such a machine would be held back as if it failed everywhere.
 type FailureHistory struct {
-	// byMachine are the machines on which it failed of which it is not known yet
-	// whether that was their fault.
+	// byMachine holds the machines with failures that are not attributed yet.
 	byMachine map[string]failure
-	// succeeded is set once a task of it has finished: it has no mistake.
+	// succeeded is set once a task of the job has succeeded: the job is not faulty.
 	succeeded bool
-	// failedRounds counts the attempts in a row that failed after it had failed on
-	// several machines; zero for a job that is not taken for faulty.
+	// failedRounds counts the consecutive rounds of failures since the job was found
+	// faulty; zero if the job does not count as faulty.
 	failedRounds int
-	// machinesByTask counts on how many machines each task failed.
-	machinesByTask map[int]int
+	// failuresByTask counts the failures of each task. The job avoids a machine after a
+	// failure, so that each is normally on a different machine.
+	failuresByTask map[int]int
 }
 
-// JobIsFaulty tells whether the job is taken for one that fails everywhere.
+// JobIsFaulty reports whether the job counts as faulty, that is, as failing on every machine.
 func (h *FailureHistory) JobIsFaulty() bool { return h.failedRounds > 0 }
 
-// Unattributed tells whether there are failures whose fault is not known yet.
+// Unattributed reports whether there are failures that are not attributed yet.
 func (h *FailureHistory) Unattributed() bool { return len(h.byMachine) > 0 }
 
-// SuspectMachines names the machines whose fault such failures may be.
+// SuspectMachines returns the machines with unattributed failures.
 func (h *FailureHistory) SuspectMachines() []string {
 	names := make([]string, 0, len(h.byMachine))
 	for name := range h.byMachine {
@@ -55,18 +54,17 @@
 	return names
 }
 
-// Record takes in that a task failed on a machine after it had run for so long;
-// jobWaits is set while the job is held back for an earlier failure. It tells how
-// long the job has to wait before it is tried again, or the task alone if taskOnly
-// is set.
+// Record records the failure of a task that ran on a machine for the given time; jobWaits is
+// set if the job is already in backoff after an earlier failure. It returns the pause before
+// the job may be retried or, if taskOnly is set, before this task may be.
 func (h *FailureHistory) Record(machine string, task int, ran time.Duration, jobWaits bool, now time.Time) (pause time.Duration, taskOnly bool) {
 	if h.byMachine == nil {
-		h.byMachine, h.machinesByTask = make(map[string]failure), make(map[int]int)
+		h.byMachine, h.failuresByTask = make(map[string]failure), make(map[int]int)
 	}
-	h.machinesByTask[task]++
-	if h.succeeded && h.machinesByTask[task] > constants.FaultyTaskMachines {
-		// The others of the job do well, this one fails wherever it starts:
-		// that is no machine's fault.
+	h.failuresByTask[task]++
+	if h.succeeded && h.failuresByTask[task] > constants.FaultyTaskMachines {
+		// Only this task of the job fails on every machine, so the machines are not to
+		// blame.
 		return constants.RetryMax, true
 	}
 	h.byMachine[machine] = failure{now, max(h.byMachine[machine].ran, ran)}
@@ -77,21 +75,22 @@
 		return constants.RetryBase, false
 	}
 	if !jobWaits {
-		// Tasks that fail together count once.
+		// Tasks that fail in the same round count once.
 		h.failedRounds++
 	}
 	return backoff(h.failedRounds), false
 }
 
-// maxDoublings bounds the shift in backoff: the pause is at its maximum long before.
+// maxDoublings bounds the shift in backoff to avoid overflow. The pause reaches RetryMax long
+// before.
 const maxDoublings = 10
 
-// backoff is the pause after so many rounds of failures.
+// backoff returns the pause after the given number of failed rounds.
 func backoff(rounds int) time.Duration {
 	return min(constants.RetryMax, constants.RetryBase<<min(rounds, maxDoublings))
 }
 
-// recentMachines counts the machines under suspicion on which it failed lately.
+// recentMachines counts the suspect machines with a failure within FailureWindow.
 func (h *FailureHistory) recentMachines(now time.Time) int {
 	recent := 0
 	for _, f := range h.byMachine {
@@ -102,18 +101,19 @@
 	return recent
 }
 
-// RecordSuccess takes in that a task of the job has finished.
+// RecordSuccess records that a task of the job has succeeded: the job is not faulty.
 func (h *FailureHistory) RecordSuccess() {
 	h.succeeded = true
 	h.ClearJob()
 }
 
-// ClearJob takes back that the job is faulty: it has shown that it is not.
+// ClearJob withdraws the finding that the job is faulty.
 func (h *FailureHistory) ClearJob() { h.failedRounds = 0 }
 
-// TakeFaultyMachines names the machines whose fault the job's failures were: it did
-// better elsewhere. runs is for how long its tasks have run, by machine. A machine is
-// named once. Failures too old to count are dropped.
+// TakeFaultyMachines returns the machines to blame for failures of the job, because the job
+// has succeeded or has run clearly longer elsewhere. runs holds the longest run time of the
+// job's running tasks, by machine. The failures on the returned machines are removed, as are
+// those older than FailureWindow.
 func (h *FailureHistory) TakeFaultyMachines(runs map[string]time.Duration, now time.Time) (machines []string) {
 	for name, f := range h.byMachine {
 		if now.Sub(f.at) >= constants.FailureWindow {
@@ -128,8 +128,8 @@
 	return machines
 }
 
-// ranLongerElsewhere tells whether a task ran clearly longer on a machine other than
-// the named one than those that failed there.
+// ranLongerElsewhere reports whether a task on another machine ran longer than failedAfter by
+// more than FailureAttributionMargin.
 func ranLongerElsewhere(runs map[string]time.Duration, machine string, failedAfter time.Duration) bool {
 	for other, ran := range runs {
 		if other != machine && ran > failedAfter+constants.FailureAttributionMargin {
--- a/internal/leader/health/failures_test.go
+++ b/internal/leader/health/failures_test.go
@@ -8,9 +8,9 @@
 	"thornnotch/internal/constants"
 )
 
-// TestOneTaskThatFailsEverywhere: a task with a mistake in a job that does well
-// otherwise must not have machine after machine given back.
-func TestOneTaskThatFailsEverywhere(t *testing.T) {
+// TestFaultyTaskBlamesFewMachines guards against returning machine after machine for a single
+// faulty task of a job whose other tasks succeed.
+func TestFaultyTaskBlamesFewMachines(t *testing.T) {
 	history := FailureHistory{succeeded: true}
 	now := time.Unix(1000, 0)
 	blamed := 0
@@ -23,48 +23,48 @@
 		now = now.Add(time.Second)
 	}
 	if blamed != constants.FaultyTaskMachines {
-		t.Errorf("%d machines are held guilty of one task's failures", blamed)
+		t.Errorf("%d machines are blamed for one task's failures", blamed)
 	}
 }
 
-// TestMachineIsBlamedByLongerRunsElsewhere: what failed on one machine and runs
-// clearly longer on another was the first machine's fault, told once; a run that is
-// hardly longer, or on the same machine, proves nothing.
+// TestMachineIsBlamedByLongerRunsElsewhere checks that a machine is blamed, once, for a failure
+// if the job runs clearly longer on another machine. A run that is hardly longer, or on the
+// same machine, has no effect.
 func TestMachineIsBlamedByLongerRunsElsewhere(t *testing.T) {
 	now := time.Unix(1000, 0)
 	failedAfter := 2 * time.Second
 	enough := failedAfter + constants.FailureAttributionMargin + time.Millisecond
-	tests := []struct {
+	cases := []struct {
 		name   string
 		runs   map[string]time.Duration
 		after  time.Duration
 		blamed int
 	}{
 		{"nothing runs elsewhere", nil, 0, 0},
-		{"hardly longer elsewhere", map[string]time.Duration{"m-2": failedAfter + constants.FailureAttributionMargin}, 0, 0},
+		{"longer elsewhere by only the margin", map[string]time.Duration{"m-2": failedAfter + constants.FailureAttributionMargin}, 0, 0},
 		{"longer on the same machine", map[string]time.Duration{"m-1": enough}, 0, 0},
 		{"clearly longer elsewhere", map[string]time.Duration{"m-2": enough}, 0, 1},
-		{"the failure is too old to count", map[string]time.Duration{"m-2": enough}, constants.FailureWindow, 0},
+		{"failure outside the window", map[string]time.Duration{"m-2": enough}, constants.FailureWindow, 0},
 	}
-	for _, test := range tests {
+	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			var history FailureHistory
 			history.Record("m-1", 0, failedAfter, false, now)
 			at := now.Add(test.after)
 			if got := history.TakeFaultyMachines(test.runs, at); len(got) != test.blamed {
-				t.Errorf("blamed: %v, want %d", got, test.blamed)
+				t.Errorf("blamed machines %v, want %d", got, test.blamed)
 			}
 			if got := history.TakeFaultyMachines(test.runs, at); len(got) != 0 {
-				t.Errorf("blamed again: %v", got)
+				t.Errorf("machines blamed again: %v", got)
 			}
 		})
 	}
 }
 
-// TestFaultyJobIsTriedSeldom: a job that fails on several machines is tried after
-// pauses that double up to a bound; tasks that fail together count once, and a
-// success ends it.
-func TestFaultyJobIsTriedSeldom(t *testing.T) {
+// TestFaultyJobBacksOff checks that the pause before retries of a job that fails on several
+// machines doubles up to a bound, that tasks failing in the same round count once, and that a
+// success ends the backoff.
+func TestFaultyJobBacksOff(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var history FailureHistory
 	for i := range constants.FaultyJobMachines - 1 {
@@ -79,16 +79,16 @@
 			t.Fatalf("round %d: pause %v, want %v, faulty %v", round, pause, want, history.JobIsFaulty())
 		}
 		if pause, _ := history.Record("m-y", round, time.Second, true, now); pause != want {
-			t.Fatalf("round %d: a failure of the same round raised the pause to %v", round, pause)
+			t.Fatalf("round %d: a second failure in the round changed the pause to %v", round, pause)
 		}
 	}
 	history.RecordSuccess()
 	if history.JobIsFaulty() {
-		t.Error("a job that succeeded is still taken for faulty")
+		t.Error("a job that succeeded still counts as faulty")
 	}
 }
 
-// TestTaskDelays: only the delayed task waits, and no longer than it has to.
+// TestTaskDelays checks that only the delayed task waits, and only until its time.
 func TestTaskDelays(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var delays TaskDelays
@@ -97,6 +97,6 @@
 		t.Error("the wrong task waits")
 	}
 	if delays.Waiting(3, now.Add(time.Second)) || len(delays.delays) != 0 {
-		t.Error("the delay never ends")
+		t.Error("the delay does not end")
 	}
 }
--- a/internal/leader/health/machine.go
+++ b/internal/leader/health/machine.go
@@ -6,31 +6,31 @@
 	"thornnotch/internal/constants"
 )
 
-// Machine is what keeps one machine from new tasks for the sake of its health. Its
-// zero value is a machine that nothing is known against.
+// Machine tracks the health of one machine, which decides whether it gets new tasks. The zero
+// value is a healthy machine.
 type Machine struct {
 	faulty bool
-	// failedJobs are the jobs that failed on it of which it is not known yet whether
-	// they fail elsewhere too; suspectUntil is until when it gets no tasks for that.
+	// failedJobs holds the jobs that failed on the machine and are not known to fail
+	// elsewhere too. The machine gets no tasks until suspectUntil because of them.
 	failedJobs   map[string]bool
 	suspectUntil time.Time
-	// slowUntil is until when it gets no tasks for slowness; slowSignals are the
-	// recent signs of it, slowCount is how often it was found slow.
+	// The machine gets no tasks until slowUntil because it is slow. slowSignals holds the
+	// times of recent signs of slowness, slowCount how often it was marked slow.
 	slowUntil   time.Time
 	slowSignals []time.Time
 	slowCount   int
 }
 
-// AcceptsTasks tells whether new tasks may be put on the machine.
+// AcceptsTasks reports whether new tasks may be placed on the machine.
 func (m *Machine) AcceptsTasks(now time.Time) bool {
 	return !m.faulty && !now.Before(m.suspectUntil) && !m.Slow(now)
 }
 
-// Faulty tells whether the machine is in quarantine.
+// Faulty reports whether the machine is quarantined.
 func (m *Machine) Faulty() bool { return m.faulty }
 
-// Quarantine takes the machine for faulty, for good. It reports false if it was
-// already.
+// Quarantine marks the machine as faulty permanently. It reports whether this changed its
+// state.
 func (m *Machine) Quarantine() bool {
 	if m.faulty {
 		return false
@@ -39,9 +39,9 @@
 	return true
 }
 
-// Suspect takes in that a job failed on the machine. Until it is known whose fault
-// it was nothing else should meet it there. It tells whether so many jobs failed that
-// the machine must be faulty.
+// Suspect records that a job failed on the machine and blocks new tasks for
+// SuspectMachinePause, so that no other job fails there before the cause is known. It reports
+// whether so many different jobs have failed that the machine must be faulty.
 func (m *Machine) Suspect(job string, now time.Time) (faulty bool) {
 	m.suspectUntil = now.Add(constants.SuspectMachinePause)
 	if m.failedJobs == nil {
@@ -51,7 +51,7 @@
 	return len(m.failedJobs) >= constants.FaultyMachineJobs
 }
 
-// ClearSuspicion takes back what the failure of a job has said against the machine.
+// ClearSuspicion withdraws the suspicion that a job's failure raised against the machine.
 func (m *Machine) ClearSuspicion(job string) {
 	if !m.failedJobs[job] {
 		return
@@ -62,21 +62,22 @@
 	}
 }
 
-// RecordSuccess takes in that the machine has carried a task to its end: failures
-// before that no longer add up against it.
+// RecordSuccess records that a task succeeded on the machine. Earlier failures no longer count
+// against it.
 func (m *Machine) RecordSuccess() { m.failedJobs = nil }
 
-// Slow tells whether the machine is kept from new tasks for slowness.
+// Slow reports whether the machine gets no new tasks because it is slow.
 func (m *Machine) Slow(now time.Time) bool { return now.Before(m.slowUntil) }
 
-// AddSlowSignals takes in what the run time of a finished task says.
+// AddSlowSignals adds the signs of slowness from a finished task.
 func (m *Machine) AddSlowSignals(signals int, now time.Time) {
 	for range signals {
 		m.slowSignals = append(m.slowSignals, now)
 	}
 }
 
-// SlowSignals is how many signs of slowness finished tasks have given lately.
+// SlowSignals returns the number of signs of slowness from tasks that finished within
+// StragglerSignalWindow.
 func (m *Machine) SlowSignals(now time.Time) int {
 	kept := m.slowSignals[:0]
 	for _, at := range m.slowSignals {
@@ -88,11 +89,11 @@
 	return len(kept)
 }
 
-// maxPauseDoublings bounds how often the pause for slowness doubles.
+// maxPauseDoublings bounds the shift of StragglerPause.
 const maxPauseDoublings = 4
 
-// MarkSlow keeps the machine from new tasks for a while, the longer the more often it
-// was found slow, and tells how long that is.
+// MarkSlow blocks new tasks on the machine for a pause that doubles each time, up to
+// MaxStragglerPause, and returns the pause.
 func (m *Machine) MarkSlow(now time.Time) (pause time.Duration) {
 	m.slowCount++
 	pause = min(constants.StragglerPause<<min(m.slowCount-1, maxPauseDoublings), constants.MaxStragglerPause)
--- a/internal/leader/health/runtimes.go
+++ b/internal/leader/health/runtimes.go
@@ -7,21 +7,20 @@
 	"thornnotch/internal/constants"
 )
 
-// Runtimes is what a job's finished tasks tell of its run time.
+// Runtimes holds the run times of a job's finished tasks, to detect slow machines.
 //
-// A machine may come to run its tasks much slower than others. Heartbeats tell no
-// progress and owners' estimates are often wrong by half, so what shows it is
-// the comparison with the other tasks of the same job. The paper runs a second
-// copy of a slow task (section IV-C), which the protocol forbids; here the
-// tasks of a machine that is found slow are saved, stopped and started
-// elsewhere, and the machine gets no new ones for a while.
+// A machine may start to run its tasks much more slowly than others. Heartbeats report no
+// progress and owners' estimates are often wrong by half, so a task is compared with the other
+// tasks of its job instead. The paper runs a second copy of a slow task (section IV-C), which
+// the protocol forbids. Here the tasks of a slow machine are saved, stopped and started
+// elsewhere, and the machine gets no new tasks for a while.
 type Runtimes struct {
 	samples []time.Duration // the latest, oldest first
-	// median is that of the samples, zero when it must be computed anew.
+	// median caches the median of the samples; zero means that it must be recomputed.
 	median time.Duration
 }
 
-// Add takes in a finished task's run time.
+// Add adds the run time of a finished task.
 func (r *Runtimes) Add(ran time.Duration) {
 	if len(r.samples) >= constants.MaxRuntimeSamples {
 		r.samples = r.samples[1:]
@@ -30,11 +29,11 @@
 	r.median = 0
 }
 
-// Samples is how many run times are known.
+// Samples returns the number of run times.
 func (r *Runtimes) Samples() int { return len(r.samples) }
 
-// Typical is the median run time, once enough of the job's tasks are done: the
-// first finishers are its shortest tasks.
+// Typical returns the median run time. It reports false until enough of the job's tasks are
+// done, because the first tasks to finish are the shortest ones.
 func (r *Runtimes) Typical(tasks int) (time.Duration, bool) {
 	if len(r.samples) < constants.MinRuntimeSamples || 2*len(r.samples) < min(tasks, constants.MaxRuntimeSamples) {
 		return 0, false
@@ -47,8 +46,8 @@
 	return r.median, true
 }
 
-// SlowSignals is how strongly the run time so far of one of the job's tasks speaks
-// against its machine: 0 for nothing out of the ordinary, 2 for a clear case.
+// SlowSignals rates how strongly the run time of one of the job's tasks suggests that its
+// machine is slow: 0 if it is ordinary, 1 if slowness is likely, 2 if it is nearly certain.
 func (r *Runtimes) SlowSignals(ran time.Duration, tasks int) int {
 	typical, ok := r.Typical(tasks)
 	if !ok || typical <= 0 {
--- a/internal/leader/image_cache.go
+++ b/internal/leader/image_cache.go
@@ -7,24 +7,25 @@
 	"thornnotch/internal/workers"
 )
 
-// cachedImage is one image on a machine, or on its way there.
+// cachedImage is an image that a machine holds or fetches.
 type cachedImage struct {
 	name    string
 	gb      float64
-	fetched bool // false: on its way
+	fetched bool // false while the fetch is in progress
 }
 
-// imageCache is a machine's images as far as they are known here, least recently used
+// imageCache is the leader's model of a machine's image cache, least recently used image
 // first.
 type imageCache []cachedImage
 
-// has tells whether an image is on the machine.
+// has reports whether the machine has fetched the named image.
 func (c imageCache) has(name string) bool {
 	return slices.ContainsFunc(c, func(image cachedImage) bool { return image.fetched && image.name == name })
 }
 
-// use marks an image as used last and drops what no longer fits the machine's cache, as
-// the machine does. A capacity of 0 is none that is known.
+// use marks an image as the most recently used and evicts the least recently used ones
+// until the rest fit the capacity, as the machine itself does. The image just used always
+// stays. A capacity of 0 means unknown: nothing is evicted.
 func (c *imageCache) use(name string, gb float64, fetched bool, capacityGB float64) {
 	images := *c
 	for i, image := range images {
@@ -39,17 +40,18 @@
 	if capacityGB <= 0 {
 		return
 	}
-	sum := 0.0
+	totalGB := 0.0
 	for i := len(images) - 1; i >= 0; i-- {
-		sum += images[i].gb
-		if sum > capacityGB && i < len(images)-1 {
+		totalGB += images[i].gb
+		if totalGB > capacityGB && i < len(images)-1 {
 			*c = slices.Clone(images[i+1:])
 			return
 		}
 	}
 }
 
-// dropFetches drops the images that were on their way: fetches end with the agent's epoch.
+// dropFetches removes the images that are still being fetched: fetches end with the agent's
+// epoch.
 func (c *imageCache) dropFetches() {
 	var kept imageCache
 	for _, image := range *c {
@@ -60,21 +62,24 @@
 	*c = kept
 }
 
-// noteCachedImage follows which images are on the machine.
-func (l *Leader) noteCachedImage(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
-	if job == nil || !provesImage(attempt) {
+// updateImageCache marks the attempt's image as cached if its status shows that the machine
+// has fetched it.
+func (l *Leader) updateImageCache(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
+	if job == nil || !hasFetchedImage(attempt) {
 		return
 	}
 	known := machine.images.has(job.spec.Image)
 	machine.images.use(job.spec.Image, job.spec.ImageGB, true, l.imageCacheGB(machine))
 	if !known {
-		// The next leader must know too, or it fetches where it need not.
+		// Recorded for the next leader, which would otherwise have the image fetched again
+		// elsewhere.
 		l.metadataChanged(machine, now)
 	}
 }
 
-// provesImage tells whether an attempt has come so far that its image is on the machine.
-func provesImage(attempt *workers.Attempt) bool {
+// hasFetchedImage reports whether the attempt's status implies that its image is on the
+// machine.
+func hasFetchedImage(attempt *workers.Attempt) bool {
 	switch attempt.Status {
 	case workers.StatusWaiting, workers.StatusRunning, workers.StatusSaving:
 		return true
@@ -84,7 +89,7 @@
 	return false
 }
 
-// imageCacheGB is how much the machine's image cache holds; 0 if that is not known.
+// imageCacheGB returns the capacity of the machine's image cache, or 0 if it is unknown.
 func (l *Leader) imageCacheGB(machine *machineState) float64 {
 	machineType, ok := l.deps.Catalog().Type(machine.agent.MachineType)
 	if !ok {
--- a/internal/leader/image_cache_test.go
+++ b/internal/leader/image_cache_test.go
@@ -7,48 +7,48 @@
 	"pgregory.net/rapid"
 )
 
-// TestImageCache: whatever is used, the cache holds the images used last, each once, as
-// far as they fit, and the one used last in any case; what was fetched once counts as
-// fetched for as long as it stays.
+// TestImageCache checks random uses against a model: the cache holds the most recently used
+// images that fit, each once, and always the last one used. An image that was fetched counts
+// as fetched until it is evicted.
 func TestImageCache(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		capacity := float64(rapid.IntRange(0, 20).Draw(rt, "capacityGB"))
 		var cache imageCache
-		var wanted imageCache // a model that looks at all uses, newest first
+		var model imageCache // the model's cache, most recently used first
 		for range rapid.IntRange(1, 20).Draw(rt, "uses") {
 			name := fmt.Sprint("i-", rapid.IntRange(0, 5).Draw(rt, "image"))
-			gb := float64(len(wanted)%3 + 3)
+			gb := float64(len(model)%3 + 3)
 			fetched := rapid.Bool().Draw(rt, "fetched")
 			cache.use(name, gb, fetched, capacity)
-			wanted = modelUse(wanted, cachedImage{name, gb, fetched}, capacity)
-			checkImages(rt, cache, wanted)
+			model = modelUse(model, cachedImage{name, gb, fetched}, capacity)
+			checkImages(rt, cache, model)
 		}
 		cache.dropFetches()
 		for _, image := range cache {
 			if !image.fetched {
-				rt.Fatalf("%v is still on its way", image)
+				rt.Fatalf("%v is still listed as being fetched", image)
 			}
 		}
 	})
 }
 
-// checkImages compares a cache with its model, which is newest first.
-func checkImages(rt *rapid.T, cache, wanted imageCache) {
+// checkImages compares a cache with its model, which is in reverse order.
+func checkImages(rt *rapid.T, cache, model imageCache) {
 	rt.Helper()
-	if len(cache) != len(wanted) {
-		rt.Fatalf("%v, want in reverse %v", cache, wanted)
+	if len(cache) != len(model) {
+		rt.Fatalf("cache %v, want %v in reverse order", cache, model)
 	}
 	for i, image := range cache {
-		if want := wanted[len(wanted)-1-i]; image != want {
+		if want := model[len(model)-1-i]; image != want {
 			rt.Fatalf("image %d is %v, want %v", i, image, want)
 		}
 		if cache.has(image.name) != image.fetched {
-			rt.Fatalf("has %v: %v", image, cache.has(image.name))
+			rt.Fatalf("image %v: has reports %v", image, cache.has(image.name))
 		}
 	}
 }
 
-// modelUse is what a cache holds after a use, newest first.
+// modelUse returns the model's cache after a use, most recently used image first.
 func modelUse(images imageCache, used cachedImage, capacityGB float64) imageCache {
 	var others imageCache
 	for _, image := range images {
--- a/internal/leader/metadata.go
+++ b/internal/leader/metadata.go
@@ -12,23 +12,24 @@
 	"thornnotch/internal/leader/wal"
 )
 
-// metadataQueue are the machines whose holds and images have changed since they were
-// recorded. A later leader serves better for knowing them, but nothing rests on them, so
-// their records are bounded in bytes a second: starts and ends come first.
+// metadataQueue holds the machines whose reservations or cached images have changed since
+// they were last recorded. Metadata helps a later leader to place tasks well, but correctness
+// does not depend on it. Its records are therefore limited in bytes per second, so that the
+// records of starts and exits take precedence.
 type metadataQueue struct {
-	// due is from when on each machine may be recorded.
+	// due is the earliest time at which each machine may be recorded.
 	due map[*machineState]time.Time
-	// budget is in bytes.
+	// budget limits the bytes that are recorded.
 	budget *rate.Limiter
-	bytes  uint64 // recorded so far
+	bytes  uint64 // total recorded
 }
 
-// newMetadataQueue makes the queue of a term within the state service's limits, also those
-// to come.
-func newMetadataQueue(state config.StateLimits, share config.BudgetSettings) metadataQueue {
+// newMetadataQueue returns an empty queue whose budget respects the state service's limits,
+// including announced ones.
+func newMetadataQueue(state config.StateLimits, budgets config.BudgetSettings) metadataQueue {
 	_, writes := state.Rates(true)
 	valueBytes := state.ValueKB * 1024
-	perSecond := max(valueBytes, constants.MetadataWriteShare*share.LeaderWriteShare*share.Use*writes*valueBytes)
+	perSecond := max(valueBytes, constants.MetadataWriteShare*budgets.LeaderWriteShare*budgets.Use*writes*valueBytes)
 	burst := max(valueBytes, perSecond*constants.MetadataBurst.Seconds())
 	return metadataQueue{
 		due:    make(map[*machineState]time.Time),
@@ -36,22 +37,23 @@
 	}
 }
 
-// add has a machine recorded within a while, with what changes until then.
+// add schedules a machine to be recorded after MetadataDelay, so that one record covers all
+// changes until then.
 func (q *metadataQueue) add(machine *machineState, now time.Time) {
-	if _, waits := q.due[machine]; !waits {
+	if _, queued := q.due[machine]; !queued {
 		q.due[machine] = now.Add(constants.MetadataDelay)
 	}
 }
 
-// recordedBytes is a running sum of what was recorded.
+// recordedBytes returns the total number of bytes recorded so far.
 func (q *metadataQueue) recordedBytes() uint64 { return q.bytes }
 
-// remove takes a machine out that is no more.
+// remove drops a machine from the queue.
 func (q *metadataQueue) remove(machine *machineState) { delete(q.due, machine) }
 
-// takeDue hands over the machines that have been due for a while, each with its record, as
-// far as the budget allows. changed makes a machine's record, and tells whether it differs
-// from the one that was made last.
+// takeDue passes each due machine and its record to take, as far as the budget allows.
+// changed returns a machine's current record and reports whether it differs from the last
+// recorded one.
 func (q *metadataQueue) takeDue(
 	now time.Time, changed func(*machineState) (wal.Machine, bool), take func(*machineState, wal.Machine),
 ) {
@@ -61,13 +63,13 @@
 		}
 		record, differs := changed(machine)
 		if !differs {
-			// Most holds are taken up before this comes round: nothing to record.
+			// Most reservations are consumed before their machine is due.
 			q.remove(machine)
 			continue
 		}
-		encoded, _ := json.Marshal(record) // plain fields always encode
+		encoded, _ := json.Marshal(record) // a struct of plain fields always encodes
 		if !q.budget.AllowN(now, min(len(encoded), q.budget.Burst())) {
-			return // the rest has to wait
+			return // budget exhausted
 		}
 		q.remove(machine)
 		q.bytes += uint64(len(encoded))
@@ -75,14 +77,15 @@
 	}
 }
 
-// metadataChanged has the machine's holds and images recorded again within a while.
+// metadataChanged schedules the machine's metadata to be recorded again and invalidates its
+// view.
 func (l *Leader) metadataChanged(machine *machineState, now time.Time) {
 	machine.markStale()
 	l.metadata.add(machine, now)
 }
 
-// logDueMetadata records what has been due for a while, as far as the budget allows, and
-// nothing while the records of starts and ends are behind.
+// logDueMetadata records the due machines as far as the budget allows. It records nothing
+// while the commits of starts and exits are behind.
 func (l *Leader) logDueMetadata(now time.Time) {
 	if l.commits.behind(now) {
 		return
@@ -96,8 +99,8 @@
 	})
 }
 
-// logMetadata has all but a machine's attempts recorded; committed is called once that
-// stands, unless it is nil.
+// logMetadata records everything about a machine except its attempts. committed, if not
+// nil, is called once the record is committed.
 func (l *Leader) logMetadata(machine *machineState, committed func()) {
 	l.logMachine(machine, l.machineMetadata(machine), committed)
 }
--- a/internal/leader/metadata_test.go
+++ b/internal/leader/metadata_test.go
@@ -9,14 +9,14 @@
 	"thornnotch/internal/constants"
 )
 
-// TestMetadataIsBounded: whatever the number of machines whose images change, their
-// records take no more than their part of the state service's changes, and in the end
-// each is recorded. On a trial day of 4,000 machines they used up what the records of
-// starts and ends needed, and starts waited for a minute.
-func TestMetadataIsBounded(t *testing.T) {
+// TestMetadataWriteBudget checks that metadata records stay within their share of the state
+// service's write rate however many machines change, and that every machine is recorded in the
+// end. In a simulated day with 4,000 machines they used up the writes that the records of
+// starts and exits needed, and starts were delayed by a minute.
+func TestMetadataWriteBudget(t *testing.T) {
 	for _, c := range []struct {
-		writesPerSecond float64 // that the state service takes
-		valuesPerSecond float64 // that metadata may take of it
+		writesPerSecond float64 // accepted by the state service
+		valuesPerSecond float64 // available to metadata
 	}{{35, constants.MetadataWriteShare * constants.LeaderWriteShare * constants.BudgetUse * 35}, {10, 1}} {
 		const machines, seconds = 3000, 60
 		now := time.Now()
@@ -25,12 +25,12 @@
 
 		l.logDueMetadata(now.Add(constants.MetadataDelay / 2))
 		if l.metadata.bytes != 0 {
-			t.Errorf("recorded before it is quiet")
+			t.Errorf("recorded before the delay has passed")
 		}
 		l.commits.setMore(true, now.Add(-constants.CommitBehindAfter))
 		l.logDueMetadata(now.Add(constants.MetadataDelay))
 		if l.metadata.bytes != 0 {
-			t.Errorf("recorded while starts and ends wait")
+			t.Errorf("recorded while commits of starts and exits are behind")
 		}
 
 		l.commits.setMore(false, now)
@@ -38,8 +38,8 @@
 			l.logDueMetadata(now.Add(constants.MetadataDelay + time.Duration(tick)*constants.TickInterval))
 		}
 		perSecond := max(c.valuesPerSecond, 1) * state.ValueKB * 1024
-		if got, most := float64(l.metadata.bytes), perSecond*(seconds+constants.MetadataBurst.Seconds()); got > most || got < most/2 {
-			t.Errorf("%v changes a second: %.0f bytes in %d s, at most %.0f", c.writesPerSecond, got, seconds, most)
+		if got, limit := float64(l.metadata.bytes), perSecond*(seconds+constants.MetadataBurst.Seconds()); got > limit || got < limit/2 {
+			t.Errorf("%v writes per second: %.0f bytes in %d s, want at most %.0f and at least half of it", c.writesPerSecond, got, seconds, limit)
 		}
 
 		for hour := 0; len(l.metadata.due) > 0 && hour < 100; hour++ {
@@ -49,12 +49,13 @@
 			}
 		}
 		if n := len(l.metadata.due); n > 0 {
-			t.Errorf("%d machines are never recorded", n)
+			t.Errorf("%d machines were never recorded", n)
 		}
 	}
 }
 
-// leaderWithChangedImages makes a leader of so many machines, whose images have all changed.
+// leaderWithChangedImages returns a leader with the given number of machines, all with changed
+// images.
 func leaderWithChangedImages(t *testing.T, state config.StateLimits, machines int, now time.Time) *Leader {
 	t.Helper()
 	l := testLeader(t)
--- a/internal/leader/pass_timer.go
+++ b/internal/leader/pass_timer.go
@@ -13,11 +13,13 @@
 	lastDuration time.Duration
 }
 
-// request has a pass run as soon as it may: placement may decide otherwise than before.
+// request schedules a pass at the earliest permitted time. It is called after any change
+// that may affect placement.
 func (t *passTimer) request() { t.requested = true }
 
-// nextAt is when the next pass may run; zero if none is requested. A pass that takes long
-// is followed by a longer pause: heartbeats and records must not wait for passes.
+// nextAt returns the earliest time of the next pass, or zero if none is requested. The pause
+// grows with the duration of the last pass, so that passes don't delay heartbeats and
+// commits.
 func (t *passTimer) nextAt() time.Time {
 	if !t.requested {
 		return time.Time{}
@@ -25,14 +27,14 @@
 	return t.lastAt.Add(min(max(constants.MinPassInterval, constants.PassIntervalFactor*t.lastDuration), constants.MaxPassInterval))
 }
 
-// due tells whether a pass must run now.
+// due reports whether a requested pass may run now.
 func (t *passTimer) due(now time.Time) bool { return t.requested && !now.Before(t.nextAt()) }
 
-// sinceLast is how long ago the last pass began.
+// sinceLast returns the time since the last pass began.
 func (t *passTimer) sinceLast(now time.Time) time.Duration { return now.Sub(t.lastAt) }
 
-// begin notes that a pass begins.
+// begin marks the start of a pass and clears the request.
 func (t *passTimer) begin(now time.Time) { t.requested, t.lastAt = false, now }
 
-// finish notes how long a pass took.
+// finish records the duration of a pass.
 func (t *passTimer) finish(duration time.Duration) { t.lastDuration = duration }
--- a/internal/leader/placement_snapshot.go
+++ b/internal/leader/placement_snapshot.go
@@ -7,12 +7,12 @@
 	"thornnotch/internal/placement"
 )
 
-// snapshotForPlacement shows the present state to placement. Machines and jobs that have
-// not changed are shown as before.
+// snapshotForPlacement returns the current state as the input of a scheduling pass. It reuses
+// the views of machines and jobs that have not changed.
 func (l *Leader) snapshotForPlacement(now time.Time) *placement.Snapshot {
 	snapshot := &placement.Snapshot{Now: now, StartRate: l.classes.placementRates}
 	startable := l.startableJobViews(now)
-	// The teams' usage is brought up to date with the machines' views.
+	// Refreshing the machine views updates the teams' usage, which teamViews reads.
 	snapshot.Machines = l.machineViews(now)
 	snapshot.Teams = l.teamViews()
 	l.addReservationEdges(snapshot)
@@ -27,7 +27,8 @@
 	return snapshot
 }
 
-// startableJobViews shows the jobs that are not done and wait for no other job.
+// startableJobViews returns the views of all jobs that are incomplete and not blocked by an
+// upstream job.
 func (l *Leader) startableJobViews(now time.Time) []*placement.Job {
 	views := make([]*placement.Job, 0, l.jobs.len())
 	for job := range l.jobs.all() {
@@ -40,7 +41,8 @@
 	return views
 }
 
-// machineViews shows all machines by name.
+// machineViews returns the views of all machines, sorted by name, and refreshes those that
+// are stale or too old.
 func (l *Leader) machineViews(now time.Time) []*placement.Machine {
 	machines := l.fleet.sortedByName()
 	views := make([]*placement.Machine, 0, len(machines))
@@ -49,28 +51,29 @@
 		if machine.view == nil || machine.stale || machine.viewAt.Before(oldest) {
 			l.refreshMachineView(machine, now)
 		}
-		machine.view.Schedulable = l.mayPlaceOn(machine, now)
+		machine.view.Schedulable = l.acceptsPlacements(machine, now)
 		views = append(views, machine.view)
 	}
 	return views
 }
 
-// mayPlaceOn tells whether placement may put work on a machine, given its view.
-func (l *Leader) mayPlaceOn(machine *machineState, now time.Time) bool {
+// acceptsPlacements reports whether new tasks may be placed on a machine. Its view must be
+// up to date.
+func (l *Leader) acceptsPlacements(machine *machineState, now time.Time) bool {
 	if machine.view.Total == (placement.Resources{}) || !machine.schedulable(now) {
 		return false
 	}
-	// Only on machines that have shown our token: a heartbeat may be a late copy of one
-	// from a machine that is no more.
+	// The machine must have sent this term's token: a heartbeat without it may be a delayed
+	// copy from a machine that no longer exists.
 	if machine.agent.Token != l.term.number() {
 		return false
 	}
-	// One that has not been heard for a few heartbeats may well be dead or cut off: what
-	// is put there would wait until its lease is over.
+	// A machine that has missed a few heartbeats may be dead or partitioned. Tasks placed
+	// there would be stuck until its lease expires.
 	return l.silentFor(machine, now) <= l.silenceTolerance()+constants.IdleReplyHold
 }
 
-// teamViews shows what the teams use and may use.
+// teamViews returns each team's usage and quota, by name.
 func (l *Leader) teamViews() map[string]*placement.Team {
 	views := make(map[string]*placement.Team, len(l.teams))
 	for _, team := range l.teams {
@@ -83,8 +86,8 @@
 	return views
 }
 
-// maxViewAge is how old the view of a machine that has not changed may be: making all of a
-// large fleet's anew every time would take longer than the pass itself.
+// maxViewAge returns the maximum age of an unchanged machine's view. It grows with the fleet,
+// as refreshing every view of a large fleet would take longer than the pass itself.
 func maxViewAge(machines int) time.Duration {
 	return time.Duration(float64(constants.MaxViewAge) * max(1, float64(machines)/constants.ViewAgeBaseMachines))
 }
--- a/internal/leader/plan_execution.go
+++ b/internal/leader/plan_execution.go
@@ -8,7 +8,8 @@
 	"thornnotch/internal/workers"
 )
 
-// releaseReservations gives up the reservations that gave way to other work.
+// releaseReservations removes the reservations that the plan released in favour of other
+// tasks.
 func (l *Leader) releaseReservations(released []placement.Release, now time.Time) {
 	for _, release := range released {
 		name, pipeline := release.Machine.Name, release.Slot.Pipeline
@@ -16,12 +17,12 @@
 		if machine == nil || !l.reservations.Consume(name, func(p placement.Pipeline) bool { return p == pipeline }) {
 			continue
 		}
-		l.deps.Log.Debug("reservation given up", "machine", name, "class", pipeline.Class)
+		l.deps.Log.Debug("reservation released", "machine", name, "class", pipeline.Class)
 		l.metadataChanged(machine, now)
 	}
 }
 
-// preempt stops a task to make room; a gang goes as a whole.
+// preempt stops the victim of a preemption; a gang is stopped as a whole.
 func (l *Leader) preempt(preemption placement.Preemption, now time.Time) {
 	victim := preemption.Victim
 	machine := l.fleet.get(preemption.Machine.Name)
@@ -46,8 +47,8 @@
 	l.sendStops(machine, now)
 }
 
-// startPlanned turns the starts of a plan into attempts. Their `run` leaves only once
-// the machines' records with them stand.
+// startPlanned creates an attempt for each start of a plan. The run command of an attempt is
+// sent only once the record of the attempt is committed.
 func (l *Leader) startPlanned(starts []placement.Start, now time.Time) {
 	gangNumbers := make(map[string]uint64)
 	for _, start := range starts {
@@ -58,7 +59,7 @@
 		}
 		number, ok := l.attemptNumber(job, gangNumbers)
 		if !ok {
-			break // the term ends
+			break // out of attempt numbers: the term ends
 		}
 		l.startTask(machine, job, start, number, now)
 	}
@@ -69,9 +70,10 @@
 	}
 }
 
-// attemptNumber is the number for the next attempt of a job. All tasks of a gang that start
-// together have one, by gangNumbers, and so has the replacement of a task that it lost. It
-// is false once the term has none left, which ends the term.
+// attemptNumber returns the number of a job's next attempt. Tasks of a gang that start in the
+// same plan share one number, kept in gangNumbers; the replacement for a task that a waiting
+// gang lost reuses the gang's number. ok is false if the term has no numbers left, which ends
+// the term.
 func (l *Leader) attemptNumber(job *jobState, gangNumbers map[string]uint64) (number uint64, ok bool) {
 	if number, ok := gangNumbers[job.spec.ID]; ok {
 		return number, true
@@ -87,8 +89,9 @@
 	return number, ok
 }
 
-// startTask places an attempt on a machine and has it recorded. A reservation that it may
-// use is used up; others there that no longer fit beside it end.
+// startTask creates an attempt on a machine and records it. The attempt consumes a reservation
+// on the machine that it is entitled to; reservations that no longer fit beside it are
+// released.
 func (l *Leader) startTask(machine *machineState, job *jobState, start placement.Start, number uint64, now time.Time) {
 	id := workers.AttemptID{Task: workers.TaskID{Job: job.spec.ID, Index: start.Index}, Number: number}
 	attempt := &workers.Attempt{ID: id, Epoch: machine.agent.Epoch, PlacedAt: now}
@@ -98,7 +101,7 @@
 	l.addAttempt(machine, attempt)
 	l.logAttempt(machine, attempt)
 	if l.reservations.Consume(machine.agent.Name, job.view.Owns) {
-		l.deps.Log.Debug("reservation used", "machine", machine.agent.Name, "job", job.spec.ID)
+		l.deps.Log.Debug("reservation consumed", "machine", machine.agent.Name, "job", job.spec.ID)
 		l.metadataChanged(machine, now)
 	}
 	l.reservations.ReleaseExcess(machine.agent.Name, start.Machine.Total.Sub(l.usedResources(machine)))
--- a/internal/leader/recent_arrivals_test.go
+++ b/internal/leader/recent_arrivals_test.go
@@ -9,23 +9,23 @@
 	"thornnotch/internal/placement"
 )
 
-// TestRecentArrivals: jobs count for as long as the window, and machines are expected only
-// for gangs that reserve whole ones.
+// TestRecentArrivals checks that arrivals count only within the window, and that only gangs
+// that reserve whole machines add to the expected machines.
 func TestRecentArrivals(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	catalog := &autoscaling.Catalog{MachineTypes: []autoscaling.MachineType{
-		{CPUs: 8, MemoryGB: 64}, // without GPUs: not for these
+		{CPUs: 8, MemoryGB: 64}, // no GPUs, so it does not fit the gang
 		{CPUs: 32, GPUs: 4, MemoryGB: 256},
 	}}
 	gang := autoscaling.Demand{Tasks: 6, TaskResources: placement.Resources{CPUs: 1, GPUs: 2, MemoryGB: 1}} // fills 3 machines
 	var recent recentArrivals
 	recent.add(arrival{at: now.Add(-constants.ArrivalRateWindow - 1), demand: gang, reservesMachines: true}, now)
 	if len(recent) != 0 {
-		t.Fatal("one that came before the window counts")
+		t.Fatal("an arrival before the window was added")
 	}
 	recent.add(arrival{at: now, demand: gang}, now)
 	if got := recent.expectedGangMachines(catalog, now); got != 0 {
-		t.Errorf("%d machines for a job that reserves none", got)
+		t.Errorf("%d machines expected for a job that reserves none", got)
 	}
 	gangs := int(constants.ArrivalRateWindow / constants.GangReserveHorizon)
 	for range gangs {
@@ -33,13 +33,13 @@
 	}
 	want := int((time.Duration(3*gangs)*constants.GangReserveHorizon + constants.ArrivalRateWindow - 1) / constants.ArrivalRateWindow)
 	if got := recent.expectedGangMachines(catalog, now); got != want {
-		t.Errorf("%d machines for %d gangs of 3 machines in the window, want %d", got, gangs, want)
+		t.Errorf("%d machines expected for %d gangs of 3 machines in the window, want %d", got, gangs, want)
 	}
 	now = now.Add(constants.ArrivalRateWindow + 1)
 	if got := recent.expectedGangMachines(catalog, now); got != 0 {
-		t.Errorf("%d machines after the window", got)
+		t.Errorf("%d machines expected after the window", got)
 	}
 	if recent.forget(now); len(recent) != 0 {
-		t.Errorf("%d remembered for ever", len(recent))
+		t.Errorf("%d arrivals left after the window", len(recent))
 	}
 }
--- a/internal/leader/reservation_edges.go
+++ b/internal/leader/reservation_edges.go
@@ -10,14 +10,14 @@
 	"thornnotch/internal/reservations"
 )
 
-// Where users name dependencies, these edges are the pipelines of the reservation rule:
-// upstream is the job that is named, downstream the one that waits for it. Their jobs
-// may be of several teams and sizes, and a job may have several of either. A
-// reservation belongs to the job that it is for, and to its team; the tasks of all
-// jobs before that one may use it too, as they are the pipeline's own.
+// For jobs with declared dependencies, the dependency edges define the pipelines of the
+// reservation rule: the job depended on is upstream, the dependent job downstream. The jobs
+// of a pipeline may differ in team and size, and a job may have several upstreams and
+// downstreams. A reservation is made for one downstream job and charged to its team; all
+// direct and indirect upstreams of that job may use it too.
 
-// downstreamEdges are the jobs that name a job and still wait, by priority, then by
-// how soon they must start, then in the order that they came.
+// downstreamEdges returns the jobs that depend on upstream and have not started, at most
+// MaxDownstreams of them, ordered by priority, then latest start, then submission.
 func (l *Leader) downstreamEdges(upstream *jobState) (edges []reservations.Downstream) {
 	var waiting []*jobState
 	for _, job := range l.dependencies.downstreamsOf(upstream.spec.ID) {
@@ -41,8 +41,8 @@
 	return edges
 }
 
-// compareLatestStarts orders latest starts; what need not start by any time, a zero one,
-// comes last.
+// compareLatestStarts compares two latest starts. A zero time, which means no latest start,
+// sorts last.
 func compareLatestStarts(a, b time.Time) int {
 	switch {
 	case a.IsZero() == b.IsZero():
@@ -53,8 +53,8 @@
 	return 1
 }
 
-// addReservationEdges shows placement which reservations are for jobs that may not start
-// yet, and which jobs such a job waits for.
+// addReservationEdges marks in the snapshot the reservations whose downstream job is still
+// blocked, and marks the jobs upstream of each job that has reservations.
 func (l *Leader) addReservationEdges(snapshot *placement.Snapshot) {
 	l.dependencies.clearReservedUpstreams()
 	marked := make(map[string]bool)
@@ -74,7 +74,8 @@
 	}
 }
 
-// markReservedUpstreams marks all open jobs before one that has a reservation.
+// markReservedUpstreams marks all open jobs that downstream depends on, directly or
+// indirectly, as upstreams of a job with reservations.
 func (l *Leader) markReservedUpstreams(downstream *jobState) {
 	for queue := []*jobState{downstream}; len(queue) > 0; queue = queue[1:] {
 		for id := range queue[0].upstreams.pending {
--- a/internal/leader/reservation_edges_test.go
+++ b/internal/leader/reservation_edges_test.go
@@ -14,23 +14,23 @@
 	"thornnotch/internal/workers"
 )
 
-// edgeScene is a machine for four tasks that runs those of an upstream job. A downstream
-// job of another team depends on that one, while a third, of the upstream's team and class
-// and of the same priority, waits for room.
-type edgeScene struct {
+// edgeFixture is a leader with one machine for four tasks that runs the tasks of an upstream
+// job. A downstream job of another team depends on the upstream job. A third job, of the same
+// team, class and priority as the upstream job, waits for resources.
+type edgeFixture struct {
 	leader                      *Leader
 	machine                     *machineState
 	upstream, downstream, other *jobState
 }
 
-// newEdgeScene makes the scene, each job with so many tasks.
-func newEdgeScene(t *testing.T, tasks int, now time.Time) edgeScene {
+// newEdgeFixture returns a fixture in which each job has the given number of tasks.
+func newEdgeFixture(t *testing.T, tasks int, now time.Time) edgeFixture {
 	t.Helper()
 	l := testLeader(t)
 	l.certainty.Watched(now)
 	l.teams = append(l.teams, config.Team{Name: "b", GuaranteedGPUs: 0, MaxGPUs: 12})
-	l.teams[0].GuaranteedGPUs = 0 // nobody has a guarantee: it would go before any reservation
-	s := edgeScene{leader: l, machine: addMachine(l, "m-1", "east", now)}
+	l.teams[0].GuaranteedGPUs = 0 // guarantees would take precedence over reservations
+	s := edgeFixture{leader: l, machine: addMachine(l, "m-1", "east", now)}
 	s.machine.agent.Endpoint = ""
 	s.upstream = addJob(t, l, arraySpec("j-1", tasks), now)
 	startAndReport(l, s.machine, now)
@@ -41,7 +41,7 @@
 	return s
 }
 
-// startAndReport places what fits on a machine, and has it reported as running.
+// startAndReport runs a scheduling pass and lets the machine report its tasks as running.
 func startAndReport(l *Leader, machine *machineState, now time.Time) {
 	l.runSchedulingPass(now)
 	commitAll(l, 100)
@@ -49,49 +49,50 @@
 	l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusRunning, ""), false, now)
 }
 
-// finishAll has all tasks on a machine reported done.
+// finishAll lets a machine report all its tasks as done.
 func finishAll(l *Leader, machine *machineState, now time.Time) {
 	l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusExited, workers.CauseDone), false, now)
 }
 
-// reserved counts all reservations.
-func (s edgeScene) reserved() int { return len(s.leader.reservations.All()) }
+// reserved returns the number of reservations.
+func (s edgeFixture) reserved() int { return len(s.leader.reservations.All()) }
 
-// TestEdgesAreThePipeline: where users name dependencies, what a finished task leaves is
-// reserved for the job that waits for it, whosever that is; others of the same priority
-// skip it until that job may start, which then takes it up.
-func TestEdgesAreThePipeline(t *testing.T) {
+// TestReservationsFollowDependencies checks that the resources of a finished task are reserved
+// for the job that depends on it, even one of another team. Other jobs of the same priority
+// can't use them; the downstream job consumes them as soon as it may start.
+func TestReservationsFollowDependencies(t *testing.T) {
 	now := time.Now()
-	s := newEdgeScene(t, 4, now)
+	s := newEdgeFixture(t, 4, now)
 	now = now.Add(10 * time.Second)
 	finishAll(s.leader, s.machine, now)
-	holds := s.leader.reservations.OnMachine("m-1")
-	if len(holds) != 4 {
-		t.Fatalf("%d reservations, want 4", len(holds))
+	onMachine := s.leader.reservations.OnMachine("m-1")
+	if len(onMachine) != 4 {
+		t.Fatalf("%d reservations, want 4", len(onMachine))
 	}
-	for _, hold := range holds {
-		if hold.Downstream != "j-2" || hold.Pipeline != (placement.Pipeline{Team: "b", Class: "x", Downstream: "j-2"}) {
-			t.Errorf("reserved: %+v", hold)
+	for _, reservation := range onMachine {
+		if reservation.Downstream != "j-2" || reservation.Pipeline != (placement.Pipeline{Team: "b", Class: "x", Downstream: "j-2"}) {
+			t.Errorf("reservation for the wrong job or pipeline: %+v", reservation)
 		}
 	}
 
 	s.leader.runSchedulingPass(now)
 	if len(s.other.attempts) != 0 || len(s.downstream.attempts) != 0 {
-		t.Fatalf("before the end is recorded %d tasks of the other and %d of the downstream are placed", len(s.other.attempts), len(s.downstream.attempts))
+		t.Fatalf("before the completion is recorded: %d tasks of the other and %d of the downstream job placed, want none", len(s.other.attempts), len(s.downstream.attempts))
 	}
 
 	commitAll(s.leader, 200)
 	s.leader.runSchedulingPass(now)
 	if len(s.downstream.attempts) != 4 || len(s.other.attempts) != 0 || s.reserved() != 0 {
-		t.Errorf("%d tasks of the downstream, %d of the other, %d reservations left", len(s.downstream.attempts), len(s.other.attempts), s.reserved())
+		t.Errorf("%d tasks of the downstream and %d of the other job placed, %d reservations left; want 4, 0 and 0", len(s.downstream.attempts), len(s.other.attempts), s.reserved())
 	}
 }
 
-// TestEdgeHoldsAreTakenUp: also where there is room beside them; they are shown as
-// blocked until the job that they are for may start.
-func TestEdgeHoldsAreTakenUp(t *testing.T) {
+// TestEdgeReservationsAreConsumed checks that the downstream job consumes its reservation even
+// if the machine has free resources beside it, and that the snapshot shows the reservation as
+// blocked until that job may start.
+func TestEdgeReservationsAreConsumed(t *testing.T) {
 	now := time.Now()
-	s := newEdgeScene(t, 1, now)
+	s := newEdgeFixture(t, 1, now)
 	finishAll(s.leader, s.machine, now.Add(10*time.Second))
 	blocked := func() (blocked []bool) {
 		for _, slot := range s.leader.snapshotForPlacement(now).Machines[0].Reserved {
@@ -100,21 +101,22 @@
 		return blocked
 	}
 	if got := blocked(); !slices.Equal(got, []bool{true}) {
-		t.Errorf("shown while the job waits: blocked %v", got)
+		t.Errorf("blocked before the job may start: %v, want true", got)
 	}
 	commitAll(s.leader, 200)
 	if got := blocked(); !slices.Equal(got, []bool{false}) {
-		t.Errorf("shown once it may start: blocked %v", got)
+		t.Errorf("blocked once the job may start: %v, want false", got)
 	}
 	s.leader.runSchedulingPass(now)
 	if len(s.downstream.attempts) != 1 || s.reserved() != 0 {
-		t.Errorf("%d tasks placed, %d reservations left", len(s.downstream.attempts), s.reserved())
+		t.Errorf("%d tasks placed, %d reservations left; want 1 and 0", len(s.downstream.attempts), s.reserved())
 	}
 }
 
-// TestWaitedIsNobodysNext: a job that waited for others has its own pipeline, also once
-// it may start: nothing is reserved for it as its team's next.
-func TestWaitedIsNobodysNext(t *testing.T) {
+// TestUnblockedJobIsNotNextOfTeam checks that a job with dependencies keeps its own pipeline
+// even when it is no longer blocked: it gets no reservation as the next job of its team and
+// class.
+func TestUnblockedJobIsNotNextOfTeam(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
 	first := addJob(t, l, arraySpec("j-1", 1), now)
@@ -127,19 +129,20 @@
 	l.removeJob(upstream, now)
 	l.upstreamEnded("j-2", jobs.FinalRecord{Status: jobs.StatusDone}, now)
 	if waited.upstreams.blocked() {
-		t.Fatal("it may not start")
+		t.Fatal("the job is still blocked")
 	}
 	if got := l.downstreams(first); len(got) != 1 || got[0].Job != next.spec.ID {
-		t.Errorf("reserved for %+v", got)
+		t.Errorf("downstreams %+v, want only the next job without dependencies", got)
 	}
 }
 
-// TestEdgeHoldsEnd: with the cancellation of the job that they are for, and, as any
-// reservation, at the time that the upstream's first finished task set.
-func TestEdgeHoldsEnd(t *testing.T) {
+// TestEdgeReservationsEnd checks that reservations along dependency edges end when their job is
+// cancelled and, like all reservations, at the deadline computed from the upstream job's first
+// finished task.
+func TestEdgeReservationsEnd(t *testing.T) {
 	start := time.Now()
 	finished := start.Add(10 * time.Second)
-	checkOtherStarts := func(t *testing.T, s edgeScene, now time.Time) {
+	checkOtherStarts := func(t *testing.T, s edgeFixture, now time.Time) {
 		t.Helper()
 		for _, name := range s.leader.reservations.Expire(now, s.leader.hasWaitingTasks) {
 			s.leader.metadataChanged(s.leader.fleet.get(name), now)
@@ -148,33 +151,33 @@
 		s.leader.certainty.Watched(now)
 		s.leader.runSchedulingPass(now)
 		if s.reserved() != 0 || len(s.other.attempts) != 4 {
-			t.Errorf("%d reservations stand, %d tasks of the other are placed", s.reserved(), len(s.other.attempts))
+			t.Errorf("%d reservations left, %d tasks of the other job placed; want 0 and 4", s.reserved(), len(s.other.attempts))
 		}
 	}
 	t.Run("cancelled", func(t *testing.T) {
-		s := newEdgeScene(t, 4, start)
+		s := newEdgeFixture(t, 4, start)
 		finishAll(s.leader, s.machine, finished)
 		s.leader.jobRecordDeleted("j-2", finished)
 		checkOtherStarts(t, s, finished)
 	})
 	t.Run("expired", func(t *testing.T) {
-		s := newEdgeScene(t, 4, start)
+		s := newEdgeFixture(t, 4, start)
 		finishAll(s.leader, s.machine, finished)
 		settings := s.leader.deps.Operator.Holds
 		expiry := start.Add(reservations.Options{Alpha: settings.Alpha, P: settings.P}.Deadline(10*time.Second, 4))
 		s.leader.reservations.Expire(expiry.Add(-time.Second), s.leader.hasWaitingTasks)
 		if s.reserved() != 4 {
-			t.Errorf("expired early")
+			t.Errorf("reservations expired before their deadline")
 		}
 		checkOtherStarts(t, s, expiry.Add(time.Second))
 	})
 }
 
-// TestEdgeHoldsOutliveTheLeader: what the next leader reads of a reservation along an edge
-// is still for the job that waits, not for its team's next.
-func TestEdgeHoldsOutliveTheLeader(t *testing.T) {
+// TestEdgeReservationsSurviveFailover checks that the next leader restores a reservation along
+// a dependency edge for the downstream job, and not for the next job of its team.
+func TestEdgeReservationsSurviveFailover(t *testing.T) {
 	now := time.Now()
-	s := newEdgeScene(t, 4, now)
+	s := newEdgeFixture(t, 4, now)
 	finishAll(s.leader, s.machine, now.Add(10*time.Second))
 	raw, err := json.Marshal(s.leader.machineRecord(s.machine))
 	if err != nil {
@@ -190,22 +193,22 @@
 	}
 	restored, original := next.reservations.OnMachine("m-1"), s.leader.reservations.OnMachine("m-1")
 	if len(restored) != 4 {
-		t.Fatalf("%v", restored)
+		t.Fatalf("restored %v, want 4 reservations", restored)
 	}
 	for i, got := range restored {
 		want := original[i]
 		if got.Pipeline != want.Pipeline || got.Downstream != want.Downstream || got.Priority != want.Priority || got.Resources != want.Resources {
-			t.Errorf("read as %+v, was %+v", got, want)
+			t.Errorf("restored %+v, want %+v", got, want)
 		}
 	}
 }
 
-// TestSeveralDownstreams: of the jobs that wait for one, the one of highest priority
-// has its room reserved first, an inherited one included, then the one that must start
-// soonest; what waits for room upstream of a job may use its reservations.
-func TestSeveralDownstreams(t *testing.T) {
+// TestDownstreamOrder checks that among several downstream jobs reservations go to the one with
+// the highest priority first, which it may have inherited, then to the one with the earliest
+// latest start. Only upstream jobs of a job may use its reservations.
+func TestDownstreamOrder(t *testing.T) {
 	now := time.Now()
-	s := newEdgeScene(t, 4, now)
+	s := newEdgeFixture(t, 4, now)
 	l := s.leader
 	addDependent := func(id, priorityClass string, dueS float64, upstreams ...string) *jobState {
 		spec := arraySpec(id, 2)
@@ -218,7 +221,7 @@
 	late := addDependent("j-4", "standard", 500, "j-1")
 	side := addJob(t, l, arraySpec("j-5", 1), now)
 	soon := addDependent("j-6", "standard", 90, "j-1", "j-5")
-	urgent := addDependent("j-7", "idle", 0, "j-1") // by what depends on it
+	urgent := addDependent("j-7", "idle", 0, "j-1") // inherits the priority of j-8
 	last := addDependent("j-8", "urgent", 0, "j-7")
 
 	var got []string
@@ -226,50 +229,51 @@
 		got = append(got, downstream.Job)
 	}
 	if want := []string{"j-7", "j-6", "j-4", "j-2"}; !slices.Equal(got, want) {
-		t.Errorf("reserved for %v, want %v", got, want)
+		t.Errorf("downstreams %v, want %v", got, want)
 	}
 
-	finishAll(l, s.machine, now.Add(5*time.Second)) // two for j-7, two for j-6
+	finishAll(l, s.machine, now.Add(5*time.Second)) // reserves two slots for j-7 and two for j-6
 	l.snapshotForPlacement(now)
 	if !side.view.Owns(soon.view.EdgePipeline()) {
-		t.Errorf("an upstream may not use the reservations: %v", side.view.ReservedDownstreams)
+		t.Errorf("an upstream job may not use the reservations: %v", side.view.ReservedDownstreams)
 	}
 	if side.view.Owns(late.view.EdgePipeline()) {
-		t.Errorf("a job that is no upstream may use the reservations: %v", side.view.ReservedDownstreams)
+		t.Errorf("a job that is not upstream may use the reservations: %v", side.view.ReservedDownstreams)
 	}
 	if last.view.Owns(urgent.view.EdgePipeline()) {
-		t.Errorf("a downstream may use the reservations: %v", last.view.ReservedDownstreams)
+		t.Errorf("a downstream job may use the reservations: %v", last.view.ReservedDownstreams)
 	}
 
-	// A job that waited and has nothing after it ends its pipeline: nothing is reserved
-	// for its team's next.
+	// A job with dependencies but no dependents ends its pipeline: nothing is reserved for
+	// the next job of its team.
 	if next := l.downstreams(last); len(next) != 0 {
-		t.Errorf("reserved for %v after the last of a chain", next)
+		t.Errorf("downstreams %v of the last job of a chain, want none", next)
 	}
 }
 
-// TestHoldsInSubmissionOrderAreAChoice: without them what a finished task leaves where no
-// dependencies are named is reserved for nobody, and along named ones it is as before.
-func TestHoldsInSubmissionOrderAreAChoice(t *testing.T) {
-	for _, inOrder := range []bool{true, false} {
+// TestSubmissionOrderReservationsAreOptional checks that with the setting off a finished task
+// of a job without dependencies leaves no reservation, while reservations along dependency
+// edges are not affected.
+func TestSubmissionOrderReservationsAreOptional(t *testing.T) {
+	for _, submissionOrder := range []bool{true, false} {
 		now := time.Now()
 		l := testLeader(t)
-		l.deps.Operator.Holds.SubmissionOrder = inOrder
-		l.teams[0].MaxGPUs = 4 // the next one has to wait
+		l.deps.Operator.Holds.SubmissionOrder = submissionOrder
+		l.teams[0].MaxGPUs = 4 // so that the next job waits
 		machine := addMachine(l, "m-1", "east", now)
 		addJob(t, l, arraySpec("j-1", 4), now)
 		startAndReport(l, machine, now)
 		addJob(t, l, arraySpec("j-2", 4), now)
 		finishAll(l, machine, now.Add(10*time.Second))
-		if got, want := len(l.reservations.All()), map[bool]int{true: 4}[inOrder]; got != want {
-			t.Errorf("in submission order %v: %d reservations, want %d", inOrder, got, want)
+		if got, want := len(l.reservations.All()), map[bool]int{true: 4}[submissionOrder]; got != want {
+			t.Errorf("submission order %v: %d reservations, want %d", submissionOrder, got, want)
 		}
 
-		s := newEdgeScene(t, 4, now)
-		s.leader.deps.Operator.Holds.SubmissionOrder = inOrder
+		s := newEdgeFixture(t, 4, now)
+		s.leader.deps.Operator.Holds.SubmissionOrder = submissionOrder
 		finishAll(s.leader, s.machine, now.Add(10*time.Second))
 		if got := s.reserved(); got != 4 {
-			t.Errorf("in submission order %v: %d reservations along edges", inOrder, got)
+			t.Errorf("submission order %v: %d reservations along edges, want 4", submissionOrder, got)
 		}
 	}
 }
--- a/internal/leader/retry_state.go
+++ b/internal/leader/retry_state.go
@@ -6,26 +6,26 @@
 	"thornnotch/internal/leader/health"
 )
 
-// retryState is when and where a job's tasks may be tried again.
+// retryState restricts when and where a job's tasks may be retried.
 type retryState struct {
-	notBefore time.Time // none of its tasks before then; zero if nothing holds it back
-	// delays are the tasks that must wait after failing again and again while the
-	// others do well.
+	notBefore time.Time // end of the whole job's backoff; zero if there is none
+	// delays holds back single tasks that fail repeatedly while the job's other tasks
+	// succeed.
 	delays health.TaskDelays
-	avoid  map[string]time.Time // machines to avoid, until when
+	avoid  map[string]time.Time // end of avoidance, by machine
 }
 
-// backingOff tells whether the whole job has to wait.
+// backingOff reports whether the whole job is in backoff.
 func (r *retryState) backingOff(now time.Time) bool { return now.Before(r.notBefore) }
 
-// waitUntil has the whole job wait until then, at least.
+// waitUntil extends the job's backoff to until; it never shortens it.
 func (r *retryState) waitUntil(until time.Time) {
 	if until.After(r.notBefore) {
 		r.notBefore = until
 	}
 }
 
-// resume ends a wait that is over; it tells whether one was.
+// resume clears an elapsed backoff and reports whether there was one.
 func (r *retryState) resume(now time.Time) bool {
 	if r.notBefore.IsZero() || !now.After(r.notBefore) {
 		return false
@@ -34,11 +34,11 @@
 	return true
 }
 
-// avoidMachine keeps the job from a machine until then.
+// avoidMachine excludes a machine for the job until the given time.
 func (r *retryState) avoidMachine(name string, until time.Time) { r.avoid[name] = until }
 
-// machinesToAvoid names the machines that the job avoids, nil if there are none. Those
-// that it need not avoid any longer are dropped.
+// machinesToAvoid returns the set of machines that the job must avoid, or nil if there are
+// none. It removes expired entries.
 func (r *retryState) machinesToAvoid(now time.Time) map[string]bool {
 	var names map[string]bool
 	for name, until := range r.avoid {
@@ -54,6 +54,6 @@
 	return names
 }
 
-// changesWithTime tells whether anything here ends by itself, so that the job's view may
-// change although nothing has happened to the job.
+// changesWithTime reports whether any entry may expire, so that the job's view has to be
+// refreshed even if the job itself has not changed.
 func (r *retryState) changesWithTime() bool { return len(r.avoid) > 0 || !r.delays.Empty() }
--- a/internal/leader/scheduling_log.go
+++ b/internal/leader/scheduling_log.go
@@ -10,7 +10,7 @@
 	"thornnotch/internal/placement"
 )
 
-// logSummary logs once in a while what the machines do and what waits.
+// logSummary logs machine utilization and waiting tasks every SummaryLogInterval.
 func (l *Leader) logSummary(snapshot *placement.Snapshot, now time.Time) {
 	if now.Sub(l.lastSummary) < constants.SummaryLogInterval {
 		return
@@ -19,7 +19,8 @@
 	l.deps.Log.Debug("summary", "machines", l.fleet.len(), "booting", len(l.scaling.booting), "pass", passSummary{snapshot})
 }
 
-// passSummary is a snapshot for the log. It is summed up only if the line is written.
+// passSummary wraps a snapshot for the log. The summary is computed only if the line is
+// written.
 type passSummary struct{ snapshot *placement.Snapshot }
 
 // LogValue implements slog.LogValuer.
@@ -32,7 +33,7 @@
 			boosted++
 		}
 	}
-	// The part of its limit that each team uses, reservations included.
+	// Each team's usage as a share of its limit, reservations included.
 	limitShares := make(map[string]float64)
 	for name, team := range s.snapshot.Teams {
 		limitShares[name] = roundToHundredth(team.Used.DominantShare(team.Limit))
@@ -49,22 +50,22 @@
 	)
 }
 
-// machineSummary is what the schedulable machines do.
+// machineSummary aggregates the use of the schedulable machines.
 type machineSummary struct {
 	schedulable, empty int
-	// In whole machines, by the resource that is taken most of: what tasks take, of it
-	// what those take that were told to stop, and what is reserved.
+	// used, stopping and reserved are sums of dominant shares, in units of whole machines:
+	// of all tasks, of those that were told to stop, and of reservations.
 	used, stopping, reserved float64
 }
 
-func summarizeMachines(machines []*placement.Machine) (sum machineSummary) {
+func summarizeMachines(machines []*placement.Machine) (summary machineSummary) {
 	for _, machine := range machines {
 		if !machine.Schedulable {
 			continue
 		}
-		sum.schedulable++
+		summary.schedulable++
 		if len(machine.RunningTasks) == 0 && len(machine.Reserved) == 0 {
-			sum.empty++
+			summary.empty++
 		}
 		var used, stopping, reserved placement.Resources
 		for _, task := range machine.RunningTasks {
@@ -76,12 +77,12 @@
 		for _, slot := range machine.Reserved {
 			reserved = reserved.Add(slot.Resources)
 		}
-		sum.used += used.DominantShare(machine.Total)
-		sum.stopping += stopping.DominantShare(machine.Total)
-		sum.reserved += reserved.DominantShare(machine.Total)
+		summary.used += used.DominantShare(machine.Total)
+		summary.stopping += stopping.DominantShare(machine.Total)
+		summary.reserved += reserved.DominantShare(machine.Total)
 	}
-	return sum
+	return summary
 }
 
-// roundToHundredth rounds for the log.
+// roundToHundredth rounds v to two decimal places.
 func roundToHundredth(v float64) float64 { return math.Round(v*100) / 100 }
--- a/internal/leader/scheduling_log_test.go
+++ b/internal/leader/scheduling_log_test.go
@@ -10,8 +10,8 @@
 	"thornnotch/internal/constants"
 )
 
-// TestSummaryLog: once in a while, in whole machines, what runs, what waits and what the
-// teams use of their limits.
+// TestSummaryLog checks that a summary is logged once per interval, and that it holds the
+// machines in use, the waiting tasks and the teams' shares of their limits.
 func TestSummaryLog(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
@@ -34,11 +34,11 @@
 		}
 	}
 	if len(summaries) != 1 {
-		t.Fatalf("%d summaries: %s", len(summaries), &log)
+		t.Fatalf("%d summaries, want 1: %s", len(summaries), &log)
 	}
 	for _, want := range []string{
-		" machines=1 ", " pass.schedulable=1 ", " pass.empty=0 ", " pass.used=0.5 ", // as the pass began
-		` pass.waiting_tasks=map[x:5] `, ` pass.boosted_jobs=0 `, " pass.team_limit_shares=map[a:0.25]", // with the two tasks that it placed
+		" machines=1 ", " pass.schedulable=1 ", " pass.empty=0 ", " pass.used=0.5 ", // state before the pass
+		` pass.waiting_tasks=map[x:5] `, ` pass.boosted_jobs=0 `, " pass.team_limit_shares=map[a:0.25]", // includes the two tasks placed by the pass
 	} {
 		if !strings.Contains(summaries[0], want) {
 			t.Errorf("no %q in %s", want, summaries[0])
--- a/internal/leader/scheduling_pass.go
+++ b/internal/leader/scheduling_pass.go
@@ -6,10 +6,10 @@
 	"thornnotch/internal/placement"
 )
 
-// runSchedulingPass runs placement over the present state and carries out its plan.
+// runSchedulingPass runs placement on the current state and executes its plan.
 func (l *Leader) runSchedulingPass(now time.Time) {
 	l.passes.begin(now)
-	if !l.mayDecide() {
+	if !l.canRunPass() {
 		return
 	}
 	snapshot := l.snapshotForPlacement(now)
@@ -20,7 +20,7 @@
 		l.preempt(preemption, now)
 	}
 	l.startPlanned(plan.Starts, now)
-	showDrainClaims(snapshot.Jobs, plan)
+	setDrainClaims(snapshot.Jobs, plan)
 	l.logSummary(snapshot, now)
 	took := time.Since(now)
 	l.passes.finish(took)
@@ -28,14 +28,14 @@
 	l.counts.PassSeconds += took.Seconds()
 }
 
-// mayDecide tells whether a pass may run: without records no decision that needs one is
-// made, and none on a world that may be half a minute old.
-func (l *Leader) mayDecide() bool {
+// canRunPass reports whether a pass may run. It may not while decisions can't be committed,
+// or while the state is incomplete or may be as much as half a minute out of date.
+func (l *Leader) canRunPass() bool {
 	return l.failover.recordsLoaded() && l.deps.Catalog() != nil && l.commits.healthy() && l.term.verified()
 }
 
-// markPlannedStale has the views made anew of all machines and jobs in the plan, whether or
-// not it can be carried out: placement has changed these views.
+// markPlannedStale invalidates the views of all machines and jobs in the plan. Placement has
+// modified these views, even if the plan can't be executed.
 func (l *Leader) markPlannedStale(plan *placement.Plan) {
 	for _, start := range plan.Starts {
 		l.fleet.get(start.Machine.Name).markStale()
@@ -46,9 +46,10 @@
 	}
 }
 
-// showDrainClaims shows the next pass which machines are kept for gangs until they are
-// empty, and which gangs will have room once what ends has ended.
-func showDrainClaims(waiting []*placement.Job, plan *placement.Plan) {
+// setDrainClaims stores the plan's drain claims in the job views for the next pass: the
+// machines that drain for each gang, and the gangs that will fit once the tasks on these
+// machines have ended.
+func setDrainClaims(waiting []*placement.Job, plan *placement.Plan) {
 	for _, job := range waiting {
 		job.ClaimedMachines, job.Draining = nil, false
 	}
--- a/internal/leader/silence.go
+++ b/internal/leader/silence.go
@@ -7,8 +7,8 @@
 	"thornnotch/internal/constants"
 )
 
-// silentFor is how long nothing has been heard of the machine in this term, while
-// the leader itself could hear.
+// silentFor returns the time since the machine's last heartbeat in this term, not counting
+// any time before the leader last resumed from a stall.
 func (l *Leader) silentFor(machine *machineState, now time.Time) time.Duration {
 	last := machine.addedAt
 	if machine.agent.Registered {
@@ -20,18 +20,19 @@
 	return now.Sub(last)
 }
 
-// silenceTolerance is how long a worker may well be silent: a few of its heartbeats.
+// silenceTolerance returns how long a worker may go without a heartbeat before it counts as
+// silent.
 func (l *Leader) silenceTolerance() time.Duration {
 	return time.Duration(constants.SilentAfterHeartbeats * float64(config.Seconds(l.deps.Settings.Params.Workers.HeartbeatS)))
 }
 
-// isSilent tells whether a machine has been silent for longer than a few heartbeats.
+// isSilent reports whether a machine has been silent for longer than silenceTolerance.
 func (l *Leader) isSilent(machine *machineState, now time.Time) bool {
 	return l.silentFor(machine, now) > l.silenceTolerance()
 }
 
-// isSilentBeyondLease tells whether a machine has been silent for so long that its lease
-// is most likely over.
+// isSilentBeyondLease reports whether a machine has been silent for longer than its lease,
+// which has then most likely expired.
 func (l *Leader) isSilentBeyondLease(machine *machineState, now time.Time) bool {
 	return l.silentFor(machine, now) > l.lease
 }
--- a/internal/leader/start_targets.go
+++ b/internal/leader/start_targets.go
@@ -8,11 +8,12 @@
 	"thornnotch/internal/jobs"
 )
 
-// startTargets are the latest starts at which a job still meets its users' service-level
-// objectives, of whichever kind: by a time, or by its due time and some times that. A
-// class without objectives goes by the job's own due time. The image may have to be
-// fetched first. They count from when the job could start; its due time counts from its
-// submission, and it has waited for so long.
+// startTargets returns, in ascending order, the latest starts at which a job still meets the
+// service-level objectives of its class. They are relative to the time when the job became
+// startable and allow for fetching its image. A wait or completion objective is a fixed time;
+// a deadline objective is a multiple of the job's due time, which counts from submission, so
+// the time already waited is subtracted. Without any objective the due time itself is the
+// target.
 func (l *Leader) startTargets(spec *jobs.Spec, waited time.Duration) (targets []time.Duration) {
 	fetchS := l.longestFetchS(spec)
 	for _, objective := range l.deps.Settings.Params.SLOs {
@@ -37,8 +38,8 @@
 	return targets
 }
 
-// longestFetchS is how long fetching a job's image takes on the slowest type of machine,
-// in seconds.
+// longestFetchS returns the time to fetch a job's image on the machine type with the lowest
+// fetch rate, in seconds.
 func (l *Leader) longestFetchS(spec *jobs.Spec) float64 {
 	longest := 0.0
 	if catalog := l.deps.Catalog(); catalog != nil {
@@ -51,8 +52,8 @@
 	return longest
 }
 
-// latestStart is when a job must start at the latest for itself and those that need it to
-// be in time; zero if nothing is due.
+// latestStart returns the latest time at which a job can start so that it and the jobs that
+// depend on it finish by their due times. It is zero if none of them has a due time.
 func (l *Leader) latestStart(job *jobState) (at time.Time) {
 	if job.spec.DueS != nil {
 		at = job.acceptedAt.Add(config.Seconds(*job.spec.DueS) - l.classes.runtimeRatios.expected(job.spec))
@@ -60,7 +61,7 @@
 	return earlier(at, job.downstreamDemand.latestStart)
 }
 
-// earlier is the earlier of two times; zero stands for no time at all.
+// earlier returns the earlier of two times, ignoring zero times.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
@@ -68,8 +69,8 @@
 	return a
 }
 
-// updateTargets sets the latest starts that a job has to meet: its users', and that of
-// those that need it.
+// updateTargets recomputes the job's start targets from its objectives and from the latest
+// start that its downstream jobs require.
 func (l *Leader) updateTargets(job *jobState) {
 	job.view.Targets = l.startTargets(job.spec, job.view.Submitted.Sub(job.acceptedAt))
 	if latestStart := job.downstreamDemand.latestStart; !latestStart.IsZero() {
--- a/internal/leader/start_targets_test.go
+++ b/internal/leader/start_targets_test.go
@@ -7,9 +7,8 @@
 	"thornnotch/internal/config"
 )
 
-// TestTargets: whatever kind of service-level objective a class has, the latest starts
-// that meet it.
-func TestTargets(t *testing.T) {
+// TestStartTargets checks the latest starts that meet each kind of service-level objective.
+func TestStartTargets(t *testing.T) {
 	share, factor, due := 0.9, 1.5, 100.0
 	l := testLeader(t)
 	l.deps.Settings.Params.SLOs = []config.SLO{
@@ -24,16 +23,16 @@
 		dueS  *float64
 		want  string
 	}{
-		{"deadline", &due, "[1m5s 1m55s]"}, // 5 s for the image, 30 s to run
+		{"deadline", &due, "[1m5s 1m55s]"}, // minus 5 s for the image and 30 s of run time
 		{"deadline", nil, "[]"},
 		{"wait", &due, "[25s 3m35s]"},
-		{"novel", &due, "[1m5s]"}, // nothing known: the due time itself
+		{"novel", &due, "[1m5s]"}, // unknown kind: only the due time counts
 		{"novel", nil, "[]"},
 	} {
 		spec := arraySpec("j-1", 1)
 		spec.Class, spec.DueS = c.class, c.dueS
 		if got := fmt.Sprint(l.startTargets(&spec, 0)); got != c.want {
-			t.Errorf("%s, due %v: %s, want %s", c.class, c.dueS != nil, got, c.want)
+			t.Errorf("class %s, due time %v: targets %s, want %s", c.class, c.dueS != nil, got, c.want)
 		}
 	}
 }
--- a/internal/leader/stop_cost.go
+++ b/internal/leader/stop_cost.go
@@ -8,13 +8,13 @@
 	"thornnotch/internal/workers"
 )
 
-// estimateStopCost estimates how long an attempt goes on, and what stopping it throws
-// away, in time of the resources that it takes.
+// estimateStopCost estimates an attempt's remaining run time and the loss from stopping it,
+// as time during which its resources are wasted.
 func estimateStopCost(spec *jobs.Spec, attempt *workers.Attempt, now time.Time) (remaining, loss time.Duration) {
 	expected := time.Duration(spec.ExpectedS * float64(time.Second))
 	restart := constants.RestartCost
 	if spec.Kind == jobs.KindGang {
-		// The whole gang goes, and finds whole machines again less easily.
+		// The whole gang restarts, and whole machines are harder to find again.
 		restart *= constants.GangRestartFactor * time.Duration(spec.Tasks)
 	}
 	if attempt.RunningSince.IsZero() {
--- a/internal/leader/stragglers.go
+++ b/internal/leader/stragglers.go
@@ -8,11 +8,11 @@
 	"thornnotch/internal/workers"
 )
 
-// detectStragglers looks for slow machines and takes their tasks elsewhere.
+// detectStragglers marks slow machines and moves their tasks to others.
 func (l *Leader) detectStragglers(now time.Time) {
 	for _, machine := range l.fleet.sortedByName() {
-		// Of a machine that can't be heard nothing is known: its tasks may be
-		// over, and a cut must not make all machines behind it slow.
+		// The tasks of a silent machine may have ended already: a network partition must
+		// not mark all machines behind it as slow.
 		if machine.health.Slow(now) || machine.lifecycle.isLeaving() || l.isSilent(machine, now) {
 			continue
 		}
@@ -20,13 +20,13 @@
 			continue
 		}
 		pause := machine.health.MarkSlow(now)
-		l.deps.Log.Warn("machine runs its tasks slowly", "machine", machine.agent.Name, "zone", machine.agent.Zone, "pause_s", pause.Seconds())
+		l.deps.Log.Warn("slow machine detected", "machine", machine.agent.Name, "zone", machine.agent.Zone, "pause_s", pause.Seconds())
 		l.moveTasksAway(machine, now)
 	}
 }
 
-// slowSignals counts what speaks for a machine's being slow: tasks that finished
-// there lately, and those that run there.
+// slowSignals counts the signs that a machine is slow, from tasks that recently finished on
+// it and from those that run on it.
 func (l *Leader) slowSignals(machine *machineState, now time.Time) int {
 	signals := machine.health.SlowSignals(now)
 	for _, attempt := range machine.agent.Attempts {
@@ -39,15 +39,15 @@
 	return signals
 }
 
-// moveTasksAway stops what may as well run elsewhere. Gangs stay: they would all have
-// to start anew.
+// moveTasksAway stops the machine's tasks so that they restart elsewhere. Gangs are left
+// alone, as the whole gang would have to restart.
 func (l *Leader) moveTasksAway(machine *machineState, now time.Time) {
 	for _, attempt := range machine.agent.SortedAttempts() {
 		job := l.jobs.get(attempt.ID.Task.Job)
 		if job == nil || job.spec.Kind == jobs.KindGang || attempt.StopRequested || !attempt.Live() {
 			continue
 		}
-		// A task that can't save would lose more than it wins.
+		// A running task without checkpoints would lose more than it gains.
 		if attempt.Status == workers.StatusRunning && job.spec.CheckpointIntervalS <= 0 {
 			continue
 		}
@@ -57,13 +57,13 @@
 	l.passes.request()
 }
 
-// saveGrace is how long, in seconds, one of the job's tasks is given to save and stop.
+// saveGrace returns the time that one of the job's tasks gets to save and stop, in seconds.
 func (j *jobState) saveGrace() float64 { return j.spec.SaveS + constants.StopGrace.Seconds() }
 
-// noteStragglerSignal takes in a finished task: its run time is compared with the
-// others' and then counted among them.
-func (l *Leader) noteStragglerSignal(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
-	// When a task ended on a machine that was not heard meanwhile is not known.
+// recordTaskRuntime compares a finished task's run time with those of the job's other tasks
+// and then adds it to them.
+func (l *Leader) recordTaskRuntime(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
+	// After a gap in the heartbeats the end of the task is unknown.
 	if machine.heartbeatGap || attempt.RunningSince.IsZero() {
 		return
 	}
--- a/internal/leader/stragglers_test.go
+++ b/internal/leader/stragglers_test.go
@@ -9,68 +9,69 @@
 	"thornnotch/internal/workers"
 )
 
-// TestSlowMachine: a machine whose tasks take much longer than their siblings
-// elsewhere loses them to others; ordinary differences do not count.
-func TestSlowMachine(t *testing.T) {
-	t0 := time.Now()
+// TestSlowMachineLosesTasks checks that a machine whose tasks take much longer than the other
+// tasks of their job is marked slow and its tasks are moved away, and that ordinary
+// differences have no effect.
+func TestSlowMachineLosesTasks(t *testing.T) {
+	start := time.Now()
 	l := testLeader(t)
-	bad := addMachine(l, "m-bad", "east", t0)
-	j := addJob(t, l, arraySpec("j-1", 6), t0)
+	slow := addMachine(l, "m-bad", "east", start)
+	job := addJob(t, l, arraySpec("j-1", 6), start)
 	for i := range 2 {
-		a := &workers.Attempt{
+		attempt := &workers.Attempt{
 			ID: workers.AttemptID{Task: workers.TaskID{Job: "j-1", Index: i}, Number: uint64(i + 1)}, Epoch: 1,
-			Committed: true, StartAllowed: true, RunSent: true, Status: workers.StatusRunning, RunningSince: t0,
+			Committed: true, StartAllowed: true, RunSent: true, Status: workers.StatusRunning, RunningSince: start,
 		}
-		bad.agent.Attempts[a.ID] = a
-		l.addAttempt(bad, a)
+		slow.agent.Attempts[attempt.ID] = attempt
+		l.addAttempt(slow, attempt)
 	}
-	for _, s := range []int{24, 30, 35} {
-		j.runtimes.Add(time.Duration(s) * time.Second)
+	for _, seconds := range []int{24, 30, 35} {
+		job.runtimes.Add(time.Duration(seconds) * time.Second)
 	}
-	bad.agent.LastHeartbeat = t0.Add(45 * time.Second)
-	l.detectStragglers(t0.Add(45 * time.Second))
-	if bad.health.Slow(t0.Add(45 * time.Second)) {
-		t.Fatalf("half as long again is taken for slow")
+	slow.agent.LastHeartbeat = start.Add(45 * time.Second)
+	l.detectStragglers(start.Add(45 * time.Second))
+	if slow.health.Slow(start.Add(45 * time.Second)) {
+		t.Fatalf("a machine is marked slow at 1.5 times the typical run time")
 	}
-	now := t0.Add(55 * time.Second)
-	bad.agent.LastHeartbeat = now
+	now := start.Add(55 * time.Second)
+	slow.agent.LastHeartbeat = now
 	l.detectStragglers(now)
-	if !bad.health.Slow(now) || bad.schedulable(now) {
-		t.Fatalf("a slow machine is not found")
+	if !slow.health.Slow(now) || slow.schedulable(now) {
+		t.Fatalf("slow machine not detected")
 	}
-	for _, a := range bad.agent.SortedAttempts() {
-		if !a.StopRequested || a.GraceS < j.spec.SaveS {
-			t.Errorf("%v is not saved and stopped", a.ID)
+	for _, attempt := range slow.agent.SortedAttempts() {
+		if !attempt.StopRequested || attempt.GraceS < job.spec.SaveS {
+			t.Errorf("%v is not stopped with time to save", attempt.ID)
 		}
 	}
-	if !bad.schedulable(now.Add(constants.StragglerPause + time.Second)) {
-		t.Errorf("it gets no second chance")
+	if !slow.schedulable(now.Add(constants.StragglerPause + time.Second)) {
+		t.Errorf("the machine is not schedulable after the pause")
 	}
 }
 
-// TestPaceNeedsWholeRuns guards against an incident: after a takeover, tasks
-// that had long been running seemed to finish early, and all others of their
-// jobs seemed slow.
-func TestPaceNeedsWholeRuns(t *testing.T) {
-	t0 := time.Now()
+// TestPartialRunsAreNotSampled guards against an incident: after a failover, tasks that had
+// been running for long seemed to finish early, which made all other tasks of their jobs seem
+// slow.
+func TestPartialRunsAreNotSampled(t *testing.T) {
+	start := time.Now()
 	l := testLeader(t)
-	machine := addMachine(l, "m-1", "east", t0)
-	j := addJob(t, l, arraySpec("j-1", 4), t0)
-	j.fromEarlierTerm = true
-	old := addJob(t, l, arraySpec("j-2", 4), t0)
-	old.restartedTasks[0] = true
-	for _, x := range []*jobState{j, old} {
-		l.noteStragglerSignal(machine, x, &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: x.spec.ID}}, RunningSince: t0}, t0.Add(time.Second))
-		if x.runtimes.Samples() != 0 {
-			t.Errorf("%s: a part of a run is taken for a whole one", x.spec.ID)
+	machine := addMachine(l, "m-1", "east", start)
+	open := addJob(t, l, arraySpec("j-1", 4), start)
+	open.fromEarlierTerm = true
+	restarted := addJob(t, l, arraySpec("j-2", 4), start)
+	restarted.restartedTasks[0] = true
+	for _, job := range []*jobState{open, restarted} {
+		l.recordTaskRuntime(machine, job, &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: job.spec.ID}}, RunningSince: start}, start.Add(time.Second))
+		if job.runtimes.Samples() != 0 {
+			t.Errorf("%s: a partial run was sampled as a whole one", job.spec.ID)
 		}
 	}
 }
 
-// TestSilentMachinesAreNotSlow guards against what the zone day at 2,100
-// machines showed: behind a cut, tasks seemed to run on for ever, so their
-// machines were taken for slow and got no work for 45 s after the cut had
-// healed; and tasks that had ended meanwhile seemed to have run all the time.
+// TestSilentMachinesAreNotSlow guards against false stragglers after a zone partition, found
+// with 2,100 machines: tasks behind the partition seemed to run on, so their machines were
+// marked slow and got no tasks for 45 s after it had healed. Tasks that had ended meanwhile
+// seemed to have run all that time.
 func TestSilentMachinesAreNotSlow(t *testing.T) {
 	for _, cut := range []bool{false, true} {
 		t.Run(fmt.Sprint("cut ", cut), func(t *testing.T) {
@@ -78,22 +79,22 @@
 			l := testLeader(t)
 			offline(t, l)
 			a, b := addMachine(l, "m-a", "east", now), addMachine(l, "m-b", "west", now)
-			j := addJob(t, l, arraySpec("j-1", 8), now)
+			job := addJob(t, l, arraySpec("j-1", 8), now)
 			l.runSchedulingPass(now)
 			commitAll(l, 100)
 			for _, machine := range []*machineState{a, b} {
 				machine.agent.Commands(true, now)
 				l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusRunning, ""), false, now)
 			}
-			// One machine's tasks end after 10 s, the other's go on for 60.
+			// The tasks of m-a end after 10 s, those of m-b after 60 s.
 			for range 5 {
 				now = now.Add(2 * time.Second)
 				l.applyHeartbeat(a, nextHeartbeat(l, a, workers.StatusRunning, ""), false, now)
 				l.applyHeartbeat(b, nextHeartbeat(l, b, workers.StatusRunning, ""), false, now)
 			}
 			l.applyHeartbeat(a, nextHeartbeat(l, a, workers.StatusExited, workers.CauseDone), false, now)
-			if _, ok := j.runtimes.Typical(8); !ok {
-				t.Fatal("no run times to compare with")
+			if _, ok := job.runtimes.Typical(8); !ok {
+				t.Fatal("no typical run time")
 			}
 			for range 50 {
 				now = now.Add(time.Second)
@@ -105,7 +106,7 @@
 			l.applyHeartbeat(b, nextHeartbeat(l, b, workers.StatusExited, workers.CauseDone), false, now)
 			l.detectStragglers(now)
 			if slow := b.health.Slow(now); slow == cut {
-				t.Errorf("slow: %v", slow)
+				t.Errorf("machine marked slow: %v", slow)
 			}
 		})
 	}
--- a/internal/leader/task_attempts.go
+++ b/internal/leader/task_attempts.go
@@ -7,26 +7,26 @@
 	"thornnotch/internal/workers"
 )
 
-// placedAttempt is an attempt with the machine that it is on.
+// placedAttempt is an attempt and the machine it is placed on.
 type placedAttempt struct {
 	machine *machineState
 	attempt *workers.Attempt
 }
 
-// taskAttempts are a job's attempts not proven gone or exited, by task. A task has no
-// entry while it has none.
+// taskAttempts holds a job's attempts, by task index, that are not known to be gone or to
+// have exited. A task without attempts has no entry.
 type taskAttempts map[int][]placedAttempt
 
-// add notes an attempt.
+// add adds an attempt of a task on a machine.
 func (t taskAttempts) add(machine *machineState, attempt *workers.Attempt) {
 	task := attempt.ID.Task.Index
 	t[task] = append(t[task], placedAttempt{machine, attempt})
 }
 
-// remove drops an attempt.
+// remove removes an attempt.
 func (t taskAttempts) remove(attempt *workers.Attempt) {
 	task := attempt.ID.Task.Index
-	// A new slice: who removes attempts may be iterating over the present one.
+	// Filters into a new slice, as the caller may be iterating over the current one.
 	kept := t[task][:0:0]
 	for _, placed := range t[task] {
 		if placed.attempt != attempt {
@@ -40,7 +40,7 @@
 	}
 }
 
-// sorted lists all attempts, by task, then by machine.
+// sorted returns all attempts, sorted by task, then by machine.
 func (t taskAttempts) sorted() (list []placedAttempt) {
 	for _, placed := range t {
 		list = append(list, placed...)
@@ -54,17 +54,17 @@
 	return list
 }
 
-// runningTasks counts the tasks of which an attempt is seen to run.
+// runningTasks counts the tasks that have a started attempt.
 func (t taskAttempts) runningTasks() (n int) {
 	for _, placed := range t {
-		if slices.ContainsFunc(placed, func(p placedAttempt) bool { return hasBegun(p.attempt) }) {
+		if slices.ContainsFunc(placed, func(p placedAttempt) bool { return hasStarted(p.attempt) }) {
 			n++
 		}
 	}
 	return n
 }
 
-// countByZone counts the attempts in each zone.
+// countByZone returns the number of attempts in each zone.
 func (t taskAttempts) countByZone() map[string]int {
 	zones := make(map[string]int)
 	for _, placed := range t {
--- a/internal/leader/task_attempts_test.go
+++ b/internal/leader/task_attempts_test.go
@@ -6,26 +6,26 @@
 	"thornnotch/internal/workers"
 )
 
-// TestAttemptsMayBeRemovedWhileIterating: stopping an attempt may remove it at once, and
-// who stops all attempts of a task must meet each.
-func TestAttemptsMayBeRemovedWhileIterating(t *testing.T) {
+// TestRemoveAttemptsWhileIterating checks that a loop over a task's attempts visits each one
+// even if it removes them, as stopping an attempt may remove it immediately.
+func TestRemoveAttemptsWhileIterating(t *testing.T) {
 	machine := &machineState{agent: workers.NewAgent("m-1")}
 	attempts := make(taskAttempts)
 	for number := range uint64(3) {
 		attempts.add(machine, &workers.Attempt{ID: workers.AttemptID{Number: number}})
 	}
-	var met []uint64
+	var visited []uint64
 	for _, placed := range attempts[0] {
-		met = append(met, placed.attempt.ID.Number)
+		visited = append(visited, placed.attempt.ID.Number)
 		attempts.remove(placed.attempt)
 	}
-	if len(met) != 3 || met[0] != 0 || met[1] != 1 || met[2] != 2 || len(attempts) != 0 {
-		t.Errorf("met %v, left %v", met, attempts)
+	if len(visited) != 3 || visited[0] != 0 || visited[1] != 1 || visited[2] != 2 || len(attempts) != 0 {
+		t.Errorf("visited %v, left %v", visited, attempts)
 	}
 }
 
-// TestAttemptsAreSorted: by task, then by machine.
-func TestAttemptsAreSorted(t *testing.T) {
+// TestSortedAttempts checks the order by task, then by machine.
+func TestSortedAttempts(t *testing.T) {
 	first, second := &machineState{agent: workers.NewAgent("m-1")}, &machineState{agent: workers.NewAgent("m-2")}
 	attempts := make(taskAttempts)
 	add := func(machine *machineState, task int) {
@@ -41,7 +41,7 @@
 	}{{second, 0}, {first, 1}, {second, 1}}
 	for i, w := range want {
 		if got := sorted[i]; got.machine != w.machine || got.attempt.ID.Task.Index != w.task {
-			t.Errorf("place %d: task %d on %s", i, got.attempt.ID.Task.Index, got.machine.agent.Name)
+			t.Errorf("position %d: task %d on %s", i, got.attempt.ID.Task.Index, got.machine.agent.Name)
 		}
 	}
 }
--- a/internal/leader/task_events.go
+++ b/internal/leader/task_events.go
@@ -9,7 +9,8 @@
 	"thornnotch/internal/workers"
 )
 
-// applyEvents takes in what a heartbeat or the clock says of a machine's attempts.
+// applyEvents handles the events of a machine's attempts that a heartbeat or the passing of
+// time has produced.
 func (l *Leader) applyEvents(machine *machineState, events []workers.Event, now time.Time) {
 	if len(events) == 0 {
 		return
@@ -18,7 +19,7 @@
 	for _, event := range events {
 		attempt := event.Attempt
 		job := l.jobs.get(attempt.ID.Task.Job)
-		l.noteCachedImage(machine, job, attempt, now)
+		l.updateImageCache(machine, job, attempt, now)
 		switch event.Kind {
 		case workers.EventUnrecorded:
 			l.stopUnrecorded(machine, job, attempt, now)
@@ -38,13 +39,13 @@
 	l.passes.request()
 }
 
-// stopUnrecorded stops an attempt that a machine reports and no record names. It is
-// recorded nevertheless, as it takes room until it is gone.
+// stopUnrecorded stops an attempt that a machine reports but that has no record. The attempt
+// is recorded nevertheless, as it occupies resources until it is gone.
 func (l *Leader) stopUnrecorded(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
 	if attempt.Status == workers.StatusExited {
-		return // an EventExited follows
+		return // EventExited follows
 	}
-	l.deps.Log.Warn("task in no record", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.agent.Name)
+	l.deps.Log.Warn("task without record reported", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.agent.Name)
 	l.addAttempt(machine, attempt)
 	if job == nil {
 		l.jobs.endedAttemptFound(attempt.ID.Task.Job)
@@ -57,7 +58,7 @@
 	l.logAttempt(machine, attempt)
 }
 
-// taskStatusChanged takes in a task's progress short of its exit.
+// taskStatusChanged handles a status change other than an exit.
 func (l *Leader) taskStatusChanged(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
 	l.deps.Log.Debug("task status changed", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.agent.Name, "status", attempt.Status)
 	if job != nil && attempt.Status == workers.StatusRunning && job.started.IsZero() {
@@ -66,7 +67,7 @@
 	}
 }
 
-// taskExited takes in a task's exit.
+// taskExited handles the exit of a task, by its cause.
 func (l *Leader) taskExited(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
 	l.deps.Log.Debug("task exited", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.agent.Name, "cause", attempt.Cause, "saved", attempt.Saved)
 	if job == nil || attempt.ID.Task.Index >= job.spec.Tasks {
@@ -83,7 +84,7 @@
 	case workers.CauseGangIncomplete, workers.CauseGangLost, workers.CauseStopped:
 		job.restartedTasks[attempt.ID.Task.Index] = true
 	default:
-		// Refused: the worker knows better than our books; look again soon.
+		// The worker refused the start, so its state differs from the leader's: retry soon.
 		job.retry.notBefore = now.Add(constants.RetryBase)
 		replace = true
 	}
@@ -91,17 +92,17 @@
 	l.gangTaskLost(machine, job, attempt, replace, now)
 }
 
-// taskCompleted records a task's completion. The worker may forget it only once the
-// record stands.
+// taskCompleted records a task's completion. The worker may forget the task only once the
+// record is committed.
 func (l *Leader) taskCompleted(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
 	task, isGang := attempt.ID.Task.Index, job.spec.Kind == jobs.KindGang
 	first := !job.progress.isDone(task)
 	job.unrecordedExits[attempt] = machine
 	job.markStale()
-	l.noteStragglerSignal(machine, job, attempt, now)
+	l.recordTaskRuntime(machine, job, attempt, now)
 	switch {
 	case first && isGang:
-		// A gang's tasks complete together: one done, all done.
+		// A gang completes as a whole once one of its tasks is done.
 		job.progress.completeAll()
 		l.logDone(job, wal.AllTasks)
 	case first:
@@ -109,14 +110,14 @@
 		l.logDone(job, task)
 	}
 	job.failures.RecordSuccess()
-	l.attributeFailures(job, now) // now: the job may be over in a moment
+	l.attributeFailures(job, now) // before checkComplete, which may end the job
 	machine.health.RecordSuccess()
 	l.releaseRecordedExits(job)
 	if first || isGang {
 		l.reserveFreed(machine, job, attempt, now)
 	}
 	if !isGang {
-		// Another attempt of a task that is done has no purpose.
+		// Other attempts of a completed task are redundant.
 		for _, placed := range job.attempts[task] {
 			l.stopAttempt(placed.machine, placed.attempt, 0, now)
 		}
@@ -124,7 +125,8 @@
 	l.checkComplete(job)
 }
 
-// logDone has a task's completion recorded, before its worker may forget it.
+// logDone records the completion of a task, or of all tasks for wal.AllTasks. Workers may
+// forget the exits once the record is committed.
 func (l *Leader) logDone(job *jobState, task int) {
 	l.wal.TasksDone(job.spec.ID, []int{task}, func() {
 		if job.removed {
@@ -135,7 +137,7 @@
 	})
 }
 
-// checkComplete has the final record written of a job whose tasks are all done.
+// checkComplete writes a job's final record once all its tasks are done.
 func (l *Leader) checkComplete(job *jobState) {
 	if job.progress.remaining() == 0 && !job.complete && !job.removed {
 		job.complete = true
--- a/internal/leader/task_progress.go
+++ b/internal/leader/task_progress.go
@@ -8,7 +8,7 @@
 	"thornnotch/internal/leader/wal"
 )
 
-// bitset is a set of tasks.
+// bitset is a set of task indices.
 type bitset []byte
 
 func newBitset(tasks int) bitset { return make(bitset, (tasks+7)/8) }
@@ -24,14 +24,15 @@
 	return n
 }
 
-// taskProgress is which tasks of a job are done, and of which of these the completion is
+// taskProgress tracks which tasks of a job are done, and which of these completions are
 // recorded.
 type taskProgress struct {
 	tasks     int
 	done      bitset
 	recorded  bitset
 	doneCount int
-	// firstWaiting is a lower bound: no task below it waits for a machine.
+	// firstWaiting is a lower bound of the waiting tasks: no task below it waits for a
+	// machine.
 	firstWaiting int
 }
 
@@ -39,19 +40,19 @@
 	return taskProgress{tasks: tasks, done: newBitset(tasks), recorded: newBitset(tasks)}
 }
 
-// isDone tells whether a task is done.
+// isDone reports whether a task is done.
 func (p *taskProgress) isDone(task int) bool { return p.done.has(task) }
 
-// isRecorded tells whether the completion of a task is recorded.
+// isRecorded reports whether the completion of a task is recorded.
 func (p *taskProgress) isRecorded(task int) bool { return p.recorded.has(task) }
 
-// completed is how many tasks are done.
+// completed returns the number of tasks that are done.
 func (p *taskProgress) completed() int { return p.doneCount }
 
-// remaining is how many tasks are not done.
+// remaining returns the number of tasks that are not done.
 func (p *taskProgress) remaining() int { return p.tasks - p.doneCount }
 
-// complete notes that a task is done.
+// complete marks a task as done.
 func (p *taskProgress) complete(task int) {
 	if !p.done.has(task) {
 		p.done.set(task)
@@ -59,7 +60,7 @@
 	}
 }
 
-// completeAll notes that all tasks are done.
+// completeAll marks all tasks as done.
 func (p *taskProgress) completeAll() {
 	for task := range p.tasks {
 		p.done.set(task)
@@ -67,8 +68,8 @@
 	p.doneCount = p.tasks
 }
 
-// markRecorded notes that the completion of a task is recorded, or of all that are done
-// if the record was of wal.AllTasks.
+// markRecorded marks the completion of a task as recorded. For wal.AllTasks it marks that of
+// all tasks that are done.
 func (p *taskProgress) markRecorded(task int) {
 	if task == wal.AllTasks {
 		copy(p.recorded, p.done)
@@ -77,8 +78,8 @@
 	p.recorded.set(task)
 }
 
-// restore takes in tasks that the records name as done. What is no task of the job is
-// passed over.
+// restore marks tasks read from the records as done and recorded. It ignores indices that are
+// out of range.
 func (p *taskProgress) restore(tasks []int) {
 	for _, task := range tasks {
 		switch {
@@ -95,14 +96,14 @@
 	p.doneCount = p.done.count()
 }
 
-// chunks are the done tasks in parts that fit a checkpoint.
+// chunks returns the set of done tasks, split into parts that fit one checkpoint record.
 func (p *taskProgress) chunks() (chunks []wal.DoneTasks) {
 	const chunkBytes = constants.DoneChunkTasks / 8
-	for at := 0; at < len(p.done); at += chunkBytes {
-		chunks = append(chunks, wal.DoneTasks{First: at * 8, Bits: slices.Clone(p.done[at:min(len(p.done), at+chunkBytes)])})
+	for offset := 0; offset < len(p.done); offset += chunkBytes {
+		chunks = append(chunks, wal.DoneTasks{First: offset * 8, Bits: slices.Clone(p.done[offset:min(len(p.done), offset+chunkBytes)])})
 	}
 	return chunks
 }
 
-// mayWaitFrom lowers the bound on the tasks that wait: this one may.
+// mayWaitFrom lowers firstWaiting to a task that may wait again.
 func (p *taskProgress) mayWaitFrom(task int) { p.firstWaiting = min(p.firstWaiting, task) }
--- a/internal/leader/team_usage.go
+++ b/internal/leader/team_usage.go
@@ -2,28 +2,28 @@
 
 import "thornnotch/internal/placement"
 
-// teamUsage is what the teams' attempts and reservations take, as the machines' views
-// show it.
+// teamUsage holds the resources that each team's attempts and reservations take, as counted
+// in the machine views.
 type teamUsage map[string]placement.Resources
 
-// teamUse is what one attempt or reservation adds to its team's usage.
+// teamUse is the contribution of one attempt or reservation to its team's usage.
 type teamUse struct {
 	team      string
 	resources placement.Resources
 }
 
-// replace takes what a machine added to the teams' usage out of it, and adds what it
-// takes now.
-func (u teamUsage) replace(previous, present []teamUse) {
+// replace subtracts a machine's previous contributions from the teams' usage and adds its
+// current ones.
+func (u teamUsage) replace(previous, current []teamUse) {
 	for _, use := range previous {
 		u[use.team] = u[use.team].Sub(use.resources)
 	}
-	for _, use := range present {
+	for _, use := range current {
 		u[use.team] = u[use.team].Add(use.resources)
 	}
 }
 
-// setTeamUsage replaces what a machine adds to the teams' usage.
+// setTeamUsage replaces a machine's contributions to the teams' usage.
 func (l *Leader) setTeamUsage(machine *machineState, uses []teamUse) {
 	l.teamUsage.replace(machine.countedUsage, uses)
 	machine.countedUsage = uses
--- a/internal/leader/team_usage_test.go
+++ b/internal/leader/team_usage_test.go
@@ -12,12 +12,12 @@
 	"thornnotch/internal/workers"
 )
 
-// usageModel drives a leader through random changes of what runs on its machines.
+// usageModel applies random operations to a leader and checks its usage accounting.
 type usageModel struct {
 	leader         *Leader
 	now            time.Time
 	revision       uint64
-	jobs, machines int // added so far
+	jobs, machines int // number added so far
 }
 
 func newUsageModel(t *testing.T) *usageModel {
@@ -28,7 +28,7 @@
 	return m
 }
 
-// drawMachine picks a machine, if there is one.
+// drawMachine picks a random machine, or skips the action if there is none.
 func (m *usageModel) drawMachine(rt *rapid.T) *machineState {
 	machines := m.leader.fleet.sortedByName()
 	if len(machines) == 0 {
@@ -46,8 +46,8 @@
 	addMachine(m.leader, fmt.Sprint("m-", m.machines), zone, m.now)
 }
 
-// addJob submits a job of either team, maybe a gang, maybe one that depends on an earlier
-// one.
+// addJob submits a random job of either team. It may be a gang, and may depend on an earlier
+// job.
 func (m *usageModel) addJob(t *testing.T, rt *rapid.T) {
 	t.Helper()
 	m.jobs++
@@ -68,7 +68,7 @@
 	}
 }
 
-// report has a machine report its tasks in some state, now and then only half of them.
+// report lets a machine report its tasks in a random state, sometimes only half of them.
 func (m *usageModel) report(rt *rapid.T) {
 	machine := m.drawMachine(rt)
 	status := rapid.SampledFrom([]workers.TaskStatus{workers.StatusFetching, workers.StatusRunning, workers.StatusExited}).Draw(rt, "status")
@@ -84,7 +84,7 @@
 	m.leader.applyHeartbeat(machine, heartbeat, false, m.now)
 }
 
-// beginEpoch has a machine's agent start anew, without its tasks.
+// beginEpoch lets a machine's agent restart with a new epoch and without tasks.
 func (m *usageModel) beginEpoch(rt *rapid.T) {
 	machine := m.drawMachine(rt)
 	heartbeat := nextHeartbeat(m.leader, machine, workers.StatusRunning, "")
@@ -92,7 +92,7 @@
 	m.leader.applyHeartbeat(machine, heartbeat, false, m.now)
 }
 
-// returnMachine has the cloud confirm a machine's end.
+// returnMachine removes a machine as if the cloud had confirmed its termination.
 func (m *usageModel) returnMachine(rt *rapid.T) {
 	machine := m.drawMachine(rt)
 	m.leader.applyEvents(machine, machine.agent.MarkTerminated(), m.now)
@@ -100,11 +100,11 @@
 	m.leader.wal.MachineRemoved(machine.agent.Name)
 }
 
-func (m *usageModel) passTime(rt *rapid.T) {
+func (m *usageModel) advanceTime(rt *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 20).Draw(rt, "s")) * time.Second)
 }
 
-// countGPUs counts in full what may be on machines, and what is reserved there.
+// countGPUs counts from scratch, by team, the GPUs of all live attempts and reservations.
 func (m *usageModel) countGPUs() map[string]float64 {
 	gpus := make(map[string]float64)
 	for machine := range m.leader.fleet.all() {
@@ -120,20 +120,20 @@
 	return gpus
 }
 
-// check compares the running sums, as placement is shown them, with a full count.
+// check compares the incremental sums in the placement snapshot with a count from scratch.
 func (m *usageModel) check(rt *rapid.T) {
 	snapshot := m.leader.snapshotForPlacement(m.now)
 	want := m.countGPUs()
 	for name, team := range snapshot.Teams {
-		if d := team.Used.GPUs - want[name]; d > 1e-6 || d < -1e-6 {
-			rt.Fatalf("team %s: %v counted, %v there", name, team.Used.GPUs, want[name])
+		if diff := team.Used.GPUs - want[name]; diff > 1e-6 || diff < -1e-6 {
+			rt.Fatalf("team %s: %v GPUs in the running sum, want %v", name, team.Used.GPUs, want[name])
 		}
 	}
 }
 
-// TestUseIsCountedByChange: whatever happens, in whatever order, the running
-// sums of the teams' usage equal a full count of what may be on machines.
-func TestUseIsCountedByChange(t *testing.T) {
+// TestIncrementalTeamUsage checks that after any sequence of operations the running sums of the
+// teams' usage equal a count from scratch.
+func TestIncrementalTeamUsage(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := newUsageModel(t)
 		rt.Repeat(map[string]func(*rapid.T){
@@ -145,7 +145,7 @@
 			"cancel":   m.cancelJob,
 			"epoch":    m.beginEpoch,
 			"returned": m.returnMachine,
-			"time":     m.passTime,
+			"time":     m.advanceTime,
 			"":         m.check,
 		})
 	})
--- a/internal/leader/unreachable_zones.go
+++ b/internal/leader/unreachable_zones.go
@@ -6,24 +6,25 @@
 	"thornnotch/internal/constants"
 )
 
-// unreachableZones are the zones that count as cut off, and until when.
+// unreachableZones holds until when each zone counts as unreachable.
 //
-// Machines die one by one; a zone that goes dark is cut off, and comes back with all its
-// machines and their images. Giving them all up for others that must boot and
-// fetch anew, in a zone that can't be reached, is the worst answer to a cut.
+// Machines fail one at a time. If most of a zone falls silent at once, a network partition is
+// the likely cause, and the zone's machines will come back with their cached images. Returning
+// all of them, and renting replacements that have to boot and fetch images in a zone that
+// can't be reached, would be the worst reaction.
 type unreachableZones map[string]time.Time
 
-// update takes in how many machines each zone has, and how many of them are silent: most
-// of a zone's cut it off for a while. It tells of each zone that was ever cut off whether
-// it is now.
+// update marks a zone as unreachable for UnreachableHold if most of its machines are silent,
+// given the number of machines and of silent machines in each zone. For each zone that was
+// ever marked it returns whether it is unreachable now.
 func (u unreachableZones) update(machines, silent map[string]int, now time.Time) map[string]bool {
 	for zone, n := range silent {
 		if n >= constants.UnreachableMinMachines && 2*n > machines[zone] {
 			u[zone] = now.Add(constants.UnreachableHold)
 		}
 	}
-	// When the cut heals, machines come back one after the other. Those that
-	// come last must not be given up because most are there already.
+	// When a partition heals, machines reconnect one after another. The last ones must not
+	// be returned just because most have reconnected.
 	unreachable := make(map[string]bool)
 	for zone, until := range u {
 		unreachable[zone] = now.Before(until)
@@ -31,8 +32,8 @@
 	return unreachable
 }
 
-// unreachableZones are the zones most of whose machines are silent, or were a short
-// while ago.
+// unreachableZones updates the reachability of all zones and returns whether each is
+// unreachable: most of its machines are silent, or were until recently.
 func (l *Leader) unreachableZones(now time.Time) map[string]bool {
 	machines, silent := make(map[string]int), make(map[string]int)
 	for machine := range l.fleet.all() {
