--- a/internal/autoscaling/capacity.go
+++ b/internal/autoscaling/capacity.go
@@ -7,25 +7,27 @@
 	"thornnotch/internal/constants"
 )
 
-// DesiredCapacity is how many machines of one type are wanted.
+// DesiredCapacity is the number of machines of one type that should be rented.
 type DesiredCapacity struct {
-	// OnDemand is for what can't run on spot machines, Total that and the rest.
+	// OnDemand is the number of machines for tasks that can't use spot machines. Total
+	// also includes the machines for all other tasks.
 	OnDemand, Total float64
-	// OverflowShare is the share of the spot machines that can't be had for which
-	// on-demand ones are worth their price.
+	// OverflowShare is the fraction of the missing spot machines to replace by on-demand
+	// ones, from 0 to 1.
 	OverflowShare float64
 }
 
-// DesiredFor adds spare machines to the present demand: for what may come before another
-// machine could be up. Jobs come at random, so how far that strays from its mean grows
-// with the square root of it, and where nothing has come for a while nothing need stand
-// ready. Work that spot machines could do is worth an on-demand one only in part: the
-// dearer it is, the longer that work had better wait for its turn.
+// DesiredFor returns the desired capacity of a machine type: the machines that the current
+// demand needs, plus spare ones for jobs that arrive before another machine could boot. Jobs
+// arrive at random, so the deviation from the mean grows with the square root of the recent
+// arrivals; without any there are no spare machines. Tasks that could use spot machines
+// justify on-demand ones only in part: the higher the on-demand price, the more of them wait
+// for spot machines.
 func DesiredFor(s Snapshot, machineType MachineType, spare float64) DesiredCapacity {
-	onDemand, spot := s.machinesFilled(s.Demand, machineType)
-	recentOnDemand, recentSpot := s.machinesFilled(s.Recent, machineType)
+	onDemand, spot := s.machinesNeeded(s.Demand, machineType)
+	recentOnDemand, recentSpot := s.machinesNeeded(s.Recent, machineType)
 	share := overflowShare(machineType)
-	// bootShare is the part of the window that a machine takes to be up.
+	// bootShare is the boot time as a fraction of the window.
 	bootShare := 0.0
 	if s.Window > 0 {
 		bootShare = machineType.BootS / s.Window.Seconds()
@@ -38,7 +40,8 @@
 	return desired
 }
 
-// overflowShare weighs the price of spot machines against that of on-demand ones.
+// overflowShare returns the OverflowShare of a machine type. It is proportional to the ratio
+// of the spot price to the on-demand price, and 1 if either is unknown.
 func overflowShare(machineType MachineType) float64 {
 	if machineType.OnDemandPrice > 0 && machineType.SpotPrice > 0 {
 		return min(1, constants.OverflowPriceFactor*machineType.SpotPrice/machineType.OnDemandPrice)
@@ -46,14 +49,14 @@
 	return 1
 }
 
-// overflow is how many on-demand machines are wanted in place of spot ones, of which
-// there are this many.
+// overflow returns how many on-demand machines to rent in place of missing spot machines,
+// given the present number of spot machines.
 func (d DesiredCapacity) overflow(spot int) int {
 	return int(math.Ceil(max(0, d.Total-d.OnDemand-float64(spot)) * d.OverflowShare))
 }
 
-// DemandWindow remembers the greatest desired capacity of the last while, so that a short
-// lull does not give machines back.
+// DemandWindow tracks the maximum of the desired capacity over a sliding time window, so that
+// no machines are returned in a short lull.
 type DemandWindow struct {
 	window  time.Duration
 	samples []capacitySample
@@ -64,11 +67,11 @@
 	desired map[string]DesiredCapacity // by machine type
 }
 
-// NewDemandWindow remembers for the given time.
+// NewDemandWindow returns an empty window of the given length.
 func NewDemandWindow(window time.Duration) *DemandWindow { return &DemandWindow{window: window} }
 
-// Add adds the present desired capacity, by machine type, and returns the greatest of the
-// window.
+// Add records the current desired capacity by machine type, and returns the maximum of the
+// window by machine type.
 func (w *DemandWindow) Add(now time.Time, desired map[string]DesiredCapacity) map[string]DesiredCapacity {
 	w.samples = append(w.samples, capacitySample{now, desired})
 	for len(w.samples) > 0 && now.Sub(w.samples[0].at) > w.window {
--- a/internal/autoscaling/catalog.go
+++ b/internal/autoscaling/catalog.go
@@ -8,7 +8,8 @@
 	"thornnotch/internal/placement"
 )
 
-// Type finds a machine type by name. A nil catalog has none.
+// Type returns the machine type of the given name, and whether the catalog has it. A nil
+// catalog has none.
 func (c *Catalog) Type(name string) (MachineType, bool) {
 	if c != nil {
 		for _, machineType := range c.MachineTypes {
@@ -20,7 +21,7 @@
 	return MachineType{}, false
 }
 
-// JobMachineTypes is the catalog as the admission of jobs needs it.
+// JobMachineTypes returns the catalog's machine types in the form that job admission uses.
 func (c *Catalog) JobMachineTypes() []jobs.MachineType {
 	if c == nil {
 		return nil
@@ -32,15 +33,15 @@
 	return out
 }
 
-// Validate reports what is impossible in a catalog.
+// Validate returns an error if the catalog is empty or has an invalid machine type.
 func (c *Catalog) Validate() error {
 	if len(c.MachineTypes) == 0 {
-		return errors.New("catalog: names no machine type")
+		return errors.New("catalog has no machine types")
 	}
 	for _, t := range c.MachineTypes {
-		// Written so that a value that is not a number is refused, too.
+		// The comparisons are negated so that NaN is rejected too.
 		if t.Name == "" || !(t.CPUs > 0) || t.GPUs < 0 || !(t.MemoryGB > 0) || len(t.Zones) == 0 {
-			return fmt.Errorf("catalog: impossible machine type %q", t.Name)
+			return fmt.Errorf("catalog has invalid machine type %q", t.Name)
 		}
 	}
 	return nil
--- a/internal/autoscaling/client.go
+++ b/internal/autoscaling/client.go
@@ -1,5 +1,5 @@
-// Package autoscaling decides how many machines to rent and which to return (scale out
-// and scale in), and is the client of the cloud that rents them out.
+// Package autoscaling decides how many machines to rent from the cloud (scale out) and which
+// to return (scale in), and contains the client of the cloud's API.
 package autoscaling
 
 import (
@@ -19,29 +19,30 @@
 	"thornnotch/internal/constants"
 )
 
-// Outcomes of a call that callers tell apart.
+// Errors of calls to the cloud, by which callers distinguish the outcomes.
 var (
-	// ErrNoCapacity: nothing of this type, zone and kind can be had now.
+	// ErrNoCapacity means that the pool has no machines at present.
 	ErrNoCapacity = errors.New("no capacity")
-	// ErrRejected: the call was not carried out; try later.
-	ErrRejected = errors.New("cloud refused")
-	// ErrOutcomeUnknown: no usable answer; the call may take effect, even late.
-	ErrOutcomeUnknown = errors.New("cloud gave no answer")
+	// ErrRejected means that the call was not carried out and can be retried later.
+	ErrRejected = errors.New("call rejected")
+	// ErrOutcomeUnknown means that there was no usable response. The call may still take
+	// effect, even later.
+	ErrOutcomeUnknown = errors.New("outcome of call unknown")
 )
 
-// noCapacity is what the cloud's answer says, beside its status, where ErrNoCapacity is
-// meant.
-const noCapacity = "no capacity"
+// noCapacityMessage is the text in the body of a 503 response that distinguishes
+// ErrNoCapacity from ErrRejected.
+const noCapacityMessage = "no capacity"
 
-// CloudClient calls the cloud's interface within its rate.
+// CloudClient is a client of the cloud's API that observes its rate limit.
 type CloudClient struct {
 	baseURL string
 	http    *http.Client
 	limiter *rate.Limiter
 }
 
-// NewCloudClient makes a client of the cloud at addr, reached through dial, for rps calls
-// per second.
+// NewCloudClient returns a client of the cloud's API at addr that connects through dial and
+// makes at most rps calls per second.
 func NewCloudClient(addr string, rps float64, dial func(ctx context.Context, network, addr string) (net.Conn, error)) *CloudClient {
 	return &CloudClient{
 		baseURL: "http://" + addr,
@@ -55,13 +56,13 @@
 	}
 }
 
-// Tokens tells how many calls may be made at once now.
+// Tokens returns the number of calls that the rate limit allows at this moment.
 func (c *CloudClient) Tokens() float64 { return c.limiter.Tokens() }
 
-// SetRate changes the allowed rate, as when leadership is won or lost.
+// SetRate changes the rate limit, as is done when leadership is gained or lost.
 func (c *CloudClient) SetRate(rps float64) { c.limiter.SetLimit(rate.Limit(rps)) }
 
-// Catalog reads the machine types and the current prices.
+// Catalog reads the machine types and their current prices.
 func (c *CloudClient) Catalog(ctx context.Context) (*Catalog, error) {
 	var catalog Catalog
 	if err := c.call(ctx, http.MethodGet, "/catalog", nil, &catalog); err != nil {
@@ -73,7 +74,7 @@
 	return &catalog, nil
 }
 
-// Rent asks for machines and returns the names of those rented.
+// Rent requests machines and returns the names of those rented, which may be fewer.
 func (c *CloudClient) Rent(ctx context.Context, request RentRequest) ([]string, error) {
 	var response rentResponse
 	if err := c.call(ctx, http.MethodPost, "/hosts", request, &response); err != nil {
@@ -82,14 +83,15 @@
 	return response.Machines, nil
 }
 
-// Return gives machines back. Once it succeeds, they and all that was on them are gone.
+// Return returns machines to the cloud. Once it succeeds, they are terminated and nothing
+// runs on them any more.
 func (c *CloudClient) Return(ctx context.Context, names []string) error {
 	return c.call(ctx, http.MethodPost, "/hosts/return", returnRequest{names}, nil)
 }
 
-// List reads one page of the rented machines, those after from by name; next is where the
-// following page begins, empty after the last one. The list lags, and may be older than
-// the last one read.
+// List reads one page of the rented machines, starting after the name from. next is the value
+// of from for the following page, or empty after the last one. The list lags, and may be
+// older than one read before.
 func (c *CloudClient) List(ctx context.Context, from string) (instances []Instance, next string, err error) {
 	query := url.Values{"limit": {strconv.Itoa(constants.InstanceListPage)}}
 	if from != "" {
@@ -105,19 +107,19 @@
 	return page.Machines, next, nil
 }
 
-// call makes one call. request is sent as JSON unless nil, and the answer is read into
-// response unless nil.
+// call makes one API call. It sends request as JSON unless it is nil, and decodes the body
+// of the response into response unless that is nil.
 func (c *CloudClient) call(ctx context.Context, method, path string, request, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, constants.CloudTimeout)
 	defer cancel()
 	if err := c.limiter.Wait(ctx); err != nil {
-		return fmt.Errorf("%s %s: %w: no token: %w", method, path, ErrRejected, err)
+		return fmt.Errorf("%s %s: %w: rate limit: %w", method, path, ErrRejected, err)
 	}
 	var body io.Reader
 	if request != nil {
 		raw, err := json.Marshal(request)
 		if err != nil {
-			return fmt.Errorf("encode %s: %w", path, err)
+			return fmt.Errorf("encode request for %s: %w", path, err)
 		}
 		body = bytes.NewReader(raw)
 	}
@@ -136,26 +138,26 @@
 		return nil
 	}
 	if err := json.Unmarshal(raw, response); err != nil {
-		return fmt.Errorf("%s %s: %w: bad answer: %w", method, path, ErrOutcomeUnknown, err)
+		return fmt.Errorf("%s %s: %w: malformed response: %w", method, path, ErrOutcomeUnknown, err)
 	}
 	return nil
 }
 
-// send sends a request and reads the whole answer.
+// send sends a request and reads the whole body of the response.
 func (c *CloudClient) send(request *http.Request) (status int, body []byte, err error) {
 	response, err := c.http.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer func() { _ = response.Body.Close() }() // what matters has been read
+	defer func() { _ = response.Body.Close() }() // the body has been read
 	body, err = io.ReadAll(response.Body)
 	return response.StatusCode, body, err
 }
 
-// statusError is the error that a status other than OK stands for.
+// statusError returns the error for a response whose status is not 200.
 func statusError(status int, body []byte) error {
 	switch {
-	case status == http.StatusServiceUnavailable && bytes.Contains(body, []byte(noCapacity)):
+	case status == http.StatusServiceUnavailable && bytes.Contains(body, []byte(noCapacityMessage)):
 		return ErrNoCapacity
 	case status == http.StatusServiceUnavailable, status == http.StatusTooManyRequests:
 		return fmt.Errorf("%w (%d)", ErrRejected, status)
--- a/internal/autoscaling/client_test.go
+++ b/internal/autoscaling/client_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// TestOutcomesAreToldApart: each answer of the cloud is the error that callers act on, and
-// names the call.
-func TestOutcomesAreToldApart(t *testing.T) {
+// TestResponseErrors checks that each kind of response from the cloud becomes the error that
+// callers act on, and that the error names the call.
+func TestResponseErrors(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		status int
@@ -29,7 +29,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			cloud := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(c.status)
-				_, _ = w.Write([]byte(c.body)) // the client's reading is what is tested
+				_, _ = w.Write([]byte(c.body)) // only the client is tested
 			}))
 			defer cloud.Close()
 			client := NewCloudClient(cloud.Listener.Addr().String(), 10, (&net.Dialer{}).DialContext)
@@ -41,14 +41,15 @@
 				t.Errorf("rented %v", names)
 			}
 			if c.want != nil && !strings.Contains(err.Error(), "POST /hosts") {
-				t.Errorf("%q does not name the call", err)
+				t.Errorf("error %q does not name the call", err)
 			}
 		})
 	}
 }
 
-// TestNoAnswerIsUnknown: a call that can't be made may still have taken effect.
-func TestNoAnswerIsUnknown(t *testing.T) {
+// TestConnectionFailureIsOutcomeUnknown checks that a call that failed without a response is
+// treated as one that may have taken effect.
+func TestConnectionFailureIsOutcomeUnknown(t *testing.T) {
 	refuse := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("unreachable") }
 	client := NewCloudClient("cloud.example", 10, refuse)
 	if _, _, err := client.List(context.Background(), ""); !errors.Is(err, ErrOutcomeUnknown) {
--- a/internal/autoscaling/demand.go
+++ b/internal/autoscaling/demand.go
@@ -9,44 +9,46 @@
 	"thornnotch/internal/placement"
 )
 
-// InstancePool is where machines come from: a type, in a zone, spot or on demand.
+// InstancePool identifies a group of interchangeable machines: those of one machine type in
+// one zone, either spot or on demand.
 type InstancePool struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// Demand is one unfinished job's tasks that are not done yet.
+// Demand is the resource demand of the unfinished tasks of one job.
 type Demand struct {
 	Team          string
 	Tasks         int
 	TaskResources placement.Resources
-	AllowSpot     bool     // may use spot machines
-	MachineTypes  []string // nil: any
-	Zone          string   // empty: any
-	// SameZone: all at the same time and in the same zone, whichever it is.
+	AllowSpot     bool     // the tasks may use spot machines
+	MachineTypes  []string // allowed types; nil: any
+	Zone          string   // required zone; empty: any
+	// SameZone is set for a gang whose tasks must all run at the same time in the same
+	// zone.
 	SameZone bool
 }
 
-// TeamLimit is the most that a team may use; more machines than it allows are no help.
+// TeamLimit is the maximum that a team may use. Demand above it does not justify machines.
 type TeamLimit struct {
 	Team  string
 	Limit placement.Resources
 }
 
-// Snapshot is what decisions to scale look at.
+// Snapshot is the input to the scaling decisions.
 type Snapshot struct {
-	Catalog  *Catalog
-	Machines map[InstancePool]int  // up or on their way
-	Refused  map[InstancePool]bool // lately without capacity
-	Demand   []Demand
-	Limits   []TeamLimit
-	// Recent are the jobs that came within the last Window, whether done or not: as much
-	// is to be expected of the time to come.
+	Catalog     *Catalog
+	Machines    map[InstancePool]int  // usable or booting
+	Unavailable map[InstancePool]bool // no machines can be rented or reached
+	Demand      []Demand
+	Limits      []TeamLimit
+	// Recent is the demand of all jobs that arrived within the last Window, whether finished
+	// or not. It serves as the forecast of future arrivals.
 	Recent []Demand
 	Window time.Duration
 }
 
-// machinesOf counts the machines of a type in all zones.
+// machinesOf returns the number of machines of a type in all zones.
 func (s Snapshot) machinesOf(typeName string) (onDemand, spot int) {
 	for pool, count := range s.Machines {
 		switch {
@@ -60,10 +62,10 @@
 	return onDemand, spot
 }
 
-// machinesFilled is how many machines of a type the demand would fill, at most as much as
-// the teams' limits let run: on-demand ones for what can't run elsewhere, spot ones for
-// the rest.
-func (s Snapshot) machinesFilled(demand []Demand, machineType MachineType) (onDemand, spot float64) {
+// machinesNeeded returns how many machines of a type the demand would fill, within the teams'
+// limits: on-demand machines for tasks that can't use spot machines, spot machines for the
+// others.
+func (s Snapshot) machinesNeeded(demand []Demand, machineType MachineType) (onDemand, spot float64) {
 	s.forEachRunnable(demand, machineType, func(d Demand, tasks, perMachine int) {
 		if machines := float64(tasks) / float64(perMachine); d.AllowSpot {
 			spot += machines
@@ -74,9 +76,9 @@
 	return onDemand, spot
 }
 
-// forEachRunnable visits each demand that machines of the type can serve, with how many
-// of its tasks the team's limit lets run at once beside those before it, and how many
-// whole ones one machine takes.
+// forEachRunnable calls visit for each demand that machines of the type can serve. tasks is
+// the number of its tasks that can run at the same time within what earlier demands leave of
+// the team's limit, and perMachine the number of tasks that fit on one machine.
 func (s Snapshot) forEachRunnable(demand []Demand, machineType MachineType, visit func(d Demand, tasks, perMachine int)) {
 	used := make(map[string]placement.Resources)
 	limits := make(map[string]placement.Resources)
@@ -89,7 +91,7 @@
 		}
 		tasks := d.Tasks
 		if limit, limited := limits[d.Team]; limited {
-			tasks = leftOfLimit(limit, used[d.Team]).Count(d.TaskResources, tasks)
+			tasks = remainingLimit(limit, used[d.Team]).Count(d.TaskResources, tasks)
 		}
 		used[d.Team] = used[d.Team].Add(d.TaskResources.Times(tasks))
 		if perMachine := machineType.resources().Count(d.TaskResources, constants.MaxTasks); perMachine >= 1 {
@@ -98,16 +100,16 @@
 	}
 }
 
-// leftOfLimit is what a team may use on top. A kind that is not set is not limited, nor is
-// memory.
-func leftOfLimit(limit, used placement.Resources) placement.Resources {
-	left := limit.Sub(used)
+// remainingLimit returns how much more a team may use. A resource whose limit is 0 is
+// unlimited, and so is memory.
+func remainingLimit(limit, used placement.Resources) placement.Resources {
+	remaining := limit.Sub(used)
 	if limit.GPUs <= 0 {
-		left.GPUs = math.Inf(1)
+		remaining.GPUs = math.Inf(1)
 	}
 	if limit.CPUs <= 0 {
-		left.CPUs = math.Inf(1)
+		remaining.CPUs = math.Inf(1)
 	}
-	left.MemoryGB = math.Inf(1)
-	return left
+	remaining.MemoryGB = math.Inf(1)
+	return remaining
 }
--- a/internal/autoscaling/scalein.go
+++ b/internal/autoscaling/scalein.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// IdleMachine is a machine with nothing on it.
+// IdleMachine is a machine without tasks and reservations.
 type IdleMachine struct {
 	Name   string
 	Pool   InstancePool
-	Images int // in its cache, lost with it
+	Images int // number of images in its cache, which are lost when it is returned
 }
 
-// ScaleIn names the idle machines that are not wanted any more: the dear ones first, and
-// of those the ones with the least in their cache.
+// ScaleIn returns the names of the idle machines that are no longer needed. The most expensive
+// are returned first, and of equally expensive ones those with the fewest cached images.
 func ScaleIn(s Snapshot, keep map[string]DesiredCapacity, idle []IdleMachine) (names []string) {
 	remaining := remainingMachines{
 		snapshot: s,
@@ -31,7 +31,7 @@
 	return names
 }
 
-// byReturnOrder sorts a copy of the idle machines, those to be returned first first.
+// byReturnOrder returns the idle machines sorted by the order in which they are to be returned.
 func (s Snapshot) byReturnOrder(idle []IdleMachine) []IdleMachine {
 	price := func(pool InstancePool) float64 {
 		machineType, _ := s.Catalog.Type(pool.Type)
@@ -48,20 +48,22 @@
 	return idle
 }
 
-// remainingMachines are the machines that remain as some are returned.
+// remainingMachines tracks the machines that remain while some are selected for return.
 type remainingMachines struct {
 	snapshot Snapshot
 	byPool   map[InstancePool]int
 	byType   map[string]*remainingOfType
 }
 
-// remainingOfType counts the machines of one type in all zones.
+// remainingOfType holds the number of machines of one type in all zones, and the type's zone
+// floors.
 type remainingOfType struct {
 	onDemand, spot int
 	floors         map[string]zoneFloor
 }
 
-func (r *remainingMachines) ofType(typeName string) *remainingOfType {
+// countsOf returns the counts of a machine type, which are computed on first use.
+func (r *remainingMachines) countsOf(typeName string) *remainingOfType {
 	counts := r.byType[typeName]
 	if counts == nil {
 		onDemand, spot := r.snapshot.machinesOf(typeName)
@@ -72,10 +74,10 @@
 	return counts
 }
 
-// canSpare tells whether one machine less in the pool leaves what is to be kept. A type
-// that keep does not name is not touched.
+// canSpare reports whether a machine can be removed from the pool without falling below the
+// zone's floor or the capacity to keep. Types that are missing in keep are never reduced.
 func (r *remainingMachines) canSpare(pool InstancePool, keep map[string]DesiredCapacity) bool {
-	counts := r.ofType(pool.Type)
+	counts := r.countsOf(pool.Type)
 	floor := counts.floors[pool.Zone]
 	onDemandInZone := r.byPool[InstancePool{pool.Type, pool.Zone, false}]
 	inZone := onDemandInZone + r.byPool[InstancePool{pool.Type, pool.Zone, true}]
@@ -94,7 +96,7 @@
 
 func (r *remainingMachines) remove(pool InstancePool) {
 	r.byPool[pool]--
-	if counts := r.ofType(pool.Type); pool.Spot {
+	if counts := r.countsOf(pool.Type); pool.Spot {
 		counts.spot--
 	} else {
 		counts.onDemand--
--- a/internal/autoscaling/scaleout.go
+++ b/internal/autoscaling/scaleout.go
@@ -7,8 +7,8 @@
 	"thornnotch/internal/constants"
 )
 
-// ScaleOut picks the next request, if more machines are wanted than there are. What spot
-// machines can't be had for is rented on demand.
+// ScaleOut returns the next rent request, if more machines are needed than there are. Spot
+// machines that are unavailable are replaced in part by on-demand ones.
 func ScaleOut(s Snapshot, spare float64) (RentRequest, bool) {
 	types := slices.Clone(s.Catalog.MachineTypes)
 	slices.SortFunc(types, func(a, b MachineType) int { return strings.Compare(a.Name, b.Name) })
@@ -23,30 +23,31 @@
 	return RentRequest{}, false
 }
 
-// rentForFloors picks a request for a zone that has less than its floor.
+// rentForFloors returns a request for a zone that has fewer machines than its floor.
 func (s Snapshot) rentForFloors(machineType MachineType) (RentRequest, bool) {
 	floors := s.zoneFloors(machineType)
 	for _, zone := range machineType.Zones {
 		floor := floors[zone]
 		onDemandPool, spotPool := InstancePool{machineType.Name, zone, false}, InstancePool{machineType.Name, zone, true}
 		onDemand, spot := s.Machines[onDemandPool], s.Machines[spotPool]
-		if missing := floor.onDemand - onDemand; missing > 0 && !s.Refused[onDemandPool] {
+		if missing := floor.onDemand - onDemand; missing > 0 && !s.Unavailable[onDemandPool] {
 			return rentRequest(onDemandPool, missing), true
 		}
 		missing := floor.total - max(onDemand, floor.onDemand) - spot
 		switch {
 		case missing <= 0:
-		case !s.Refused[spotPool]:
+		case !s.Unavailable[spotPool]:
 			return rentRequest(spotPool, missing), true
-		case !s.Refused[onDemandPool]:
+		case !s.Unavailable[onDemandPool]:
 			return rentRequest(onDemandPool, missing), true
 		}
 	}
 	return RentRequest{}, false
 }
 
-// rentForDesired picks a request for the desired capacity: on-demand machines for what
-// can't run elsewhere, then spot ones, then on-demand ones in place of spot ones.
+// rentForDesired returns a request toward the desired capacity: first on-demand machines for
+// tasks that can't use spot machines, then spot machines, then on-demand machines in place of
+// missing spot machines.
 func (s Snapshot) rentForDesired(machineType MachineType, desired DesiredCapacity) (RentRequest, bool) {
 	onDemand, spot := s.machinesOf(machineType.Name)
 	wantedOnDemand := int(desired.OnDemand)
@@ -59,7 +60,8 @@
 	return s.rentInZone(machineType, wantedOnDemand+desired.overflow(spot)-onDemand, false)
 }
 
-// rentInZone picks a request for so many machines in a zone where they can be had.
+// rentInZone returns a request for the missing machines in the available zone with the fewest
+// machines of the type.
 func (s Snapshot) rentInZone(machineType MachineType, missing int, spot bool) (RentRequest, bool) {
 	if missing <= 0 {
 		return RentRequest{}, false
@@ -75,12 +77,12 @@
 	return RentRequest{MachineType: pool.Type, Zone: pool.Zone, Spot: pool.Spot, Count: min(missing, constants.RentBatch)}
 }
 
-// leastUsedZone is the zone with the fewest machines of the type, so that the loss of one
-// hurts least.
+// leastUsedZone returns the available zone with the fewest machines of the type. Spreading
+// machines this way limits the damage when a zone is lost.
 func (s Snapshot) leastUsedZone(machineType MachineType, spot bool) (best string, found bool) {
 	fewest := 0
 	for _, zone := range machineType.Zones {
-		if s.Refused[InstancePool{machineType.Name, zone, spot}] {
+		if s.Unavailable[InstancePool{machineType.Name, zone, spot}] {
 			continue
 		}
 		count := s.Machines[InstancePool{machineType.Name, zone, true}] + s.Machines[InstancePool{machineType.Name, zone, false}]
--- a/internal/autoscaling/scaling_test.go
+++ b/internal/autoscaling/scaling_test.go
@@ -14,10 +14,10 @@
 	return &Catalog{MachineTypes: []MachineType{{Name: "g4", CPUs: 32, GPUs: 4, MemoryGB: 256, OnDemandPrice: 10, SpotPrice: 5, Zones: []string{"a", "b"}}}}
 }
 
-// maxRequests is more requests than any drawn demand needs.
+// maxRequests is above the number of requests that any generated demand needs.
 const maxRequests = 20
 
-// rentAll carries out requests until no more are made.
+// rentAll grants rent requests until ScaleOut returns no more.
 func rentAll(t *rapid.T, s Snapshot, spare float64) {
 	t.Helper()
 	for requests := 0; ; requests++ {
@@ -26,17 +26,17 @@
 			return
 		}
 		pool := InstancePool{request.MachineType, request.Zone, request.Spot}
-		if s.Refused[pool] || request.Count < 1 {
-			t.Fatalf("asked for %+v", request)
+		if s.Unavailable[pool] || request.Count < 1 {
+			t.Fatalf("request for an unavailable pool or without machines: %+v", request)
 		}
 		s.Machines[pool] += request.Count
 		if requests >= maxRequests {
-			t.Fatal("asks for ever")
+			t.Fatal("rent requests do not end")
 		}
 	}
 }
 
-// idleMachines names each machine, as if nothing ran on any.
+// idleMachines returns all machines of the snapshot as idle ones.
 func idleMachines(s Snapshot) (idle []IdleMachine) {
 	for pool, count := range s.Machines {
 		for i := range count {
@@ -46,7 +46,7 @@
 	return idle
 }
 
-// desired is the desired capacity of the test catalog's only type.
+// desired returns the desired capacity of the test catalog's only type.
 func desired(s Snapshot, spare float64) map[string]DesiredCapacity {
 	return map[string]DesiredCapacity{"g4": DesiredFor(s, s.Catalog.MachineTypes[0], spare)}
 }
@@ -61,70 +61,73 @@
 			},
 			AllowSpot: rapid.Bool().Draw(t, "spot"),
 			Zone:      rapid.SampledFrom([]string{"", "", "a", "b"}).Draw(t, "zone"),
-			SameZone:  rapid.Bool().Draw(t, "together"),
+			SameZone:  rapid.Bool().Draw(t, "same zone"),
 		})
 	}
 	return demand
 }
 
-// TestRentingAndReturningAgree: what renting asks for, returning does not give back at
-// once, and requests end.
-func TestRentingAndReturningAgree(t *testing.T) {
+// TestScaleOutAndScaleInAgree checks that machines rented by ScaleOut are not returned by
+// ScaleIn at once, and that rent requests end.
+func TestScaleOutAndScaleInAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Snapshot{
-			Catalog: testCatalog(), Machines: map[InstancePool]int{}, Refused: map[InstancePool]bool{},
+			Catalog: testCatalog(), Machines: map[InstancePool]int{}, Unavailable: map[InstancePool]bool{},
 			Limits: []TeamLimit{{"a", placement.Resources{GPUs: 40}}},
 		}
 		s.Demand = drawDemand(t)
 		for _, zone := range []string{"a", "b"} {
-			s.Refused[InstancePool{"g4", zone, true}] = rapid.Bool().Draw(t, "refused")
+			s.Unavailable[InstancePool{"g4", zone, true}] = rapid.Bool().Draw(t, "unavailable")
 		}
 		s.Recent, s.Window = s.Demand, time.Minute
 		spare := rapid.Float64Range(0, 3).Draw(t, "spare")
 
 		rentAll(t, s, spare)
 		idle := idleMachines(s)
-		// 40 GPUs fill 10 machines, or as many as tasks when one takes a machine; the root
-		// of that is the spare. What is bound to a zone may come on top in each.
+		// 40 GPUs fill 10 machines, or one per task if a task takes a whole machine. The
+		// spare machines are proportional to the square root of that, and zone-bound demand
+		// may add machines in each zone.
 		if len(idle) > 80 {
 			t.Fatalf("%d machines for a limit of 40 GPUs", len(idle))
 		}
 		if names := ScaleIn(s, desired(s, spare), idle); len(names) > 0 {
-			t.Fatalf("rented and returned: %v", names)
+			t.Fatalf("returned right after being rented: %v", names)
 		}
 		s.Demand, s.Recent = nil, nil
 		if names := ScaleIn(s, desired(s, spare), idle); len(names) != len(idle) {
-			t.Fatalf("%d of %d returned with nothing to do", len(names), len(idle))
+			t.Fatalf("%d of %d machines returned without demand", len(names), len(idle))
 		}
 	})
 }
 
-// TestMemoryForgets: the greatest want of the window holds, and no longer.
-func TestMemoryForgets(t *testing.T) {
-	m := NewDemandWindow(40 * time.Second)
-	t0 := time.Unix(1000, 0)
-	m.Add(t0, map[string]DesiredCapacity{"g4": {Total: 9}})
-	if got := m.Add(t0.Add(30*time.Second), map[string]DesiredCapacity{"g4": {Total: 2}}); got["g4"].Total != 9 {
-		t.Errorf("forgot early: %v", got)
+// TestDemandWindowExpires checks that the maximum counts for exactly as long as it is in the
+// window.
+func TestDemandWindowExpires(t *testing.T) {
+	window := NewDemandWindow(40 * time.Second)
+	start := time.Unix(1000, 0)
+	window.Add(start, map[string]DesiredCapacity{"g4": {Total: 9}})
+	if got := window.Add(start.Add(30*time.Second), map[string]DesiredCapacity{"g4": {Total: 2}}); got["g4"].Total != 9 {
+		t.Errorf("maximum dropped before the end of the window: %v", got)
 	}
-	if got := m.Add(t0.Add(60*time.Second), map[string]DesiredCapacity{"g4": {Total: 1}}); got["g4"].Total != 2 {
-		t.Errorf("remembers for ever: %v", got)
+	if got := window.Add(start.Add(60*time.Second), map[string]DesiredCapacity{"g4": {Total: 1}}); got["g4"].Total != 2 {
+		t.Errorf("maximum kept after the end of the window: %v", got)
 	}
 }
 
-// boundJob is a job that must be in one zone, with the machines that it needs there.
-type boundJob struct {
+// zoneBoundJob is a job that must run in one zone, with the number of machines that it needs
+// there.
+type zoneBoundJob struct {
 	Demand
 	machines int
 }
 
-func drawBoundJob(t *rapid.T) boundJob {
+func drawZoneBoundJob(t *rapid.T) zoneBoundJob {
 	spot := rapid.Bool().Draw(t, "spot")
 	tasks := rapid.IntRange(1, 12).Draw(t, "tasks")
 	zone := rapid.SampledFrom([]string{"", "b"}).Draw(t, "zone")
 	gpus := rapid.IntRange(1, 4).Draw(t, "gpus")
 	perMachine := 4 / gpus
-	return boundJob{
+	return zoneBoundJob{
 		Demand: Demand{
 			Team: "a", Tasks: tasks, TaskResources: placement.Resources{CPUs: 1, GPUs: float64(gpus), MemoryGB: 1},
 			AllowSpot: spot, Zone: zone, SameZone: true,
@@ -133,9 +136,9 @@
 	}
 }
 
-// checkHasItsMachines: the job's zone, or any if it names none, has the machines that the
-// job needs and may use.
-func (j boundJob) checkHasItsMachines(t *rapid.T, s Snapshot, when string) {
+// checkCapacity fails the test unless the job's zone, or some zone if the job names none, has
+// as many machines that the job may use as it needs.
+func (j zoneBoundJob) checkCapacity(t *rapid.T, s Snapshot, when string) {
 	t.Helper()
 	usable := func(zone string) int {
 		count := s.Machines[InstancePool{"g4", zone, false}]
@@ -145,31 +148,31 @@
 		return count
 	}
 	if usable("b") < j.machines && (j.Zone == "b" || usable("a") < j.machines) {
-		t.Fatalf("%s: %d machines of %d: %v", when, usable("b"), j.machines, s.Machines)
+		t.Fatalf("%s: %d machines in zone b, want %d: %v", when, usable("b"), j.machines, s.Machines)
 	}
 }
 
-// TestZoneHasWhatIsBoundToIt: however many machines stand in one zone, a job that is bound
-// to the other, and a gang that must be in one zone, get theirs, and what they need is not
-// given back.
-func TestZoneHasWhatIsBoundToIt(t *testing.T) {
+// TestZoneBoundJobsGetCapacity checks that a job bound to a zone, and a gang that must run in
+// one zone, get the machines that they need there however many there are in another zone, and
+// that these machines are not returned.
+func TestZoneBoundJobsGetCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		job := drawBoundJob(t)
+		job := drawZoneBoundJob(t)
 		s := Snapshot{
-			Catalog: testCatalog(), Machines: map[InstancePool]int{}, Refused: map[InstancePool]bool{},
+			Catalog: testCatalog(), Machines: map[InstancePool]int{}, Unavailable: map[InstancePool]bool{},
 			Demand: []Demand{job.Demand},
 			Limits: []TeamLimit{{"a", placement.Resources{GPUs: 48}}},
 		}
-		// As many as all demand asks for, but not where it can be met.
-		s.Machines[InstancePool{"g4", "a", false}] = rapid.IntRange(0, 20).Draw(t, "elsewhere")
+		// Enough machines for the whole demand, but in the wrong zone.
+		s.Machines[InstancePool{"g4", "a", false}] = rapid.IntRange(0, 20).Draw(t, "machines in zone a")
 		if job.Zone == "" {
 			s.Machines[InstancePool{"g4", "a", false}] = job.machines / 2
 			s.Machines[InstancePool{"g4", "b", false}] = job.machines - job.machines/2
 		}
-		s.Refused[InstancePool{"g4", "b", true}] = rapid.Bool().Draw(t, "refused")
+		s.Unavailable[InstancePool{"g4", "b", true}] = rapid.Bool().Draw(t, "unavailable")
 
 		rentAll(t, s, 0)
-		job.checkHasItsMachines(t, s, "rented")
+		job.checkCapacity(t, s, "after ScaleOut")
 
 		idle := idleMachines(s)
 		pools := make(map[string]InstancePool)
@@ -179,6 +182,6 @@
 		for _, name := range ScaleIn(s, desired(s, 0), idle) {
 			s.Machines[pools[name]]--
 		}
-		job.checkHasItsMachines(t, s, "given back")
+		job.checkCapacity(t, s, "after ScaleIn")
 	})
 }
--- a/internal/autoscaling/wire.go
+++ b/internal/autoscaling/wire.go
@@ -1,14 +1,14 @@
 package autoscaling
 
-// The messages of the cloud's interface, by their protocol names. Nothing else in this
-// package uses these names.
+// This file defines the messages of the cloud's API. The API's own names appear only in the
+// JSON tags.
 
-// Catalog lists what can be rented.
+// Catalog lists the machine types that can be rented.
 type Catalog struct {
 	MachineTypes []MachineType `json:"rigTypes"`
 }
 
-// MachineType is one kind of machine in the catalog. Prices are in the cloud's own unit.
+// MachineType describes one machine type of the catalog. Prices are in the cloud's own unit.
 type MachineType struct {
 	Name          string   `json:"sku"`
 	CPUs          float64  `json:"vcpus"`
@@ -22,7 +22,7 @@
 	Zones         []string `json:"halls"`
 }
 
-// Instance is a rented machine as the cloud lists it.
+// Instance is a rented machine in the cloud's list.
 type Instance struct {
 	Name        string  `json:"nameId"`
 	Endpoint    string  `json:"endpoint"`
@@ -33,8 +33,8 @@
 	AgeS        float64 `json:"heldS"`
 }
 
-// RentRequest asks for machines. It is idempotent by its ID, which must never have been
-// used for another request.
+// RentRequest requests machines of one pool. Requests are idempotent by their ID, so an ID
+// must never be used for another request.
 type RentRequest struct {
 	ID          string `json:"hire"`
 	MachineType string `json:"rigType"`
@@ -43,17 +43,17 @@
 	Count       int    `json:"count"`
 }
 
-// rentResponse names the machines that a rent request got.
+// rentResponse lists the names of the machines that were rented.
 type rentResponse struct {
 	Machines []string `json:"rigs"`
 }
 
-// returnRequest names the machines to give back.
+// returnRequest lists the names of the machines to return.
 type returnRequest struct {
 	Machines []string `json:"rigs"`
 }
 
-// listResponse is one page of the rented machines.
+// listResponse is one page of the list of rented machines.
 type listResponse struct {
 	Machines []Instance `json:"rigs"`
 	HasNext  bool       `json:"hasNext"`
--- a/internal/autoscaling/zonefloor.go
+++ b/internal/autoscaling/zonefloor.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// zoneFloor is how many machines of a type a zone must have, however many there are
-// elsewhere.
+// zoneFloor is the minimum number of machines of a type in a zone, regardless of how many
+// other zones have.
 type zoneFloor struct{ onDemand, total int }
 
-// zoneDemand is what demand that is bound to a zone fills there.
+// zoneDemand is the number of machines that the demand bound to a zone would fill.
 type zoneDemand struct{ onDemand, spot float64 }
 
-// zoneFloors tells the floors by zone: for jobs that may run nowhere else, and for gangs
-// that must be in one zone, whichever it is. Without this a job that is bound to a zone
-// waits for ever once there are enough machines in the others.
+// zoneFloors returns the floors of a machine type by zone. They serve jobs that are bound to
+// a zone by name, and gangs that must run within one zone. Without floors, a job bound to a
+// zone would wait forever once other zones have enough machines for the total demand.
 func (s Snapshot) zoneFloors(machineType MachineType) map[string]zoneFloor {
 	bound, largestGang := s.zoneBoundDemand(machineType)
 	floors := make(map[string]zoneFloor, len(machineType.Zones))
@@ -19,14 +19,14 @@
 		onDemand := int(math.Ceil(demand.onDemand))
 		floors[zone] = zoneFloor{onDemand, onDemand + int(math.Ceil(demand.spot))}
 	}
-	s.raiseForOnDemandGang(floors, machineType, largestGang.onDemand)
-	s.raiseForGang(floors, machineType, largestGang.total)
+	s.raiseFloorForOnDemandGang(floors, machineType, largestGang.onDemand)
+	s.raiseFloorForGang(floors, machineType, largestGang.total)
 	return floors
 }
 
-// zoneBoundDemand sums the demand that is bound to a zone by name, and finds how many
-// machines the largest gang needs in one zone: of those that can't use spot machines, and
-// of all.
+// zoneBoundDemand returns the demand that is bound to a zone by name, and how many machines
+// the largest gang needs in one zone: onDemand for gangs that can't use spot machines, total
+// for all gangs.
 func (s Snapshot) zoneBoundDemand(machineType MachineType) (bound map[string]zoneDemand, largestGang zoneFloor) {
 	bound = make(map[string]zoneDemand)
 	s.forEachRunnable(s.Demand, machineType, func(d Demand, tasks, perMachine int) {
@@ -50,42 +50,41 @@
 	return bound, largestGang
 }
 
-// raiseForOnDemandGang raises the floor of the zone where a gang that can't use spot
-// machines gathers.
-func (s Snapshot) raiseForOnDemandGang(floors map[string]zoneFloor, machineType MachineType, machines int) {
+// raiseFloorForOnDemandGang raises the floor of the zone selected for a gang that can't use
+// spot machines.
+func (s Snapshot) raiseFloorForOnDemandGang(floors map[string]zoneFloor, machineType MachineType, machines int) {
 	onDemand := func(zone string) InstancePool { return InstancePool{machineType.Name, zone, false} }
-	zone, found := gatheringZone(machineType.Zones, machines,
+	zone, found := gangZone(machineType.Zones, machines,
 		func(zone string) int { return max(s.Machines[onDemand(zone)], floors[zone].onDemand) },
-		func(zone string) bool { return s.Refused[onDemand(zone)] },
+		func(zone string) bool { return s.Unavailable[onDemand(zone)] },
 	)
 	if found {
 		floors[zone] = zoneFloor{max(floors[zone].onDemand, machines), max(floors[zone].total, machines)}
 	}
 }
 
-// raiseForGang raises the floor of the zone where a gang that can use all machines
-// gathers.
-func (s Snapshot) raiseForGang(floors map[string]zoneFloor, machineType MachineType, machines int) {
+// raiseFloorForGang raises the floor of the zone selected for a gang that can use all machines.
+func (s Snapshot) raiseFloorForGang(floors map[string]zoneFloor, machineType MachineType, machines int) {
 	onDemand := func(zone string) InstancePool { return InstancePool{machineType.Name, zone, false} }
 	spot := func(zone string) InstancePool { return InstancePool{machineType.Name, zone, true} }
-	zone, found := gatheringZone(machineType.Zones, machines,
+	zone, found := gangZone(machineType.Zones, machines,
 		func(zone string) int {
 			return max(s.Machines[onDemand(zone)]+s.Machines[spot(zone)], floors[zone].total)
 		},
-		func(zone string) bool { return s.Refused[onDemand(zone)] && s.Refused[spot(zone)] },
+		func(zone string) bool { return s.Unavailable[onDemand(zone)] && s.Unavailable[spot(zone)] },
 	)
 	if found {
 		floors[zone] = zoneFloor{floors[zone].onDemand, max(floors[zone].total, machines)}
 	}
 }
 
-// gatheringZone is where a gang that needs so many machines in one zone gathers: where
-// there are most already, or will be. A zone that lacks some and where none can be had is
-// left out.
-func gatheringZone(zones []string, needed int, machines func(zone string) int, refused func(zone string) bool) (best string, found bool) {
+// gangZone selects the zone for a gang that needs the given number of machines in one zone:
+// the one with the most machines, present or already required. Zones with too few machines
+// where no more can be rented are skipped.
+func gangZone(zones []string, needed int, machines func(zone string) int, unavailable func(zone string) bool) (best string, found bool) {
 	most := -1
 	for _, zone := range zones {
-		if count := machines(zone); count > most && (count >= needed || !refused(zone)) {
+		if count := machines(zone); count > most && (count >= needed || !unavailable(zone)) {
 			best, most = zone, count
 		}
 	}
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -8,18 +8,19 @@
 	"thornnotch/internal/workers"
 )
 
-// commandDispatcher bounds the direct commands under way: a node has few sockets beside
-// those of its workers. Half of the places are for stops alone, and commands to workers
-// that have not been heard lately get half at most: most likely they hang until their
-// time is over, and a whole dark zone's would take the places that others' stops need.
+// commandDispatcher limits the number of direct commands in flight, because a node has few
+// sockets beside those that its workers use. Half of the slots are reserved for stops. At
+// most half may be taken by commands to silent workers: most likely these hang until their
+// timeout, and those of a whole unreachable zone would take the slots that stops for other
+// workers need.
 type commandDispatcher struct {
 	inFlight int
-	// silentInFlight are those of them to workers that have not been heard lately.
+	// silentInFlight counts the commands in flight to silent workers.
 	silentInFlight int
 }
 
-// acquire takes a place for a command. It reports false if the command has to wait for
-// others.
+// acquire takes a slot for a command, and reports whether one was free. stops is set if the
+// command stops tasks, silent if it goes to a silent worker.
 func (d *commandDispatcher) acquire(stops, silent bool) bool {
 	limit := constants.MaxCommandsInFlight
 	if !stops {
@@ -35,7 +36,7 @@
 	return true
 }
 
-// release gives the place of a command back, which was silent when it was acquired.
+// release frees the slot of a command. silent must be as it was in the call of acquire.
 func (d *commandDispatcher) release(silent bool) {
 	d.inFlight--
 	if silent {
@@ -43,31 +44,32 @@
 	}
 }
 
-// directCommandState is what the leader knows of the direct commands to one worker.
+// directCommandState tracks the direct commands to one worker.
 type directCommandState struct {
 	inFlight bool
-	lastSent time.Time // zero if none was sent, or the next is to go out at once
+	lastSent time.Time // zero if none was sent, or if the next need not wait
 }
 
 func (d *directCommandState) begin(now time.Time) { d.inFlight, d.lastSent = true, now }
 
-// end notes that a command was answered, or failed.
+// end records that a command was answered or failed.
 func (d *directCommandState) end() { d.inFlight = false }
 
-// hurry has the next probe sent without a pause.
-func (d *directCommandState) hurry() { d.lastSent = time.Time{} }
+// resetInterval allows the next probe to be sent at once.
+func (d *directCommandState) resetInterval() { d.lastSent = time.Time{} }
 
-// sinceLast is how long ago a command was last sent.
+// sinceLast returns how long ago the last command was sent.
 func (d *directCommandState) sinceLast(now time.Time) time.Duration { return now.Sub(d.lastSent) }
 
-// sendCommand sends commands to a worker's own address. They may arrive minutes
-// late, so only stops go this way: a late stop names an attempt that is never
-// started again. Without any it shows the worker our token and asks for its status.
-// It reports false when the commands have to wait for others.
+// sendCommand sends a direct command, that is, a request to the worker's own address. It
+// may arrive minutes late, so only stops are sent this way: a late stop is harmless, as it
+// names an attempt that is never started again. Without stops the command only tells the
+// worker this term's token and asks for its status. sendCommand returns false if no slot is
+// free for the command.
 func (l *Leader) sendCommand(machine *machineState, stops []workers.Command, now time.Time) bool {
 	agent := machine.agent
 	if agent.Endpoint == "" || agent.Epoch == 0 || machine.direct.inFlight && len(stops) == 0 {
-		return true // nowhere to send it, or its news is under way already
+		return true // no address yet, or a command that tells the token is already in flight
 	}
 	silent := l.isSilent(machine, now)
 	if !l.commands.acquire(len(stops) > 0, silent) {
@@ -77,7 +79,7 @@
 	machine.direct.begin(now)
 	l.counts.DirectCommands++
 	if stops == nil {
-		stops = []workers.Command{} // the protocol wants a list
+		stops = []workers.Command{} // the protocol requires a list, not null
 	}
 	batch := workers.CommandBatch{Token: l.term.number(), Epoch: agent.Epoch, Commands: stops}
 	endpoint := agent.Endpoint
@@ -98,8 +100,9 @@
 	return true
 }
 
-// sendStops sends stops straight to a worker, so that they need not wait for its
-// next heartbeat. One that is silent is most likely cut off and told again less often.
+// sendStops sends stops directly to a worker, so that they need not wait for its next
+// heartbeat. They are repeated less often to a silent worker, which is most likely
+// unreachable.
 func (l *Leader) sendStops(machine *machineState, now time.Time) {
 	resend := constants.StopResend
 	if l.isSilent(machine, now) {
@@ -109,7 +112,7 @@
 		return
 	}
 	if !l.sendCommand(machine, stopCommands(machine.agent, now), now) {
-		return // the next tick tries again
+		return // retried on the next tick
 	}
 	for _, attempt := range machine.agent.Attempts {
 		if attempt.StopRequested {
@@ -118,7 +121,8 @@
 	}
 }
 
-// stopsDue tells whether a stop has to be sent, or sent again after this pause.
+// stopsDue reports whether a stop has not been sent yet, or was last sent at least resend
+// ago.
 func (m *machineState) stopsDue(resend time.Duration, now time.Time) bool {
 	for _, attempt := range m.agent.Attempts {
 		if attempt.StopRequested && attempt.Status != workers.StatusExited &&
@@ -129,7 +133,7 @@
 	return false
 }
 
-// stopCommands lists the stops that a worker must be told.
+// stopCommands returns the pending stop commands for a worker.
 func stopCommands(agent *workers.Agent, now time.Time) (stops []workers.Command) {
 	for _, command := range agent.Commands(false, now) {
 		if command.Verb == workers.VerbStop {
@@ -139,7 +143,8 @@
 	return stops
 }
 
-// probeAgent tries to reach a worker directly: an answer shows that it hears.
+// probeAgent sends a direct command without stops to a worker, at most one per
+// ProbeInterval. A response shows that the worker is reachable.
 func (l *Leader) probeAgent(machine *machineState, now time.Time) {
 	if machine.direct.sinceLast(now) >= constants.ProbeInterval {
 		l.sendCommand(machine, nil, now)
--- a/internal/leader/commands_test.go
+++ b/internal/leader/commands_test.go
@@ -14,68 +14,67 @@
 	"thornnotch/internal/workers"
 )
 
-// TestCommandDispatcher: half of the places are for stops alone, half of all for workers
-// that have been heard, and a place that is given back can be taken again.
-func TestCommandDispatcher(t *testing.T) {
-	const stops, news, silent, heard = true, false, true, false
+// TestCommandLimiter checks that half of the slots are reserved for stops, that half are
+// reserved for workers that are not silent, and that a released slot can be acquired again.
+func TestCommandLimiter(t *testing.T) {
+	const stops, probe, silent, heard = true, false, true, false
 	acquire := func(d *commandDispatcher, stops, silent bool) (n int) {
 		for d.acquire(stops, silent) {
 			n++
 		}
 		return n
 	}
-	t.Run("news of the token leave places to stops", func(t *testing.T) {
-		var dispatcher commandDispatcher
-		if n := acquire(&dispatcher, news, heard); n != constants.MaxCommandsInFlight/2 {
-			t.Errorf("%d commands that stop nothing", n)
+	t.Run("probes leave slots for stops", func(t *testing.T) {
+		var limiter commandDispatcher
+		if n := acquire(&limiter, probe, heard); n != constants.MaxCommandsInFlight/2 {
+			t.Errorf("%d slots for probes", n)
 		}
-		if n := acquire(&dispatcher, stops, heard); n != constants.MaxCommandsInFlight-constants.MaxCommandsInFlight/2 {
-			t.Errorf("%d stops beside them", n)
+		if n := acquire(&limiter, stops, heard); n != constants.MaxCommandsInFlight-constants.MaxCommandsInFlight/2 {
+			t.Errorf("%d slots left for stops", n)
 		}
 	})
-	t.Run("silent workers leave places to others", func(t *testing.T) {
-		var dispatcher commandDispatcher
-		if n := acquire(&dispatcher, stops, silent); n != constants.MaxSilentCommandsInFlight {
-			t.Errorf("%d commands to silent workers", n)
+	t.Run("silent workers leave slots for others", func(t *testing.T) {
+		var limiter commandDispatcher
+		if n := acquire(&limiter, stops, silent); n != constants.MaxSilentCommandsInFlight {
+			t.Errorf("%d slots for silent workers", n)
 		}
-		if n := acquire(&dispatcher, stops, heard); n != constants.MaxCommandsInFlight-constants.MaxSilentCommandsInFlight {
-			t.Errorf("%d commands to others", n)
+		if n := acquire(&limiter, stops, heard); n != constants.MaxCommandsInFlight-constants.MaxSilentCommandsInFlight {
+			t.Errorf("%d slots left for other workers", n)
 		}
-		dispatcher.release(silent)
-		if !dispatcher.acquire(stops, silent) || dispatcher.acquire(stops, heard) {
-			t.Error("a place that came free is not the one that was taken")
+		limiter.release(silent)
+		if !limiter.acquire(stops, silent) || limiter.acquire(stops, heard) {
+			t.Error("a released slot was not available exactly once")
 		}
 	})
-	t.Run("all places come free", func(t *testing.T) {
-		var dispatcher commandDispatcher
-		dispatcher.acquire(stops, silent)
-		dispatcher.acquire(news, heard)
-		dispatcher.release(silent)
-		dispatcher.release(heard)
-		if dispatcher != (commandDispatcher{}) {
-			t.Errorf("left: %+v", dispatcher)
+	t.Run("all slots are released", func(t *testing.T) {
+		var limiter commandDispatcher
+		limiter.acquire(stops, silent)
+		limiter.acquire(probe, heard)
+		limiter.release(silent)
+		limiter.release(heard)
+		if limiter != (commandDispatcher{}) {
+			t.Errorf("after the last release: %+v", limiter)
 		}
 	})
 }
 
-// TestDirectOrdersAreBounded: in a dark zone every direct order hangs. They
-// must not take more sockets than are kept for them, and stops find places
-// that news of the token leaves free.
-func TestDirectOrdersAreBounded(t *testing.T) { synctest.Test(t, directOrders) }
+// TestDirectCommandsAreBounded guards against direct commands that use up the node's
+// sockets: in an unreachable zone each of them hangs. Probes must leave slots for stops.
+func TestDirectCommandsAreBounded(t *testing.T) { synctest.Test(t, testDirectCommandLimit) }
 
-func directOrders(t *testing.T) {
+func testDirectCommandLimit(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
 	offline(t, l)
-	hang := make(chan struct{})
-	l.deps.Workers = hanging(hang)
+	unblock := make(chan struct{})
+	l.deps.Workers = blockedWorkers(unblock)
 	for i := range 400 {
 		machine := addMachine(l, fmt.Sprintf("m-%04d", i), "east", now)
 		machine.agent.Endpoint = "x"
 		l.sendCommand(machine, nil, now)
 	}
 	if l.commands.inFlight != constants.MaxCommandsInFlight/2 {
-		t.Errorf("%d orders under way that stop nothing", l.commands.inFlight)
+		t.Errorf("%d probes in flight", l.commands.inFlight)
 	}
 	addJob(t, l, arraySpec("j-1", 16), now)
 	l.runSchedulingPass(now)
@@ -86,26 +85,27 @@
 	l.jobRecordDeleted("j-1", now)
 	stops := l.commands.inFlight - constants.MaxCommandsInFlight/2
 	if stops < 4 {
-		t.Errorf("%d stops found a place", stops)
+		t.Errorf("only %d stops were sent", stops)
 	}
-	close(hang)
+	close(unblock)
 	runUntilQuiet(t, l)
 	if l.commands.inFlight != 0 {
-		t.Errorf("%d places never came free", l.commands.inFlight)
+		t.Errorf("%d slots were never released", l.commands.inFlight)
 	}
 }
 
-// TestStopsReachThoseThatCanBeReached: a cut has taken away hundreds of machines with
-// cancelled tasks, and direct orders to them hang. A gang elsewhere that is told to
-// save must be told all of it within seconds, or the save fails.
-func TestStopsReachThoseThatCanBeReached(t *testing.T) {
+// TestStopsReachReachableMachines guards against stops that are delayed by commands to
+// unreachable machines: a network cut separates hundreds of machines with cancelled tasks,
+// and direct commands to them hang. A gang in another zone that must save its state has to
+// get all its stops within seconds, or saving fails.
+func TestStopsReachReachableMachines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
 		l := testLeader(t)
 		offline(t, l)
 		l.teams = []config.Team{{Name: "a", GuaranteedGPUs: 10000, MaxGPUs: 10000}}
-		hang := make(chan struct{})
-		l.deps.Workers = hanging(hang)
+		unblock := make(chan struct{})
+		l.deps.Workers = blockedWorkers(unblock)
 		const machines, gang = 500, 20
 		for i := range machines {
 			addMachine(l, fmt.Sprintf("m-%04d", i), "west", now).agent.Endpoint = "x"
@@ -124,71 +124,73 @@
 		}
 		spec := arraySpec("j-2", gang)
 		spec.Kind, spec.GPUs = jobs.KindGang, 4
-		j := addJob(t, l, spec, now)
+		job := addJob(t, l, spec, now)
 		l.runSchedulingPass(now)
 		commitAll(l, 1000)
-		for _, s := range j.attempts.sorted() {
-			s.machine.agent.Commands(true, now)
+		for _, task := range job.attempts.sorted() {
+			task.machine.agent.Commands(true, now)
 		}
-		if len(j.attempts) != gang {
-			t.Fatalf("%d tasks of the gang placed", len(j.attempts))
+		if len(job.attempts) != gang {
+			t.Fatalf("%d tasks of the gang were placed", len(job.attempts))
 		}
 		l.jobRecordDeleted("j-1", now)
 		if l.commands.inFlight != constants.MaxSilentCommandsInFlight {
-			t.Errorf("%d orders under way to machines that are cut off", l.commands.inFlight)
+			t.Errorf("%d commands in flight to unreachable machines", l.commands.inFlight)
 		}
-		l.stopGang(j, 10, now)
-		if told := l.commands.inFlight - constants.MaxSilentCommandsInFlight; told != gang {
-			t.Errorf("%d of %d tasks of the gang are told at once", told, gang)
+		l.stopGang(job, 10, now)
+		if sent := l.commands.inFlight - constants.MaxSilentCommandsInFlight; sent != gang {
+			t.Errorf("%d of %d stops for the gang were sent at once", sent, gang)
 		}
-		close(hang)
+		close(unblock)
 		runUntilQuiet(t, l)
 		if l.commands.inFlight != 0 || l.commands.silentInFlight != 0 {
-			t.Errorf("%d and %d places never came free", l.commands.inFlight, l.commands.silentInFlight)
+			t.Errorf("%d slots were never released, %d of them for silent workers", l.commands.inFlight, l.commands.silentInFlight)
 		}
 	})
 }
 
-type hanging chan struct{}
+// blockedWorkers is a worker client whose requests hang until the channel is closed, and
+// then fail.
+type blockedWorkers chan struct{}
 
-func (h hanging) Send(context.Context, string, workers.CommandBatch) (*workers.Heartbeat, error) {
-	<-h
+func (b blockedWorkers) Send(context.Context, string, workers.CommandBatch) (*workers.Heartbeat, error) {
+	<-b
 	return nil, statestore.ErrOutcomeUnknown
 }
 
-// direct is workers that note what goes straight to them.
-type direct struct{ orders chan []workers.Command }
+// recordingWorkers is a worker client that records the commands of each direct request.
+type recordingWorkers struct{ commands chan []workers.Command }
 
-func (d direct) Send(_ context.Context, _ string, a workers.CommandBatch) (*workers.Heartbeat, error) {
-	d.orders <- a.Commands
+func (w recordingWorkers) Send(_ context.Context, _ string, batch workers.CommandBatch) (*workers.Heartbeat, error) {
+	w.commands <- batch.Commands
 	return nil, context.Canceled
 }
 
-// TestOnlyStopsGoStraight: a direct order may be held up for minutes and is carried
-// out all the same, so it starts nothing, and forgets nothing.
-func TestOnlyStopsGoStraight(t *testing.T) {
+// TestOnlyStopsAreSentDirectly checks that no start and no `forget` is sent as a direct
+// command: a direct command may be delayed for minutes and is still carried out.
+func TestOnlyStopsAreSentDirectly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
 		l := testLeader(t)
-		d := direct{make(chan []workers.Command, 1)}
-		l.deps.Workers = d
+		sent := recordingWorkers{make(chan []workers.Command, 1)}
+		l.deps.Workers = sent
 		machine := addMachine(l, "m-1", "east", now)
 		machine.agent.Endpoint = "m-1:1"
-		j := addJob(t, l, arraySpec("j-1", 3), now)
+		job := addJob(t, l, arraySpec("j-1", 3), now)
 		l.runSchedulingPass(now)
-		for _, s := range j.attempts.sorted() {
-			s.attempt.Committed, s.attempt.StartAllowed = true, true
+		for _, task := range job.attempts.sorted() {
+			task.attempt.Committed, task.attempt.StartAllowed = true, true
 		}
 		if n := len(machine.agent.Commands(true, now)); n != 3 {
-			t.Fatalf("%d starts", n)
+			t.Fatalf("%d start commands", n)
 		}
-		seats := j.attempts.sorted()
-		seats[0].attempt.StopRequested, seats[0].attempt.StopRequestedAt = true, now // to be stopped
-		seats[1].attempt.Status, seats[1].attempt.ExitRecorded = workers.StatusExited, true
+		placed := job.attempts.sorted()
+		placed[0].attempt.StopRequested, placed[0].attempt.StopRequestedAt = true, now
+		placed[1].attempt.Status, placed[1].attempt.ExitRecorded = workers.StatusExited, true
 		l.sendStops(machine, now)
 		runNextEvent(t, l)
-		if got := <-d.orders; len(got) != 1 || got[0].Verb != workers.VerbStop {
-			t.Errorf("straight to the worker went %+v", got)
+		if got := <-sent.commands; len(got) != 1 || got[0].Verb != workers.VerbStop {
+			t.Errorf("commands sent directly: %+v", got)
 		}
 	})
 }
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -8,22 +8,23 @@
 	"time"
 )
 
-// fleet is the machines known in this term. It belongs to the leader's routine.
+// fleet is the set of machines known in this term. Only the leader's event loop may use it.
 type fleet struct {
 	byName map[string]*machineState
-	// sorted are all of them by name; nil when it must be made anew.
+	// sorted caches the machines in order of their names. It is nil after a change.
 	sorted []*machineState
 }
 
 func newFleet() fleet { return fleet{byName: make(map[string]*machineState)} }
 
-// len is how many machines are known.
+// len returns the number of known machines.
 func (f *fleet) len() int { return len(f.byName) }
 
-// get finds a machine; it is nil if none of that name is known.
+// get returns the machine of the given name, or nil if it is not known.
 func (f *fleet) get(name string) *machineState { return f.byName[name] }
 
-// getOrAdd finds a machine, or adds one of which nothing is known but its name.
+// getOrAdd returns the machine of the given name. An unknown one is added, with nothing but
+// its name set.
 func (f *fleet) getOrAdd(name string, now time.Time) *machineState {
 	machine := f.byName[name]
 	if machine == nil {
@@ -34,16 +35,16 @@
 	return machine
 }
 
-// remove drops a machine.
+// remove deletes a machine from the fleet.
 func (f *fleet) remove(machine *machineState) {
 	delete(f.byName, machine.agent.Name)
 	f.sorted = nil
 }
 
-// all goes through the machines in no order.
+// all iterates over the machines in unspecified order.
 func (f *fleet) all() iter.Seq[*machineState] { return maps.Values(f.byName) }
 
-// sortedByName lists the machines by name. The list must not be changed.
+// sortedByName returns the machines sorted by name. The caller must not modify the slice.
 func (f *fleet) sortedByName() []*machineState {
 	if f.sorted == nil {
 		f.sorted = slices.AppendSeq(make([]*machineState, 0, len(f.byName)), f.all())
--- a/internal/leader/fleet_fixtures_test.go
+++ b/internal/leader/fleet_fixtures_test.go
@@ -9,13 +9,13 @@
 	"thornnotch/internal/jobs"
 )
 
-// largeFleet makes a leader of a large site: so many machines, all busy but a few, and a
-// third as many jobs waiting.
+// largeFleet returns a leader with the given number of machines, almost all of them busy,
+// and a third as many waiting jobs.
 func largeFleet(tb testing.TB, machines int) (*Leader, []*machineState) {
 	tb.Helper()
 	teams := []config.Team{{Name: "a", GuaranteedGPUs: 1000, MaxGPUs: 10 * float64(machines)}}
 	spot := func(i int) bool { return i%3 == 0 }
-	l, fleet, now := leaderOfFleet(tb, teams, machines, spot)
+	l, fleet, now := leaderWithIdleFleet(tb, teams, machines, spot)
 	for i := range machines / 3 {
 		spec := arraySpec(fmt.Sprintf("j-%06d", i), 40)
 		spec.Image = fmt.Sprint("img-", i%10)
@@ -25,12 +25,13 @@
 		}
 		addJob(tb, l, spec, now)
 	}
-	startWork(l, fleet, now)
+	placeAndStart(l, fleet, now)
 	return l, fleet
 }
 
-// overloadedFleet makes a leader of a site where far more waits than there is room for:
-// gangs of whole machines, urgent and not, and arrays of small tasks, of several teams.
+// overloadedFleet returns a leader whose queue by far exceeds the capacity of its machines.
+// Several teams have queued gangs that need whole machines, some of them urgent, and arrays
+// of small tasks.
 func overloadedFleet(tb testing.TB, machines int) (*Leader, []*machineState) {
 	tb.Helper()
 	var teams []config.Team
@@ -38,7 +39,7 @@
 		teams = append(teams, config.Team{Name: name, GuaranteedGPUs: 0.5 * float64(machines), MaxGPUs: 2 * float64(machines)})
 	}
 	spot := func(i int) bool { return i%5 < 2 }
-	l, fleet, now := leaderOfFleet(tb, teams, machines, spot)
+	l, fleet, now := leaderWithIdleFleet(tb, teams, machines, spot)
 	for i := range machines / 4 {
 		spec := arraySpec(fmt.Sprintf("j-%06d", i), 50)
 		spec.Team = teams[i%len(teams)].Name
@@ -53,12 +54,13 @@
 		}
 		addJob(tb, l, spec, now.Add(time.Duration(i)*time.Millisecond))
 	}
-	startWork(l, fleet, now)
+	placeAndStart(l, fleet, now)
 	return l, fleet
 }
 
-// leaderOfFleet makes a leader of so many idle machines, half in each zone.
-func leaderOfFleet(tb testing.TB, teams []config.Team, machines int, spot func(i int) bool) (*Leader, []*machineState, time.Time) {
+// leaderWithIdleFleet returns a leader with the given number of idle machines, split evenly
+// between two zones. spot selects the machines that are spot machines.
+func leaderWithIdleFleet(tb testing.TB, teams []config.Team, machines int, spot func(i int) bool) (*Leader, []*machineState, time.Time) {
 	tb.Helper()
 	now := time.Now()
 	l := testLeader(tb)
@@ -74,14 +76,14 @@
 	return l, fleet, now
 }
 
-// startWork places what there is room for, and has the starts leave.
-func startWork(l *Leader, fleet []*machineState, now time.Time) {
+// placeAndStart places all tasks that fit and sends their start commands.
+func placeAndStart(l *Leader, fleet []*machineState, now time.Time) {
 	for range 5 {
 		l.passes.request()
 		l.runSchedulingPass(now)
 		commitAll(l, 100)
 	}
 	for _, machine := range fleet {
-		machine.agent.Commands(true, now) // so that no reply waits for them
+		machine.agent.Commands(true, now) // marks the starts as sent, so that no reply waits for them
 	}
 }
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -9,8 +9,9 @@
 	"thornnotch/internal/workers"
 )
 
-// Heartbeat answers a worker's heartbeat. The reply may be held back for a moment so
-// that commands can go with it. It reports false if the term or ctx ended first.
+// Heartbeat handles a worker's heartbeat and returns the reply. The reply may be held back
+// for a moment so that it can carry commands. Heartbeat returns false if the term or ctx
+// ended first.
 func (l *Leader) Heartbeat(ctx context.Context, heartbeat *workers.Heartbeat) (Reply, bool) {
 	replies := make(chan Reply, 1)
 	if !l.post(ctx, heartbeatReceived{heartbeat, time.Now(), replies}) {
@@ -25,19 +26,21 @@
 	return Reply{}, false
 }
 
-// heartbeat takes in a worker's heartbeat and refuses it, or holds its reply back. The
-// order of the refusals counts: what is refused before applyHeartbeat is not even
+// heartbeat applies a worker's heartbeat, and either refuses it or holds its reply. The
+// order of the checks matters: a heartbeat refused before applyHeartbeat does not count as
 // contact with the worker.
 func (l *Leader) heartbeat(heartbeat *workers.Heartbeat, arrived time.Time, reply chan<- Reply) {
 	now := time.Now()
 	if !l.certainty.Holds(now) {
-		// Another node may have accepted a cancellation that we can't know
-		// of; the workers' leases must run out before its time is up.
+		// Another node may have accepted a cancellation that this leader has not
+		// seen. Workers' leases must expire before the deadline for carrying out
+		// that cancellation.
 		reply <- refusal
 		return
 	}
 	if l.scaling.isTerminated(heartbeat.Machine) {
-		// The cloud has confirmed its end: this heartbeat was under way since.
+		// The cloud has confirmed that the machine was terminated; this heartbeat
+		// was delayed in the network.
 		reply <- refusal
 		return
 	}
@@ -45,20 +48,20 @@
 	l.counts.Heartbeats++
 	if machine.agent.IsDuplicate(heartbeat) {
 		l.counts.DuplicateHeartbeats++
-		// A late copy tells nothing new, and whoever sent it has given up
-		// waiting: it must not count as contact with the worker.
+		// A late duplicate holds no news, and its sender no longer waits for the
+		// reply. It must not count as contact with the worker.
 		reply <- refusal
 		return
 	}
-	// A heartbeat that an answer to /commands has overtaken is not fresh, but
-	// its sender waits for the reply.
+	// If a response to /commands has overtaken this heartbeat, its content is outdated,
+	// but the worker still waits for the reply.
 	l.applyHeartbeat(machine, heartbeat, false, now)
 	if l.term.ended() {
 		reply <- Reply{}
 		return
 	}
 	machine.agent.HeartbeatSequence = max(machine.agent.HeartbeatSequence, heartbeat.Sequence)
-	if leaseMustRunOut(machine.agent, heartbeat) {
+	if leaseMustExpire(machine.agent, heartbeat) {
 		reply <- refusal
 		return
 	}
@@ -66,20 +69,21 @@
 	l.holdReply(machine, &heldReply{epoch: heartbeat.Epoch, arrived: arrived, reply: reply})
 }
 
-// leaseMustRunOut tells whether a worker must not be acknowledged although its heartbeat
-// is no copy. One that our replies do not reach must come to the end of its lease: a
-// reply of 200 might always arrive. Neither may a 200 renew an epoch whose end is
-// proven, as its tasks may have been started elsewhere.
+// leaseMustExpire reports whether a heartbeat must be refused, although it is not a
+// duplicate, so that the worker's lease expires. This holds for a worker that does not
+// receive our replies, because any reply of 200 might still arrive and renew the lease. It
+// also holds for an epoch that is proven to have ended, because its tasks may already run
+// elsewhere.
 //
-// IsDuplicate has refused epochs that had expired before, and nothing that
-// applyHeartbeat does today expires the heartbeat's own epoch: Observe expires those
-// before it, and leases expire in a tick alone. The check stays, as no more than the
-// order of these calls keeps it from being needed.
-func leaseMustRunOut(agent *workers.Agent, heartbeat *workers.Heartbeat) bool {
+// The epoch check never applies with the present order of calls: IsDuplicate refuses epochs
+// that had expired before, Observe expires only epochs before the heartbeat's own, and
+// leases expire only in a tick. It protects against a change of that order.
+func leaseMustExpire(agent *workers.Agent, heartbeat *workers.Heartbeat) bool {
 	return agent.RepliesLost || heartbeat.Epoch <= agent.ExpiredEpoch
 }
 
-// holdReply keeps a reply back until there are commands, or for a while.
+// holdReply holds the reply to a heartbeat until there are commands to send or the hold
+// time has passed.
 func (l *Leader) holdReply(machine *machineState, held *heldReply) {
 	hold := constants.ReplyHold
 	if len(machine.agent.Attempts) == 0 {
@@ -92,36 +96,39 @@
 	}
 }
 
-// flushReplies answers the heartbeats that have waited long enough or that commands can
-// go with.
+// flushReplies sends the held replies whose hold time has passed or for which there are
+// commands.
 func (l *Leader) flushReplies(now time.Time) {
 	l.replies.flush(now, func(machine *machineState, held *heldReply) (Reply, bool) {
 		return l.replyTo(machine, held, now)
 	})
 }
 
-// replyTo makes the reply to a heartbeat that waits, if it is time to.
+// replyTo returns the reply to a held heartbeat, and whether it is to be sent now.
 func (l *Leader) replyTo(machine *machineState, held *heldReply, now time.Time) (reply Reply, ready bool) {
 	if held.epoch != machine.agent.Epoch || machine.agent.RepliesLost {
 		return refusal, true
 	}
-	if !machine.agent.HasCommands() && (now.Before(held.until) || machine.awaitsRecord(held, now)) {
+	if !machine.agent.HasCommands() && (now.Before(held.until) || machine.waitsForStartRecord(held, now)) {
 		return Reply{}, false
 	}
 	commands := machine.agent.Commands(true, now)
 	if commands == nil {
-		commands = []workers.Command{} // the protocol wants a list
+		commands = []workers.Command{} // the protocol requires a list, not null
 	}
 	l.counts.RepliedCommands += uint64(len(commands))
 	return Reply{Status: http.StatusOK, Answer: workers.CommandBatch{Token: l.term.number(), Commands: commands}}, true
 }
 
-// awaitsRecord tells whether a start waits only for its record: its `run` can go
-// into the present reply, and would wait for the worker's next heartbeat else.
-func (m *machineState) awaitsRecord(held *heldReply, now time.Time) bool {
+// waitsForStartRecord reports whether a reply should be held longer because a placed task
+// only waits for its record to be written. The `run` command can then go out with this
+// reply instead of the reply to the worker's next heartbeat.
+func (m *machineState) waitsForStartRecord(held *heldReply, now time.Time) bool {
 	return now.Before(held.arrived.Add(constants.PendingStartReplyHold)) && m.hasUnrecordedStart()
 }
 
+// hasUnrecordedStart reports whether an attempt of the current epoch has not been sent its
+// `run` command yet and is not being stopped.
 func (m *machineState) hasUnrecordedStart() bool {
 	for _, attempt := range m.agent.Attempts {
 		if !attempt.RunSent && !attempt.StopRequested && attempt.Epoch == m.agent.Epoch {
@@ -131,8 +138,8 @@
 	return false
 }
 
-// applyHeartbeat takes in what a worker says of itself, by whichever way it came: as a
-// heartbeat, or direct, as the answer to a command.
+// applyHeartbeat applies a worker's report of its state. direct is set if the report came
+// as the response to a direct command rather than as a heartbeat.
 func (l *Leader) applyHeartbeat(machine *machineState, heartbeat *workers.Heartbeat, direct bool, now time.Time) {
 	if heartbeat.Token > l.term.number() {
 		l.term.end(ErrDeposed)
@@ -146,7 +153,7 @@
 		return
 	}
 	machine.startOverdue = agent.StartOverdue(now)
-	l.followReachability(machine, before.RepliesLost, before.EpochUnconfirmed, now)
+	l.updateReachability(machine, before.RepliesLost, before.EpochUnconfirmed, now)
 	if !before.Registered {
 		l.passes.request()
 		machine.markStale()
@@ -166,23 +173,23 @@
 	}
 }
 
-// followReachability acts on what a heartbeat has shown of whether our replies reach
-// the worker, given what was known before.
-func (l *Leader) followReachability(machine *machineState, repliesWereLost, epochWasUnconfirmed bool, now time.Time) {
+// updateReachability acts on a change in whether the worker receives our replies, after a
+// heartbeat was applied. The arguments are the agent's values from before that heartbeat.
+func (l *Leader) updateReachability(machine *machineState, repliesWereLost, epochWasUnconfirmed bool, now time.Time) {
 	agent := machine.agent
 	if agent.RepliesLost != repliesWereLost {
 		machine.markStale()
 		if agent.RepliesLost {
-			l.deps.Log.Warn("replies do not reach the machine", "machine", agent.Name, "zone", agent.Zone)
+			l.deps.Log.Warn("machine does not receive replies", "machine", agent.Name, "zone", agent.Zone)
 		} else {
-			l.deps.Log.Info("replies reach the machine again", "machine", agent.Name, "zone", agent.Zone)
+			l.deps.Log.Info("machine receives replies again", "machine", agent.Name, "zone", agent.Zone)
 		}
 		l.passes.request()
 	}
 	agent.ConfirmEpoch(l.lease, now)
 	if agent.EpochUnconfirmed != epochWasUnconfirmed {
 		if agent.EpochUnconfirmed {
-			machine.direct.hurry()
+			machine.direct.resetInterval()
 		}
 		l.passes.request()
 	}
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -11,79 +11,80 @@
 	"thornnotch/internal/workers"
 )
 
-// TestLateCopyIsNoContact: a late copy of a report neither renews a lease nor
-// brings a machine back that was returned, and a machine known by nothing but
-// one report gets no work before it has shown this term's token.
-func TestLateCopyIsNoContact(t *testing.T) {
+// TestStaleHeartbeats checks that a late duplicate does not renew the lease, that a late
+// heartbeat does not bring back a machine that was returned to the cloud, and that a machine
+// known only from one heartbeat gets no tasks until it has reported this term's token.
+func TestStaleHeartbeats(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
 	l.certainty.Watched(now)
 	machine := addMachine(l, "m-1", "east", now)
-	answered := machine.agent.LastAcknowledged
-	copyOf := nextHeartbeat(l, machine, "", "")
-	copyOf.Sequence = 1
-	ch := make(chan Reply, 1)
-	l.heartbeat(copyOf, now.Add(time.Second), ch)
+	lastAcknowledged := machine.agent.LastAcknowledged
+	duplicate := nextHeartbeat(l, machine, "", "")
+	duplicate.Sequence = 1
+	replyCh := make(chan Reply, 1)
+	l.heartbeat(duplicate, now.Add(time.Second), replyCh)
 	select {
-	case a := <-ch:
-		if a.Status != 503 || !machine.agent.LastAcknowledged.Equal(answered) || l.replies.byMachine[machine] != nil {
-			t.Errorf("a copy got %d, answered %v", a.Status, machine.agent.LastAcknowledged)
+	case reply := <-replyCh:
+		if reply.Status != 503 || !machine.agent.LastAcknowledged.Equal(lastAcknowledged) || l.replies.byMachine[machine] != nil {
+			t.Errorf("duplicate heartbeat: status %d, last acknowledged %v", reply.Status, machine.agent.LastAcknowledged)
 		}
 	default:
-		t.Errorf("a copy is kept waiting")
+		t.Errorf("the reply to a duplicate heartbeat is held")
 	}
 	l.scaling.terminated["m-9"] = now
-	l.heartbeat(&workers.Heartbeat{Machine: "m-9", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: 1, Token: 3}, now, ch)
-	if a := <-ch; a.Status != 503 || l.fleet.get("m-9") != nil {
-		t.Errorf("a returned machine is back: %d", a.Status)
+	l.heartbeat(&workers.Heartbeat{Machine: "m-9", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: 1, Token: 3}, now, replyCh)
+	if reply := <-replyCh; reply.Status != 503 || l.fleet.get("m-9") != nil {
+		t.Errorf("a late heartbeat added a returned machine again: status %d", reply.Status)
 	}
 	l.fleet.remove(machine)
-	j := addJob(t, l, arraySpec("j-1", 1), now)
+	job := addJob(t, l, arraySpec("j-1", 1), now)
 	stale := &workers.Heartbeat{Machine: "m-2", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: 400, Token: l.term.number() - 1}
-	l.heartbeat(stale, now, ch)
+	l.heartbeat(stale, now, replyCh)
 	l.runSchedulingPass(now)
-	if len(j.attempts) != 0 {
-		t.Fatalf("work was put on a machine that may be no more")
+	if len(job.attempts) != 0 {
+		t.Fatalf("a task was placed on a machine that may no longer exist")
 	}
 	stale.Sequence, stale.Token = 401, l.term.number()
-	l.heartbeat(stale, now, ch)
+	l.heartbeat(stale, now, replyCh)
 	l.runSchedulingPass(now)
-	if len(j.attempts) != 1 {
-		t.Errorf("a machine under our token gets no work")
+	if len(job.attempts) != 1 {
+		t.Errorf("no task was placed on a machine that reported this term's token")
 	}
 }
 
-// TestDeafMachineGetsNothing: no work and no 200 for a machine that does not
-// hear, and its lease is counted from the last 200 before.
-func TestDeafMachineGetsNothing(t *testing.T) {
+// TestMachineWithLostRepliesGetsNothing checks that a machine that does not receive our
+// replies gets neither tasks nor a 200, and that its lease counts from the last 200 that it
+// got before.
+func TestMachineWithLostRepliesGetsNothing(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
 	l.certainty.Watched(now)
 	machine := addMachine(l, "m-1", "east", now)
-	last := machine.agent.LastAcknowledged
+	lastAcknowledged := machine.agent.LastAcknowledged
 	machine.agent.RepliesLost = true
 	machine.markStale()
-	ch := make(chan Reply, 1)
-	l.heartbeat(nextHeartbeat(l, machine, "", ""), now.Add(time.Second), ch)
+	replyCh := make(chan Reply, 1)
+	l.heartbeat(nextHeartbeat(l, machine, "", ""), now.Add(time.Second), replyCh)
 	l.flushReplies(now.Add(3 * time.Second))
-	if a := <-ch; a.Status != 503 || !machine.agent.LastAcknowledged.Equal(last) {
-		t.Errorf("it got %d, its lease counts from %v", a.Status, machine.agent.LastAcknowledged.Sub(last))
+	if reply := <-replyCh; reply.Status != 503 || !machine.agent.LastAcknowledged.Equal(lastAcknowledged) {
+		t.Errorf("status %d; lease start moved by %v", reply.Status, machine.agent.LastAcknowledged.Sub(lastAcknowledged))
 	}
-	j := addJob(t, l, arraySpec("j-1", 1), now)
+	job := addJob(t, l, arraySpec("j-1", 1), now)
 	l.runSchedulingPass(now)
-	if len(j.attempts) != 0 {
-		t.Errorf("it got work")
+	if len(job.attempts) != 0 {
+		t.Errorf("a task was placed on a machine that does not receive replies")
 	}
-	if ev := machine.agent.ExpireLease(l.term.number(), l.lease, last.Add(l.lease+2*time.Second)); machine.agent.ExpiredEpoch != 1 {
-		t.Errorf("its session never ends: %v", ev)
+	if events := machine.agent.ExpireLease(l.term.number(), l.lease, lastAcknowledged.Add(l.lease+2*time.Second)); machine.agent.ExpiredEpoch != 1 {
+		t.Errorf("the epoch does not expire with the lease: %v", events)
 	}
 }
 
-// TestReturnedMachineIsAnsweredOnce: a machine goes back to the cloud while its
-// heartbeat waits, and what the end of its tasks brings about has commands for it.
-// Its heartbeat gets one reply: whoever waits for it reads one, and a second would
-// block the loop.
-func TestReturnedMachineIsAnsweredOnce(t *testing.T) {
+// TestReturnedMachineGetsOneReply guards against a second reply to one heartbeat, which
+// would block the event loop: the receiver reads only one. It could come about when a
+// machine is returned to the cloud while its reply is held, and the end of its tasks creates
+// commands for that same machine.
+func TestReturnedMachineGetsOneReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
 		l := testLeader(t)
@@ -100,16 +101,16 @@
 		replies := make(chan Reply, 2)
 		l.heartbeat(nextHeartbeat(l, machine, workers.StatusRunning, ""), now, replies)
 		if len(machine.agent.Attempts) != 2 || len(replies) != 0 {
-			t.Fatalf("%d attempts on the machine, %d replies", len(machine.agent.Attempts), len(replies))
+			t.Fatalf("%d attempts on the machine, %d replies before it was returned", len(machine.agent.Attempts), len(replies))
 		}
 		l.returnMachines([]string{"m-1"})
 		runUntilQuiet(t, l)
-		l.flushReplies(time.Now().Add(constants.ReplyHold)) // the same round, by when the heartbeat need not wait longer
+		l.flushReplies(time.Now().Add(constants.ReplyHold)) // the same round of the loop, after the hold time
 		if n := len(replies); n != 1 {
 			t.Fatalf("%d replies to one heartbeat", n)
 		}
 		if reply := <-replies; reply.Status != http.StatusServiceUnavailable || l.fleet.get("m-1") != nil {
-			t.Errorf("a machine that is no more got %d", reply.Status)
+			t.Errorf("a terminated machine got status %d", reply.Status)
 		}
 	})
 }
--- a/internal/leader/held_replies.go
+++ b/internal/leader/held_replies.go
@@ -8,30 +8,31 @@
 	"thornnotch/internal/workers"
 )
 
-// Reply is the reply to a heartbeat. The zero value means that the term ended first.
+// Reply is the HTTP response to a heartbeat. The zero value means that the term ended before
+// there was one.
 type Reply struct {
 	Status int
 	Answer workers.CommandBatch
 }
 
-// refusal is the reply to a heartbeat that renews nothing.
+// refusal is the reply to a heartbeat that must not renew the worker's lease.
 var refusal = Reply{Status: http.StatusServiceUnavailable}
 
-// heldReply is the reply to a heartbeat, held back so that commands go with it.
+// heldReply is a heartbeat whose reply is held back so that it can carry commands.
 type heldReply struct {
 	epoch   uint64 // of the heartbeat
 	arrived time.Time
-	until   time.Time // until when it may be held back
+	until   time.Time // end of the hold time
 	reply   chan<- Reply
 }
 
-// heldReplies are the heartbeats that have not been answered yet, at most one a
-// machine. Each is answered exactly once: its channel has room for one reply, so a
-// second would block the loop.
+// heldReplies holds the unanswered heartbeats, at most one per machine. Each must be
+// answered exactly once: its channel has a buffer of one, so a second reply would block the
+// event loop.
 type heldReplies struct {
 	byMachine map[*machineState]*heldReply
-	due       []*machineState // of these, those that commands have come up for
-	// nextFlush is when the others are looked at next.
+	woken     []*machineState // machines for which there have been new commands since the last flush
+	// nextFlush is when all held replies are checked next.
 	nextFlush time.Time
 }
 
@@ -39,14 +40,14 @@
 	return heldReplies{byMachine: make(map[*machineState]*heldReply)}
 }
 
-// hold keeps a reply back. A worker that sends another heartbeat has given up the
-// earlier one, which is refused.
+// hold adds a held reply. A worker that sends another heartbeat no longer waits for the
+// reply to the earlier one, which is refused.
 func (h *heldReplies) hold(machine *machineState, held *heldReply) {
 	h.refuse(machine)
 	h.byMachine[machine] = held
 }
 
-// refuse ends the wait of a machine's heartbeat, if one waits, and renews nothing.
+// refuse refuses the machine's held heartbeat, if there is one, without renewing the lease.
 func (h *heldReplies) refuse(machine *machineState) {
 	if held := h.byMachine[machine]; held != nil {
 		delete(h.byMachine, machine)
@@ -54,24 +55,24 @@
 	}
 }
 
-// wake has the next flush look at the machine's heartbeat, if one waits: there are
-// commands for it.
+// wake makes the next flush check the machine's held reply, if there is one. It is called
+// when there are new commands for the machine.
 func (h *heldReplies) wake(machine *machineState) {
 	if h.byMachine[machine] != nil {
-		h.due = append(h.due, machine)
+		h.woken = append(h.woken, machine)
 	}
 }
 
-// flush looks at the heartbeats that have been woken, and every ReplyFlushInterval at
-// all. It answers those for which replyTo has a reply.
+// flush checks the replies of woken machines, and every ReplyFlushInterval all held replies.
+// It sends those that replyTo reports as ready.
 func (h *heldReplies) flush(now time.Time, replyTo func(*machineState, *heldReply) (reply Reply, ready bool)) {
-	for _, machine := range h.due {
-		// It may have been answered since it was woken.
+	for _, machine := range h.woken {
+		// The heartbeat may have been answered since the machine was woken.
 		if held := h.byMachine[machine]; held != nil {
 			h.answer(machine, held, replyTo)
 		}
 	}
-	h.due = h.due[:0]
+	h.woken = h.woken[:0]
 	if now.Before(h.nextFlush) {
 		return
 	}
@@ -81,6 +82,7 @@
 	}
 }
 
+// answer sends and removes a held reply if replyTo reports that it is ready.
 func (h *heldReplies) answer(machine *machineState, held *heldReply, replyTo func(*machineState, *heldReply) (Reply, bool)) {
 	if reply, ready := replyTo(machine, held); ready {
 		delete(h.byMachine, machine)
@@ -88,8 +90,8 @@
 	}
 }
 
-// nextDue is when flush must be called next if no commands come up; zero if nothing
-// waits.
+// nextDue returns when flush must be called next unless there are new commands before. It
+// returns the zero time if no reply is held.
 func (h *heldReplies) nextDue() time.Time {
 	if len(h.byMachine) == 0 {
 		return time.Time{}
--- a/internal/leader/held_replies_test.go
+++ b/internal/leader/held_replies_test.go
@@ -9,23 +9,23 @@
 	"thornnotch/internal/workers"
 )
 
-// acknowledge has a reply for every heartbeat.
+// acknowledge is a replyTo function that answers every heartbeat with 200.
 func acknowledge(*machineState, *heldReply) (Reply, bool) {
 	return Reply{Status: http.StatusOK}, true
 }
 
-// keepWaiting has a reply for none.
+// keepWaiting is a replyTo function that answers no heartbeat.
 func keepWaiting(*machineState, *heldReply) (Reply, bool) { return Reply{}, false }
 
-// TestHeldReplies: every heartbeat is answered once. A later one has the earlier refused,
-// a woken one is looked at by the next flush and the others only once the interval is
-// over.
+// TestHeldReplies checks that every heartbeat is answered exactly once, that a new heartbeat
+// causes the machine's earlier one to be refused, and that a flush checks woken machines at
+// once but the others only after the flush interval.
 func TestHeldReplies(t *testing.T) {
 	now := time.Unix(1000, 0)
 	machine, other := &machineState{}, &machineState{}
 	held := newHeldReplies()
 	if !held.nextDue().IsZero() {
-		t.Errorf("due at %v with nothing waiting", held.nextDue())
+		t.Errorf("next flush at %v although no reply is held", held.nextDue())
 	}
 	held.flush(now, acknowledge)
 
@@ -34,27 +34,27 @@
 	held.hold(machine, &heldReply{reply: second})
 	held.hold(other, &heldReply{reply: others})
 	if len(first) != 1 || (<-first).Status != http.StatusServiceUnavailable || len(second) != 0 {
-		t.Errorf("the earlier heartbeat is not refused, or the later is answered")
+		t.Errorf("the earlier heartbeat was not refused, or the later one was answered")
 	}
 	if due := held.nextDue(); !due.Equal(now.Add(constants.ReplyFlushInterval)) {
-		t.Errorf("due at %v", due)
+		t.Errorf("next flush at %v", due)
 	}
 
 	held.wake(machine)
 	held.flush(now, keepWaiting)
 	held.flush(now, acknowledge)
 	if len(second) != 0 {
-		t.Errorf("a heartbeat stays woken once it was looked at")
+		t.Errorf("a machine is still woken after a flush has checked it")
 	}
 	held.wake(machine)
 	held.wake(machine)
 	held.flush(now, acknowledge)
 	if len(second) != 1 || (<-second).Status != http.StatusOK || len(others) != 0 {
-		t.Errorf("woken: %d more replies, not woken: %d", len(second), len(others))
+		t.Errorf("woken machine: %d unexpected replies; other machine: %d replies", len(second), len(others))
 	}
 	held.flush(now.Add(constants.ReplyFlushInterval), acknowledge)
 	if len(others) != 1 {
-		t.Errorf("%d replies once the interval is over", len(others))
+		t.Errorf("%d replies after the flush interval", len(others))
 	}
 
 	held.hold(machine, &heldReply{reply: second})
@@ -64,26 +64,27 @@
 	held.wake(machine)
 	held.flush(now.Add(time.Minute), acknowledge)
 	if len(second) != 1 || (<-second).Status != http.StatusServiceUnavailable || !held.nextDue().IsZero() {
-		t.Errorf("refused: %d more replies, due at %v", len(second), held.nextDue())
+		t.Errorf("refused machine: %d unexpected replies, next flush at %v", len(second), held.nextDue())
 	}
 }
 
-// TestLeaseMustRunOut: no 200 for a worker that our replies do not reach, and none for
-// an epoch whose end is proven, whether or not the heartbeat is a copy.
-func TestLeaseMustRunOut(t *testing.T) {
+// TestLeaseMustExpire checks that a worker that does not receive our replies gets no 200, and
+// neither does an epoch that is proven to have ended, whether or not the heartbeat is a
+// duplicate.
+func TestLeaseMustExpire(t *testing.T) {
 	tests := []struct {
 		name  string
 		agent workers.Agent
 		want  bool
 	}{
-		{"its present epoch", workers.Agent{Epoch: 3, ExpiredEpoch: 2}, false},
-		{"the present epoch has expired", workers.Agent{Epoch: 3, ExpiredEpoch: 3}, true},
+		{"the current epoch is alive", workers.Agent{Epoch: 3, ExpiredEpoch: 2}, false},
+		{"the current epoch has expired", workers.Agent{Epoch: 3, ExpiredEpoch: 3}, true},
 		{"a later epoch has expired", workers.Agent{Epoch: 3, ExpiredEpoch: 4}, true},
 		{"replies are lost", workers.Agent{Epoch: 3, ExpiredEpoch: 2, RepliesLost: true}, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if got := leaseMustRunOut(&test.agent, &workers.Heartbeat{Epoch: 3}); got != test.want {
+			if got := leaseMustExpire(&test.agent, &workers.Heartbeat{Epoch: 3}); got != test.want {
 				t.Errorf("got %v, want %v", got, test.want)
 			}
 		})
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -10,34 +10,36 @@
 	"thornnotch/internal/workers"
 )
 
-// machineState is one machine: its agent and what the leader keeps of it, by component.
+// machineState is the leader's state of one machine: its worker's agent and the data that
+// each component of the leader keeps about it.
 type machineState struct {
 	agent   *workers.Agent
-	addedAt time.Time // when this term learnt of it
+	addedAt time.Time // when it was added to the fleet in this term
 
 	lifecycle machineLifecycle
 	health    health.Machine
 	direct    directCommandState
 	images    imageCache
-	// startOverdue is set while a start that it was sent is missing from its heartbeats.
+	// startOverdue is set while a start that was sent to the machine is missing from its
+	// heartbeats.
 	startOverdue bool
-	// heartbeatGap is set while a heartbeat is applied that came after a long silence.
+	// heartbeatGap is set if the worker's last report came after a long silence.
 	heartbeatGap bool
 
-	// metadataLogged is set once its type, zone and so on are in the log, and
-	// loggedMetadata is what was logged last.
+	// metadataLogged is set once the machine's metadata (type, zone and so on) is in the
+	// log; loggedMetadata is the version logged last.
 	metadataLogged bool
 	loggedMetadata wal.Machine
 
-	// view is the machine as placement sees it, made at viewAt; stale is set when it
-	// must be made anew. countedUsage is what it adds to the teams' usage.
+	// view is the machine's input to placement, built at viewAt; stale is set when it must
+	// be rebuilt. countedUsage is the machine's share of the teams' usage.
 	view         *placement.Machine
 	viewAt       time.Time
 	stale        bool
 	countedUsage []teamUse
 }
 
-// newMachineState is a machine of which nothing is known but its name.
+// newMachineState returns the state of a machine of which only the name is known.
 func newMachineState(name string, now time.Time) *machineState {
 	return &machineState{
 		agent: workers.NewAgent(name), addedAt: now, stale: true,
@@ -45,7 +47,7 @@
 	}
 }
 
-// removeMachine drops a machine that is no more.
+// removeMachine deletes a machine that no longer exists.
 func (l *Leader) removeMachine(machine *machineState) {
 	l.fleet.remove(machine)
 	l.metadata.remove(machine)
@@ -53,16 +55,17 @@
 	l.setTeamUsage(machine, nil)
 }
 
-// markStale has the machine's view made anew for the next pass. Whatever changes
-// its attempts, holds or images must call it: the teams' use depends on it.
+// markStale makes the next scheduling pass rebuild the machine's view. It must be called
+// after every change of the machine's attempts, reservations or images, because the teams'
+// usage is also updated from the view.
 func (m *machineState) markStale() { m.stale = true }
 
-// pool is where the machine was rented from.
+// pool returns the instance pool that the machine was rented from.
 func (m *machineState) pool() autoscaling.InstancePool {
 	return autoscaling.InstancePool{Type: m.agent.MachineType, Zone: m.agent.Zone, Spot: m.agent.Spot}
 }
 
-// schedulable tells whether new tasks may be put on the machine.
+// schedulable reports whether new tasks may be placed on the machine.
 func (m *machineState) schedulable(now time.Time) bool {
 	if m.lifecycle.isLeaving() || !m.health.AcceptsTasks(now) || m.startOverdue {
 		return false
@@ -72,30 +75,31 @@
 		!agent.RepliesLost && !agent.EpochUnconfirmed
 }
 
-// freeResources is what is free on the machine beside its tasks and holds.
+// freeResources returns the machine's resources that neither tasks nor reservations use.
 func (l *Leader) freeResources(machine *machineState) placement.Resources {
 	t, ok := l.deps.Catalog().Type(machine.agent.MachineType)
 	if !ok {
 		return placement.Resources{}
 	}
-	f := placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}.Sub(l.usedResources(machine))
-	for _, h := range l.reservations.OnMachine(machine.agent.Name) {
-		f = f.Sub(h.Resources)
+	free := placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}.Sub(l.usedResources(machine))
+	for _, reservation := range l.reservations.OnMachine(machine.agent.Name) {
+		free = free.Sub(reservation.Resources)
 	}
-	return f
+	return free
 }
 
-// usedResources is what the machine's attempts take.
+// usedResources returns the sum of the resources of the machine's live attempts.
 func (l *Leader) usedResources(machine *machineState) (sum placement.Resources) {
-	for _, a := range machine.agent.Attempts {
-		if a.Live() {
-			sum = sum.Add(l.jobs.resourcesOf(a))
+	for _, attempt := range machine.agent.Attempts {
+		if attempt.Live() {
+			sum = sum.Add(l.jobs.resourcesOf(attempt))
 		}
 	}
 	return sum
 }
 
-// placementMachine is the machine as the job rules see it.
+// placementMachine returns the fields of the machine that a job's placement constraints
+// refer to.
 func (l *Leader) placementMachine(machine *machineState) *placement.Machine {
 	return &placement.Machine{Name: machine.agent.Name, Type: machine.agent.MachineType, Zone: machine.agent.Zone, Spot: machine.agent.Spot}
 }
--- a/internal/leader/machine_lifecycle.go
+++ b/internal/leader/machine_lifecycle.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// machineLifecycle is how a machine comes to be given back to the cloud: it is marked as
-// leaving, its record says so, and only then is the cloud told. So a later leader never
-// counts on a machine that may be gone.
+// machineLifecycle tracks the return of a machine to the cloud: the machine is marked as
+// leaving, the mark is recorded, and only then is the cloud asked to take the machine back.
+// So a later leader never relies on a machine that may be gone.
 type machineLifecycle struct {
 	leaving bool
-	// leavingRecorded is set once the record says so.
+	// leavingRecorded is set once the leaving mark is recorded.
 	leavingRecorded bool
-	// idleSince is since when nothing runs on it.
+	// idleSince is when the machine was last in use.
 	idleSince time.Time
 }
 
-// restore takes in what the machine's record says.
+// restore sets the state from the machine's record.
 func (c *machineLifecycle) restore(leaving bool) { c.leaving, c.leavingRecorded = leaving, leaving }
 
-// isLeaving tells whether the machine is being returned; it gets no more tasks.
+// isLeaving reports whether the machine is being returned. It then gets no more tasks.
 func (c *machineLifecycle) isLeaving() bool { return c.leaving }
 
-// beginLeaving marks the machine as leaving. Once its record stands, leavingStands must be
-// called.
+// beginLeaving marks the machine as leaving. markLeavingRecorded must be called once the
+// mark is recorded.
 func (c *machineLifecycle) beginLeaving() { c.leaving, c.leavingRecorded = true, false }
 
-// leavingStands notes that the machine's record says what it is.
-func (c *machineLifecycle) leavingStands() { c.leavingRecorded = c.leaving }
+// markLeavingRecorded records that the machine's record has been written with its present
+// leaving mark.
+func (c *machineLifecycle) markLeavingRecorded() { c.leavingRecorded = c.leaving }
 
-// mayBeReturned tells whether the cloud may be told.
-func (c *machineLifecycle) mayBeReturned() bool { return c.leaving && c.leavingRecorded }
+// readyToReturn reports whether the cloud may be asked to take the machine back.
+func (c *machineLifecycle) readyToReturn() bool { return c.leaving && c.leavingRecorded }
 
-// noteBusy notes that the machine is in use, or has only just come up.
-func (c *machineLifecycle) noteBusy(now time.Time) { c.idleSince = now }
+// markBusy restarts the idle time of a machine that is in use or has just registered.
+func (c *machineLifecycle) markBusy(now time.Time) { c.idleSince = now }
 
-// idleFor is for how long nothing has run on the machine.
+// idleFor returns for how long the machine has been idle.
 func (c *machineLifecycle) idleFor(now time.Time) time.Duration { return now.Sub(c.idleSince) }
--- a/internal/leader/machine_view.go
+++ b/internal/leader/machine_view.go
@@ -9,12 +9,12 @@
 	"thornnotch/internal/workers"
 )
 
-// refreshMachineView makes a machine's view for placement anew, and with it what the
-// machine adds to the teams' usage.
+// refreshMachineView rebuilds a machine's view for placement and updates the machine's share
+// of the teams' usage.
 func (l *Leader) refreshMachineView(machine *machineState, now time.Time) {
 	machine.stale, machine.viewAt = false, now
 	l.counts.Views++
-	machineType, _ := l.deps.Catalog().Type(machine.agent.MachineType) // of an unknown type nothing is free
+	machineType, _ := l.deps.Catalog().Type(machine.agent.MachineType) // an unknown type has no resources
 	view := l.placementMachine(machine)
 	view.AttemptCapacity = int(l.deps.Settings.Params.State.ValueKB*1024)/constants.AttemptBytes - len(machine.agent.Attempts)
 	view.Total = placement.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}
@@ -30,7 +30,7 @@
 		if !attempt.Live() {
 			continue
 		}
-		task := l.showAttempt(view, attempt, now)
+		task := l.runningTask(view, attempt, now)
 		uses = append(uses, teamUse{l.jobs.teamOf(attempt), task.Resources})
 		view.RunningTasks = append(view.RunningTasks, task)
 	}
@@ -42,9 +42,9 @@
 	machine.view = view
 }
 
-// showAttempt is an attempt as placement sees it. If it still fetches its image, the view
-// shows how long that takes.
-func (l *Leader) showAttempt(view *placement.Machine, attempt *workers.Attempt, now time.Time) placement.RunningTask {
+// runningTask returns an attempt as the placement package represents it. If the attempt
+// still fetches its image, the expected wait is added to the view.
+func (l *Leader) runningTask(view *placement.Machine, attempt *workers.Attempt, now time.Time) placement.RunningTask {
 	task := placement.RunningTask{
 		Index: attempt.ID.Task.Index, Attempt: attempt.ID.Number,
 		Resources: l.jobs.resourcesOf(attempt), Stopping: attempt.StopRequested,
@@ -56,14 +56,14 @@
 	task.Job = &job.view
 	task.Remaining, task.StopCost = estimateStopCost(job.spec, attempt, now)
 	if attempt.Status == "" || attempt.Status == workers.StatusFetching {
-		showFetch(view, job.spec, now.Sub(attempt.PlacedAt))
+		addActiveFetch(view, job.spec, now.Sub(attempt.PlacedAt))
 	}
 	return task
 }
 
-// showFetch has the view show an image that a machine has fetched for so long. Fetches
-// share its bandwidth.
-func showFetch(view *placement.Machine, spec *jobs.Spec, elapsed time.Duration) {
+// addActiveFetch adds an image to the view that the machine has been fetching for elapsed,
+// with the expected wait. Concurrent fetches share the machine's bandwidth.
+func addActiveFetch(view *placement.Machine, spec *jobs.Spec, elapsed time.Duration) {
 	if _, shown := view.ImageWait[spec.Image]; shown || view.FetchGBPerS <= 0 {
 		return
 	}
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -7,40 +7,42 @@
 	"thornnotch/internal/constants"
 )
 
-// scalingState is what the leader knows of renting machines and giving them back.
+// scalingState is the leader's state for scaling: renting machines from the cloud and
+// returning them.
 type scalingState struct {
-	calls      cloudCallState
-	list       instanceList
-	booting    bootingMachines
-	terminated terminatedMachines
-	refused    poolRefusals
-	zones      unreachableZones
-	// demand remembers what was wanted lately, so that a short lull gives nothing back.
+	calls       cloudCallState
+	list        instanceList
+	booting     bootingMachines
+	terminated  terminatedMachines
+	unavailable unavailablePools
+	zones       unreachableZones
+	// demand holds the peak of recent demand, so that a short lull returns no machines.
 	demand *autoscaling.DemandWindow
-	// recentArrivals are the jobs that came lately.
+	// recentArrivals holds the jobs that arrived recently.
 	recentArrivals recentArrivals
-	// rentRequests counts the requests to rent, for their IDs.
+	// rentRequests counts the rent requests; it is part of their IDs.
 	rentRequests uint64
 	reviewedAt   time.Time
 }
 
 func newScalingState() scalingState {
 	return scalingState{
-		booting:    make(bootingMachines),
-		terminated: make(terminatedMachines),
-		refused:    make(poolRefusals),
-		zones:      make(unreachableZones),
-		demand:     autoscaling.NewDemandWindow(constants.DemandWindow),
+		booting:     make(bootingMachines),
+		terminated:  make(terminatedMachines),
+		unavailable: make(unavailablePools),
+		zones:       make(unreachableZones),
+		demand:      autoscaling.NewDemandWindow(constants.DemandWindow),
 	}
 }
 
-// forget drops what is too old to count.
+// forget removes expired entries.
 func (s *scalingState) forget(now time.Time) {
 	s.terminated.forget(now)
 	s.recentArrivals.forget(now)
 }
 
-// reviewDue tells whether the fleet should be looked over again, and notes that it is.
+// reviewDue reports whether the next review of the fleet is due. If so, it records that the
+// review takes place now.
 func (s *scalingState) reviewDue(now time.Time) bool {
 	if now.Sub(s.reviewedAt) < constants.FleetReviewInterval {
 		return false
@@ -49,11 +51,11 @@
 	return true
 }
 
-// scale decides which machines go and which are rented, and deals with the cloud.
+// scale decides which machines to return and to rent, and makes the next call to the cloud.
 func (l *Leader) scale(now time.Time) {
 	for machine := range l.fleet.all() {
 		if len(machine.agent.Attempts) > 0 {
-			machine.lifecycle.noteBusy(now)
+			machine.lifecycle.markBusy(now)
 		}
 	}
 	l.scaling.forget(now)
@@ -64,7 +66,7 @@
 		l.releaseSurplus(now)
 	}
 	if !l.term.verified() {
-		l.verifyTerm() // calls to the cloud can't be conditioned on the term
+		l.verifyTerm() // the cloud can't check the term of its caller
 		return
 	}
 	if l.scaling.calls.mayCall(now) {
@@ -72,33 +74,34 @@
 	}
 }
 
-// callCloud makes the next call to the cloud, if any is due: one at a time.
+// callCloud makes at most one call to the cloud: a return, a list page or a rent request.
 func (l *Leader) callCloud(now time.Time) {
 	if names := l.machinesToReturn(now); len(names) > 0 {
 		l.returnMachines(names)
 		return
 	}
-	// The list of a large fleet has many pages: renting goes on between two.
+	// The list of a large fleet has many pages. Alternate between pages and rent requests,
+	// so that renting need not wait for the last page.
 	listDue := l.scaling.list.due(l.listInterval(), now)
-	if listDue && !l.scaling.list.calledLast {
-		l.listPage()
+	if listDue && !l.scaling.list.lastCallWasPage {
+		l.requestInstancePage()
 		return
 	}
-	if request, ok := l.nextRental(now); ok {
+	if request, ok := l.nextRentRequest(now); ok {
 		l.rent(request)
 		return
 	}
 	if listDue {
-		l.listPage()
+		l.requestInstancePage()
 	}
 }
 
-// machineRegistered is called when a machine reports for the first time in this term.
+// machineRegistered handles a machine's first report in this term.
 func (l *Leader) machineRegistered(machine *machineState, now time.Time) {
 	agent := machine.agent
 	if booting, ok := l.scaling.booting[agent.Name]; ok {
-		l.deps.Log.Info("machine up", "machine", agent.Name, "zone", agent.Zone, "spot", agent.Spot, "after_s", now.Sub(booting.rentedAt).Round(time.Second).Seconds())
+		l.deps.Log.Info("machine registered", "machine", agent.Name, "zone", agent.Zone, "spot", agent.Spot, "after_s", now.Sub(booting.rentedAt).Round(time.Second).Seconds())
 		delete(l.scaling.booting, agent.Name)
 	}
-	machine.lifecycle.noteBusy(now)
+	machine.lifecycle.markBusy(now)
 }
--- a/internal/leader/scaling_booting.go
+++ b/internal/leader/scaling_booting.go
@@ -8,18 +8,19 @@
 	"thornnotch/internal/constants"
 )
 
-// bootingMachine is a machine that is rented and has not reported in this term.
+// bootingMachine is a rented machine that has not reported in this term.
 type bootingMachine struct {
 	pool     autoscaling.InstancePool
 	rentedAt time.Time
-	learntAt time.Time // when this term learnt of it
+	learntAt time.Time // when this term's leader first saw it
 }
 
-// bootingMachines are all of them, by name.
+// bootingMachines holds the booting machines by name.
 type bootingMachines map[string]bootingMachine
 
-// listed takes in a machine of the cloud's list that has not reported.
-func (b bootingMachines) listed(instance autoscaling.Instance, now time.Time) {
+// addListed adds an instance from the cloud's list whose machine has not reported, unless it
+// is already known.
+func (b bootingMachines) addListed(instance autoscaling.Instance, now time.Time) {
 	if _, known := b[instance.Name]; known {
 		return
 	}
@@ -27,24 +28,26 @@
 	b[instance.Name] = bootingMachine{pool, now.Add(-config.Seconds(instance.AgeS)), now}
 }
 
-// overdue tells whether a machine has had its time to come up. One of an earlier term
-// that has no record was idle: its worker needs a moment to turn to this node, and so
-// does any after the leader itself has stood still.
+// overdue reports whether a machine has failed to register within its boot time. A machine
+// rented in an earlier term that has no record may be up and idle, and its worker needs up
+// to a lease to find the new leader. Workers get the same time after the leader's own loop
+// has stalled.
 func (b bootingMachine) overdue(boot, lease time.Duration, resumedAt, now time.Time) bool {
 	return now.Sub(b.rentedAt) > boot && now.Sub(b.learntAt) > lease && now.Sub(resumedAt) > lease
 }
 
-// bootTimeout is how long a machine of a type may take to come up.
+// bootTimeout returns how long a machine of the given type may take to boot and register.
 func (l *Leader) bootTimeout(machineType string) time.Duration {
 	t, _ := l.deps.Catalog().Type(machineType)
 	return config.Seconds(t.BootS * constants.BootTimeoutFactor)
 }
 
-// terminatedMachines are machines whose end the cloud has confirmed, and when it did.
-// Lists may still show them, and heartbeats of theirs be under way.
+// terminatedMachines maps the names of machines whose termination the cloud has confirmed to
+// the time of that confirmation. The cloud's list may still show them, and delayed
+// heartbeats of theirs may still arrive.
 type terminatedMachines map[string]time.Time
 
-// forget drops those that no list can show any more.
+// forget removes machines that the cloud's list can no longer show.
 func (t terminatedMachines) forget(now time.Time) {
 	for name, at := range t {
 		if now.Sub(at) > constants.TerminatedRetention {
@@ -53,7 +56,7 @@
 	}
 }
 
-// isTerminated tells whether the cloud has confirmed the end of a machine of this name.
+// isTerminated reports whether the cloud has confirmed the termination of the machine.
 func (s *scalingState) isTerminated(name string) bool {
 	_, terminated := s.terminated[name]
 	return terminated
--- a/internal/leader/scaling_calls.go
+++ b/internal/leader/scaling_calls.go
@@ -6,30 +6,31 @@
 	"thornnotch/internal/constants"
 )
 
-// cloudCallState keeps calls to the cloud to one at a time. While the cloud does not
-// answer, calls go out ever more seldom.
+// cloudCallState limits calls to the cloud to one at a time, with exponential backoff while
+// the cloud is unavailable.
 type cloudCallState struct {
 	inFlight bool
-	// backoff is the pause after a call that the cloud did not carry out, zero
-	// while it answers; retryAt is when the next call may go out.
+	// backoff is the mean pause after the last failed call, or zero if the last call
+	// succeeded; retryAt is when the next call may be made.
 	backoff time.Duration
 	retryAt time.Time
 }
 
-// mayCall tells whether a call may go out.
+// mayCall reports whether a call may be made now.
 func (c *cloudCallState) mayCall(now time.Time) bool { return !c.inFlight && !now.Before(c.retryAt) }
 
-// begin notes that a call goes out.
+// begin records that a call has been made.
 func (c *cloudCallState) begin() { c.inFlight = true }
 
-// answered notes that the call was carried out. It reports whether that ends an outage.
+// answered records that the cloud answered the call. It reports whether this ends an outage.
 func (c *cloudCallState) answered() (recovered bool) {
 	recovered = c.backoff > 0
 	c.inFlight, c.backoff = false, 0
 	return recovered
 }
 
-// failed notes that the call was not carried out. It reports whether an outage begins.
+// failed records that the call failed and schedules the next one. It reports whether an
+// outage begins.
 func (c *cloudCallState) failed(now time.Time) (outage bool) {
 	outage = c.backoff == 0
 	c.inFlight = false
@@ -38,17 +39,17 @@
 	return outage
 }
 
-// cloudFailed takes in how a call to the cloud went. The log tells only when an outage
-// begins and ends.
-func (l *Leader) cloudFailed(call string, err error, now time.Time) bool {
+// cloudCallFailed records the outcome of a call to the cloud and reports whether it failed.
+// It logs only the beginning and the end of an outage.
+func (l *Leader) cloudCallFailed(call string, err error, now time.Time) bool {
 	if err == nil {
 		if l.scaling.calls.answered() {
-			l.deps.Log.Info("the cloud answers again")
+			l.deps.Log.Info("cloud API available again")
 		}
 		return false
 	}
 	if l.scaling.calls.failed(now) {
-		l.deps.Log.Warn("the cloud does not answer", "call", call, "error", err)
+		l.deps.Log.Warn("cloud API unavailable", "call", call, "error", err)
 	}
 	return true
 }
--- a/internal/leader/scaling_list.go
+++ b/internal/leader/scaling_list.go
@@ -9,66 +9,70 @@
 	"thornnotch/internal/constants"
 )
 
-// instanceList is how far the cloud's list of instances has been read.
+// instanceList tracks the reading of the cloud's paged list of instances.
 type instanceList struct {
-	completedAt time.Time // when the last page came in
-	nextPage    string    // where the next page begins while a list is being read
-	// calledLast is set if the last call to the cloud, returns aside, was for a page.
-	calledLast bool
+	completedAt time.Time // when the last page of the last complete list was read
+	nextPage    string    // start of the next page; empty if no list is being read
+	// lastCallWasPage is set if the last call to the cloud was for a list page. Calls that
+	// return machines don't count.
+	lastCallWasPage bool
 }
 
-// due tells whether a page is to be read: the next one, or the first of a new list.
+// due reports whether a page is to be read: the next page of a list that is being read, or
+// the first page of a new list.
 func (i *instanceList) due(interval time.Duration, now time.Time) bool {
 	return i.nextPage != "" || now.Sub(i.completedAt) > interval
 }
 
-// pageRead takes in where the next page begins; the last page has none.
-func (i *instanceList) pageRead(next string, now time.Time) {
+// recordPage records that a page was read, and the start of the next one, which is empty
+// after the last page.
+func (i *instanceList) recordPage(next string, now time.Time) {
 	i.nextPage = next
 	if next == "" {
 		i.completedAt = now
 	}
 }
 
-// listInterval is the pause between two lists. The list lags, so it need not be read
-// more often than it changes.
+// listInterval returns the pause between two complete reads of the list. It is at least the
+// lag of the list, as reading it more often brings nothing new.
 func (l *Leader) listInterval() time.Duration {
 	return max(config.Seconds(l.deps.Settings.Params.Cloud.ListLagS), constants.MinListInterval)
 }
 
-// listPage reads the next page of the cloud's list.
-func (l *Leader) listPage() {
+// requestInstancePage queues a call that reads the next page of the cloud's list.
+func (l *Leader) requestInstancePage() {
 	scaling := &l.scaling
 	scaling.calls.begin()
-	scaling.list.calledLast = true
+	scaling.list.lastCallWasPage = true
 	from := scaling.list.nextPage
 	l.calls.queue(func(ctx context.Context) func() {
 		instances, next, err := l.deps.Cloud.List(ctx, from)
 		return func() {
 			now := time.Now()
-			if l.cloudFailed("list", err, now) {
+			if l.cloudCallFailed("list", err, now) {
 				return
 			}
-			scaling.list.pageRead(next, now)
-			l.machinesListed(instances, now)
+			scaling.list.recordPage(next, now)
+			l.applyInstancePage(instances, now)
 		}
 	})
 }
 
-// machinesListed takes in a page of the cloud's list. It lags and may go backwards: what
-// is absent from it proves nothing.
-func (l *Leader) machinesListed(instances []autoscaling.Instance, now time.Time) {
+// applyInstancePage applies a page of the cloud's list. The list lags and may return to an
+// older state, so the absence of a machine proves nothing.
+func (l *Leader) applyInstancePage(instances []autoscaling.Instance, now time.Time) {
 	for _, instance := range instances {
 		if !l.scaling.isTerminated(instance.Name) {
-			l.machineListed(instance, now)
+			l.applyInstance(instance, now)
 		}
 	}
 }
 
-// instanceFailed is the status of an instance that will not come up any more.
+// instanceFailed is the status of an instance that will never be usable.
 const instanceFailed = "failed"
 
-func (l *Leader) machineListed(instance autoscaling.Instance, now time.Time) {
+// applyInstance applies one entry of the cloud's list. A failed instance is returned.
+func (l *Leader) applyInstance(instance autoscaling.Instance, now time.Time) {
 	machine := l.fleet.get(instance.Name)
 	switch {
 	case instance.Status == instanceFailed:
@@ -85,6 +89,6 @@
 			machine.agent.Endpoint = instance.Endpoint
 		}
 	default:
-		l.scaling.booting.listed(instance, now)
+		l.scaling.booting.addListed(instance, now)
 	}
 }
--- a/internal/leader/scaling_rent.go
+++ b/internal/leader/scaling_rent.go
@@ -10,44 +10,45 @@
 	"thornnotch/internal/constants"
 )
 
-// poolRefusals are the pools of which the cloud had no machines, and until when it is
-// not asked again.
-type poolRefusals map[autoscaling.InstancePool]time.Time
+// unavailablePools maps the pools that recently had no capacity to the time until which no
+// machines are requested from them.
+type unavailablePools map[autoscaling.InstancePool]time.Time
 
-func (p poolRefusals) refuse(pool autoscaling.InstancePool, now time.Time) {
+// markUnavailable excludes a pool from rent requests for NoCapacityPause.
+func (p unavailablePools) markUnavailable(pool autoscaling.InstancePool, now time.Time) {
 	p[pool] = now.Add(constants.NoCapacityPause)
 }
 
-// nextRental names the next machines to rent, if any.
-func (l *Leader) nextRental(now time.Time) (autoscaling.RentRequest, bool) {
+// nextRentRequest returns the next rent request, if more machines are needed.
+func (l *Leader) nextRentRequest(now time.Time) (autoscaling.RentRequest, bool) {
 	if l.deps.Catalog() == nil || !l.failover.recordsLoaded() {
 		return autoscaling.RentRequest{}, false
 	}
 	return autoscaling.ScaleOut(l.scalingSnapshot(now), l.deps.Operator.Scaling.Spare)
 }
 
-// rent asks the cloud for machines.
+// rent queues a rent request to the cloud.
 func (l *Leader) rent(request autoscaling.RentRequest) {
 	scaling := &l.scaling
 	scaling.calls.begin()
-	scaling.list.calledLast = false
+	scaling.list.lastCallWasPage = false
 	scaling.rentRequests++
 	request.ID = fmt.Sprintf("r-%d-%d", l.term.number(), scaling.rentRequests)
 	l.calls.queue(func(ctx context.Context) func() {
 		names, err := l.deps.Cloud.Rent(ctx, request)
-		return func() { l.rented(request, names, err, time.Now()) }
+		return func() { l.applyRentResult(request, names, err, time.Now()) }
 	})
 }
 
-// rented takes in the cloud's answer to a request.
-func (l *Leader) rented(request autoscaling.RentRequest, names []string, err error, now time.Time) {
+// applyRentResult applies the cloud's response to a rent request.
+func (l *Leader) applyRentResult(request autoscaling.RentRequest, names []string, err error, now time.Time) {
 	pool := autoscaling.InstancePool{Type: request.MachineType, Zone: request.Zone, Spot: request.Spot}
 	if errors.Is(err, autoscaling.ErrNoCapacity) {
-		l.cloudFailed("rent", nil, now) // it has answered
-		l.scaling.refused.refuse(pool, now)
+		l.cloudCallFailed("rent", nil, now) // the cloud has answered, so this is no outage
+		l.scaling.unavailable.markUnavailable(pool, now)
 		return
 	}
-	if l.cloudFailed("rent", err, now) {
+	if l.cloudCallFailed("rent", err, now) {
 		return
 	}
 	l.deps.Log.Info("machines rented", "type", pool.Type, "zone", pool.Zone, "spot", pool.Spot, "requested", request.Count, "rented", len(names))
@@ -57,6 +58,6 @@
 		}
 	}
 	if len(names) < request.Count {
-		l.scaling.refused.refuse(pool, now)
+		l.scaling.unavailable.markUnavailable(pool, now)
 	}
 }
--- a/internal/leader/scaling_return.go
+++ b/internal/leader/scaling_return.go
@@ -8,19 +8,20 @@
 	"thornnotch/internal/constants"
 )
 
-// retireMachines marks machines that must be returned as leaving.
+// retireMachines marks machines as leaving that have been silent for too long, and faulty
+// ones without attempts.
 func (l *Leader) retireMachines(now time.Time) {
 	unreachable := l.unreachableZones(now)
 	for machine := range l.fleet.all() {
 		if machine.lifecycle.isLeaving() {
 			continue
 		}
-		patience := constants.SilentReturnAfter
+		returnAfter := constants.SilentReturnAfter
 		if unreachable[machine.agent.Zone] {
-			patience = constants.UnreachableReturnAfter
+			returnAfter = constants.UnreachableReturnAfter
 		}
 		switch {
-		case l.silentFor(machine, now) > l.lease+patience:
+		case l.silentFor(machine, now) > l.lease+returnAfter:
 			l.beginLeaving(machine, "silent", now)
 		case machine.health.Faulty() && len(machine.agent.Attempts) == 0:
 			l.beginLeaving(machine, "faulty", now)
@@ -28,28 +29,29 @@
 	}
 }
 
-// beginLeaving starts the return of a machine: first its record says so, then the
-// cloud is told.
+// beginLeaving starts the return of a machine. The cloud is called only once the machine's
+// record contains the leaving mark.
 func (l *Leader) beginLeaving(machine *machineState, reason string, now time.Time) {
-	l.deps.Log.Info("machine to be returned", "machine", machine.agent.Name, "zone", machine.agent.Zone, "reason", reason)
+	l.deps.Log.Info("returning machine", "machine", machine.agent.Name, "zone", machine.agent.Zone, "reason", reason)
 	machine.lifecycle.beginLeaving()
 	l.reservations.RemoveMachine(machine.agent.Name)
-	l.logMetadata(machine, machine.lifecycle.leavingStands)
+	l.logMetadata(machine, machine.lifecycle.markLeavingRecorded)
 	machine.markStale()
 	l.drain(machine, now)
 	l.passes.request()
 }
 
-// machinesToReturn names the machines to give back now, as many as one call may name.
+// machinesToReturn returns the names of the machines to return now, at most as many as fit
+// in one call.
 func (l *Leader) machinesToReturn(now time.Time) (names []string) {
 	for machine := range l.fleet.all() {
-		if machine.lifecycle.mayBeReturned() && !l.mayStillSave(machine, now) {
+		if machine.lifecycle.readyToReturn() && !l.isDraining(machine, now) {
 			names = append(names, machine.agent.Name)
 		}
 	}
 	for name, booting := range l.scaling.booting {
 		if l.fleet.get(name) == nil && booting.overdue(l.bootTimeout(booting.pool.Type), l.lease, l.term.resumedAt(), now) {
-			l.deps.Log.Info("machine never came up", "machine", name, "zone", booting.pool.Zone)
+			l.deps.Log.Info("machine boot timed out", "machine", name, "zone", booting.pool.Zone)
 			names = append(names, name)
 		}
 	}
@@ -57,12 +59,13 @@
 	return names[:min(len(names), constants.ReturnBatch)]
 }
 
-// mayStillSave tells whether tasks on a machine that leaves must get the time to save.
-func (l *Leader) mayStillSave(machine *machineState, now time.Time) bool {
+// isDraining reports whether a machine to be returned may still run tasks, which must get
+// time to save their state.
+func (l *Leader) isDraining(machine *machineState, now time.Time) bool {
 	return machine.agent.Registered && !l.isSilentBeyondLease(machine, now) && machine.inUse()
 }
 
-// inUse tells whether attempts may be running on the machine.
+// inUse reports whether the machine has live attempts.
 func (m *machineState) inUse() bool {
 	for _, attempt := range m.agent.Attempts {
 		if attempt.Live() {
@@ -72,14 +75,14 @@
 	return false
 }
 
-// returnMachines gives machines back to the cloud.
+// returnMachines queues a call that returns machines to the cloud.
 func (l *Leader) returnMachines(names []string) {
 	l.scaling.calls.begin()
 	l.calls.queue(func(ctx context.Context) func() {
 		err := l.deps.Cloud.Return(ctx, names)
 		return func() {
 			now := time.Now()
-			if l.cloudFailed("return", err, now) {
+			if l.cloudCallFailed("return", err, now) {
 				return
 			}
 			for _, name := range names {
@@ -90,7 +93,7 @@
 	})
 }
 
-// machineTerminated takes in that the cloud has confirmed a machine's end.
+// machineTerminated handles the cloud's confirmation that a machine was terminated.
 func (l *Leader) machineTerminated(name string, now time.Time) {
 	delete(l.scaling.booting, name)
 	l.scaling.terminated[name] = now
@@ -98,7 +101,7 @@
 	if machine == nil {
 		return
 	}
-	// The cloud's word is the strongest proof: all is gone.
+	// The cloud's confirmation proves that nothing runs on the machine any more.
 	l.applyEvents(machine, machine.agent.MarkTerminated(), now)
 	l.removeMachine(machine)
 	l.wal.MachineRemoved(name)
--- a/internal/leader/scaling_snapshot.go
+++ b/internal/leader/scaling_snapshot.go
@@ -9,14 +9,14 @@
 	"thornnotch/internal/placement"
 )
 
-// scalingSnapshot shows the present state to the decisions of renting and returning.
+// scalingSnapshot returns the current state as input to the autoscaling decisions.
 func (l *Leader) scalingSnapshot(now time.Time) autoscaling.Snapshot {
 	catalog := l.deps.Catalog()
 	snapshot := autoscaling.Snapshot{
-		Catalog:  catalog,
-		Machines: l.machinesByPool(now),
-		Refused:  l.refusedPools(catalog, now),
-		Window:   constants.ArrivalRateWindow,
+		Catalog:     catalog,
+		Machines:    l.machinesByPool(now),
+		Unavailable: l.unavailablePools(catalog, now),
+		Window:      constants.ArrivalRateWindow,
 	}
 	for job := range l.jobs.all() {
 		if left := job.progress.remaining(); left > 0 && !job.upstreams.blocked() {
@@ -33,8 +33,9 @@
 	return snapshot
 }
 
-// machinesByPool counts the machines that can be counted on, and those that boot. A
-// silent machine is not counted on: it is replaced before it is given up.
+// machinesByPool counts the usable and the booting machines of each pool. A machine that has
+// been silent for longer than its lease is not counted: its replacement is rented before the
+// machine itself is returned.
 func (l *Leader) machinesByPool(now time.Time) map[autoscaling.InstancePool]int {
 	count := make(map[autoscaling.InstancePool]int)
 	for machine := range l.fleet.all() {
@@ -48,28 +49,28 @@
 	return count
 }
 
-// refusedPools are the pools that nothing can be had of, or where it could not be
-// reached.
-func (l *Leader) refusedPools(catalog *autoscaling.Catalog, now time.Time) map[autoscaling.InstancePool]bool {
-	refused := make(map[autoscaling.InstancePool]bool)
+// unavailablePools returns the pools that recently had no capacity and all pools of
+// unreachable zones, where a rented machine could not be reached.
+func (l *Leader) unavailablePools(catalog *autoscaling.Catalog, now time.Time) map[autoscaling.InstancePool]bool {
+	unavailable := make(map[autoscaling.InstancePool]bool)
 	for zone, unreachable := range l.unreachableZones(now) {
 		if !unreachable {
 			continue
 		}
 		for _, machineType := range catalog.MachineTypes {
-			refused[autoscaling.InstancePool{Type: machineType.Name, Zone: zone}] = true
-			refused[autoscaling.InstancePool{Type: machineType.Name, Zone: zone, Spot: true}] = true
+			unavailable[autoscaling.InstancePool{Type: machineType.Name, Zone: zone}] = true
+			unavailable[autoscaling.InstancePool{Type: machineType.Name, Zone: zone, Spot: true}] = true
 		}
 	}
-	for pool, until := range l.scaling.refused {
+	for pool, until := range l.scaling.unavailable {
 		if now.Before(until) {
-			refused[pool] = true
+			unavailable[pool] = true
 		}
 	}
-	return refused
+	return unavailable
 }
 
-// demandOf is what so many tasks of a job ask of the market.
+// demandOf returns the demand of the given number of a job's tasks.
 func demandOf(job *jobState, tasks int) autoscaling.Demand {
 	return autoscaling.Demand{
 		Team: job.spec.Team, Tasks: tasks, TaskResources: placement.TaskResources(job.spec),
--- a/internal/leader/scaling_state_test.go
+++ b/internal/leader/scaling_state_test.go
@@ -8,69 +8,69 @@
 	"thornnotch/internal/constants"
 )
 
-// TestCloudCallsGoOutOneAtATime: no second call while one is under way, a pause after
-// one that failed, and the pause doubles up to its bound until the cloud answers.
-func TestCloudCallsGoOutOneAtATime(t *testing.T) {
+// TestCloudCallBackoff checks that only one call is made at a time, that a failed call is
+// followed by a pause, and that the pause doubles up to its limit until the cloud answers.
+func TestCloudCallBackoff(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var calls cloudCallState
 	if !calls.mayCall(now) {
-		t.Fatal("the first call may not go out")
+		t.Fatal("the first call is not allowed")
 	}
 	calls.begin()
 	if calls.mayCall(now) {
-		t.Error("a second call may go out while one is under way")
+		t.Error("a second call is allowed while one is in flight")
 	}
 	want := constants.MinCloudBackoff
 	for i := range 10 {
 		if outage := calls.failed(now); outage != (i == 0) {
-			t.Errorf("failure %d: an outage begins: %v", i+1, outage)
+			t.Errorf("failure %d: reported as the beginning of an outage: %v", i+1, outage)
 		}
-		// jitter spreads the pause between a half and one and a half of it.
+		// Jitter varies the pause from 50% to 150% of the backoff.
 		if calls.backoff != want || calls.mayCall(now.Add(want/2-1)) || !calls.mayCall(now.Add(want+want/2)) {
 			t.Errorf("failure %d: backoff %v, want %v, next call in %v", i+1, calls.backoff, want, calls.retryAt.Sub(now))
 		}
 		want = min(2*want, constants.MaxCloudBackoff)
 	}
 	if !calls.answered() || calls.answered() {
-		t.Error("the first answer does not end the outage, or a later one does")
+		t.Error("the end of the outage was not reported exactly once")
 	}
 }
 
-// TestInstanceListIsReadPageByPage: a list that is being read is gone on with at once, a
-// complete one is read again after the interval.
-func TestInstanceListIsReadPageByPage(t *testing.T) {
+// TestInstanceListPaging checks that the next page of a list is due at once, and that a
+// complete list is read again only after the interval.
+func TestInstanceListPaging(t *testing.T) {
 	now := time.Unix(1000, 0)
 	const interval = 5 * time.Second
 	var list instanceList
 	if !list.due(interval, now) {
-		t.Error("the first list is not read")
+		t.Error("the first list is not due")
 	}
-	list.pageRead("m-500", now)
+	list.recordPage("m-500", now)
 	if !list.due(interval, now) || list.nextPage != "m-500" || !list.completedAt.IsZero() {
 		t.Errorf("after the first page: %+v", list)
 	}
-	list.pageRead("", now)
+	list.recordPage("", now)
 	if list.due(interval, now.Add(interval)) || !list.due(interval, now.Add(interval+1)) {
 		t.Errorf("after the last page: %+v", list)
 	}
 }
 
-// TestBootingMachineIsOverdue: only when its time to boot is over, and when this term has
-// known of it, and has run without a stall, for a lease.
-func TestBootingMachineIsOverdue(t *testing.T) {
+// TestBootingMachineOverdue checks that a machine is overdue only after its boot timeout, and
+// only if the leader has known of it, and run without a stall, for longer than a lease.
+func TestBootingMachineOverdue(t *testing.T) {
 	const boot, lease = 75 * time.Second, 12 * time.Second
 	now := time.Unix(1000, 0)
-	long := now.Add(-time.Hour)
+	longAgo := now.Add(-time.Hour)
 	tests := []struct {
 		name                        string
 		rentedAt, learntAt, resumed time.Time
 		want                        bool
 	}{
-		{"rented just now", now, now, long, false},
-		{"its time is not quite over", now.Add(-boot), long, long, false},
-		{"its time is over", now.Add(-boot - 1), long, long, true},
-		{"this term has just learnt of it", long, now.Add(-lease), long, false},
-		{"the leader has just stood still", long, long, now.Add(-lease), false},
+		{"rented just now", now, now, longAgo, false},
+		{"exactly at the boot timeout", now.Add(-boot), longAgo, longAgo, false},
+		{"after the boot timeout", now.Add(-boot - 1), longAgo, longAgo, true},
+		{"known in this term for exactly a lease", longAgo, now.Add(-lease), longAgo, false},
+		{"stall of the leader ended exactly a lease ago", longAgo, longAgo, now.Add(-lease), false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -82,37 +82,38 @@
 	}
 }
 
-// TestListedMachineIsLearntOnce: a list that shows a booting machine again changes
-// nothing of when it was rented, or learnt of.
-func TestListedMachineIsLearntOnce(t *testing.T) {
+// TestListedMachineIsAddedOnce checks that a booting machine that is listed again keeps the
+// times at which it was rented and first seen.
+func TestListedMachineIsAddedOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	booting := make(bootingMachines)
 	instance := autoscaling.Instance{Name: "m-1", MachineType: "g4", Zone: "east", AgeS: 40}
-	booting.listed(instance, now)
+	booting.addListed(instance, now)
 	first := booting["m-1"]
 	if !first.rentedAt.Equal(now.Add(-40*time.Second)) || !first.learntAt.Equal(now) {
-		t.Errorf("listed: %+v", first)
+		t.Errorf("listed once: %+v", first)
 	}
 	instance.AgeS = 1
-	booting.listed(instance, now.Add(time.Second))
+	booting.addListed(instance, now.Add(time.Second))
 	if booting["m-1"] != first {
 		t.Errorf("listed again: %+v, was %+v", booting["m-1"], first)
 	}
 }
 
-// TestUnreachableZones: most of a zone's machines, and enough of them, must be silent; the
-// zone stays cut off for a while after they are not.
+// TestUnreachableZones checks that a zone is unreachable if a majority of its machines, and at
+// least UnreachableMinMachines, are silent, and that it remains so for UnreachableHold after
+// they report again.
 func TestUnreachableZones(t *testing.T) {
 	now := time.Unix(1000, 0)
-	const enough = constants.UnreachableMinMachines
+	const minSilent = constants.UnreachableMinMachines
 	tests := []struct {
 		name             string
 		machines, silent int
 		want             bool
 	}{
-		{"all, but too few", enough - 1, enough - 1, false},
-		{"half of them", 2 * enough, enough, false},
-		{"most of them", 2*enough - 1, enough, true},
+		{"all silent, but below the minimum", minSilent - 1, minSilent - 1, false},
+		{"half silent", 2 * minSilent, minSilent, false},
+		{"majority silent", 2*minSilent - 1, minSilent, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -124,44 +125,45 @@
 			}
 			later := now.Add(constants.UnreachableHold)
 			if got := zones.update(machines, nil, later.Add(-1)); got["east"] != test.want {
-				t.Errorf("unreachable as the cut heals: %v", got)
+				t.Errorf("unreachable just before the end of the hold time: %v", got)
 			}
 			if got := zones.update(machines, nil, later); got["east"] {
-				t.Errorf("unreachable for ever: %v", got)
+				t.Errorf("unreachable after the hold time: %v", got)
 			}
 		})
 	}
 }
 
-// TestTerminatedMachinesAreForgotten once no list can show them any more.
-func TestTerminatedMachinesAreForgotten(t *testing.T) {
+// TestTerminatedMachinesExpire checks that a terminated machine is forgotten only after
+// TerminatedRetention.
+func TestTerminatedMachinesExpire(t *testing.T) {
 	now := time.Unix(1000, 0)
 	scaling := newScalingState()
 	scaling.terminated["m-1"] = now
 	scaling.forget(now.Add(constants.TerminatedRetention))
 	if !scaling.isTerminated("m-1") {
-		t.Error("forgotten too soon")
+		t.Error("removed before the end of the retention time")
 	}
 	scaling.forget(now.Add(constants.TerminatedRetention + 1))
 	if scaling.isTerminated("m-1") {
-		t.Error("remembered for ever")
+		t.Error("kept after the end of the retention time")
 	}
 }
 
-// TestScaleMakesOneCallAtATime: while a call to the cloud is under way, and while the
-// cloud does not answer, no tick makes another.
+// TestScaleMakesOneCallAtATime checks that no tick makes a call to the cloud while another
+// is in flight, or during the pause after one that failed.
 func TestScaleMakesOneCallAtATime(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := testLeader(t)
 	l.scale(now)
 	l.scale(now.Add(time.Minute))
 	if n := len(l.calls.queued); n != 1 {
-		t.Fatalf("%d calls at a time", n)
+		t.Fatalf("%d calls at the same time", n)
 	}
-	l.cloudFailed("list", autoscaling.ErrRejected, now)
+	l.cloudCallFailed("list", autoscaling.ErrRejected, now)
 	l.scale(now)
 	if n := len(l.calls.queued); n != 1 {
-		t.Errorf("%d calls at once after one that failed", n-1)
+		t.Errorf("%d calls right after a failed one", n-1)
 	}
 	l.scale(now.Add(2 * constants.MaxCloudBackoff))
 	if n := len(l.calls.queued); n != 2 {
--- a/internal/leader/scaling_surplus.go
+++ b/internal/leader/scaling_surplus.go
@@ -7,8 +7,8 @@
 	"thornnotch/internal/constants"
 )
 
-// releaseSurplus returns machines that have been idle for a while and that the
-// demand of the last while would not have needed.
+// releaseSurplus starts the return of idle machines that exceed the peak of the desired
+// capacity in the recent past.
 func (l *Leader) releaseSurplus(now time.Time) {
 	snapshot := l.scalingSnapshot(now)
 	desired := make(map[string]autoscaling.DesiredCapacity)
@@ -21,7 +21,8 @@
 	}
 }
 
-// idleMachines are the machines that nothing runs on, or is kept for, for a while.
+// idleMachines returns the schedulable machines without attempts and reservations that have
+// been idle for longer than IdleReturnAfter.
 func (l *Leader) idleMachines(now time.Time) (idle []autoscaling.IdleMachine) {
 	for machine := range l.fleet.all() {
 		name := machine.agent.Name
--- a/internal/leader/scaling_test.go
+++ b/internal/leader/scaling_test.go
@@ -12,7 +12,7 @@
 	"thornnotch/internal/constants"
 )
 
-// pagedCloud lists many machines and notes the calls in their order.
+// pagedCloud is a cloud client that lists many machines and records the calls in order.
 type pagedCloud struct {
 	machines int
 	calls    []string
@@ -29,26 +29,26 @@
 	return nil
 }
 
-func (c *pagedCloud) List(_ context.Context, from string) (hosts []autoscaling.Instance, next string, err error) {
+func (c *pagedCloud) List(_ context.Context, from string) (instances []autoscaling.Instance, next string, err error) {
 	if c.failing {
 		return nil, "", autoscaling.ErrRejected
 	}
 	c.calls = append(c.calls, "page")
 	for i := range c.machines {
 		name := fmt.Sprintf("m-%06d", i)
-		if name > from && len(hosts) < constants.InstanceListPage {
-			hosts = append(hosts, autoscaling.Instance{Name: name, MachineType: "g4", Zone: "east", Status: "running"})
+		if name > from && len(instances) < constants.InstanceListPage {
+			instances = append(instances, autoscaling.Instance{Name: name, MachineType: "g4", Zone: "east", Status: "running"})
 			next = name
 		}
 	}
 	if next == fmt.Sprintf("m-%06d", c.machines-1) {
 		next = ""
 	}
-	return hosts, next, nil
+	return instances, next, nil
 }
 
-// countPages counts the pages read among calls to the cloud, and checks that no two come
-// in a row.
+// countPages returns the number of page requests among the calls, and checks that there are
+// no two in a row.
 func countPages(t *testing.T, calls []string) (pages int) {
 	t.Helper()
 	for i, call := range calls {
@@ -57,16 +57,17 @@
 		}
 		pages++
 		if i > 0 && calls[i-1] == "page" {
-			t.Errorf("two pages in a row while machines are needed: %v", calls)
+			t.Errorf("two page requests in a row while machines are needed: %v", calls)
 		}
 	}
 	return pages
 }
 
-// TestRentingGoesOnBetweenPages: the list of a large fleet takes many calls, and the
-// cloud takes few a second. A job that needs machines does not wait for the last
-// page, a call that fails does not begin the list anew, and the list comes to its end.
-func TestRentingGoesOnBetweenPages(t *testing.T) {
+// TestRentingContinuesBetweenPages guards against jobs that wait for machines while a long
+// list is read: the list of a large fleet takes many calls, and the cloud allows few per
+// second. Renting must continue between two pages, a failed call must not restart the list,
+// and the list must be read to its end.
+func TestRentingContinuesBetweenPages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := testLeader(t)
 		offline(t, l)
@@ -81,7 +82,7 @@
 			l.scale(time.Now())
 			runUntilQuiet(t, l)
 			time.Sleep(time.Second)
-			clear(l.scaling.refused)
+			clear(l.scaling.unavailable)
 			if !l.scaling.list.completedAt.IsZero() {
 				break
 			}
@@ -91,86 +92,86 @@
 			t.Errorf("%d pages read, want %d: %v", pages, want, cloud.calls)
 		}
 		if !slices.Contains(cloud.calls, "rent") || l.scaling.list.completedAt.IsZero() {
-			t.Errorf("list over at %v, calls %v", l.scaling.list.completedAt, cloud.calls)
+			t.Errorf("list completed at %v, calls %v", l.scaling.list.completedAt, cloud.calls)
 		}
 		if n := len(l.scaling.booting); n != cloud.machines {
-			t.Errorf("%d machines known of %d", n, cloud.machines)
+			t.Errorf("%d machines known, want %d", n, cloud.machines)
 		}
 	})
 }
 
-// TestDarkZoneIsWaitedFor guards against an incident: a zone was cut off for
-// 45 s, and all its machines were given up after 37.
-func TestDarkZoneIsWaitedFor(t *testing.T) {
-	t0 := time.Unix(1000, 0)
+// TestUnreachableZoneIsWaitedFor guards against a past failure: a zone was unreachable for
+// 45 s, and all its machines were returned after 37 s.
+func TestUnreachableZoneIsWaitedFor(t *testing.T) {
+	start := time.Unix(1000, 0)
 	l := testLeader(t)
 	for i := range 4 {
-		addMachine(l, fmt.Sprint("m-e", i), "east", t0)
-		addMachine(l, fmt.Sprint("m-w", i), "west", t0)
+		addMachine(l, fmt.Sprint("m-e", i), "east", start)
+		addMachine(l, fmt.Sprint("m-w", i), "west", start)
 	}
-	now := t0.Add(l.lease + constants.SilentReturnAfter + time.Second)
+	now := start.Add(l.lease + constants.SilentReturnAfter + time.Second)
 	for i := range 4 {
 		l.fleet.get(fmt.Sprint("m-w", i)).agent.LastHeartbeat = now
 	}
-	l.fleet.get("m-w0").agent.LastHeartbeat = t0 // one machine of the other zone died
+	l.fleet.get("m-w0").agent.LastHeartbeat = start // a single machine of the other zone failed
 	l.retireMachines(now)
 	for name, machine := range l.fleet.byName {
 		if want := name == "m-w0"; machine.lifecycle.leaving != want {
 			t.Errorf("%s: leaving %v, want %v", name, machine.lifecycle.leaving, want)
 		}
 	}
-	v := l.scalingSnapshot(now)
-	if !v.Refused[autoscaling.InstancePool{Type: "g4", Zone: "east"}] || v.Refused[autoscaling.InstancePool{Type: "g4", Zone: "west"}] {
-		t.Errorf("renting in a zone that can't be reached: %v", v.Refused)
+	snapshot := l.scalingSnapshot(now)
+	if !snapshot.Unavailable[autoscaling.InstancePool{Type: "g4", Zone: "east"}] || snapshot.Unavailable[autoscaling.InstancePool{Type: "g4", Zone: "west"}] {
+		t.Errorf("unavailable pools: %v, want those of the unreachable zone", snapshot.Unavailable)
 	}
-	if n := v.Machines[autoscaling.InstancePool{Type: "g4", Zone: "east"}]; n != 0 {
-		t.Errorf("%d silent machines are counted on", n)
+	if n := snapshot.Machines[autoscaling.InstancePool{Type: "g4", Zone: "east"}]; n != 0 {
+		t.Errorf("%d silent machines are counted as usable", n)
 	}
-	// The cut heals: three of the four are back a few seconds before the last.
-	back := now.Add(20 * time.Second)
+	// The network cut ends: three of the four machines report before the last one does.
+	healed := now.Add(20 * time.Second)
 	for i := range 3 {
-		l.fleet.get(fmt.Sprint("m-e", i)).agent.LastHeartbeat = back
+		l.fleet.get(fmt.Sprint("m-e", i)).agent.LastHeartbeat = healed
 	}
-	l.retireMachines(back.Add(time.Second))
+	l.retireMachines(healed.Add(time.Second))
 	if l.fleet.get("m-e3").lifecycle.leaving {
-		t.Errorf("the last one is given up as the cut heals")
+		t.Errorf("the last machine is returned as soon as the others report again")
 	}
-	l.retireMachines(back.Add(constants.UnreachableHold + l.lease + constants.SilentReturnAfter))
+	l.retireMachines(healed.Add(constants.UnreachableHold + l.lease + constants.SilentReturnAfter))
 	if !l.fleet.get("m-e3").lifecycle.leaving {
-		t.Errorf("one that does not come back with the others is never given up")
+		t.Errorf("a machine that stays silent after the others report again is never returned")
 	}
 	for i := range 4 {
 		machine := l.fleet.get(fmt.Sprint("m-e", i))
-		machine.agent.LastHeartbeat, machine.lifecycle.leaving = t0, false
+		machine.agent.LastHeartbeat, machine.lifecycle.leaving = start, false
 	}
-	l.retireMachines(t0.Add(l.lease + constants.UnreachableReturnAfter + time.Second))
+	l.retireMachines(start.Add(l.lease + constants.UnreachableReturnAfter + time.Second))
 	if !l.fleet.get("m-e0").lifecycle.leaving {
-		t.Errorf("a zone that stays dark is never given up")
+		t.Errorf("the machines of a zone that stays unreachable are never returned")
 	}
 }
 
-// TestIdleMachinesOutliveATakeover guards against an incident: a new leader knew
-// idle machines from the cloud's list alone, took their age for the time that
-// they had failed to come up, and returned 19 of them at once.
-func TestIdleMachinesOutliveATakeover(t *testing.T) {
+// TestIdleMachinesSurviveLeaderChange guards against a past failure: a new leader knew idle
+// machines only from the cloud's list, took their age for the time that they had been
+// booting, and returned 19 of them at once.
+func TestIdleMachinesSurviveLeaderChange(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	l.machinesListed([]autoscaling.Instance{
+	l.applyInstancePage([]autoscaling.Instance{
 		{Name: "m-1", MachineType: "g4", Zone: "east", Status: "running", AgeS: 400},
 		{Name: "m-2", MachineType: "g4", Zone: "east", Status: "starting", AgeS: 400},
 	}, now)
 	if names := l.machinesToReturn(now.Add(2 * time.Second)); len(names) != 0 {
-		t.Errorf("returned before they could report: %v", names)
+		t.Errorf("returned before they had time to report: %v", names)
 	}
 	addMachine(l, "m-1", "east", now.Add(3*time.Second))
 	if names := l.machinesToReturn(now.Add(l.lease + 5*time.Second)); len(names) != 1 || names[0] != "m-2" {
-		t.Errorf("returned: %v, want the one that never came up", names)
+		t.Errorf("returned: %v, want only the machine that never registered", names)
 	}
 }
 
-// TestCloudOutageIsQuiet guards against an incident: during an outage of the
-// cloud the leader asked twice a second and logged every refusal.
-func TestCloudOutageIsQuiet(t *testing.T) {
+// TestCloudOutageBackoff guards against a past failure: during an outage of the cloud the
+// leader made two calls per second and logged every failure.
+func TestCloudOutageBackoff(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := testLeader(t)
 	calls := 0
@@ -179,12 +180,12 @@
 			continue
 		}
 		calls++
-		l.cloudFailed("rent", autoscaling.ErrRejected, at)
+		l.cloudCallFailed("rent", autoscaling.ErrRejected, at)
 	}
 	if calls > 20 {
-		t.Errorf("%d calls in a minute of outage", calls)
+		t.Errorf("%d calls in a minute of an outage", calls)
 	}
-	if l.cloudFailed("rent", nil, now) || l.scaling.calls.backoff != 0 {
-		t.Errorf("an answer does not end the pause")
+	if l.cloudCallFailed("rent", nil, now) || l.scaling.calls.backoff != 0 {
+		t.Errorf("a successful call does not reset the backoff")
 	}
 }
