--- a/internal/leader/attestations.go
+++ b/internal/leader/attestations.go
@@ -8,35 +8,36 @@
 	"thornnotch/internal/constants"
 )
 
-// AttestFunc asks all nodes which cancellations they have told users of within a time; ok is
-// false unless each of them can say.
+// AttestFunc asks every node for the jobs it has reported to users as cancelled within the
+// past span. It reports false unless every node gave a complete answer.
 type AttestFunc func(ctx context.Context, span time.Duration) (cancelled []string, ok bool)
 
-// collectAttestations asks the nodes for as long as the watch is not answered.
+// collectAttestations requests attestations from all nodes while the watch on the open jobs is
+// unanswered.
 func (l *Leader) collectAttestations(ctx context.Context) error {
-	tick := time.NewTicker(constants.AttestationInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(constants.AttestationInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		watchedUntil, ok := ask(ctx, l, func(reply chan<- time.Time) event { return watchedUntilRequested{reply} })
-		asked := time.Now()
-		if !ok || asked.Sub(watchedUntil) < constants.AttestationAfter {
+		watchedUntil, ok := queryLoop(ctx, l, func(reply chan<- time.Time) event { return watchedUntilRequested{reply} })
+		askedAt := time.Now()
+		if !ok || askedAt.Sub(watchedUntil) < constants.AttestationAfter {
 			continue
 		}
-		if cancelled, ok := l.deps.Attest(ctx, attestation.Window(asked, watchedUntil)); ok {
-			l.post(ctx, attested{cancelled, asked}) // refused only once the term is over
+		if cancelled, ok := l.deps.Attest(ctx, attestation.Window(askedAt, watchedUntil)); ok {
+			l.post(ctx, attestationsReceived{cancelled, askedAt}) // dropped only once the term has ended
 		}
 	}
 }
 
-// applyAttestation takes in what all nodes attest to: whatever users were told before they
-// were asked is known.
-func (l *Leader) applyAttestation(cancelled []string, asked, now time.Time) {
-	if attestation.AnsweredTooLate(asked, now) {
+// applyAttestation removes the jobs that the nodes reported as cancelled. Every cancellation
+// confirmed to a user before the request is then known.
+func (l *Leader) applyAttestation(cancelled []string, askedAt, now time.Time) {
+	if attestation.AnsweredTooLate(askedAt, now) {
 		return
 	}
 	for _, id := range cancelled {
@@ -45,7 +46,7 @@
 			l.removeJob(job, now)
 		}
 	}
-	if l.certainty.Attested(asked, now) {
-		l.deps.Log.Info("all nodes attest to their cancellations", "unwatched_s", asked.Sub(l.certainty.WatchedUntil()).Seconds())
+	if l.certainty.RecordAttestation(askedAt, now) {
+		l.deps.Log.Info("cancellations attested by all nodes", "unwatched_s", askedAt.Sub(l.certainty.WatchedUntil()).Seconds())
 	}
 }
--- a/internal/leader/backoff.go
+++ b/internal/leader/backoff.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// jitter spreads a pause, so that nodes don't act in step.
+// jitter returns a random duration between 0.5 and 1.5 times d, so that the nodes do not retry
+// simultaneously.
 func jitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
 
-// pause waits for about d.
+// pause sleeps for a jittered d, or until ctx is done.
 func pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(jitter(d))
 	defer t.Stop()
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -12,10 +12,10 @@
 	"thornnotch/internal/workers"
 )
 
-// fleetSizes are the numbers of machines at which growth is recorded.
+// fleetSizes are the numbers of machines that the benchmarks run with.
 var fleetSizes = []int{500, 1000, 2000, 4000, 6000}
 
-// perFleetSize runs a benchmark at each size of the fleet.
+// perFleetSize runs a benchmark with each fleet size.
 func perFleetSize(b *testing.B, run func(b *testing.B, machines int)) {
 	b.Helper()
 	for _, machines := range fleetSizes {
@@ -26,8 +26,7 @@
 	}
 }
 
-// BenchmarkPass is one placement pass after a few changes, at each size of the
-// fleet.
+// BenchmarkPass measures a scheduling pass after a few machines have changed.
 func BenchmarkPass(b *testing.B) {
 	perFleetSize(b, func(b *testing.B, machines int) {
 		b.Helper()
@@ -43,8 +42,9 @@
 	})
 }
 
-// BenchmarkCrowdedPass is a placement pass where most of what waits finds no room.
-func BenchmarkCrowdedPass(b *testing.B) {
+// BenchmarkSaturatedPass measures a scheduling pass in which most waiting tasks do not fit
+// anywhere.
+func BenchmarkSaturatedPass(b *testing.B) {
 	perFleetSize(b, func(b *testing.B, machines int) {
 		b.Helper()
 		l, fleet := overloadedFleet(b, machines)
@@ -70,8 +70,8 @@
 	})
 }
 
-// BenchmarkChurn is a placement pass with what comes between two: tasks that
-// end on some machines, the record, and starts in their place.
+// BenchmarkChurn measures a scheduling pass together with the work between two passes: tasks
+// end on some machines, the changes are committed, and other tasks start in their place.
 func BenchmarkChurn(b *testing.B) {
 	perFleetSize(b, func(b *testing.B, machines int) {
 		b.Helper()
@@ -98,8 +98,8 @@
 	})
 }
 
-// failSomeTasks has a machine report that a third of its tasks have failed, but for those of
-// gangs and every fiftieth.
+// failSomeTasks has a machine report every third task as failed, except tasks of gangs and
+// tasks whose index is a multiple of 50.
 func failSomeTasks(b *testing.B, l *Leader, machine *machineState, now time.Time) {
 	b.Helper()
 	heartbeat := nextHeartbeat(l, machine, workers.StatusRunning, "")
@@ -122,9 +122,8 @@
 	return workers.AttemptID{Task: task, Number: report.Attempt}
 }
 
-// BenchmarkReport is a heartbeat's way through the leader's loop when it changes
-// nothing.
-func BenchmarkReport(b *testing.B) {
+// BenchmarkHeartbeat measures the processing of a heartbeat that changes nothing.
+func BenchmarkHeartbeat(b *testing.B) {
 	perFleetSize(b, func(b *testing.B, machines int) {
 		b.Helper()
 		l, fleet := largeFleet(b, machines)
@@ -143,8 +142,8 @@
 	})
 }
 
-// BenchmarkTick is what only time brings about, four times a second: leases, lapses and
-// the dealings with the cloud.
+// BenchmarkTick measures the periodic work that the loop does four times a second: lease
+// expiry, expiry of holds and scaling.
 func BenchmarkTick(b *testing.B) {
 	perFleetSize(b, func(b *testing.B, machines int) {
 		b.Helper()
@@ -163,8 +162,8 @@
 	})
 }
 
-// BenchmarkCommit is the record of 20 machines' changes: the transaction that holds it,
-// and what follows once it stands.
+// BenchmarkCommit measures committing the metadata of 20 machines: building the transaction,
+// and the callbacks once it is committed.
 func BenchmarkCommit(b *testing.B) {
 	perFleetSize(b, func(b *testing.B, machines int) {
 		b.Helper()
@@ -182,8 +181,8 @@
 	})
 }
 
-// writeCheckpoint carries out what a checkpoint of the whole site writes, and returns
-// the number of transactions and of changes in them.
+// writeCheckpoint writes a checkpoint of the whole cluster into rows. It returns the number of
+// transactions and of operations in them.
 func writeCheckpoint(l *Leader, rows map[string]statestore.KeyValue) (txns, changes int) {
 	l.beginCheckpoint()
 	for l.wal.Checkpointing() {
@@ -193,17 +192,17 @@
 	return txns, changes
 }
 
-// commitTo carries out the next transaction on the rows, and returns the number of changes.
+// commitTo executes the next transaction on rows, and returns its number of operations.
 func commitTo(l *Leader, rows map[string]statestore.KeyValue, revision uint64) (changes int) {
 	txn := l.commits.next()
 	for _, write := range txn.Writes {
 		rows[write.Put] = statestore.KeyValue{Key: write.Put, Value: write.Value}
 	}
-	l.committed(commitResult{revision: revision})
+	l.applyCommitResult(commitResult{revision: revision})
 	return len(txn.Writes)
 }
 
-// BenchmarkCheckpoint writes the whole state of a large site anew.
+// BenchmarkCheckpoint measures writing a checkpoint of the whole cluster.
 func BenchmarkCheckpoint(b *testing.B) {
 	perFleetSize(b, func(b *testing.B, machines int) {
 		b.Helper()
@@ -218,7 +217,8 @@
 	})
 }
 
-// BenchmarkReplay reads it back at a failover, with what came on top.
+// BenchmarkReplay measures reading a checkpoint at a failover, with the log entries that
+// follow it.
 func BenchmarkReplay(b *testing.B) {
 	perFleetSize(b, func(b *testing.B, machines int) {
 		b.Helper()
@@ -242,7 +242,7 @@
 		for range b.N {
 			state, _, err := wal.Read(all)
 			if err != nil || len(state.Machines) != machines {
-				b.Fatalf("%d machines read: %v", len(state.Machines), err)
+				b.Fatalf("read %d machines: %v", len(state.Machines), err)
 			}
 		}
 	})
--- a/internal/leader/calls.go
+++ b/internal/leader/calls.go
@@ -6,31 +6,31 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// outboundCall makes a call to an outside system, beside the loop. What it returns is
-// applied by the loop, as an event; nil if nothing follows.
+// outboundCall calls an outside system from its own goroutine. The loop runs the returned
+// apply function as an event; nil means there is nothing to apply.
 type outboundCall func(ctx context.Context) (apply func())
 
-// outboundCalls are the calls to outside systems (state service, cloud, workers, other
-// nodes) that the loop has decided on and not started yet. Decisions only queue them: so
-// the decisions need no context and no goroutines, and tests see what would be called.
+// outboundCalls holds the calls to outside systems (state service, cloud, workers, other
+// nodes) that the loop has queued but not yet started. Because decision code only queues
+// calls, it needs no context or goroutines, and tests can inspect the queue.
 type outboundCalls struct {
 	queued []outboundCall
 }
 
-// queue has a call started once the present events are handled.
+// queue schedules a call to start after the current batch of events has been applied.
 func (c *outboundCalls) queue(call outboundCall) { c.queued = append(c.queued, call) }
 
-// startCalls starts the queued calls, each on a goroutine of the group, which waits for
+// startCalls starts each queued call on its own goroutine in group, which waits for all of
 // them.
 func (l *Leader) startCalls(ctx context.Context, group *errgroup.Group) {
 	for _, call := range l.calls.queued {
 		group.Go(func() error {
 			if apply := call(ctx); apply != nil {
-				l.post(ctx, callFinished{apply}) // once the term is over nobody needs it
+				l.post(ctx, callFinished{apply}) // dropped once the term has ended
 			}
-			return nil // a failed call ends nothing: what it returns deals with that
+			return nil // a failed call must not cancel the group; apply handles the error
 		})
 	}
-	clear(l.calls.queued) // started ones are not kept alive
+	clear(l.calls.queued) // releases the closures for garbage collection
 	l.calls.queued = l.calls.queued[:0]
 }
--- a/internal/leader/certainty/certainty_test.go
+++ b/internal/leader/certainty/certainty_test.go
@@ -10,33 +10,34 @@
 	"thornnotch/internal/constants"
 )
 
-// proofModel is what a tracker must know after some proofs.
+// proofModel is the expected state of a tracker.
 type proofModel struct {
 	window          time.Duration
-	latest, watched time.Time // questions that were answered at all, and by the watch
+	latest, watched time.Time // request times of the latest proof, and of the watch's last answer
 }
 
-// TestProofsOnlyAdd: whatever proofs come in, in whatever order, certainty reaches up to the
-// latest question that any answered, and the watch's own up to the last one that it answered.
-func TestProofsOnlyAdd(t *testing.T) {
+// TestProofsOnlyAdvance: whatever proofs arrive in whatever order, cancellations are known up
+// to the latest request that was answered, and by the watch up to the last request that it
+// answered.
+func TestProofsOnlyAdvance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		model := proofModel{window: 20 * time.Second}
 		tracker := NewTracker(model.window)
 		for range rapid.IntRange(1, 30).Draw(t, "proofs") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 15000).Draw(t, "pause")) * time.Millisecond)
-			asked := now.Add(-time.Duration(rapid.IntRange(0, 5000).Draw(t, "late")) * time.Millisecond)
+			askedAt := now.Add(-time.Duration(rapid.IntRange(0, 5000).Draw(t, "late")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "attested") {
-				want := !tracker.Holds(now) && asked.After(model.latest)
-				if restored := tracker.Attested(asked, now); restored != want {
-					t.Fatalf("restored %v, want %v", restored, want)
+				want := !tracker.Holds(now) && askedAt.After(model.latest)
+				if restored := tracker.RecordAttestation(askedAt, now); restored != want {
+					t.Fatalf("acknowledgements restored: %v, want %v", restored, want)
 				}
 			} else {
-				tracker.Watched(asked)
-				model.watched = asked
+				tracker.Watched(askedAt)
+				model.watched = askedAt
 			}
-			if asked.After(model.latest) {
-				model.latest = asked
+			if askedAt.After(model.latest) {
+				model.latest = askedAt
 			}
 			model.check(t, &tracker, now)
 		}
@@ -53,32 +54,33 @@
 		t.Fatalf("last proof %v ago, want %v", got, since)
 	}
 	if got := tracker.Holds(now); got != (since <= m.window) {
-		t.Fatalf("holds: %v, %v after the last proof", got, since)
+		t.Fatalf("acknowledgements permitted: %v, %v after the last proof", got, since)
 	}
 }
 
-// TestWithoutProofNothingHolds: a leader that has read nothing acknowledges nobody.
-func TestWithoutProofNothingHolds(t *testing.T) {
+// TestNoAcknowledgementWithoutProof: a leader that has read nothing acknowledges no
+// heartbeats.
+func TestNoAcknowledgementWithoutProof(t *testing.T) {
 	tracker := NewTracker(20 * time.Second)
 	if tracker.Holds(time.Now()) {
-		t.Error("workers are acknowledged before anything is known")
+		t.Error("acknowledgements permitted without any proof")
 	}
 }
 
-// TestWindowLeavesLeasesTheirTime: from the end of the window a lease, by a slow clock, and
-// the worker's delay fit into the time that users are promised, by a fast one.
-func TestWindowLeavesLeasesTheirTime(t *testing.T) {
+// TestWindowLeavesTimeForLeases: after the end of the window, a lease by a slow clock and the
+// worker's kill delay fit into the promised time by a fast clock.
+func TestWindowLeavesTimeForLeases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lease := rapid.Float64Range(2, 30).Draw(t, "lease")
 		timings := config.WorkerTimings{LeaseS: lease, CancelWithinS: lease + rapid.Float64Range(5, 60).Draw(t, "beyond")}
 		window := Window(timings)
 		if window <= time.Second {
-			return // the floor: the argument does not hold below it
+			return // at its minimum, the window does not guarantee the bound
 		}
 		stretch := func(seconds, drift float64) time.Duration { return config.Seconds(seconds * (1 + drift)) }
 		gone := window + stretch(timings.LeaseS, constants.ClockDrift) + constants.WorkerKillDelay
 		if limit := stretch(timings.CancelWithinS, -constants.ClockDrift); gone > limit+time.Microsecond {
-			t.Fatalf("tasks are gone %v after the promised time", gone-limit)
+			t.Fatalf("tasks end %v after the promised time", gone-limit)
 		}
 	})
 }
--- a/internal/leader/checkpoint.go
+++ b/internal/leader/checkpoint.go
@@ -6,7 +6,7 @@
 	"thornnotch/internal/leader/wal"
 )
 
-// beginCheckpoint begins to write the whole state anew.
+// beginCheckpoint starts writing a checkpoint of the complete state.
 func (l *Leader) beginCheckpoint() {
 	var machines []string
 	for _, machine := range l.fleet.sortedByName() {
@@ -21,15 +21,17 @@
 	slices.Sort(jobs)
 	l.wal.BeginCheckpoint(machines, jobs, checkpointSource{l}, func() {
 		l.deps.Log.Debug("checkpoint committed", "machines", len(machines), "jobs", len(jobs))
-		// What the records of the earlier format say stands in the checkpoint now.
+		// The checkpoint now contains everything in the legacy records, so they can be
+		// deleted.
 		l.commits.checkpointCommitted()
 	})
 }
 
-// checkpointSource gives a checkpoint its contents, each as it is when its part is written.
+// checkpointSource supplies the contents of a checkpoint. Each item is read at the time that
+// its part is written, not when the checkpoint begins.
 type checkpointSource struct{ l *Leader }
 
-// Machine is one machine's record.
+// Machine returns the record of a machine, or false if the machine is gone.
 func (s checkpointSource) Machine(name string) (wal.Machine, bool) {
 	machine := s.l.fleet.get(name)
 	if machine == nil {
@@ -38,9 +40,9 @@
 	return s.l.machineRecord(machine), true
 }
 
-// DoneTasks are a job's completed tasks.
-func (s checkpointSource) DoneTasks(name string) []wal.DoneTasks {
-	job := s.l.jobs.get(name)
+// DoneTasks returns the completed tasks of a job.
+func (s checkpointSource) DoneTasks(jobID string) []wal.DoneTasks {
+	job := s.l.jobs.get(jobID)
 	if job == nil {
 		return nil
 	}
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -8,81 +8,84 @@
 	"thornnotch/internal/leader/wal"
 )
 
-// groupCommit carries the log's transactions to the state service, one at a time: what is
-// decided while one is under way goes together into the next. Each transaction is
-// conditioned on the term record and on the log's head, so that neither a deposed leader
-// nor a late copy of an earlier transaction can change anything.
+// groupCommit batches the log's changes into transactions on the state service. One
+// transaction is in flight at a time; decisions made meanwhile are batched into the next.
+// Every transaction is conditioned on the term record and the log's head, so neither a deposed
+// leader nor a delayed duplicate of an earlier transaction can change anything.
 //
-// It makes no calls itself: begin gives out the next transaction, finished takes in what
-// became of it.
+// It makes no calls itself: beginTxn returns the next transaction, and finishTxn handles its
+// result.
 type groupCommit struct {
 	log    *wal.Writer
 	logger *slog.Logger
-	// txnOps is how many changes a transaction may hold.
+	// txnOps is the maximum number of operations in a transaction.
 	txnOps int
-	// checkpoint begins to write the whole state anew, when that is due.
-	checkpoint func()
+	// beginCheckpoint is called when a checkpoint is due, and starts writing it.
+	beginCheckpoint func()
 
-	// completed are the final records of jobs whose tasks are all done, cancelled those of
-	// jobs that are cancelled with one that they depend on.
+	// completed holds the pending final records of jobs whose tasks are all done; cancelled
+	// those of jobs cancelled because a job that they depend on was cancelled.
 	completed []finalRecord
 	cancelled []func() wal.JobWrite
-	// obsoleteKeys are keys to be removed, with their revisions; replacedKeys are those that
-	// become obsolete once the next checkpoint stands, as it holds what they say.
+	// obsoleteKeys holds keys to delete, with their revisions. replacedKeys holds keys that
+	// become obsolete when the next checkpoint, which contains their data, is committed.
 	obsoleteKeys, replacedKeys map[string]uint64
 
 	inFlight bool
-	// sentAt is when the present transaction was first sent, lastCommitAt when one was last
-	// sent.
-	sentAt, lastCommitAt time.Time
-	// backoff is the pause after a transaction without an answer, zero while records are
-	// written; retryAt is when it may be sent again.
+	// firstSentAt is when the current transaction was first sent; lastCommitAt is when any
+	// transaction was last sent, retries included.
+	firstSentAt, lastCommitAt time.Time
+	// backoff is the delay after a transaction that got no answer; zero while commits succeed.
+	// retryAt is the earliest time of the next retry.
 	backoff time.Duration
 	retryAt time.Time
-	// hasMore is set if the last transaction had no room for all that waited; moreSince is
-	// since when that has been so.
-	hasMore   bool
-	moreSince time.Time
-	// largeRingCheckedAt is when the nodes were last asked whether they read the large ring.
+	// lastTxnFull is set if the last transaction could not hold all pending changes, and
+	// fullSince is when that began.
+	lastTxnFull bool
+	fullSince   time.Time
+	// largeRingCheckedAt is when the nodes were last asked whether they can read the large
+	// ring.
 	largeRingCheckedAt time.Time
 }
 
-// newGroupCommit makes a group commit without a log; open must be called next.
-func newGroupCommit(logger *slog.Logger, checkpoint func()) groupCommit {
-	return groupCommit{logger: logger, checkpoint: checkpoint, obsoleteKeys: make(map[string]uint64), replacedKeys: make(map[string]uint64)}
+// newGroupCommit returns a groupCommit without a log; open must be called before use.
+func newGroupCommit(logger *slog.Logger, beginCheckpoint func()) groupCommit {
+	return groupCommit{logger: logger, beginCheckpoint: beginCheckpoint, obsoleteKeys: make(map[string]uint64), replacedKeys: make(map[string]uint64)}
 }
 
-// open has the transactions of a log carried out.
+// open sets the log whose changes are committed.
 func (c *groupCommit) open(log *wal.Writer, txnOps int) { c.log, c.txnOps = log, txnOps }
 
-// healthy tells whether records can be written, as far as is known.
+// healthy reports whether commits are succeeding, as far as is known.
 func (c *groupCommit) healthy() bool { return c.backoff == 0 }
 
-// behind tells whether records have not kept up for a while.
+// behind reports whether transactions have been full for longer than CommitBehindAfter.
 func (c *groupCommit) behind(now time.Time) bool {
-	return c.hasMore && now.Sub(c.moreSince) > constants.CommitBehindAfter
+	return c.lastTxnFull && now.Sub(c.fullSince) > constants.CommitBehindAfter
 }
 
-// unwrittenFor is for how long the present transaction has been under way; zero if none is.
-func (c *groupCommit) unwrittenFor(now time.Time) time.Duration {
+// inFlightFor returns how long the current transaction has been in flight, or zero if there is
+// none.
+func (c *groupCommit) inFlightFor(now time.Time) time.Duration {
 	if !c.log.InFlight() {
 		return 0
 	}
-	return now.Sub(c.sentAt)
+	return now.Sub(c.firstSentAt)
 }
 
-// due is when the next transaction should go out; zero if there is none.
-func (c *groupCommit) due() time.Time {
+// dueAt returns when the next transaction should be sent, or the zero time if there is none
+// to send.
+func (c *groupCommit) dueAt() time.Time {
 	if c.inFlight {
 		return time.Time{}
 	}
 	var at time.Time
 	switch {
-	case c.hasMore:
-		// Waiting gathers nothing: the next one is full already. The tokens
-		// bound how many go out a second.
+	case c.lastTxnFull:
+		// Waiting would not batch more changes, as the next transaction is already full. The
+		// state service's request tokens limit the rate.
 		at = c.lastCommitAt
-	case c.log.Pending() || c.finalRecordsWait():
+	case c.log.Pending() || c.hasFinalRecords():
 		at = c.lastCommitAt.Add(constants.CommitInterval)
 	case c.log.Checkpointing() || len(c.obsoleteKeys) > 0:
 		at = c.lastCommitAt.Add(constants.CheckpointPartInterval)
@@ -95,37 +98,37 @@
 	return at
 }
 
-// finalRecordsWait tells whether jobs' final records wait for a transaction.
-func (c *groupCommit) finalRecordsWait() bool { return len(c.completed) > 0 || len(c.cancelled) > 0 }
+// hasFinalRecords reports whether final records of jobs are pending.
+func (c *groupCommit) hasFinalRecords() bool { return len(c.completed) > 0 || len(c.cancelled) > 0 }
 
-// hasRemaining tells whether changes wait that have no place in the transaction under way.
-func (c *groupCommit) hasRemaining() bool { return c.log.Remaining() || c.finalRecordsWait() }
+// hasRemaining reports whether changes are pending that are not in the transaction in flight.
+func (c *groupCommit) hasRemaining() bool { return c.log.Remaining() || c.hasFinalRecords() }
 
-// setMore notes whether anything had no room in the transaction that goes out now.
-func (c *groupCommit) setMore(more bool, now time.Time) {
-	if more && !c.hasMore {
-		c.moreSince = now
+// setMore records whether the transaction being sent left changes pending for lack of space.
+func (c *groupCommit) setMore(full bool, now time.Time) {
+	if full && !c.lastTxnFull {
+		c.fullSince = now
 	}
-	c.hasMore = more
+	c.lastTxnFull = full
 }
 
-// begin gives out the next transaction; nil if none is due. Its result must be handed to
-// finished.
-func (c *groupCommit) begin(now time.Time) *wal.Txn {
-	due := c.due()
-	if due.IsZero() {
+// beginTxn returns the next transaction, or nil if none is due. The caller must pass its
+// result to finishTxn.
+func (c *groupCommit) beginTxn(now time.Time) *wal.Txn {
+	dueAt := c.dueAt()
+	if dueAt.IsZero() {
 		if !c.inFlight {
-			// What could not be written has become needless meanwhile; without
-			// this, placement would wait for ever for a write to succeed.
+			// The changes that could not be written have become unnecessary. Without this
+			// reset, placement would wait forever for a commit to succeed.
 			c.backoff = 0
 		}
 		return nil
 	}
-	if now.Before(due) {
+	if now.Before(dueAt) {
 		return nil
 	}
 	if !c.log.InFlight() {
-		c.sentAt = now
+		c.firstSentAt = now
 	}
 	txn := c.next()
 	if txn == nil {
@@ -138,10 +141,10 @@
 	return txn
 }
 
-// next gathers the next transaction; one whose outcome is not known is given out again.
+// next returns the next transaction, or the same one again if its outcome is unknown.
 func (c *groupCommit) next() *wal.Txn {
 	if c.log.CheckpointDue() {
-		c.checkpoint()
+		c.beginCheckpoint()
 	}
 	if c.log.InFlight() {
 		return c.log.Next(nil)
@@ -149,8 +152,8 @@
 	return c.log.Next(c.jobWrites())
 }
 
-// largeRingCheckDue tells whether the nodes should be asked whether they read the log's
-// large ring: now and then, if the fleet has grown so large that it is wanted.
+// largeRingCheckDue reports whether to ask the nodes if they can read the log's large ring. It
+// does so every LargeRingCheckInterval while the fleet is large enough to need that ring.
 func (c *groupCommit) largeRingCheckDue(now time.Time) bool {
 	if !c.log.WantsLargeRing() || now.Sub(c.largeRingCheckedAt) < constants.LargeRingCheckInterval {
 		return false
--- a/internal/leader/commit_calls.go
+++ b/internal/leader/commit_calls.go
@@ -17,7 +17,7 @@
 	if l.term.ended() {
 		return
 	}
-	txn := l.commits.begin(now)
+	txn := l.commits.beginTxn(now)
 	if txn == nil {
 		return
 	}
@@ -25,11 +25,11 @@
 	writes := txn.Writes
 	l.calls.queue(func(ctx context.Context) func() {
 		result := l.sendTxn(ctx, conditions, writes)
-		return func() { l.committed(result) }
+		return func() { l.applyCommitResult(result) }
 	})
 }
 
-// sendTxn has the state service carry out a transaction.
+// sendTxn executes a transaction on the state service.
 func (l *Leader) sendTxn(ctx context.Context, conditions []statestore.Condition, writes []statestore.Write) commitResult {
 	revision, err := l.deps.Store.Txn(ctx, statestore.ClassRecord, conditions, writes)
 	var conflict *statestore.ConflictError
@@ -39,48 +39,49 @@
 	return commitResult{revision: revision, err: err}
 }
 
-// resolveConflict reads the log's head after a clash: an earlier try without an answer may
-// have been carried out after all.
+// resolveConflict reads the log's head after a conflict, because an earlier attempt that got
+// no answer may have been executed.
 func (l *Leader) resolveConflict(ctx context.Context, conflict *statestore.ConflictError) commitResult {
 	row, found, err := l.deps.Store.Get(ctx, statestore.ClassRecord, wal.HeadKey)
 	if err != nil {
-		return commitResult{err: fmt.Errorf("read %s after a conflict: %w", wal.HeadKey, err)}
+		return commitResult{err: fmt.Errorf("read %s after transaction conflict: %w", wal.HeadKey, err)}
 	}
 	result := commitResult{err: conflict, conflict: conflict, head: &wal.Head{}}
 	if found {
 		result.headRevision = row.Revision
 		if err := json.Unmarshal(row.Value, result.head); err != nil {
-			return commitResult{err: fmt.Errorf("decode %s after a conflict: %w", wal.HeadKey, err)}
+			return commitResult{err: fmt.Errorf("decode %s after transaction conflict: %w", wal.HeadKey, err)}
 		}
 	}
 	return result
 }
 
-// committed takes in what became of a transaction.
-func (l *Leader) committed(result commitResult) {
-	outcome := l.commits.finished(result, time.Now())
+// applyCommitResult handles the result of a transaction, successful or not.
+func (l *Leader) applyCommitResult(result commitResult) {
+	outcome := l.commits.finishTxn(result, time.Now())
 	l.counts.Commits++
-	l.counts.CommitSeconds += outcome.took.Seconds()
-	if outcome.endTerm != "" {
-		l.term.end(outcome.endTerm)
+	l.counts.CommitSeconds += outcome.duration.Seconds()
+	if outcome.endReason != "" {
+		l.term.end(outcome.endReason)
 	}
-	if outcome.schedule {
+	if outcome.requestPass {
 		l.passes.request()
 	}
 }
 
-// openLog begins to write behind the head that was read, which has this revision.
+// openLog starts the log writer after the given head, whose key has this revision.
 func (l *Leader) openLog(head wal.Head, revision uint64) {
 	state := l.deps.Settings.Params.State
 	l.wal = wal.NewWriter(l.term.number(), wal.Limits{ValueBytes: int(state.ValueKB * 1024), TxnOps: state.TxnOps}, head, revision)
-	// In use it was found to be read by all nodes, and they do not go back unless the
-	// operators' setting has said so first.
+	// A large ring in use was readable by all nodes when it was chosen. They are not
+	// downgraded to a version that can't read it unless the operators' setting has been turned
+	// off first.
 	l.wal.AllowLargeRing(head.Ring > 0 && l.deps.Operator.Log.LargeRing)
 	l.commits.open(l.wal, state.TxnOps)
 }
 
-// checkLargeRingSupport asks, now and then, whether all nodes read the log's large ring, if
-// the fleet has grown so large that it is wanted.
+// checkLargeRingSupport periodically asks whether all nodes can read the log's large ring, if
+// the fleet is large enough to need it.
 func (l *Leader) checkLargeRingSupport(now time.Time) {
 	if l.deps.ReadsLargeRing == nil || !l.deps.Operator.Log.LargeRing || !l.commits.largeRingCheckDue(now) {
 		return
@@ -90,7 +91,7 @@
 			return nil
 		}
 		return func() {
-			l.deps.Log.Info("log moves to the large ring", "reason", "all nodes read it", "parts", l.wal.Head().Parts)
+			l.deps.Log.Info("switching to the large log ring", "reason", "all nodes read it", "parts", l.wal.Head().Parts)
 			l.wal.AllowLargeRing(true)
 		}
 	})
--- a/internal/leader/commit_job_writes.go
+++ b/internal/leader/commit_job_writes.go
@@ -8,80 +8,84 @@
 	"thornnotch/internal/statestore"
 )
 
-// Changes of a transaction, beside those that the log fills it with.
+// Transaction operations besides those of the log's own entries.
 const (
-	// opsPerFinalRecord are the changes that move a job from the open to the final records.
+	// opsPerFinalRecord is the number of operations that move a job from the open to the final
+	// records.
 	opsPerFinalRecord = 2
-	// opsKeptForLog are kept for the head and the log's own values.
-	opsKeptForLog = 3
+	// opsReservedForLog is the number of operations kept free for the head and the log's own
+	// values.
+	opsReservedForLog = 3
 )
 
-// finalRecord is a job's final record, which goes along with a transaction.
+// finalRecord is a job's final record, waiting to be included in a transaction.
 type finalRecord struct {
-	// obsolete tells whether it need not be written any more.
+	// obsolete reports whether the record no longer needs to be written.
 	obsolete func() bool
-	// write makes the change, which is then under way.
+	// write returns the write and marks it as in flight.
 	write func() wal.JobWrite
 }
 
-// recordCompleted has the final record of a completed job go along with a transaction.
+// recordCompleted queues the final record of a completed job.
 func (c *groupCommit) recordCompleted(record finalRecord) { c.completed = append(c.completed, record) }
 
-// recordCancelled has the final record of a job that is cancelled with one that it depends
-// on go along with a transaction.
+// recordCancelled queues the final record of a job cancelled because a job that it depends on
+// was cancelled.
 func (c *groupCommit) recordCancelled(write func() wal.JobWrite) {
 	c.cancelled = append(c.cancelled, write)
 }
 
-// removeAfterCheckpoint has a key removed once a checkpoint stands, if it still has this
-// revision then.
-func (c *groupCommit) removeAfterCheckpoint(key string, revision uint64) {
+// deleteAfterCheckpoint deletes a key after the next checkpoint is committed, if the key still
+// has this revision then.
+func (c *groupCommit) deleteAfterCheckpoint(key string, revision uint64) {
 	c.replacedKeys[key] = revision
 }
 
-// keysWaitForCheckpoint tells whether keys are to be removed once a checkpoint stands.
-func (c *groupCommit) keysWaitForCheckpoint() bool { return len(c.replacedKeys) > 0 }
+// hasReplacedKeys reports whether keys are waiting for a checkpoint before they can be
+// deleted.
+func (c *groupCommit) hasReplacedKeys() bool { return len(c.replacedKeys) > 0 }
 
-// checkpointCommitted notes that a checkpoint stands.
+// checkpointCommitted marks the replaced keys as obsolete, as the committed checkpoint
+// contains their data.
 func (c *groupCommit) checkpointCommitted() {
 	maps.Copy(c.obsoleteKeys, c.replacedKeys)
 	clear(c.replacedKeys)
 }
 
-// jobWrites gathers what goes along with the next transaction beside the log: completed
-// jobs first, then cancelled ones, then keys to be removed.
+// jobWrites collects the writes that share the next transaction with the log's changes: final
+// records of completed jobs first, then those of cancelled jobs, then key deletions.
 func (c *groupCommit) jobWrites() (writes []wal.JobWrite) {
-	room := max(c.txnOps-opsKeptForLog, opsPerFinalRecord)
+	remainingOps := max(c.txnOps-opsReservedForLog, opsPerFinalRecord)
 	add := func(write func() wal.JobWrite) bool {
-		if len(writes) >= constants.JobWritesPerTxn || room < opsPerFinalRecord {
+		if len(writes) >= constants.JobWritesPerTxn || remainingOps < opsPerFinalRecord {
 			return false
 		}
-		room -= opsPerFinalRecord
+		remainingOps -= opsPerFinalRecord
 		writes = append(writes, write())
 		return true
 	}
-	waiting := c.completed[:0:0]
+	remaining := c.completed[:0:0]
 	for _, record := range c.completed {
 		if !record.obsolete() && !add(record.write) {
-			waiting = append(waiting, record)
+			remaining = append(remaining, record)
 		}
 	}
-	c.completed = waiting
+	c.completed = remaining
 	for len(c.cancelled) > 0 && add(c.cancelled[0]) {
 		c.cancelled = c.cancelled[1:]
 	}
 	for key, revision := range c.obsoleteKeys {
-		if room < 1 || len(writes) > 0 && len(c.completed) > 0 {
+		if remainingOps < 1 || len(writes) > 0 && len(c.completed) > 0 {
 			break
 		}
-		room--
-		writes = append(writes, c.keyRemoval(key, revision))
+		remainingOps--
+		writes = append(writes, c.keyDeletion(key, revision))
 	}
 	return writes
 }
 
-// keyRemoval removes a key, unless another has changed it.
-func (c *groupCommit) keyRemoval(key string, revision uint64) wal.JobWrite {
+// keyDeletion returns a write that deletes a key unless its revision has changed.
+func (c *groupCommit) keyDeletion(key string, revision uint64) wal.JobWrite {
 	removed := func() { delete(c.obsoleteKeys, key) }
 	return wal.JobWrite{
 		Conditions: []statestore.Condition{{Key: key, Revision: revision}},
--- a/internal/leader/commit_result.go
+++ b/internal/leader/commit_result.go
@@ -10,75 +10,76 @@
 	"thornnotch/internal/statestore"
 )
 
-// commitResult is what became of a transaction.
+// commitResult is the result of sending a transaction.
 type commitResult struct {
-	// revision is the state service's after the transaction, if it was carried out.
+	// revision is the state service's revision after the transaction, if it was executed.
 	revision uint64
 	err      error
-	// conflict are the keys that clashed, if any. The log's head was then read: head is
-	// what it says, headRevision its revision.
+	// conflict holds the keys whose conditions failed, if any. In that case the log's head was
+	// read again: head is its value and headRevision its revision.
 	conflict     *statestore.ConflictError
 	head         *wal.Head
 	headRevision uint64
 }
 
-// commitOutcome is what follows from a transaction's result beyond the records.
+// commitOutcome is what the leader has to do after a transaction, besides the log's own
+// callbacks.
 type commitOutcome struct {
-	// took is how long the transaction was under way.
-	took time.Duration
-	// endTerm says why the term is over; empty if it goes on.
-	endTerm EndReason
-	// schedule is set if a scheduling pass may do more than before.
-	schedule bool
+	// duration is how long the transaction was in flight.
+	duration time.Duration
+	// endReason is why the term must end; empty if it continues.
+	endReason EndReason
+	// requestPass is set if a scheduling pass may now achieve more than before.
+	requestPass bool
 }
 
-// finished takes in what became of the transaction under way.
-func (c *groupCommit) finished(result commitResult, now time.Time) commitOutcome {
+// finishTxn handles the result of the transaction in flight.
+func (c *groupCommit) finishTxn(result commitResult, now time.Time) commitOutcome {
 	c.inFlight = false
-	outcome := commitOutcome{took: now.Sub(c.lastCommitAt)}
+	outcome := commitOutcome{duration: now.Sub(c.lastCommitAt)}
 	var conflict *statestore.ConflictError
 	deposed := errors.As(result.err, &conflict) && conflict.HasKey(election.TermKey)
 	switch {
 	case deposed:
-		outcome.endTerm = ErrDeposed
+		outcome.endReason = ErrDeposed
 	case result.conflict != nil && c.log.WroteHead(*result.head):
-		// An earlier try without an answer was carried out after all.
+		// An earlier attempt that got no answer was executed.
 		c.log.Committed(result.headRevision)
-		outcome.schedule = c.recovered()
+		outcome.requestPass = c.markHealthy()
 	case result.conflict != nil && result.conflict.HasKey(wal.HeadKey):
-		outcome.endTerm = ErrDeposed // another node writes the log
+		outcome.endReason = ErrDeposed // another node writes the log
 	case result.conflict != nil:
-		// The job writes that did not clash are asked for again.
+		// The job writes that did not conflict are queued again.
 		c.log.Conflicted(result.conflict.HasKey)
-		outcome.schedule = true
+		outcome.requestPass = true
 	case errors.Is(result.err, statestore.ErrRejected):
-		c.logger.Error("transaction rejected", "error", result.err)
-		outcome.endTerm = ErrTxnTooLarge
+		c.logger.Error("transaction rejected by state service", "error", result.err)
+		outcome.endReason = ErrTxnTooLarge
 	case result.err == nil:
 		c.log.Committed(result.revision)
-		outcome.schedule = c.recovered()
+		outcome.requestPass = c.markHealthy()
 	default:
-		// Executed or not, the same transaction is tried again.
-		c.retryLater(result.err, now)
+		// The outcome is unknown, so the same transaction is sent again.
+		c.scheduleRetry(result.err, now)
 	}
 	return outcome
 }
 
-// retryLater has the transaction sent again after a pause, which grows.
-func (c *groupCommit) retryLater(err error, now time.Time) {
+// scheduleRetry delays the next attempt with exponential backoff.
+func (c *groupCommit) scheduleRetry(err error, now time.Time) {
 	if c.healthy() {
-		c.logger.Warn("records can't be written", "error", err)
+		c.logger.Warn("commit failed, retrying", "error", err)
 	}
 	c.backoff = min(max(2*c.backoff, constants.MinBackoff), constants.MaxBackoff)
 	c.retryAt = now.Add(jitter(c.backoff))
 }
 
-// recovered notes that records are written. It reports whether they were not before.
-func (c *groupCommit) recovered() bool {
+// markHealthy resets the backoff. It reports whether commits had been failing.
+func (c *groupCommit) markHealthy() bool {
 	if c.healthy() {
 		return false
 	}
-	c.logger.Info("records are written again")
+	c.logger.Info("commits recovered")
 	c.backoff = 0
 	return true
 }
--- a/internal/leader/events.go
+++ b/internal/leader/events.go
@@ -9,20 +9,25 @@
 	"thornnotch/internal/workers"
 )
 
-// event is something that another goroutine hands to the loop. The loop alone applies it,
-// so that the scheduling state needs no locks.
+// event is handed to the loop by another goroutine. Only the loop applies events, so the
+// scheduling state needs no locks.
 //
-// The kinds are: heartbeatReceived and statusRequested, progressRequested from this node's
-// HTTP handlers and peers, jobsChanged from the watch on the open jobs, watchedUntilRequested
-// and attested from the attestation duty, and callFinished from calls that the loop itself had
-// started. The last carries a function, as its result concerns only the component that
-// queued the call: a type for each call would repeat that function's captured variables as
-// fields.
+// Events come from these sources:
+//
+//   - heartbeatReceived, statusRequested and progressRequested from this node's HTTP handlers
+//     and from peers;
+//   - openJobsChanged from the watch on the open jobs;
+//   - watchedUntilRequested and attestationsReceived from collectAttestations;
+//   - callFinished from calls that the loop itself started.
+//
+// callFinished carries a function because its result concerns only the component that queued
+// the call. A separate type for each call would just repeat the captured variables of that
+// function as fields.
 type event interface {
 	apply(l *Leader)
 }
 
-// post hands an event to the loop. It reports false once the term is over.
+// post sends an event to the loop. It reports false if the term or ctx has ended.
 func (l *Leader) post(ctx context.Context, e event) bool {
 	select {
 	case l.events <- e:
@@ -33,7 +38,7 @@
 	return false
 }
 
-// heartbeatReceived is a worker's heartbeat that waits for its reply.
+// heartbeatReceived is a worker's heartbeat that awaits a reply.
 type heartbeatReceived struct {
 	heartbeat *workers.Heartbeat
 	arrived   time.Time
@@ -42,12 +47,12 @@
 
 func (e heartbeatReceived) apply(l *Leader) { l.heartbeat(e.heartbeat, e.arrived, e.reply) }
 
-// statusRequested is an operator's question for the state of the term.
+// statusRequested asks for the operators' view of the term.
 type statusRequested struct{ reply chan<- Status }
 
 func (e statusRequested) apply(l *Leader) { e.reply <- l.status(time.Now()) }
 
-// progressRequested is the question how far jobs are.
+// progressRequested asks for the progress of jobs.
 type progressRequested struct {
 	ids   []string
 	reply chan<- map[string]Progress
@@ -63,16 +68,16 @@
 	e.reply <- progress
 }
 
-// jobsChanged is an answer to the watch on the open jobs: submissions and cancellations up
-// to a moment after it was asked.
-type jobsChanged struct {
-	asked   time.Time
+// openJobsChanged is the result of one watch request on the open jobs. It contains all
+// submissions and cancellations up to some moment after askedAt.
+type openJobsChanged struct {
+	askedAt time.Time
 	changes []statestore.Change
 }
 
-func (e jobsChanged) apply(l *Leader) {
+func (e openJobsChanged) apply(l *Leader) {
 	now := time.Now()
-	l.certainty.Watched(e.asked)
+	l.certainty.Watched(e.askedAt)
 	for _, c := range e.changes {
 		if c.Delete != "" {
 			l.jobRecordDeleted(c.Delete[len(jobs.OpenPrefix):], now)
@@ -82,21 +87,23 @@
 	}
 }
 
-// watchedUntilRequested is the question up to when the state service itself has told of all
-// cancellations.
+// watchedUntilRequested asks up to which time the watch has reported all cancellations.
 type watchedUntilRequested struct{ reply chan<- time.Time }
 
 func (e watchedUntilRequested) apply(l *Leader) { e.reply <- l.certainty.WatchedUntil() }
 
-// attested is what all nodes attest to, asked at this time.
-type attested struct {
+// attestationsReceived holds the cancellations that the nodes, asked at askedAt, have
+// attested.
+type attestationsReceived struct {
 	cancelled []string
-	asked     time.Time
+	askedAt   time.Time
 }
 
-func (e attested) apply(l *Leader) { l.applyAttestation(e.cancelled, e.asked, time.Now()) }
+func (e attestationsReceived) apply(l *Leader) {
+	l.applyAttestation(e.cancelled, e.askedAt, time.Now())
+}
 
-// callFinished is the result of a call that the loop had started.
-type callFinished struct{ handle func() }
+// callFinished carries the result of a call that the loop started.
+type callFinished struct{ applyResult func() }
 
-func (e callFinished) apply(*Leader) { e.handle() }
+func (e callFinished) apply(*Leader) { e.applyResult() }
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -6,64 +6,66 @@
 	"time"
 )
 
-// failover follows how far this leader has come in taking over from an earlier term.
+// failover tracks the takeover from an earlier term.
 type failover struct {
 	startedAt time.Time
-	// loaded is set once the records are taken in.
+	// loaded is set once the records of earlier terms have been loaded.
 	loaded bool
-	// progress is for operators; empty once the failover is over.
+	// progress describes the current step to operators; empty once the failover is complete.
 	progress string
 }
 
-// begin starts the failover.
-func (f *failover) begin(now time.Time) { f.startedAt = now }
+// start sets the start time of the failover.
+func (f *failover) start(now time.Time) { f.startedAt = now }
 
-// finishLoading notes that the records are taken in.
+// finishLoading marks the records as loaded.
 func (f *failover) finishLoading() { f.loaded = true }
 
-// recordsLoaded tells whether the records are taken in: before, nothing may be decided.
+// recordsLoaded reports whether the records have been loaded. No decisions may be made before
+// that.
 func (f *failover) recordsLoaded() bool { return f.loaded }
 
-// step notes what the failover does now.
-func (f *failover) step(format string, args ...any) { f.progress = fmt.Sprintf(format, args...) }
+// setProgress sets the description of the current step.
+func (f *failover) setProgress(format string, args ...any) { f.progress = fmt.Sprintf(format, args...) }
 
-// progressText is how far the failover has come, for operators; empty once it is over.
+// progressText describes the current step to operators; empty once the failover is complete.
 func (f *failover) progressText() string { return f.progress }
 
-// over tells whether there is none, or it is over.
-func (f *failover) over() bool { return f.progress == "" }
+// completed reports whether no failover is in progress.
+func (f *failover) completed() bool { return f.progress == "" }
 
-// heard notes how many of all machines have reported. The failover is over once all have,
-// or those that have not must have lost their leases. It reports whether it is over by
-// this, and how long it took.
-func (f *failover) heard(heard, all int, lease time.Duration, now time.Time) (took time.Duration, over bool) {
+// reported records how many of the known machines have reported. The failover completes once all
+// have, or once the leases of the others must have expired. It reports whether the failover is
+// now complete, and the time since it started.
+func (f *failover) reported(reported, total int, lease time.Duration, now time.Time) (took time.Duration, completed bool) {
 	took = now.Sub(f.startedAt)
-	if heard != all && took <= lease {
-		f.step("%d of %d machines heard", heard, all)
+	if reported != total && took <= lease {
+		f.setProgress("%d of %d machines heard", reported, total)
 		return took, false
 	}
 	f.progress = ""
 	return took, true
 }
 
-// trackFailover follows which of the machines that the records name have reported.
-func (l *Leader) trackFailover(now time.Time) {
-	if l.failover.over() {
+// updateFailover counts which of the recorded machines have reported, and completes the
+// failover when enough have.
+func (l *Leader) updateFailover(now time.Time) {
+	if l.failover.completed() {
 		return
 	}
-	heard, all := 0, l.fleet.len()
+	reported, all := 0, l.fleet.len()
 	for machine := range l.fleet.all() {
 		if machine.agent.Registered {
-			heard++
+			reported++
 		}
 	}
-	if took, over := l.failover.heard(heard, all, l.lease, now); over {
-		l.deps.Log.Info("failover complete", "term", l.term.number(), "machines", all, "heard", heard, "took_s", math.Round(took.Seconds()*10)/10)
+	if took, completed := l.failover.reported(reported, all, l.lease, now); completed {
+		l.deps.Log.Info("failover complete", "term", l.term.number(), "machines", all, "heard", reported, "took_s", math.Round(took.Seconds()*10)/10)
 	}
 }
 
-// failoverStep notes and publishes what the failover does now.
-func (l *Leader) failoverStep(format string, args ...any) {
-	l.failover.step(format, args...)
+// setFailoverProgress sets and publishes the description of the current step.
+func (l *Leader) setFailoverProgress(format string, args ...any) {
+	l.failover.setProgress(format, args...)
 	l.publish()
 }
--- a/internal/leader/failover_test.go
+++ b/internal/leader/failover_test.go
@@ -5,43 +5,43 @@
 	"time"
 )
 
-// TestFailoverEndsWithTheLeases: a failover lasts until all machines have reported, or the
-// leases of those that have not are over; until then it tells how far it is.
-func TestFailoverEndsWithTheLeases(t *testing.T) {
+// TestFailoverCompletesOnReportsOrLeaseExpiry: a failover completes once all machines have
+// reported, or the leases of the others have expired. Until then it shows its progress.
+func TestFailoverCompletesOnReportsOrLeaseExpiry(t *testing.T) {
 	const lease = 12 * time.Second
-	start := time.Unix(1000, 0)
+	startedAt := time.Unix(1000, 0)
 	for _, c := range []struct {
-		name       string
-		heard, all int
-		after      time.Duration
-		over       bool
+		name            string
+		reported, total int
+		after           time.Duration
+		completed       bool
 	}{
-		{"some are missing", 2, 3, lease, false},
-		{"all have reported", 3, 3, time.Second, true},
-		{"the leases are over", 2, 3, lease + time.Millisecond, true},
+		{"machines missing", 2, 3, lease, false},
+		{"all reported", 3, 3, time.Second, true},
+		{"leases expired", 2, 3, lease + time.Millisecond, true},
 	} {
 		var f failover
-		if !f.over() {
-			t.Error("over before it begins: false")
+		if !f.completed() {
+			t.Error("failover in progress before it starts")
 		}
-		f.begin(start)
-		f.step("reading the jobs")
-		took, over := f.heard(c.heard, c.all, lease, start.Add(c.after))
-		if over != c.over || f.over() != c.over || took != c.after {
-			t.Errorf("%s: over %v after %v, progress %q", c.name, over, took, f.progressText())
+		f.start(startedAt)
+		f.setProgress("reading the jobs")
+		took, completed := f.reported(c.reported, c.total, lease, startedAt.Add(c.after))
+		if completed != c.completed || f.completed() != c.completed || took != c.after {
+			t.Errorf("%s: completed %v after %v, progress %q", c.name, completed, took, f.progressText())
 		}
 	}
 }
 
-// TestPublishedStateIsReadByOthers: what other goroutines see is what was published last.
-func TestPublishedStateIsReadByOthers(t *testing.T) {
+// TestPublishedStateIsVisible: other goroutines see the last published state.
+func TestPublishedStateIsVisible(t *testing.T) {
 	l := testLeader(t)
 	if l.Machines() != 0 || l.FailoverProgress() != "" {
-		t.Errorf("before the first: %d machines, %q", l.Machines(), l.FailoverProgress())
+		t.Errorf("before the first publication: %d machines, progress %q", l.Machines(), l.FailoverProgress())
 	}
 	addMachine(l, "m-1", "east", time.Now())
-	l.failoverStep("reading the log, %d jobs open", 7)
+	l.setFailoverProgress("reading the log, %d jobs open", 7)
 	if l.Machines() != 1 || l.FailoverProgress() != "reading the log, 7 jobs open" {
-		t.Errorf("%d machines, %q", l.Machines(), l.FailoverProgress())
+		t.Errorf("%d machines, progress %q", l.Machines(), l.FailoverProgress())
 	}
 }
--- a/internal/leader/fixtures_test.go
+++ b/internal/leader/fixtures_test.go
@@ -21,8 +21,8 @@
 
 func TestMain(m *testing.M) { os.Exit(testseed.Main(m, 300)) }
 
-// testLeader makes a leader of a small site that has read its records and runs no loop: tests
-// call what the loop would.
+// testLeader returns a leader of a small cluster that has loaded its records. Its loop does
+// not run: tests call its methods directly.
 func testLeader(tb testing.TB) *Leader {
 	tb.Helper()
 	settings := &config.Settings{Params: config.Params{
@@ -42,7 +42,7 @@
 	return l
 }
 
-// addMachine gives the leader a machine that has just reported.
+// addMachine adds a machine that has just sent its first heartbeat.
 func addMachine(l *Leader, name, zone string, now time.Time) *machineState {
 	machine := l.fleet.getOrAdd(name, now)
 	first := &workers.Heartbeat{Machine: name, MachineType: "g4", Zone: zone, Epoch: 1, Sequence: 1, Token: l.term.number()}
@@ -51,7 +51,7 @@
 	return machine
 }
 
-// addJob gives the leader an accepted job.
+// addJob adds an accepted job.
 func addJob(tb testing.TB, l *Leader, spec jobs.Spec, now time.Time) *jobState {
 	tb.Helper()
 	record, err := json.Marshal(jobs.Record{Spec: spec, AcceptedAtMS: now.UnixMilli()})
@@ -62,7 +62,7 @@
 	return l.jobs.get(spec.ID)
 }
 
-// arraySpec is an array of small tasks.
+// arraySpec returns the spec of an array of small tasks.
 func arraySpec(id string, tasks int) jobs.Spec {
 	return jobs.Spec{
 		ID: id, Class: "x", Team: "a", Kind: jobs.KindArray, PriorityClass: "standard", Tasks: tasks,
@@ -70,7 +70,8 @@
 	}
 }
 
-// nextHeartbeat makes a worker's next heartbeat with these tasks in this state.
+// nextHeartbeat returns a worker's next heartbeat, which reports all its tasks with this
+// status and cause.
 func nextHeartbeat(l *Leader, machine *machineState, status workers.TaskStatus, cause workers.ExitCause) *workers.Heartbeat {
 	agent := machine.agent
 	heartbeat := &workers.Heartbeat{
@@ -83,30 +84,29 @@
 	return heartbeat
 }
 
-// commitAll carries out what the leader wants to record, as the state service would, from
-// this revision on. It returns the last revision.
+// commitAll commits pending log changes and the final records of completed jobs. The state
+// service's revision starts from the given one; commitAll returns the last.
 func commitAll(l *Leader, revision uint64) uint64 {
 	for l.wal.Pending() || len(l.commits.completed) > 0 {
 		if l.commits.next() == nil {
 			break
 		}
 		revision++
-		l.committed(commitResult{revision: revision})
+		l.applyCommitResult(commitResult{revision: revision})
 	}
 	return revision
 }
 
-// commitEverything also writes what can wait: checkpoints and removals.
+// commitEverything also commits what has no urgency: checkpoints and key deletions.
 func commitEverything(l *Leader, revision uint64) {
 	for l.commits.next() != nil {
 		revision++
-		l.committed(commitResult{revision: revision})
+		l.applyCommitResult(commitResult{revision: revision})
 	}
 }
 
-// runUntilQuiet starts the calls that the leader wants to make and applies what they and
-// others hand to the loop, until nothing comes any more. Within a synctest bubble its wait
-// ends only when nothing else is under way.
+// runUntilQuiet starts queued calls and applies events until none arrive. In a synctest bubble
+// its timeout elapses only once nothing else can run.
 func runUntilQuiet(tb testing.TB, l *Leader) {
 	tb.Helper()
 	group, ctx := errgroup.WithContext(tb.Context())
@@ -122,7 +122,7 @@
 	}
 }
 
-// runNextEvent starts the calls that the leader wants to make and applies the first result.
+// runNextEvent starts queued calls and applies the first event.
 func runNextEvent(tb testing.TB, l *Leader) {
 	tb.Helper()
 	group, ctx := errgroup.WithContext(tb.Context())
@@ -131,14 +131,14 @@
 	_ = group.Wait()
 }
 
-// offline gives the leader a state service that doesn't answer.
+// offline makes the leader's state service unavailable.
 func offline(tb testing.TB, l *Leader) {
 	tb.Helper()
-	l.deps.Store = noStore{}
+	l.deps.Store = unavailableStore{}
 }
 
-type noStore struct{ Store }
+type unavailableStore struct{ Store }
 
-func (noStore) Txn(context.Context, statestore.Class, []statestore.Condition, []statestore.Write) (uint64, error) {
+func (unavailableStore) Txn(context.Context, statestore.Class, []statestore.Condition, []statestore.Write) (uint64, error) {
 	return 0, statestore.ErrUnavailable
 }
--- a/internal/leader/growth_test.go
+++ b/internal/leader/growth_test.go
@@ -7,11 +7,11 @@
 	"thornnotch/internal/workers"
 )
 
-// TestWorkFollowsChange: what a heartbeat, a change and its record cost does not grow with
-// the fleet. Counted are allocations, views made anew, bytes and transactions, which
-// don't depend on how fast the machine is; a pass itself still walks all machines
-// (BenchmarkPass).
-func TestWorkFollowsChange(t *testing.T) {
+// TestWorkIsIndependentOfFleetSize: the cost of a heartbeat, of a change and of its record
+// does not grow with the fleet. The test counts allocations, rebuilt views, bytes and
+// transactions, which do not depend on the speed of the test machine. A scheduling pass itself
+// still visits all machines (BenchmarkPass).
+func TestWorkIsIndependentOfFleetSize(t *testing.T) {
 	const changes = 20
 	type work struct {
 		heartbeat    float64 // allocations
@@ -45,7 +45,7 @@
 		l.runSchedulingPass(now)
 		for l.wal.Pending() {
 			l.commits.next()
-			l.committed(commitResult{revision: uint64(3000 + w.transactions)})
+			l.applyCommitResult(commitResult{revision: uint64(3000 + w.transactions)})
 			w.transactions++
 		}
 		w.views, w.entryBytes = l.counts.Views-before, l.wal.Stats().EntryBytes-entries
@@ -53,13 +53,13 @@
 	}
 	small, large := measure(500), measure(4000)
 	if large.heartbeat > 1.1*small.heartbeat {
-		t.Errorf("a heartbeat costs %.0f allocations at 500 machines, %.0f at 4,000", small.heartbeat, large.heartbeat)
+		t.Errorf("a heartbeat takes %.0f allocations with 500 machines, %.0f with 4,000", small.heartbeat, large.heartbeat)
 	}
 	if small.views != changes || large.views != changes {
-		t.Errorf("%d changes had %d views made anew at 500 machines, %d at 4,000", changes, small.views, large.views)
+		t.Errorf("%d changes rebuilt %d views with 500 machines, %d with 4,000", changes, small.views, large.views)
 	}
-	// What images the machines happen to have differs a little.
+	// The machines' cached images differ, so the sizes vary slightly.
 	if float64(large.entryBytes) > 1.2*float64(small.entryBytes) || large.transactions != small.transactions || small.entryBytes == 0 {
-		t.Errorf("their record took %+v at 500 machines, %+v at 4,000", small, large)
+		t.Errorf("cost of recording the changes: %+v with 500 machines, %+v with 4,000", small, large)
 	}
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -16,7 +16,7 @@
 	"thornnotch/internal/workers"
 )
 
-// Store is what the leader needs of the state service.
+// Store is the part of the state service's API that the leader uses.
 type Store interface {
 	Get(ctx context.Context, class statestore.Class, key string) (statestore.KeyValue, bool, error)
 	List(ctx context.Context, class statestore.Class, prefix string) ([]statestore.KeyValue, uint64, error)
@@ -24,50 +24,52 @@
 	Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (uint64, []statestore.Change, error)
 }
 
-// Cloud is what the leader needs of the cloud.
+// Cloud is the part of the cloud's API that the leader uses.
 type Cloud interface {
 	Rent(ctx context.Context, request autoscaling.RentRequest) (names []string, err error)
 	Return(ctx context.Context, names []string) error
 	List(ctx context.Context, from string) (instances []autoscaling.Instance, next string, err error)
 }
 
-// Workers sends commands straight to a worker; the answer is a heartbeat.
+// Workers sends commands directly to a worker, which answers with a heartbeat.
 type Workers interface {
 	Send(ctx context.Context, endpoint string, batch workers.CommandBatch) (*workers.Heartbeat, error)
 }
 
-// Deps are what a leader is given.
+// Deps holds a leader's settings and dependencies.
 type Deps struct {
 	Settings *config.Settings
 	Operator config.Operator
 	Store    Store
 	Cloud    Cloud
 	Workers  Workers
-	// Catalog gives the newest catalog, or nil while none is known.
+	// Catalog returns the latest machine catalog, or nil if none has been loaded.
 	Catalog func() *autoscaling.Catalog
-	// Attest asks all nodes which cancellations they have told users of; nil: the watch
-	// alone counts.
+	// Attest asks all nodes for the cancellations they have confirmed to users. If nil, only
+	// the watch proves that cancellations are known.
 	Attest AttestFunc
-	// ReadsLargeRing asks whether all nodes read the log's large ring; nil: they don't.
+	// ReadsLargeRing reports whether all nodes can read the log's large ring. Nil means that
+	// they can't.
 	ReadsLargeRing func(ctx context.Context) bool
-	// Usage tells what this node's calls of a class have drawn; may be nil.
+	// Usage returns what this node's calls of a class have used of the state service's budget;
+	// may be nil.
 	Usage func(statestore.Class) statestore.Usage
 	Log   *slog.Logger
 }
 
-// Leader is one term's scheduling state: its components, and what carries events to them.
-// All but what is marked otherwise belongs to the goroutine that runs the loop.
+// Leader holds the scheduling state of one term and the machinery that delivers events to it.
+// Unless noted otherwise, its fields belong to the goroutine that runs the loop.
 type Leader struct {
 	deps Deps
-	// lease is how long a worker goes on without an acknowledged heartbeat.
+	// lease is how long a worker runs its tasks without an acknowledged heartbeat.
 	lease time.Duration
 	teams []config.Team
 
-	// events go to the loop. Any goroutine may send; done is closed once the term is over
-	// and nobody takes them any more.
+	// events is the loop's queue; any goroutine may send to it. done is closed when the term
+	// ends, after which events are no longer received.
 	events chan event
 	done   chan struct{}
-	// published is what any goroutine may read.
+	// published can be read from any goroutine.
 	published publishedState
 
 	// The term and its records.
@@ -79,7 +81,7 @@
 	failover  failover
 	metadata  metadataQueue
 
-	// Jobs, and what is decided about them.
+	// Jobs and scheduling decisions.
 	jobs         jobTable
 	dependencies dependencyTracker
 	classes      classStats
@@ -87,19 +89,19 @@
 	reservations *reservations.Manager
 	passes       passTimer
 
-	// Machines, and what they are told.
+	// Machines and the commands sent to them.
 	fleet    fleet
 	replies  heldReplies
 	commands commandDispatcher
 	scaling  scalingState
 
-	// What operators see.
+	// Statistics for operators.
 	counts      WorkCounts
 	load        loadLog
-	lastSummary time.Time // when the scheduling summary was logged
+	lastSummary time.Time // when the scheduling summary was last logged
 }
 
-// New makes a leader for the granted term. Run must be called next.
+// New returns a leader for the granted term. The caller must call Run next.
 func New(deps Deps, grant election.Grant) *Leader {
 	params, operator := deps.Settings.Params, deps.Operator
 	l := &Leader{
--- a/internal/leader/legacy.go
+++ b/internal/leader/legacy.go
@@ -14,20 +14,20 @@
 	"thornnotch/internal/statestore"
 )
 
-// Prefixes of the records of version 0.1.0: one for each machine, one for each run of a
-// job's tasks. They are read while there is no log, and removed once the first checkpoint
-// stands.
+// Key prefixes of the record format of version 0.1.0, which has one record per machine and one
+// per chunk of a job's completed tasks. They are read as long as there is no checkpoint in the
+// log, and deleted once the first checkpoint is committed.
 const (
 	legacyMachinePrefix = "rig/"
 	legacyDonePrefix    = "did/"
 )
 
-// legacyRecords are the records of the earlier format.
+// legacyRecords holds the records in the 0.1.0 format.
 type legacyRecords struct {
 	machines, done []statestore.KeyValue
 }
 
-// readLegacy reads the records of the earlier format.
+// readLegacy reads the records in the 0.1.0 format.
 func (l *Leader) readLegacy(ctx context.Context) (legacyRecords, error) {
 	machines, err := l.listRecords(ctx, legacyMachinePrefix)
 	if err != nil {
@@ -40,25 +40,25 @@
 	return legacyRecords{machines: machines.rows, done: done.rows}, nil
 }
 
-// restoreLegacy takes in the records of the earlier format. A machine's record that can't be
-// read may hide a task that still runs, so it ends the failover; one of completed tasks
-// can't do harm: its tasks run again.
+// restoreLegacy restores state from the records in the 0.1.0 format. An unreadable machine
+// record may hide a task that is still running, so it fails the failover. An unreadable record
+// of completed tasks does no harm, as its tasks just run again.
 func (l *Leader) restoreLegacy(records legacyRecords, now time.Time) error {
 	for _, row := range records.machines {
 		var record wal.Machine
 		if err := json.Unmarshal(row.Value, &record); err != nil {
-			return fmt.Errorf("record %s: %w", row.Key, err)
+			return fmt.Errorf("decode record %s: %w", row.Key, err)
 		}
 		if err := l.restoreMachine(strings.TrimPrefix(row.Key, legacyMachinePrefix), &record, now); err != nil {
 			return err
 		}
-		l.commits.removeAfterCheckpoint(row.Key, row.Revision)
+		l.commits.deleteAfterCheckpoint(row.Key, row.Revision)
 	}
 	for _, row := range records.done {
-		l.commits.removeAfterCheckpoint(row.Key, row.Revision)
+		l.commits.deleteAfterCheckpoint(row.Key, row.Revision)
 		job, tasks, err := decodeLegacyDone(row)
 		if err != nil {
-			l.deps.Log.Error("unreadable record", "key", row.Key, "error", err)
+			l.deps.Log.Error("unreadable record of completed tasks", "key", row.Key, "error", err)
 			continue
 		}
 		l.restoreDone(job, tasks)
@@ -66,13 +66,13 @@
 	return nil
 }
 
-// decodeLegacyDone reads a record of completed tasks: PREFIX JOB/CHUNK, a bit for each task
-// of the chunk.
+// decodeLegacyDone decodes a record of completed tasks. Its key is PREFIX JOB/CHUNK, and its
+// value is a bitmap of the chunk's tasks.
 func decodeLegacyDone(row statestore.KeyValue) (job string, tasks []int, err error) {
 	job, number, ok := strings.Cut(strings.TrimPrefix(row.Key, legacyDonePrefix), "/")
 	chunk, err := strconv.Atoi(number)
 	if !ok || err != nil || chunk < 0 {
-		return "", nil, fmt.Errorf("%q is not a key of this kind", row.Key)
+		return "", nil, fmt.Errorf("malformed key %q of completed tasks", row.Key)
 	}
 	var text string
 	if err := json.Unmarshal(row.Value, &text); err != nil {
--- a/internal/leader/legacy_test.go
+++ b/internal/leader/legacy_test.go
@@ -8,9 +8,9 @@
 	"thornnotch/internal/statestore"
 )
 
-// TestLegacyRecordsAreRead: the records of the earlier format are taken in, and
-// removed once a checkpoint holds what they held.
-func TestLegacyRecordsAreRead(t *testing.T) {
+// TestLegacyRecordsAreRestored: state is restored from records in the 0.1.0 format, which are
+// deleted once a checkpoint contains their data.
+func TestLegacyRecordsAreRestored(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
 	job := addJob(t, l, arraySpec("j-1", 20), now)
@@ -18,14 +18,14 @@
 		`{"t":"g4","z":"east","e":"h:1","h":2,"a":[{"p":"j-1/3","t":9,"h":2},{"p":"j-0/0","t":8,"h":2}],"j":{"j-0":{"w":"a","r":[1,2,3]},"j-1":{"w":"a","r":[1,1,1]}},"i":[{"n":"img","g":5}]}`)}}
 	done := []statestore.KeyValue{
 		{Key: "did/j-1/0", Revision: 6, Value: json.RawMessage(`"BQAA"`)}, // tasks 0 and 2
-		{Key: "did/j-1/x", Revision: 7, Value: json.RawMessage(`7`)},      // not of this kind
+		{Key: "did/j-1/x", Revision: 7, Value: json.RawMessage(`7`)},      // not a chunk number
 	}
 	if err := l.restoreLegacy(legacyRecords{machines: machines, done: done}, now); err != nil {
 		t.Fatal(err)
 	}
 	machine := l.fleet.get("m-1")
 	if len(job.attempts[3]) != 1 || l.jobs.ended["j-0"].resources.GPUs != 2 {
-		t.Errorf("attempts of open and ended jobs: %v, %+v", job.attempts, l.jobs.ended["j-0"])
+		t.Errorf("attempts of the open job %v, of the ended job %+v", job.attempts, l.jobs.ended["j-0"])
 	}
 	if job.progress.completed() != 2 || !job.progress.isRecorded(2) {
 		t.Errorf("%d tasks done, task 2 recorded: %v", job.progress.completed(), job.progress.isRecorded(2))
@@ -37,10 +37,10 @@
 	machine.agent.Endpoint = ""
 	l.beginCheckpoint()
 	commitEverything(l, 100)
-	if len(l.commits.obsoleteKeys) != 0 || l.commits.keysWaitForCheckpoint() {
-		t.Errorf("they are not removed: %v", l.commits.obsoleteKeys)
+	if len(l.commits.obsoleteKeys) != 0 || l.commits.hasReplacedKeys() {
+		t.Errorf("legacy keys left: %v", l.commits.obsoleteKeys)
 	}
 	if err := l.restoreLegacy(legacyRecords{machines: []statestore.KeyValue{{Key: "rig/m-2", Value: json.RawMessage(`"x"`)}}}, now); err == nil {
-		t.Errorf("a machine's record that can't be read may hide a task, and is passed over")
+		t.Errorf("unreadable machine record is ignored although it may hide a running task")
 	}
 }
--- a/internal/leader/loop.go
+++ b/internal/leader/loop.go
@@ -10,34 +10,36 @@
 	"thornnotch/internal/constants"
 )
 
-// The way of an event, with the functions to look for:
+// How an event is processed, with the functions involved:
 //
-//  1. It comes in. A heartbeat is posted by the HTTP handler (Heartbeat), a submission or
-//     cancellation by the watch (watchJobs), the result of a call by the call's goroutine
-//     (startCalls). Each is an event (events.go).
+//  1. It arrives. A heartbeat is posted by the HTTP handler (Heartbeat), a submission or
+//     cancellation by the watch (watchJobs), and the result of a call by the goroutine that
+//     made it (startCalls). Each is an event (events.go).
 //  2. The loop applies it to the state: applyHeartbeat and applyEvents for what a machine
-//     reports, addJob and jobRecordDeleted for jobs. What must outlive the leader goes into
-//     the write-ahead log at once (logAttempt, logDone, logMetadata), and a pass is requested
-//     if placement may decide otherwise than before.
-//  3. runSchedulingPass, if due, shows the state to placement and turns its plan into
-//     attempts (startPlanned) and stops (preempt). The attempts are logged.
-//  4. commit sends what the log has gathered as one transaction, unless one is under way.
-//     Once that stands, committed has the log call back those that wait for it: allowStart
-//     lets attempts start, allowForget lets workers forget what they have reported.
-//  5. flushReplies answers the heartbeats that are held back, with the commands that have
-//     come up for their machines. Stops need not wait for a heartbeat: sendStops queues a
-//     direct command, which startCalls sends.
+//     reports, addJob and jobRecordDeleted for jobs. Changes that must survive the leader are
+//     added to the write-ahead log immediately (logAttempt, logDone, logMetadata). A
+//     scheduling pass is requested if it might now decide differently.
+//  3. If a pass is due, runSchedulingPass passes a snapshot of the state to placement and
+//     turns the resulting plan into attempts (startPlanned) and preemptions (preempt). The
+//     attempts are logged.
+//  4. commit sends the pending log changes as one transaction, unless another one is in
+//     flight. Once it is committed, applyCommitResult has the log call its callbacks:
+//     allowStart lets attempts start, and allowForget lets workers forget what they have
+//     reported.
+//  5. flushReplies answers held heartbeats with the commands that are ready for their
+//     machines. Stops do not wait for a heartbeat: sendStops queues a direct command, which
+//     startCalls sends.
 
-// Run leads until ctx ends or the term does. It waits for all goroutines of the term.
+// Run leads until ctx or the term ends, and waits for all goroutines of the term.
 func (l *Leader) Run(ctx context.Context) error {
 	defer close(l.done)
 	group, ctx := errgroup.WithContext(ctx)
 	revision, err := l.loadRecords(ctx)
 	if err != nil {
-		return fmt.Errorf("load: %w", err)
+		return fmt.Errorf("load records of earlier terms: %w", err)
 	}
-	// A process that was frozen while it read may have been deposed meanwhile.
-	l.term.resume(time.Now())
+	// If the process was frozen while loading, another node may have deposed it.
+	l.term.markResumed(time.Now())
 	l.verifyTerm()
 	group.Go(func() error { return l.watchJobs(ctx, revision) })
 	if l.deps.Attest != nil {
@@ -47,50 +49,52 @@
 	return group.Wait()
 }
 
-// loop takes in events until the term ends. It alone changes the scheduling state.
+// loop processes events until the term ends. Only the loop changes the scheduling state.
 func (l *Leader) loop(ctx context.Context, group *errgroup.Group) error {
 	tick := time.NewTicker(constants.TickInterval)
 	defer tick.Stop()
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
+	wakeup := time.NewTimer(0)
+	defer wakeup.Stop()
 	for !l.term.ended() {
-		var began time.Time
+		var startedAt time.Time
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case e := <-l.events:
-			began = l.beginRound()
-			l.applyAll(e)
+			startedAt = l.beginIteration()
+			l.applyPending(e)
 		case <-tick.C:
-			began = l.beginRound()
-			l.tick(began)
-			l.logLoad(began)
-		case <-alarm.C:
-			began = l.beginRound()
+			startedAt = l.beginIteration()
+			l.tick(startedAt)
+			l.logLoad(startedAt)
+		case <-wakeup.C:
+			startedAt = l.beginIteration()
 		}
 		l.startCalls(ctx, group)
-		now := l.decide()
+		now := l.scheduleAndCommit()
 		l.startCalls(ctx, group)
 		l.flushReplies(now)
-		l.counts.BusySeconds += time.Since(began).Seconds()
-		if next := l.nextAlarm(); !next.IsZero() {
-			alarm.Reset(max(next.Sub(now), 0))
+		l.counts.BusySeconds += time.Since(startedAt).Seconds()
+		if next := l.nextWakeup(); !next.IsZero() {
+			wakeup.Reset(max(next.Sub(now), 0))
 		}
 	}
 	return l.term.err()
 }
 
-// beginRound notes that the loop is at work, and since when.
-func (l *Leader) beginRound() time.Time {
+// beginIteration returns the time at which this iteration of the loop starts, and logs a
+// warning if the loop had stalled.
+func (l *Leader) beginIteration() time.Time {
 	now := time.Now()
-	if stall := l.term.beginRound(now); stall > 0 {
-		l.deps.Log.Warn("loop stood still", "stall_s", stall.Seconds(), "term", l.term.number())
+	if stall := l.term.beginIteration(now); stall > 0 {
+		l.deps.Log.Warn("event loop stalled", "stall_s", stall.Seconds(), "term", l.term.number())
 	}
 	return now
 }
 
-// applyAll applies an event and what else has come in, before the costly part.
-func (l *Leader) applyAll(first event) {
+// applyPending applies an event and all others that are queued, so that one pass and one
+// transaction cover them all.
+func (l *Leader) applyPending(first event) {
 	l.counts.Events += uint64(1 + len(l.events))
 	first.apply(l)
 	for waiting := len(l.events); waiting > 0 && !l.term.ended(); waiting-- {
@@ -98,9 +102,9 @@
 	}
 }
 
-// decide runs a scheduling pass and sends a transaction, each if it is due. It returns the
-// time after the pass.
-func (l *Leader) decide() time.Time {
+// scheduleAndCommit runs a scheduling pass and sends a transaction, each if due. It returns
+// the time after the pass.
+func (l *Leader) scheduleAndCommit() time.Time {
 	now := time.Now()
 	if l.passes.due(now) {
 		l.runSchedulingPass(now)
@@ -110,15 +114,16 @@
 	return now
 }
 
-// nextAlarm is when the loop must look again if nothing comes in.
-func (l *Leader) nextAlarm() (at time.Time) {
-	sooner := func(t time.Time) {
+// nextWakeup returns when the loop must wake up even if no event arrives, or the zero time if
+// it need not.
+func (l *Leader) nextWakeup() (at time.Time) {
+	consider := func(t time.Time) {
 		if !t.IsZero() && (at.IsZero() || t.Before(at)) {
 			at = t
 		}
 	}
-	sooner(l.passes.nextAt())
-	sooner(l.commits.due())
-	sooner(l.replies.nextDue())
+	consider(l.passes.nextAt())
+	consider(l.commits.dueAt())
+	consider(l.replies.nextDue())
 	return at
 }
--- a/internal/leader/loop_test.go
+++ b/internal/leader/loop_test.go
@@ -18,12 +18,11 @@
 	"thornnotch/internal/workers"
 )
 
-// loopStore is a state service that holds no records at first and carries out every
-// transaction.
+// loopStore is a state service that has no records at first and executes every transaction.
 type loopStore struct {
 	changes chan []statestore.Change
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	termRevision uint64
 	revision     uint64
 	written      []string // keys
@@ -64,15 +63,15 @@
 	}
 }
 
-// wrote tells whether a key was written.
-func (s *loopStore) wrote(key string) bool {
+// hasWritten reports whether a key was written.
+func (s *loopStore) hasWritten(key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Contains(s.written, key)
 }
 
-// startRun has a leader run on the store. The returned function ends it, and returns what Run
-// did.
+// startRun runs a leader on the store. The returned function stops it and returns the result
+// of Run.
 func startRun(t *testing.T, store *loopStore) (l *Leader, stop func() error) {
 	t.Helper()
 	l = testLeader(t)
@@ -86,14 +85,14 @@
 	}
 }
 
-// heartbeatsUntilCommanded has a machine send heartbeats until it is told something.
-func heartbeatsUntilCommanded(t *testing.T, l *Leader) []workers.Command {
+// heartbeatUntilCommanded sends heartbeats of a machine until it receives commands.
+func heartbeatUntilCommanded(t *testing.T, l *Leader) []workers.Command {
 	t.Helper()
 	for sequence := uint64(1); sequence < 10; sequence++ {
 		heartbeat := &workers.Heartbeat{Machine: "m-1", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: sequence, Token: 3}
 		reply, ok := l.Heartbeat(t.Context(), heartbeat)
 		if !ok || reply.Status != 200 {
-			t.Fatalf("heartbeat %d: %v, %d", sequence, ok, reply.Status)
+			t.Fatalf("heartbeat %d: answered %v, status %d", sequence, ok, reply.Status)
 		}
 		if len(reply.Answer.Commands) > 0 {
 			return reply.Answer.Commands
@@ -103,10 +102,10 @@
 	return nil
 }
 
-// TestSubmissionReachesAMachine: a submission that the watch tells of comes by the loop, a
-// pass and a transaction to a machine, with the reply to its heartbeat. Once its context ends
-// Run waits for all that it has started.
-func TestSubmissionReachesAMachine(t *testing.T) {
+// TestSubmissionReachesMachine: a submission reported by the watch passes through the loop, a
+// scheduling pass and a transaction, and reaches a machine in the reply to its heartbeat. When
+// its context ends, Run waits for everything that it has started.
+func TestSubmissionReachesMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newLoopStore()
 		l, stop := startRun(t, store)
@@ -116,44 +115,44 @@
 		}
 		store.changes <- []statestore.Change{{Put: jobs.OpenPrefix + "j-1", Value: record, Revision: 101}}
 
-		commands := heartbeatsUntilCommanded(t, l)
+		commands := heartbeatUntilCommanded(t, l)
 		if len(commands) != 1 || commands[0].Verb != workers.VerbRun {
-			t.Errorf("the machine is told %+v", commands)
+			t.Errorf("the machine received commands %+v", commands)
 		}
-		if !store.wrote(wal.HeadKey) {
-			t.Error("it was told before anything was recorded")
+		if !store.hasWritten(wal.HeadKey) {
+			t.Error("commands were sent before anything was committed")
 		}
 		if progress := l.Progress(t.Context(), []string{"j-1", "j-2"}); len(progress) != 1 {
-			t.Errorf("progress %v", progress)
+			t.Errorf("unexpected progress %v", progress)
 		}
 		if status, ok := l.Status(t.Context()); !ok || status.Term != 3 || len(status.Queue) != 1 {
-			t.Errorf("status %v: %+v", ok, status)
+			t.Errorf("status (ok %v): %+v", ok, status)
 		}
 		if err := stop(); !errors.Is(err, context.Canceled) {
-			t.Errorf("ended: %v", err)
+			t.Errorf("Run returned %v", err)
 		}
 		if _, ok := l.Status(t.Context()); ok {
-			t.Error("it answers after its end")
+			t.Error("the leader answers status requests after its end")
 		}
 	})
 }
 
-// TestRunEndsWithItsTerm: a leader that finds another's term once its records are read ends
-// with the reason, and decides nothing.
-func TestRunEndsWithItsTerm(t *testing.T) {
+// TestRunEndsIfDeposedDuringLoad: a leader that finds, after loading its records, that another
+// node has raised the term ends with ErrDeposed and decides nothing.
+func TestRunEndsIfDeposedDuringLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newLoopStore()
 		store.termRevision++
 		l, stop := startRun(t, store)
 		time.Sleep(constants.TickInterval)
 		if err := stop(); !errors.Is(err, ErrDeposed) {
-			t.Errorf("ended: %v", err)
+			t.Errorf("Run returned %v", err)
 		}
 		if len(store.written) > 0 {
-			t.Errorf("written: %v", store.written)
+			t.Errorf("deposed leader wrote %v", store.written)
 		}
 		if _, ok := l.Heartbeat(t.Context(), &workers.Heartbeat{Machine: "m-1", Epoch: 1, Sequence: 1}); ok {
-			t.Error("it answers workers after its end")
+			t.Error("the leader answers heartbeats after its end")
 		}
 	})
 }
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -11,18 +11,17 @@
 	"thornnotch/internal/workers"
 )
 
-// Conversions between the leader's state and the records of the write-ahead log: a function
-// named record... makes a record, one named ...FromRecord reads it.
+// Conversions between the leader's in-memory state and the records of the write-ahead log.
 
 func resourcesFromRecord(r wal.Resources) placement.Resources {
 	return placement.Resources{CPUs: r[0], GPUs: r[1], MemoryGB: r[2]}
 }
 
-func recordResources(r placement.Resources) wal.Resources {
+func resourcesToRecord(r placement.Resources) wal.Resources {
 	return wal.Resources{r.CPUs, r.GPUs, r.MemoryGB}
 }
 
-func holdFromRecord(h wal.Hold, machine string) reservations.Reservation {
+func reservationFromRecord(h wal.Hold, machine string) reservations.Reservation {
 	pipeline := placement.Pipeline{Team: h.Team, Class: h.Class}
 	if h.Edge {
 		pipeline.Downstream = h.Downstream
@@ -34,10 +33,10 @@
 	}
 }
 
-func recordHold(h reservations.Reservation) wal.Hold {
+func reservationToRecord(h reservations.Reservation) wal.Hold {
 	return wal.Hold{
 		Team: h.Pipeline.Team, Class: h.Pipeline.Class, Upstream: h.Upstream, Downstream: h.Downstream, Edge: h.Pipeline.Downstream != "",
-		Priority: h.Priority, Resources: recordResources(h.Resources), Expires: h.ExpiresAt.UnixMilli(),
+		Priority: h.Priority, Resources: resourcesToRecord(h.Resources), Expires: h.ExpiresAt.UnixMilli(),
 	}
 }
 
@@ -45,7 +44,8 @@
 	return wal.Attempt{Task: a.ID.Task.String(), Number: a.ID.Number, Epoch: a.Epoch}
 }
 
-// attemptFromRecord is an attempt of an earlier term: it may run, and its number is not ours.
+// attemptFromRecord decodes an attempt of an earlier term. It may be running, and its number
+// does not belong to this term.
 func attemptFromRecord(r wal.Attempt, now time.Time) (*workers.Attempt, error) {
 	task, err := workers.ParseTaskID(r.Task)
 	if err != nil {
@@ -57,7 +57,7 @@
 	}, nil
 }
 
-// machineMetadata is what is recorded of a machine beside its attempts.
+// machineMetadata returns a machine's record without its attempts.
 func (l *Leader) machineMetadata(machine *machineState) wal.Machine {
 	agent := machine.agent
 	record := wal.Machine{
@@ -65,19 +65,19 @@
 		Endpoint: agent.Endpoint, Epoch: agent.Epoch, Leaving: machine.lifecycle.isLeaving(),
 	}
 	for _, h := range l.reservations.OnMachine(agent.Name) {
-		record.Holds = append(record.Holds, recordHold(h))
+		record.Holds = append(record.Holds, reservationToRecord(h))
 	}
 	for _, image := range machine.images {
 		if image.fetched {
 			record.Images = append(record.Images, wal.Image{Name: image.name, GB: image.gb})
 		}
 	}
-	// Their order of use is not worth a new record.
+	// A fixed order, so that a change in the order of use alone causes no new record.
 	slices.SortFunc(record.Images, func(a, b wal.Image) int { return strings.Compare(a.Name, b.Name) })
 	return record
 }
 
-// machineRecord is all that is recorded of a machine.
+// machineRecord returns a machine's complete record.
 func (l *Leader) machineRecord(machine *machineState) wal.Machine {
 	record := l.machineMetadata(machine)
 	for _, a := range machine.agent.SortedAttempts() {
@@ -93,7 +93,8 @@
 	return record
 }
 
-// recordUse is the owner and size of an attempt, for when its job is over.
+// recordUse returns the team and resources of an attempt. They are recorded so that the
+// attempt can still be accounted for after its job has ended.
 func (l *Leader) recordUse(a *workers.Attempt) wal.JobUse {
-	return wal.JobUse{Team: l.jobs.teamOf(a), Resources: recordResources(l.jobs.resourcesOf(a))}
+	return wal.JobUse{Team: l.jobs.teamOf(a), Resources: resourcesToRecord(l.jobs.resourcesOf(a))}
 }
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -12,23 +12,23 @@
 	"thornnotch/internal/statestore"
 )
 
-// storedRecords are the records of the earlier terms.
+// storedRecords holds the records of earlier terms.
 type storedRecords struct {
-	// jobs are the open jobs, read at this revision of the state service.
+	// jobs holds the open jobs, read at this revision of the state service.
 	jobs     []statestore.KeyValue
 	revision uint64
-	// log is what the log says, logRevision that of its head.
+	// log is the state recorded in the log; logRevision is the revision of its head.
 	log         wal.State
 	logRevision uint64
 	legacy      legacyRecords
 }
 
-// loadRecords reads all records of the earlier terms and takes them in. Reading starts
-// after the term was raised, so no older leader can change them any more. It returns the
+// loadRecords loads the records of earlier terms and restores state from them. Since they are
+// read after the term was raised, no older leader can still change them. It returns the
 // revision at which the open jobs were read.
 func (l *Leader) loadRecords(ctx context.Context) (revision uint64, err error) {
-	start := time.Now()
-	l.failover.begin(start)
+	startedAt := time.Now()
+	l.failover.start(startedAt)
 	records, err := l.readRecords(ctx)
 	if err != nil {
 		return 0, err
@@ -38,25 +38,25 @@
 	}
 	head := records.log.Head
 	l.deps.Log.Info("records loaded", "term", l.term.number(), "jobs", l.jobs.len(), "machines", l.fleet.len(),
-		"log", head.Next-head.From, "took_ms", time.Since(start).Milliseconds())
+		"log", head.Next-head.From, "took_ms", time.Since(startedAt).Milliseconds())
 	return records.revision, nil
 }
 
-// readRecords reads all records of the earlier terms.
+// readRecords reads the records of earlier terms.
 func (l *Leader) readRecords(ctx context.Context) (records storedRecords, err error) {
-	l.failoverStep("reading the jobs")
+	l.setFailoverProgress("reading the jobs")
 	open, err := l.listRecords(ctx, jobs.OpenPrefix)
 	if err != nil {
 		return storedRecords{}, err
 	}
-	l.certainty.Watched(open.asked)
+	l.certainty.Watched(open.askedAt)
 	records.jobs, records.revision = open.rows, open.revision
-	l.failoverStep("reading the log, %d jobs open", len(open.rows))
+	l.setFailoverProgress("reading the log, %d jobs open", len(open.rows))
 	if records.log, records.logRevision, err = l.readLog(ctx); err != nil {
 		return storedRecords{}, err
 	}
 	if records.log.Head.Area == "" {
-		// No checkpoint yet: what there is may be of the earlier format.
+		// There is no checkpoint yet, so there may be records in the legacy format.
 		if records.legacy, err = l.readLegacy(ctx); err != nil {
 			return storedRecords{}, err
 		}
@@ -64,8 +64,8 @@
 	return records, nil
 }
 
-// restoreRecords takes in the records of the earlier terms. On an error nothing may be
-// decided: a task may run that is not known.
+// restoreRecords restores state from the records of earlier terms. After an error no decisions
+// may be made, because an unknown task may be running.
 func (l *Leader) restoreRecords(records storedRecords, now time.Time) error {
 	for _, row := range records.jobs {
 		l.addJob(row.Key, row.Value, row.Revision, now)
@@ -85,7 +85,7 @@
 		l.restoreDone(job, tasks)
 	}
 	l.openLog(records.log.Head, records.logRevision)
-	if l.commits.keysWaitForCheckpoint() {
+	if l.commits.hasReplacedKeys() {
 		l.beginCheckpoint()
 	}
 	for job := range l.jobs.all() {
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// readLog reads the log's head, what it counts on, and the head's revision. Nobody
-// writes the log any more, so it need not be read at one moment.
+// readLog reads the log and returns its state and the revision of its head. No other node can
+// write the log any more, so the keys need not be read at a single revision.
 func (l *Leader) readLog(ctx context.Context) (state wal.State, revision uint64, err error) {
 	headRow, found, err := l.getRecord(ctx, wal.HeadKey)
 	if err != nil {
@@ -113,12 +113,12 @@
 	}
 	state, foreign, err := wal.Read(rows)
 	for _, key := range foreign {
-		l.deps.Log.Error("foreign key below the log", "key", key)
+		l.deps.Log.Error("unexpected key under the log prefix", "key", key)
 	}
 	return state, headRow.Revision, err
 }
 
-// readLogRows reads what the log's head counts on, the head included.
+// readLogRows reads all keys that the log's head refers to, and includes the head itself.
 func (l *Leader) readLogRows(ctx context.Context, headRow statestore.KeyValue) ([]statestore.KeyValue, error) {
 	var head wal.Head
 	if err := json.Unmarshal(headRow.Value, &head); err != nil {
@@ -135,7 +135,7 @@
 	return rows, nil
 }
 
-// getRecord reads one record, trying again for as long as the term lasts.
+// getRecord reads a record, retrying until ctx is done.
 func (l *Leader) getRecord(ctx context.Context, key string) (statestore.KeyValue, bool, error) {
 	for {
 		row, found, err := l.deps.Store.Get(ctx, statestore.ClassLease, key)
@@ -145,32 +145,32 @@
 		case ctx.Err() != nil:
 			return statestore.KeyValue{}, false, fmt.Errorf("read %s: %w", key, err)
 		}
-		l.deps.Log.Info("record can't be read", "key", key, "error", err)
+		l.deps.Log.Info("record read failed, retrying", "key", key, "error", err)
 		pause(ctx, constants.MinBackoff)
 	}
 }
 
-// recordList is one kind of record, as it was at a revision of the state service, which it
-// was asked for at this time.
+// recordList is the result of listing records: their contents at a revision of the state
+// service, and when the request was sent.
 type recordList struct {
 	rows     []statestore.KeyValue
 	revision uint64
-	asked    time.Time
+	askedAt  time.Time
 }
 
-// listRecords lists one kind of record, trying again for as long as the term lasts: giving
-// the lead up over one failed answer would only start it all anew.
+// listRecords lists the records with a prefix, retrying until ctx is done. Giving up the lead
+// after one failed request would only restart the failover from the beginning.
 func (l *Leader) listRecords(ctx context.Context, prefix string) (recordList, error) {
 	for {
-		asked := time.Now()
+		askedAt := time.Now()
 		rows, revision, err := l.deps.Store.List(ctx, statestore.ClassLease, prefix)
 		switch {
 		case err == nil:
-			return recordList{rows, revision, asked}, nil
+			return recordList{rows, revision, askedAt}, nil
 		case ctx.Err() != nil:
 			return recordList{}, fmt.Errorf("list %s: %w", prefix, err)
 		}
-		l.deps.Log.Info("records can't be read", "key", prefix, "error", err)
+		l.deps.Log.Info("record listing failed, retrying", "key", prefix, "error", err)
 		pause(ctx, constants.MinBackoff)
 	}
 }
--- a/internal/leader/requests.go
+++ b/internal/leader/requests.go
@@ -5,20 +5,21 @@
 	"sync/atomic"
 )
 
-// publishedState is what other goroutines read of the leader without waiting for the loop.
+// publishedState holds the part of the leader's state that other goroutines can read without
+// waiting for the loop.
 type publishedState struct {
 	snapshot atomic.Pointer[publishedSnapshot]
 }
 
 type publishedSnapshot struct {
-	// failover is how far the failover has come; empty once it is over.
+	// failover describes the current step of the failover; empty once it is complete.
 	failover string
-	// machines is how many machines are known.
+	// machines is the number of known machines.
 	machines int
 }
 
-// update publishes the present state, if it differs. Only the goroutine that owns the
-// leader's state may call it.
+// update publishes the state if it has changed. Only the goroutine that owns the leader's
+// state may call it.
 func (p *publishedState) update(failover string, machines int) {
 	current := publishedSnapshot{failover: failover, machines: machines}
 	if p.load() != current {
@@ -26,7 +27,7 @@
 	}
 }
 
-// load is the state that was published last.
+// load returns the last published state.
 func (p *publishedState) load() publishedSnapshot {
 	if s := p.snapshot.Load(); s != nil {
 		return *s
@@ -34,20 +35,21 @@
 	return publishedSnapshot{}
 }
 
-// publish has other goroutines see the present state.
+// publish makes the current state visible to other goroutines.
 func (l *Leader) publish() { l.published.update(l.failover.progressText(), l.fleet.len()) }
 
-// FailoverProgress tells how far the failover has come; empty once it is over.
+// FailoverProgress describes the current step of the failover. It is empty once the failover
+// is complete.
 func (l *Leader) FailoverProgress() string { return l.published.load().failover }
 
-// Machines is how many machines are known.
+// Machines returns the number of known machines.
 func (l *Leader) Machines() int { return l.published.load().machines }
 
-// ask hands a question to the loop and waits for its answer; ok is false once the term is
-// over.
-func ask[T any](ctx context.Context, l *Leader, question func(reply chan<- T) event) (answer T, ok bool) {
+// queryLoop posts a request event to the loop and waits for the reply. It reports false if the
+// term or ctx ends first.
+func queryLoop[T any](ctx context.Context, l *Leader, newRequest func(reply chan<- T) event) (answer T, ok bool) {
 	reply := make(chan T, 1)
-	if !l.post(ctx, question(reply)) {
+	if !l.post(ctx, newRequest(reply)) {
 		return answer, false
 	}
 	select {
@@ -59,17 +61,17 @@
 	return answer, false
 }
 
-// Status takes a snapshot of the term; ok is false once it is over.
+// Status returns the operators' view of the term. It reports false if the term or ctx ends
+// first.
 func (l *Leader) Status(ctx context.Context) (status Status, ok bool) {
-	return ask(ctx, l, func(reply chan<- Status) event { return statusRequested{reply} })
+	return queryLoop(ctx, l, func(reply chan<- Status) event { return statusRequested{reply} })
 }
 
-// Progress is how far a job is.
+// Progress counts the completed and running tasks of a job.
 type Progress struct{ Done, Running int }
 
-// Progress tells how far these jobs are, for display. Jobs that are not known here are left
-// out.
+// Progress returns the progress of the given jobs, for display. It omits unknown jobs.
 func (l *Leader) Progress(ctx context.Context, ids []string) map[string]Progress {
-	progress, _ := ask(ctx, l, func(reply chan<- map[string]Progress) event { return progressRequested{ids, reply} })
+	progress, _ := queryLoop(ctx, l, func(reply chan<- map[string]Progress) event { return progressRequested{ids, reply} })
 	return progress
 }
--- a/internal/leader/restore.go
+++ b/internal/leader/restore.go
@@ -7,8 +7,8 @@
 	"thornnotch/internal/leader/wal"
 )
 
-// restoreMachine takes in what was recorded of a machine. On an error nothing may be
-// decided: a task may run there that is not known.
+// restoreMachine restores a machine from its record. After an error no decisions may be made,
+// because an unknown task may be running on the machine.
 func (l *Leader) restoreMachine(name string, record *wal.Machine, now time.Time) error {
 	machine := l.fleet.getOrAdd(name, now)
 	machine.metadataLogged = true
@@ -18,20 +18,20 @@
 	agent.Endpoint, agent.Epoch = record.Endpoint, record.Epoch
 	for _, attempt := range record.Attempts {
 		if err := l.restoreAttempt(machine, attempt, record.Jobs, now); err != nil {
-			return fmt.Errorf("record of %s: %w", name, err)
+			return fmt.Errorf("restore machine %s: %w", name, err)
 		}
 	}
 	for _, i := range record.Images {
 		machine.images = append(machine.images, cachedImage{name: i.Name, gb: i.GB, fetched: true})
 	}
 	for _, hold := range record.Holds {
-		l.reservations.Restore(holdFromRecord(hold, name))
+		l.reservations.Restore(reservationFromRecord(hold, name))
 	}
 	return nil
 }
 
-// restoreAttempt takes in an attempt that may be on a machine. One whose job is over counts
-// by the size that is recorded with it, and is stopped.
+// restoreAttempt restores an attempt that may be running on a machine. If its job has ended,
+// it is accounted for with the resources recorded in uses, and stopped.
 func (l *Leader) restoreAttempt(machine *machineState, record wal.Attempt, uses map[string]wal.JobUse, now time.Time) error {
 	attempt, err := attemptFromRecord(record, now)
 	if err != nil {
@@ -47,9 +47,9 @@
 	return nil
 }
 
-// restoreDone takes in completed tasks of a job.
-func (l *Leader) restoreDone(name string, tasks []int) {
-	job := l.jobs.get(name)
+// restoreDone marks recorded tasks of a job as completed.
+func (l *Leader) restoreDone(jobID string, tasks []int) {
+	job := l.jobs.get(jobID)
 	if job == nil {
 		return
 	}
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -1,6 +1,6 @@
 package leader
 
-// Status is the state of a term as operators see it.
+// Status is the operators' view of a term.
 type Status struct {
 	Term          uint64          `json:"term"`
 	Machines      []PoolStatus    `json:"machines"`
@@ -14,18 +14,17 @@
 	EventsWaiting int             `json:"callsWaiting"`
 }
 
-// RecordingStatus tells whether records can be written.
+// RecordingStatus shows whether state can be written to the state service.
 type RecordingStatus struct {
 	Healthy     bool    `json:"healthy"`
-	SinceProofS float64 `json:"sureS"` // since all cancellations were certainly known
-	// Backlog is the number of log entries that a failover would read on top
-	// of the last checkpoint; UnwrittenS how long the oldest transaction under
-	// way has taken.
+	SinceProofS float64 `json:"sureS"` // time since all cancellations were last known for certain
+	// Backlog is the number of log entries that a failover would read in addition to the last
+	// checkpoint. UnwrittenS is how long the transaction in flight has taken.
 	Backlog    int     `json:"backlog"`
 	UnwrittenS float64 `json:"unwrittenS"`
 }
 
-// PoolStatus counts the machines of one pool.
+// PoolStatus counts the machines of one type, zone and purchase option.
 type PoolStatus struct {
 	Type string  `json:"type"`
 	Zone string  `json:"zone"`
@@ -33,26 +32,26 @@
 	Up   int     `json:"up"`
 	Busy int     `json:"busy"`
 	GPUs float64 `json:"gpusUsed"`
-	// Used is the same in whole machines, each task by the resource that it
-	// takes most of: what counts where machines have no GPUs.
+	// Used is the utilization in units of whole machines, counting each task by its dominant
+	// resource. It is the meaningful figure for machines without GPUs.
 	Used float64 `json:"machinesUsed"`
-	// Faulty are those taken for faulty that have not been returned yet.
+	// Faulty counts machines considered faulty that have not been returned yet.
 	Faulty int `json:"faulty"`
 }
 
-// QueueStatus counts one team's jobs of one class.
+// QueueStatus counts the jobs and tasks of one team and class.
 type QueueStatus struct {
 	Class string `json:"class"`
 	Team  string `json:"team"`
 	Jobs  int    `json:"jobs"`
-	// Blocked are those of them that wait for other jobs.
+	// Blocked counts the jobs that wait for other jobs.
 	Blocked int `json:"jobsWaitingForOthers"`
 	Waiting int `json:"tasksWaiting"`
 	Running int `json:"tasksRunning"`
 	Done    int `json:"tasksDone"`
 }
 
-// TeamStatus is what a team uses of its levels, held room included.
+// TeamStatus shows a team's resource usage, including its holds, and its quotas.
 type TeamStatus struct {
 	Team           string  `json:"team"`
 	CPUs           float64 `json:"cpus"`
@@ -65,7 +64,7 @@
 	MaxGPUs        float64 `json:"gpusLimit"`
 }
 
-// HoldStatus is one hold with the time until it lapses.
+// HoldStatus shows a hold and the time until it expires.
 type HoldStatus struct {
 	Machine    string  `json:"rig"`
 	Team       string  `json:"team"`
--- a/internal/leader/status_view.go
+++ b/internal/leader/status_view.go
@@ -9,7 +9,7 @@
 	"thornnotch/internal/workers"
 )
 
-// status is the operators' view of the present state, a section at a time.
+// status returns the operators' view of the current state.
 func (l *Leader) status(now time.Time) Status {
 	machines, leaving := l.machineStatus()
 	return Status{
@@ -21,7 +21,7 @@
 		Booting:       len(l.scaling.booting),
 		Leaving:       leaving,
 		Recording:     l.recordingStatus(now),
-		Work:          l.work(),
+		Work:          l.workCounts(),
 		EventsWaiting: len(l.events),
 	}
 }
@@ -31,12 +31,12 @@
 		Healthy:     l.commits.healthy(),
 		SinceProofS: l.certainty.SinceProof(now).Seconds(),
 		Backlog:     l.wal.Backlog(),
-		UnwrittenS:  l.commits.unwrittenFor(now).Seconds(),
+		UnwrittenS:  l.commits.inFlightFor(now).Seconds(),
 	}
 }
 
-// machineStatus counts the machines by type, zone and whether they are spot, and those that
-// are being returned.
+// machineStatus counts machines by type, zone and whether they are spot machines. It also
+// returns the number of machines being returned.
 func (l *Leader) machineStatus() (pools []PoolStatus, leaving int) {
 	type key struct {
 		machineType, zone string
@@ -64,7 +64,7 @@
 	return pools, leaving
 }
 
-// countMachine adds a machine to its pool.
+// countMachine adds a machine to the counts of its pool.
 func (l *Leader) countMachine(pool *PoolStatus, machine *machineState) {
 	if !machine.lifecycle.isLeaving() && machine.agent.Registered {
 		pool.Up++
@@ -93,7 +93,7 @@
 	return 1
 }
 
-// queueStatus counts the jobs of each class and team.
+// queueStatus counts the jobs and tasks of each class and team.
 func (l *Leader) queueStatus() (queues []QueueStatus) {
 	byPipeline := make(map[placement.Pipeline]*QueueStatus)
 	for job := range l.jobs.all() {
@@ -106,7 +106,7 @@
 		queue.Jobs++
 		if job.upstreams.blocked() {
 			queue.Blocked++
-			continue // its tasks wait for no machine
+			continue // its tasks do not wait for a machine
 		}
 		running := startedAttempts(job)
 		queue.Done += job.progress.completed()
@@ -122,7 +122,7 @@
 	return queues
 }
 
-// startedAttempts is how many attempts of a job have all that they need on their machine.
+// startedAttempts returns the number of a job's attempts whose status is past fetching.
 func startedAttempts(job *jobState) (n int) {
 	for _, placed := range job.attempts {
 		for _, p := range placed {
@@ -134,7 +134,7 @@
 	return n
 }
 
-// teamStatus is what each team uses of its levels, held room included.
+// teamStatus returns each team's resource usage, including its holds, and its quotas.
 func (l *Leader) teamStatus() (teams []TeamStatus) {
 	used, held := make(map[string]placement.Resources), make(map[string]placement.Resources)
 	for machine := range l.fleet.all() {
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -9,39 +9,38 @@
 	"thornnotch/internal/statestore"
 )
 
-// EndReason is the error that a term ends with, by what ended it.
+// EndReason is the error with which a term ended.
 type EndReason string
 
 const (
-	// ErrDeposed ends a term because another node leads.
+	// ErrDeposed means that another node leads.
 	ErrDeposed EndReason = "deposed: another node has raised the term"
-	// ErrTxnTooLarge ends a term whose transactions are larger than the state service
-	// takes. The next one writes smaller ones; whatever of this one is still under way
-	// can't be carried out any more.
-	ErrTxnTooLarge EndReason = "the state service refuses transactions of this size"
-	// ErrAttemptNumbersExhausted ends a term that has no attempt numbers left; the next
-	// one has new ones.
-	ErrAttemptNumbersExhausted EndReason = "attempt numbers of this term are used up"
+	// ErrTxnTooLarge means that the state service refused a transaction as too large. The next
+	// term writes smaller ones, and transactions of this term that are still in flight can no
+	// longer be executed.
+	ErrTxnTooLarge EndReason = "state service rejects transactions of this size"
+	// ErrAttemptNumbersExhausted means that the term has used all its attempt numbers. The
+	// next term has new ones.
+	ErrAttemptNumbersExhausted EndReason = "attempt numbers of this term are exhausted"
 )
 
 func (r EndReason) Error() string { return string(r) }
 
-// term is the term that this leader was granted: whether it still lasts, and the attempt
-// numbers that belong to it.
+// term tracks whether the granted term still lasts, and allocates its attempt numbers.
 //
-// The process may be frozen for half a minute while its clocks run on. Then all machines
-// seem silent, as their heartbeats wait in our own sockets, and another node may lead. What
-// is written is conditioned on the term; calls to the cloud are not, so they wait until the
-// term record has been read again.
+// The process may be frozen for half a minute while its clocks run on. Afterwards all machines
+// seem silent, because their heartbeats are still queued in this process's sockets, and
+// another node may already lead. Writes to the state service are conditioned on the term, but
+// calls to the cloud are not, so they wait until the term record has been read again.
 type term struct {
 	grant     election.Grant
 	attempts  attemptNumbers
 	endReason EndReason // empty while the term lasts
-	// lastRound is when the loop last went round, resumed when it last went on after it
-	// had stood still.
-	lastRound, resumed time.Time
-	// unverified is set from then on until the state service has said that the term still
-	// lasts; verifying while it is being asked.
+	// lastIteration is when the last iteration of the loop began. resumed is when the loop
+	// last resumed after a stall.
+	lastIteration, resumed time.Time
+	// unverified is set from a stall until the state service has confirmed that the term still
+	// lasts; verifying while that request is in flight.
 	unverified, verifying bool
 }
 
@@ -49,25 +48,25 @@
 	return term{grant: grant, attempts: attemptNumbers{term: grant.Term}}
 }
 
-// number is the term's number: the fencing token of all commands.
+// number returns the term's number, which is the fencing token of all commands.
 func (t *term) number() uint64 { return t.grant.Term }
 
-// condition holds for as long as no other node has raised the term.
+// condition returns a condition that holds until another node raises the term.
 func (t *term) condition() statestore.Condition {
 	return statestore.Condition{Key: election.TermKey, Revision: t.grant.Revision}
 }
 
-// end ends the term. The first reason counts.
+// end ends the term. Only the first reason is kept.
 func (t *term) end(reason EndReason) {
 	if t.endReason == "" {
 		t.endReason = reason
 	}
 }
 
-// ended tells whether the term is over.
+// ended reports whether the term has ended.
 func (t *term) ended() bool { return t.endReason != "" }
 
-// err is why the term is over; nil while it lasts.
+// err returns why the term ended, or nil while it lasts.
 func (t *term) err() error {
 	if t.endReason == "" {
 		return nil
@@ -75,8 +74,7 @@
 	return t.endReason
 }
 
-// nextAttempt gives out a new attempt number. With the last one the term ends, and it
-// reports false.
+// nextAttempt allocates an attempt number. If none is left it ends the term and reports false.
 func (t *term) nextAttempt() (number uint64, ok bool) {
 	number, ok = t.attempts.next()
 	if !ok {
@@ -85,33 +83,33 @@
 	return number, ok
 }
 
-// ownsAttempt tells whether an attempt number was given out in this term.
+// ownsAttempt reports whether an attempt number was allocated in this term.
 func (t *term) ownsAttempt(number uint64) bool { return t.attempts.owns(number) }
 
-// beginRound notes that the loop is at work. It reports for how long it has stood still
-// before, zero if it has not.
-func (t *term) beginRound(now time.Time) (stall time.Duration) {
-	if gap := now.Sub(t.lastRound); !t.lastRound.IsZero() && gap > constants.StallAfter {
-		t.resume(now)
+// beginIteration records the start of a loop iteration. It returns how long the loop had
+// stalled before it, or zero if it had not.
+func (t *term) beginIteration(now time.Time) (stall time.Duration) {
+	if gap := now.Sub(t.lastIteration); !t.lastIteration.IsZero() && gap > constants.StallAfter {
+		t.markResumed(now)
 		stall = gap
 	}
-	t.lastRound = now
+	t.lastIteration = now
 	return stall
 }
 
-// resume notes that the loop goes on after it may have stood still: silence before this
-// time was our own, and the term is to be verified.
-func (t *term) resume(now time.Time) { t.resumed, t.unverified = now, true }
+// markResumed records that the loop may have stalled until now. Silence of machines before
+// this time may be the leader's own fault, and the term must be verified.
+func (t *term) markResumed(now time.Time) { t.resumed, t.unverified = now, true }
 
-// resumedAt is when the loop last went on after it had stood still.
+// resumedAt returns when the loop last resumed after a stall.
 func (t *term) resumedAt() time.Time { return t.resumed }
 
-// verified tells whether the term is known to have lasted since the loop last stood still.
+// verified reports whether the term has been confirmed since the last stall.
 func (t *term) verified() bool { return !t.unverified }
 
-// beginVerification has the term record asked for, unless it is being asked for already. The
-// result must be handed to finishVerification with the returned time.
-func (t *term) beginVerification() (asked time.Time, ok bool) {
+// beginVerification starts a verification of the term. It reports false if one is in flight
+// already. The result and the returned time must be passed to finishVerification.
+func (t *term) beginVerification() (resumedAt time.Time, ok bool) {
 	if t.verifying {
 		return time.Time{}, false
 	}
@@ -119,33 +117,33 @@
 	return t.resumed, true
 }
 
-// finishVerification takes in the term record, as it was asked for after the loop had gone
-// on at this time. It reports whether the term is verified by it.
-func (t *term) finishVerification(asked time.Time, record statestore.KeyValue, found bool, err error) bool {
+// finishVerification handles the result of reading the term record; resumedAt is the time that
+// beginVerification returned. It reports whether the term is now verified.
+func (t *term) finishVerification(resumedAt time.Time, record statestore.KeyValue, found bool, err error) bool {
 	t.verifying = false
 	switch {
 	case err != nil:
-		return false // the next tick asks again
+		return false // retried on the next tick
 	case !found || record.Revision != t.grant.Revision:
 		t.end(ErrDeposed)
 		return false
-	case !asked.Equal(t.resumed):
-		return false // it has stood still once more since
+	case !resumedAt.Equal(t.resumed):
+		return false // the loop has stalled again since the request
 	}
 	t.unverified = false
 	return true
 }
 
-// verifyTerm asks the state service whether the term still lasts.
+// verifyTerm reads the term record to check whether the term still lasts.
 func (l *Leader) verifyTerm() {
-	asked, ok := l.term.beginVerification()
+	resumedAt, ok := l.term.beginVerification()
 	if !ok {
 		return
 	}
 	l.calls.queue(func(ctx context.Context) func() {
 		record, found, err := l.deps.Store.Get(ctx, statestore.ClassLease, election.TermKey)
 		return func() {
-			if l.term.finishVerification(asked, record, found, err) {
+			if l.term.finishVerification(resumedAt, record, found, err) {
 				l.passes.request()
 			}
 		}
--- a/internal/leader/term_test.go
+++ b/internal/leader/term_test.go
@@ -14,9 +14,9 @@
 	"thornnotch/internal/statestore"
 )
 
-// termStore answers for the term record alone.
+// termStore is a state service that serves only the term record.
 type termStore struct {
-	noStore
+	unavailableStore
 	revision uint64
 	err      error
 }
@@ -43,86 +43,86 @@
 	return nil, "", nil
 }
 
-// TestTermEndsForItsFirstReason: what ends a term first is what it ended for, and callers
-// match it with errors.Is.
-func TestTermEndsForItsFirstReason(t *testing.T) {
+// TestFirstEndReasonWins: a term ends with the first reason given, which callers can match
+// with errors.Is.
+func TestFirstEndReasonWins(t *testing.T) {
 	current := newTerm(election.Grant{Term: 3, Revision: 7})
 	if current.ended() || current.err() != nil {
-		t.Fatalf("a new term has ended: %v", current.err())
+		t.Fatalf("a new term has already ended: %v", current.err())
 	}
 	current.end(ErrTxnTooLarge)
 	current.end(ErrDeposed)
 	if err := fmt.Errorf("term 3: %w", current.err()); !errors.Is(err, ErrTxnTooLarge) || errors.Is(err, ErrDeposed) {
-		t.Errorf("ended: %v", err)
+		t.Errorf("term ended: %v", err)
 	}
 }
 
-// TestTermEndsWithoutAttemptNumbers: with its last attempt number a term is over.
-func TestTermEndsWithoutAttemptNumbers(t *testing.T) {
+// TestTermEndsWhenAttemptNumbersRunOut: a term ends when it has no attempt numbers left.
+func TestTermEndsWhenAttemptNumbersRunOut(t *testing.T) {
 	current := newTerm(election.Grant{Term: 1 << constants.TermBits})
 	current.attempts.used = 1<<constants.AttemptCounterBits - 2
 	if number, ok := current.nextAttempt(); !ok || !current.ownsAttempt(number) {
-		t.Fatalf("the last number: %d, %v", number, ok)
+		t.Fatalf("last attempt number: %d, ok %v", number, ok)
 	}
 	if number, ok := current.nextAttempt(); ok || !errors.Is(current.err(), ErrAttemptNumbersExhausted) {
-		t.Errorf("one more: %d, ended %v", number, current.err())
+		t.Errorf("number after the last: %d, term ended: %v", number, current.err())
 	}
 }
 
-// TestTermIsVerifiedAfterEachStall: an answer verifies the term only if it was asked for
-// after the last stall; one that shows another revision ends it.
+// TestTermIsVerifiedAfterEachStall: an answer verifies the term only if it was requested after
+// the last stall. One with another revision ends the term.
 func TestTermIsVerifiedAfterEachStall(t *testing.T) {
 	start := time.Now()
 	current := newTerm(election.Grant{Term: 3, Revision: 7})
 	ours := statestore.KeyValue{Revision: 7}
 	stallAt := func(now time.Time) {
-		current.beginRound(now.Add(-constants.StallAfter - time.Second))
-		if current.beginRound(now) == 0 || current.verified() {
-			t.Fatal("a stall is not seen")
+		current.beginIteration(now.Add(-constants.StallAfter - time.Second))
+		if current.beginIteration(now) == 0 || current.verified() {
+			t.Fatal("stall not detected")
 		}
 	}
 
 	stallAt(start)
-	asked, ok := current.beginVerification()
+	resumedAt, ok := current.beginVerification()
 	if !ok {
-		t.Fatal("the term record is not asked for")
+		t.Fatal("verification does not start")
 	}
 	if _, again := current.beginVerification(); again {
-		t.Error("it is asked for twice at a time")
+		t.Error("second verification starts while one is in flight")
 	}
 	stallAt(start.Add(time.Minute))
-	if current.finishVerification(asked, ours, true, nil) || current.verified() {
-		t.Error("an answer from before the stall verifies the term")
+	if current.finishVerification(resumedAt, ours, true, nil) || current.verified() {
+		t.Error("an answer requested before the stall verifies the term")
 	}
 
-	asked, _ = current.beginVerification()
-	if current.finishVerification(asked, statestore.KeyValue{}, false, statestore.ErrUnavailable) || current.ended() {
-		t.Errorf("no answer verifies or ends the term: %v", current.err())
+	resumedAt, _ = current.beginVerification()
+	if current.finishVerification(resumedAt, statestore.KeyValue{}, false, statestore.ErrUnavailable) || current.ended() {
+		t.Errorf("a failed request verifies or ends the term: %v", current.err())
 	}
-	asked, _ = current.beginVerification()
-	if !current.finishVerification(asked, ours, true, nil) || !current.verified() {
+	resumedAt, _ = current.beginVerification()
+	if !current.finishVerification(resumedAt, ours, true, nil) || !current.verified() {
 		t.Error("the answer does not verify the term")
 	}
 
 	stallAt(start.Add(2 * time.Minute))
-	asked, _ = current.beginVerification()
-	if current.finishVerification(asked, statestore.KeyValue{Revision: 8}, true, nil) || !errors.Is(current.err(), ErrDeposed) {
-		t.Errorf("another node's term: ended %v", current.err())
+	resumedAt, _ = current.beginVerification()
+	if current.finishVerification(resumedAt, statestore.KeyValue{Revision: 8}, true, nil) || !errors.Is(current.err(), ErrDeposed) {
+		t.Errorf("record of another node's term: term ended: %v", current.err())
 	}
 }
 
-// TestStoodStill: a leader whose process stood still for longer than a lease
-// takes its own silence for nobody else's, and deals with the cloud only once
-// the term record has shown that it still leads. Deposed, it ends.
-func TestStoodStill(t *testing.T) {
+// TestStalledLeaderWaitsForVerification: a leader whose process stalled for longer than a
+// lease does not take the machines for silent, and does not call the cloud until the term
+// record has shown that it still leads. If it was deposed, its term ends.
+func TestStalledLeaderWaitsForVerification(t *testing.T) {
 	for _, deposed := range []bool{false, true} {
 		t.Run(fmt.Sprint("deposed ", deposed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { stoodStill(t, deposed) })
+			synctest.Test(t, func(t *testing.T) { testStalledLeader(t, deposed) })
 		})
 	}
 }
 
-func stoodStill(t *testing.T, deposed bool) {
+func testStalledLeader(t *testing.T, deposed bool) {
 	t.Helper()
 	l := testLeader(t)
 	store, cloud := &termStore{err: statestore.ErrUnavailable}, &cloudCalls{}
@@ -134,7 +134,7 @@
 	l.scaling.booting["m-9"] = bootingMachine{autoscaling.InstancePool{Type: "g4", Zone: "east"}, start, start}
 	addJob(t, l, arraySpec("j-1", 40), start)
 
-	now := standStill(t, l, l.lease+constants.SilentReturnAfter+time.Minute)
+	now := simulateStall(t, l, l.lease+constants.SilentReturnAfter+time.Minute)
 	l.tick(now)
 	l.passes.request()
 	l.runSchedulingPass(now)
@@ -148,13 +148,13 @@
 	l.scale(now)
 	runUntilQuiet(t, l)
 	if l.term.ended() != deposed {
-		t.Fatalf("ended: %v", l.term.err())
+		t.Fatalf("term ended: %v", l.term.err())
 	}
 	if l.term.verified() == deposed {
-		t.Fatalf("verified: %v", l.term.verified())
+		t.Fatalf("term verified: %v", l.term.verified())
 	}
 	if names := l.machinesToReturn(now); len(names) > 0 {
-		t.Errorf("%v returned as if they had had their time to come up", names)
+		t.Errorf("%v returned before they had time to boot", names)
 	}
 	if deposed {
 		return
@@ -162,15 +162,15 @@
 	l.scale(now)
 	runUntilQuiet(t, l)
 	if cloud.lists+cloud.rents == 0 {
-		t.Errorf("it never deals with the cloud again")
+		t.Errorf("the cloud is not called after verification")
 	}
 }
 
-// standStill has the leader find that it has stood still for so long, until now.
-func standStill(t *testing.T, l *Leader, stall time.Duration) (now time.Time) {
+// simulateStall makes the leader detect a stall of this length that ends now.
+func simulateStall(t *testing.T, l *Leader, stall time.Duration) (now time.Time) {
 	t.Helper()
-	l.beginRound()
-	l.term.lastRound = time.Now().Add(-stall)
+	l.beginIteration()
+	l.term.lastIteration = time.Now().Add(-stall)
 	for machine := range l.fleet.all() {
 		machine.agent.LastHeartbeat = machine.agent.LastHeartbeat.Add(-stall)
 	}
@@ -178,29 +178,29 @@
 		b.rentedAt, b.learntAt = b.rentedAt.Add(-stall), b.learntAt.Add(-stall)
 		l.scaling.booting[name] = b
 	}
-	now = l.beginRound()
+	now = l.beginIteration()
 	if l.term.verified() {
-		t.Fatal("that it stood still was not seen")
+		t.Fatal("stall not detected")
 	}
 	return now
 }
 
-// checkNothingDecided fails if anything was decided on a state that is as old as the stall.
+// checkNothingDecided fails if any decision was based on the state from before the stall.
 func checkNothingDecided(t *testing.T, l *Leader, cloud *cloudCalls, now time.Time) {
 	t.Helper()
 	if job := l.jobs.get("j-1"); len(job.attempts) > 0 {
-		t.Errorf("%d tasks placed on an old world", len(job.attempts))
+		t.Errorf("%d tasks placed using stale state", len(job.attempts))
 	}
 	if *cloud != (cloudCalls{}) {
-		t.Errorf("the cloud was called before the term was looked at: %+v", *cloud)
+		t.Errorf("the cloud was called before the term was verified: %+v", *cloud)
 	}
 	for name, machine := range l.fleet.byName {
 		if machine.lifecycle.leaving {
-			t.Errorf("%s is given up for silence that was ours", name)
+			t.Errorf("%s is being returned for silence during the stall", name)
 		}
 	}
 	pool := autoscaling.InstancePool{Type: "g4", Zone: "east"}
 	if snapshot := l.scalingSnapshot(now); snapshot.Machines[pool] != 4 {
-		t.Errorf("machines are to be replaced for silence that was ours: %v", snapshot.Machines)
+		t.Errorf("machines not counted because of silence during the stall: %v", snapshot.Machines)
 	}
 }
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -6,31 +6,32 @@
 	"thornnotch/internal/constants"
 )
 
-// tick does what only time brings about.
+// tick runs the periodic work of the loop.
 func (l *Leader) tick(now time.Time) {
 	l.classes.fade(constants.TickInterval)
-	l.trackFailover(now)
+	l.updateFailover(now)
 	l.publish()
 	l.superviseMachines(now)
 	l.expireReservations(now)
 	l.logDueMetadata(now)
-	l.reviewJobs(now)
+	l.updateJobWaits(now)
 	l.readFinalRecords(now)
 	l.checkLargeRingSupport(now)
 	l.scale(now)
 	if l.passes.sinceLast(now) > time.Second {
-		l.passes.request() // estimates and spare room change with time alone
+		l.passes.request() // estimates and free resources change over time even without events
 	}
 }
 
-// superviseMachines ends leases that have run out, repeats stops, and has agents told of
-// this term where they don't know it.
+// superviseMachines expires leases, resends stops, and sends this term's token to workers that
+// have not seen it.
 func (l *Leader) superviseMachines(now time.Time) {
 	tokensPushed := 0
 	for _, machine := range l.fleet.sortedByName() {
 		agent := machine.agent
-		// That nobody was answered for a lease is our own doing after we stood
-		// still: who leads now knows better, and if we do it is soon known.
+		// After a stall, expired leases may be the leader's own fault: it answered no
+		// heartbeats. Whether it still leads is not known until the term is verified, which
+		// does not take long.
 		if l.term.verified() {
 			if lost := agent.ExpireLease(l.term.number(), l.lease, now); len(lost) > 0 {
 				l.deps.Log.Info("machine lost", "machine", agent.Name, "tasks", len(lost))
@@ -43,21 +44,21 @@
 		case agent.RepliesLost || agent.EpochUnconfirmed:
 			l.probeAgent(machine, now)
 		case tokensPushed < constants.TokenPushesPerTick && l.needsToken(machine, now):
-			// A few at a time: all at once would take more sockets and time
-			// than there are.
+			// A few per tick, because sending to all machines at once would take too many
+			// sockets and too long.
 			tokensPushed++
 			l.sendCommand(machine, nil, now)
 		}
 	}
 }
 
-// needsToken tells whether an agent is to be shown this term's token, so that it turns to
-// this node soon and drops an older leader's replies.
+// needsToken reports whether to send a worker this term's token directly. The worker then
+// switches to this node sooner and ignores replies of an older leader.
 func (l *Leader) needsToken(machine *machineState, now time.Time) bool {
 	return machine.agent.Token < l.term.number() && !machine.direct.inFlight && machine.direct.sinceLast(now) >= l.lease/2
 }
 
-// expireReservations ends the holds whose time is over.
+// expireReservations removes expired reservations.
 func (l *Leader) expireReservations(now time.Time) {
 	for _, name := range l.reservations.Expire(now, l.hasWaitingTasks) {
 		if machine := l.fleet.get(name); machine != nil {
@@ -67,8 +68,9 @@
 	}
 }
 
-// reviewJobs follows how long gangs wait, and ends the pauses of jobs that had to wait.
-func (l *Leader) reviewJobs(now time.Time) {
+// updateJobWaits updates the wait statistics of gangs, and makes jobs whose backoff has ended
+// schedulable again.
+func (l *Leader) updateJobWaits(now time.Time) {
 	for job := range l.jobs.all() {
 		l.classes.gangWaits.observe(job, now)
 		if job.retry.resume(now) {
--- a/internal/leader/watch.go
+++ b/internal/leader/watch.go
@@ -11,29 +11,29 @@
 	"thornnotch/internal/statestore"
 )
 
-// watchJobs learns of submissions and cancellations: it hands the changes of the open jobs
-// since this revision to the loop, for as long as the term lasts.
+// watchJobs watches the open jobs for submissions and cancellations. It posts all changes
+// after this revision to the loop until ctx is done.
 func (l *Leader) watchJobs(ctx context.Context, revision uint64) error {
 	block := constants.WatchBlock
 	for ctx.Err() == nil {
-		asked := time.Now()
+		askedAt := time.Now()
 		next, changes, err := l.deps.Store.Watch(ctx, jobs.OpenPrefix, revision, block)
-		// After an outage certainty must come back at once, before workers have
-		// to be sent away: the first watch does not wait for a change.
+		// After an outage, proof that all cancellations are known must return before workers'
+		// leases have to expire, so the first request does not wait for a change.
 		block = constants.WatchBlock
 		if err != nil {
 			block = 0
 		}
 		switch {
 		case errors.Is(err, statestore.ErrCompacted):
-			return fmt.Errorf("jobs must be read again: %w", err)
+			return fmt.Errorf("watch of open jobs cannot resume: %w", err)
 		case err != nil:
-			l.deps.Log.Debug("watch failed", "error", err)
+			l.deps.Log.Debug("watch of open jobs failed, retrying", "error", err)
 			pause(ctx, constants.MinBackoff)
 			continue
 		}
 		revision = next
-		l.post(ctx, jobsChanged{asked, changes}) // refused only once the term is over
+		l.post(ctx, openJobsChanged{askedAt, changes}) // dropped only once the term has ended
 	}
 	return ctx.Err()
 }
