--- a/internal/placement/array.go
+++ b/internal/placement/array.go
@@ -2,17 +2,17 @@
 
 import "container/heap"
 
-// placeArray places a job's waiting tasks from the given one on, on machines where they
-// wait no longer than maxImageWaitS seconds for their image. It returns the number of
-// waiting tasks that are placed, those before from included.
+// placeArray places the job's waiting tasks, starting at index from of WaitingTasks, on
+// machines where the wait for the image is at most maxImageWaitS seconds. It returns the
+// number of waiting tasks that are placed, including those before from.
 func (p *pass) placeArray(job *Job, from int, maxImageWaitS float64) int {
 	request := TaskResources(job.Spec)
 	if !p.limitAllows(job, request) {
 		return from
 	}
 	candidates := p.arrayBuffer[:0]
-	for _, machine := range p.machinesFor(job) {
-		if p.takesArrayTask(job, machine, request) && machine.imageDelayS(job) <= maxImageWaitS {
+	for _, machine := range p.candidateMachines(job) {
+		if p.canPlaceArrayTask(job, machine, request) && machine.imageDelayS(job) <= maxImageWaitS {
 			candidates = append(candidates, arrayCandidate{machine, p.score(machine, job)})
 		}
 	}
@@ -22,25 +22,25 @@
 		if !p.limitAllows(job, request) {
 			return i
 		}
-		p.refreshBest(&candidates, job, request)
+		p.rescoreBest(&candidates, job, request)
 		if len(candidates) == 0 {
 			return i
 		}
 		best := &candidates[0]
-		p.place(job, job.WaitingTasks[i], best.machine)
+		p.placeTask(job, job.WaitingTasks[i], best.machine)
 		best.score = p.score(best.machine, job)
 		heap.Fix(&candidates, 0)
 	}
 	return len(job.WaitingTasks)
 }
 
-// refreshBest brings the best candidate that still takes a task to the top. Placing a
-// task changes the score of its own machine, and makes all empty on-demand machines
-// dearer, so the scores further down may be out of date.
-func (p *pass) refreshBest(candidates *arrayCandidates, job *Job, request Resources) {
+// rescoreBest moves the best candidate that can still run a task to the top of the heap.
+// Placing a task changes the score of its own machine and raises the scores of all empty
+// on-demand machines, so scores further down the heap may be stale.
+func (p *pass) rescoreBest(candidates *arrayCandidates, job *Job, request Resources) {
 	for len(*candidates) > 0 {
 		best := &(*candidates)[0]
-		if !p.takesArrayTask(job, best.machine, request) {
+		if !p.canPlaceArrayTask(job, best.machine, request) {
 			heap.Pop(candidates)
 			continue
 		}
@@ -53,23 +53,23 @@
 	}
 }
 
-// takesArrayTask tells whether one more task of a job array may go to the machine, as far
-// as its team's limit lets it start at all.
-func (p *pass) takesArrayTask(job *Job, machine *Machine, request Resources) bool {
+// canPlaceArrayTask reports whether one more task of a job array can be placed on the machine.
+// It does not check the team's limit.
+func (p *pass) canPlaceArrayTask(job *Job, machine *Machine, request Resources) bool {
 	if job.Spec.AllowSpot && machine.emptyOnDemand() && p.emptyOnDemand <= p.ReservedMachines {
-		// Empty on-demand machines are kept for gangs that can use no others.
+		// The last empty on-demand machines are kept for gangs that can't use spot machines.
 		return false
 	}
-	return eligible(job, machine) && zoneAllows(job, machine.Zone) && machine.freeFor(job).Fits(request)
+	return eligible(job, machine) && zoneAllowed(job, machine.Zone) && machine.freeResourcesFor(job).Fits(request)
 }
 
-// arrayCandidate is a machine that an array's next task could go to.
+// arrayCandidate is a machine that can run the next task of a job array, and its score.
 type arrayCandidate struct {
 	machine *Machine
 	score   float64
 }
 
-// arrayCandidates is a heap, the best first.
+// arrayCandidates is a heap of machines, the lowest score first.
 type arrayCandidates []arrayCandidate
 
 func (c arrayCandidates) Len() int { return len(c) }
@@ -77,14 +77,14 @@
 	if c[i].score != c[j].score {
 		return c[i].score < c[j].score
 	}
-	return c[i].machine.state.rank < c[j].machine.state.rank
+	return c[i].machine.state.position < c[j].machine.state.position
 }
 func (c arrayCandidates) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (c *arrayCandidates) Push(x any) { *c = append(*c, x.(arrayCandidate)) }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (c *arrayCandidates) Pop() any {
 	old := *c
 	last := old[len(old)-1]
--- a/internal/placement/binpacking.go
+++ b/internal/placement/binpacking.go
@@ -6,8 +6,8 @@
 	"thornnotch/internal/constants"
 )
 
-// imageDelayS estimates, in seconds, how long a task would wait for its image on the
-// machine.
+// imageDelayS estimates how long, in seconds, a task of the job would wait for its image on
+// the machine.
 func (m *Machine) imageDelayS(job *Job) float64 {
 	if wait, known := m.ImageWait[job.Spec.Image]; known {
 		return wait.Seconds()
@@ -18,10 +18,11 @@
 	return job.Spec.ImageGB / m.FetchGBPerS * float64(1+m.ActiveFetches)
 }
 
-// score ranks machines for a task; lower is better. Its unit is seconds of delay.
+// score returns the cost of placing a task of the job on the machine, in seconds of delay.
+// Lower is better.
 func (p *pass) score(machine *Machine, job *Job) float64 {
 	score := machine.imageDelayS(job)
-	if machine.hasReservedFor(job) {
+	if machine.hasReservedSlotFor(job) {
 		score -= constants.ReservedSlotBonus
 	}
 	if job.Spec.AllowSpot && !machine.Spot {
@@ -36,20 +37,21 @@
 	return score
 }
 
-// arrayPackingScore packs the tasks of job arrays onto machines that are partly used, so
-// that others stay whole for gangs.
+// arrayPackingScore makes tasks of job arrays prefer machines that are partly used, so that
+// other machines stay empty for gangs.
 func arrayPackingScore(machine *Machine, job *Job) float64 {
 	utilization := machine.usage.used.DominantShare(machine.Total)
 	if _, imageKnown := machine.ImageWait[job.Spec.Image]; !imageKnown && machine.Spot {
-		// The image must be fetched anyway: as few gangs can use spot machines, it had
-		// better come to one more of them than to few.
+		// The image must be fetched in any case. Few gangs can use spot machines, so it is
+		// better to spread the tasks, and with them the image, over more of these machines.
 		return constants.SpotSpreadPenalty * utilization
 	}
 	return constants.PartlyUsedBonus * (1 - utilization)
 }
 
-// place books one task on a machine.
-func (p *pass) place(job *Job, index int, machine *Machine) {
+// placeTask assigns one waiting task to a machine and updates the usage of the machine and the
+// team.
+func (p *pass) placeTask(job *Job, index int, machine *Machine) {
 	request := TaskResources(job.Spec)
 	team := p.Teams[job.Spec.Team]
 	if machine.emptyOnDemand() {
@@ -60,24 +62,25 @@
 	team.Used = team.Used.Add(request)
 	for _, slot := range machine.Reserved {
 		if job.Owns(slot.Pipeline) {
-			// The task takes the place of its reservation, which counted already.
-			p.unreserve(reservedOn{machine, slot})
+			// The task replaces its reservation, which already counted as used.
+			p.removeReservation(machineReservation{machine, slot})
 			break
 		}
 	}
 	if !team.Allows(Resources{}) {
-		p.releaseForLimit(job, Resources{})
+		p.releaseReservationsForLimit(job, Resources{})
 	}
 	if job.TasksByZone == nil {
 		job.TasksByZone = make(map[string]int)
 	}
 	job.TasksByZone[machine.Zone]++
-	machine.fetchImage(job)
+	machine.recordImageFetch(job)
 	p.plan.Starts = append(p.plan.Starts, Start{job, index, machine})
 }
 
-// fetchImage books the fetch that a task of the job causes on the machine, if any.
-func (m *Machine) fetchImage(job *Job) {
+// recordImageFetch records the image fetch that a task of the job starts on the machine,
+// unless the image is already present or being fetched.
+func (m *Machine) recordImageFetch(job *Job) {
 	if _, known := m.ImageWait[job.Spec.Image]; known {
 		return
 	}
--- a/internal/placement/drain.go
+++ b/internal/placement/drain.go
@@ -6,9 +6,9 @@
 	"thornnotch/internal/constants"
 )
 
-// renewClaims renews the claims of gangs that still wait. A machine that drains for a
-// gang must not be filled again by the small tasks of whichever job has less time left at
-// the moment, or it is never empty.
+// renewClaims renews the machine claims of gangs that still wait. Without a claim, small tasks
+// of whichever job currently has less time left would refill a draining machine, and it would
+// never become empty.
 func (p *pass) renewClaims() {
 	p.renewedClaims = make(map[*Job][]*Machine)
 	for _, job := range p.Jobs {
@@ -16,7 +16,7 @@
 			continue
 		}
 		for name := range job.ClaimedMachines {
-			machine := p.machineNamed(name)
+			machine := p.findMachine(name)
 			if machine != nil && machine.state.claimedBy == nil && machine.Schedulable {
 				machine.state.claimedBy = job
 				p.renewedClaims[job] = append(p.renewedClaims[job], machine)
@@ -25,46 +25,47 @@
 	}
 }
 
-// endClaims opens the machines that the last pass kept for a job to others; those that it
-// still waits for are claimed anew.
-func (p *pass) endClaims(job *Job) {
+// releaseClaims drops the claims that the job kept from the previous pass. The caller claims
+// the machines that the job still needs again.
+func (p *pass) releaseClaims(job *Job) {
 	for _, machine := range p.renewedClaims[job] {
 		machine.state.claimedBy = nil
 	}
 }
 
-// tooManyDraining tells whether so many machines more would be too many to drain at a
-// time. The first gang always gets its own.
-func (p *pass) tooManyDraining(more int) bool {
+// exceedsDrainLimit reports whether draining that many additional machines would exceed
+// MaxDrainingShare. The first gang may always drain the machines that it needs.
+func (p *pass) exceedsDrainLimit(additional int) bool {
 	return p.drainingMachines > 0 &&
-		float64(p.drainingMachines+more) > constants.MaxDrainingShare*float64(len(p.Machines))
+		float64(p.drainingMachines+additional) > constants.MaxDrainingShare*float64(len(p.Machines))
 }
 
-// admitDrains counts the options that would have to drain, if so many more may. If not,
-// what comes free goes to other jobs meanwhile: where much waits, all machines would
-// stand half empty.
-func (p *pass) admitDrains(options []roomOption) bool {
+// admitDrains reports whether the options that must drain are within the drain limit, and
+// counts them if so. Otherwise, resources that become free go to other jobs: with many gangs
+// waiting, all machines would stand half empty.
+func (p *pass) admitDrains(options []capacityOption) bool {
 	drains := 0
 	for _, option := range options {
 		if option.tasks == 0 {
 			drains++
 		}
 	}
-	if drains > 0 && p.tooManyDraining(drains) {
+	if drains > 0 && p.exceedsDrainLimit(drains) {
 		return false
 	}
 	p.drainingMachines += drains
 	return true
 }
 
-// weighDrain weighs a machine as one to be kept for the gang until what runs on it has
-// ended: later than any other option, and the one that is empty soonest first. A gang
-// stays with the machines that it has claimed, or it would begin anew with each pass.
-func (s *roomSearch) weighDrain(machine *Machine, maxCostS float64) (option roomOption, cheaper bool) {
+// drainOption returns the option of keeping the machine for the gang until all its tasks have
+// ended, and reports whether it costs less than maxCostS. It costs more than any option
+// without a drain, and the less the sooner the machine will be empty. A gang prefers the
+// machines that it has already claimed; otherwise it would start over in each pass.
+func (s *capacitySearch) drainOption(machine *Machine, maxCostS float64) (option capacityOption, cheaper bool) {
 	option.machine = machine
-	emptyAfterS := constants.DrainPenaltyS + machine.usage.remaining.Seconds()
+	emptyAfterS := constants.DrainPenaltyS + machine.usage.maxRemaining.Seconds()
 	if emptyAfterS-constants.ClaimedMachineBonusS-constants.BoostedClaimBonusS >= maxCostS {
-		return option, false // whatever the rest is
+		return option, false // the image delay only adds to the cost
 	}
 	option.costS = emptyAfterS + machine.imageDelayS(s.job)
 	if s.job.ClaimedMachines[machine.Name] {
@@ -76,8 +77,8 @@
 	return option, option.costS < maxCostS
 }
 
-// take preempts what must go from a machine for a job and keeps the machine for it.
-func (p *pass) take(job *Job, option roomOption) {
+// applyOption preempts the option's victims and claims the machine for the job.
+func (p *pass) applyOption(job *Job, option capacityOption) {
 	machine := option.machine
 	for _, victim := range option.victims {
 		p.preempt(job, machine, victim)
@@ -86,10 +87,10 @@
 		return
 	}
 	machine.state.claimedBy = job
-	// What is reserved here for lower jobs can't be used by them any more.
+	// Lower jobs can no longer use the slots that are reserved for them here.
 	for _, slot := range slices.Clone(machine.Reserved) {
-		if !job.Owns(slot.Pipeline) && !slot.closedTo(job) {
-			p.release(reservedOn{machine, slot})
+		if !job.Owns(slot.Pipeline) && !slot.unavailableTo(job) {
+			p.releaseReservation(machineReservation{machine, slot})
 		}
 	}
 	p.plan.Claims = append(p.plan.Claims, DrainClaim{job, machine})
--- a/internal/placement/eligibility.go
+++ b/internal/placement/eligibility.go
@@ -6,7 +6,8 @@
 	"thornnotch/internal/jobs"
 )
 
-// Allowed tells whether the job's specification lets it use the machine at all.
+// Allowed reports whether the job's specification permits the machine, by its type, its zone
+// and whether it is a spot machine.
 func Allowed(job *Job, machine *Machine) bool {
 	spec := job.Spec
 	if machine.Spot && !spec.AllowSpot || spec.Zone != "" && spec.Zone != machine.Zone {
@@ -15,8 +16,9 @@
 	return spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, machine.Type)
 }
 
-// eligible tells whether a task of the job may be placed on the machine now, as far as
-// room and zones let it. A machine that is kept for another job is open to those before it.
+// eligible reports whether a task of the job may be placed on the machine now. It checks
+// neither free resources nor how the job's tasks are distributed over zones. A machine that is
+// claimed for another job is open only to jobs of higher rank.
 func eligible(job *Job, machine *Machine) bool {
 	if !machine.Schedulable || machine.AttemptCapacity <= 0 || !Allowed(job, machine) || job.AvoidMachines[machine.Name] {
 		return false
@@ -25,18 +27,18 @@
 	return claimedBy == nil || claimedBy == job || precedesByRank(job, claimedBy)
 }
 
-// ZoneCap is the most tasks that the job may have in one zone: half of them, rounded up, if
-// they are to be spread over zones.
-func ZoneCap(spec *jobs.Spec) int {
+// maxTasksPerZone returns how many of the job's tasks may run in one zone: half of them,
+// rounded up, if they must be spread over zones, otherwise all.
+func maxTasksPerZone(spec *jobs.Spec) int {
 	if spec.SpreadZones {
 		return (spec.Tasks + 1) / 2
 	}
 	return spec.Tasks
 }
 
-// zoneAllows tells whether one more task of the job may be in the zone, beside those that
-// may be on machines already.
-func zoneAllows(job *Job, zone string) bool {
+// zoneAllowed reports whether one more task of the job may run in the zone, given its tasks
+// that may already be on machines.
+func zoneAllowed(job *Job, zone string) bool {
 	if job.Spec.SameZone {
 		for other, tasks := range job.TasksByZone {
 			if tasks > 0 && other != zone {
@@ -44,5 +46,5 @@
 			}
 		}
 	}
-	return !job.Spec.SpreadZones || job.TasksByZone[zone] < ZoneCap(job.Spec)
+	return !job.Spec.SpreadZones || job.TasksByZone[zone] < maxTasksPerZone(job.Spec)
 }
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// placeGang starts all of a gang's waiting tasks or none. If none, room is made for it,
-// in its team's limit or on machines.
+// placeGang starts all of the gang's waiting tasks or none. If the gang does not fit, it frees
+// resources for it on machines or, for a boosted gang, within its team's limit.
 func (p *pass) placeGang(gang *Job) {
-	machines := p.gangMachines(gang)
-	p.endLimitPromise(gang)
+	machines := p.chooseGangMachines(gang)
+	p.removeEarmark(gang)
 	if machines != nil {
 		for i, machine := range machines {
-			p.place(gang, gang.WaitingTasks[i], machine)
+			p.placeTask(gang, gang.WaitingTasks[i], machine)
 		}
 		return
 	}
@@ -21,7 +21,7 @@
 	if p.gangWithinLimit(gang) {
 		p.preemptOrDrain(gang, len(gang.WaitingTasks))
 	} else if gang.Boost != NoBoost {
-		p.keepLimitForBoosted(gang)
+		p.earmarkForBoosted(gang)
 	}
 }
 
@@ -29,38 +29,39 @@
 	return p.limitAllows(gang, gang.waitingResources())
 }
 
-// gangSlot is room for one task of a gang.
+// gangSlot is free capacity for one task of a gang.
 type gangSlot struct {
 	machine *Machine
 	score   float64
 }
 
-// gangMachines chooses a machine for each waiting task, or returns nil if there are not
-// enough.
-func (p *pass) gangMachines(gang *Job) []*Machine {
+// chooseGangMachines chooses a machine for each waiting task. It returns nil if the whole gang
+// does not fit.
+func (p *pass) chooseGangMachines(gang *Job) []*Machine {
 	if !p.gangWithinLimit(gang) {
 		return nil
 	}
-	slots := p.gangSlots(gang)
+	slots := p.listGangSlots(gang)
 	if !gang.Spec.SameZone {
-		machines, _ := chooseGangSlots(gang, slots, ZoneCap(gang.Spec))
+		machines, _ := chooseBestSlots(gang, slots, maxTasksPerZone(gang.Spec))
 		return machines
 	}
-	if gang.Spec.Tasks > ZoneCap(gang.Spec) {
+	if gang.Spec.Tasks > maxTasksPerZone(gang.Spec) {
 		return nil
 	}
-	return bestZone(gang, slots)
+	return chooseInBestZone(gang, slots)
 }
 
-// gangSlots lists the room for the gang's waiting tasks, machine by machine.
-func (p *pass) gangSlots(gang *Job) []gangSlot {
+// listGangSlots returns the free capacity for the gang's waiting tasks, in the machines'
+// order.
+func (p *pass) listGangSlots(gang *Job) []gangSlot {
 	request := TaskResources(gang.Spec)
 	var slots []gangSlot
-	for _, machine := range p.machinesFor(gang) {
+	for _, machine := range p.candidateMachines(gang) {
 		if !eligible(gang, machine) {
 			continue
 		}
-		count := machine.freeFor(gang).Count(request, min(len(gang.WaitingTasks), machine.AttemptCapacity))
+		count := machine.freeResourcesFor(gang).Count(request, min(len(gang.WaitingTasks), machine.AttemptCapacity))
 		if count == 0 {
 			continue
 		}
@@ -72,10 +73,10 @@
 	return slots
 }
 
-// bestZone chooses machines for a gang that must be in one zone: of the zones that have
-// room for all of it the one with the best score, the first such one by the machines'
-// order.
-func bestZone(gang *Job, slots []gangSlot) (best []*Machine) {
+// chooseInBestZone chooses machines for a gang that must run in one zone. Of the zones that
+// can hold the whole gang it takes the one with the best score, and among equals the first in
+// the machines' order.
+func chooseInBestZone(gang *Job, slots []gangSlot) (best []*Machine) {
 	byZone := make(map[string][]gangSlot)
 	var zones []string
 	for _, slot := range slots {
@@ -87,10 +88,10 @@
 	}
 	bestScore := 0.0
 	for _, zone := range zones {
-		if !zoneAllows(gang, zone) {
+		if !zoneAllowed(gang, zone) {
 			continue
 		}
-		machines, score := chooseGangSlots(gang, byZone[zone], gang.Spec.Tasks)
+		machines, score := chooseBestSlots(gang, byZone[zone], gang.Spec.Tasks)
 		if machines != nil && (best == nil || score < bestScore) {
 			best, bestScore = machines, score
 		}
@@ -98,19 +99,20 @@
 	return best
 }
 
-// chooseGangSlots takes the best slots with at most zoneCap of the gang's tasks in a zone.
-// The score of the choice is that of its worst slot, as a gang starts to work when its
-// last image is there. It returns nil if there are not enough slots. It sorts the slots.
-func chooseGangSlots(gang *Job, slots []gangSlot, zoneCap int) (machines []*Machine, worstScore float64) {
+// chooseBestSlots chooses the slots with the best scores, with at most maxPerZone of the
+// gang's tasks in a zone. The score of the choice is that of its worst slot, because a gang
+// starts working when its last image has arrived. It returns nil if there are not enough
+// slots. It sorts the slots in place.
+func chooseBestSlots(gang *Job, slots []gangSlot, maxPerZone int) (machines []*Machine, worstScore float64) {
 	slices.SortStableFunc(slots, func(a, b gangSlot) int { return cmp.Compare(a.score, b.score) })
-	// Tasks that already run count too: a gang that lost one gets a replacement.
+	// Running tasks count, too: a gang that lost a task gets a replacement for it.
 	tasksByZone := make(map[string]int)
 	maps.Copy(tasksByZone, gang.TasksByZone)
 	for _, slot := range slots {
 		if len(machines) == len(gang.WaitingTasks) {
 			break
 		}
-		if tasksByZone[slot.machine.Zone] >= zoneCap {
+		if tasksByZone[slot.machine.Zone] >= maxPerZone {
 			continue
 		}
 		tasksByZone[slot.machine.Zone]++
--- a/internal/placement/gangorder.go
+++ b/internal/placement/gangorder.go
@@ -5,43 +5,43 @@
 	"slices"
 )
 
-// orderSmallGangsFirst reorders the gangs of one rank where their team's limit can't hold
-// all that waits, each team's within the places that its gangs have: those that can meet
-// a target first, and of these the ones that take least of the limit. Users count jobs,
-// whatever their size, and a large gang takes the place of several small ones. That the
-// largest still begin in time is what boosting is for.
+// orderSmallGangsFirst reorders the gangs of one rank whose team has more waiting than its
+// limit allows. Each team's gangs are permuted among their own positions: first those that can
+// still meet a target, then those that use the smaller share of the limit. Objectives count
+// jobs regardless of their size, and a large gang takes the place of several small ones.
+// Boosting ensures that the largest gangs still start in time.
 func (p *pass) orderSmallGangsFirst(rank []*Job) {
-	places := make(map[string][]int)
+	positionsByTeam := make(map[string][]int)
 	for i, job := range rank {
-		if job.isGang() && p.limitIsShort(job.Spec.Team) {
-			places[job.Spec.Team] = append(places[job.Spec.Team], i)
+		if job.isGang() && p.demandExceedsLimit(job.Spec.Team) {
+			positionsByTeam[job.Spec.Team] = append(positionsByTeam[job.Spec.Team], i)
 		}
 	}
-	for team, at := range places {
+	for team, positions := range positionsByTeam {
 		limit := p.Teams[team].Limit
-		gangs := pick(rank, at)
+		gangs := jobsAt(rank, positions)
 		slices.SortStableFunc(gangs, func(a, b *Job) int {
-			if a.missedTargets() != b.missedTargets() {
-				return falseFirst(a.missedTargets())
+			if a.missedAllTargets() != b.missedAllTargets() {
+				return falseFirst(a.missedAllTargets())
 			}
 			return cmp.Compare(a.waitingResources().DominantShare(limit), b.waitingResources().DominantShare(limit))
 		})
-		putBack(rank, at, gangs)
+		setJobsAt(rank, positions, gangs)
 	}
 }
 
-// pick lists the jobs at the given places.
-func pick(jobs []*Job, places []int) []*Job {
-	picked := make([]*Job, len(places))
-	for i, place := range places {
-		picked[i] = jobs[place]
+// jobsAt returns the jobs at the given positions.
+func jobsAt(jobs []*Job, positions []int) []*Job {
+	selected := make([]*Job, len(positions))
+	for i, position := range positions {
+		selected[i] = jobs[position]
 	}
-	return picked
+	return selected
 }
 
-// putBack puts jobs into the given places.
-func putBack(jobs []*Job, places []int, picked []*Job) {
-	for i, place := range places {
-		jobs[place] = picked[i]
+// setJobsAt puts the replacements at the given positions.
+func setJobsAt(jobs []*Job, positions []int, replacements []*Job) {
+	for i, position := range positions {
+		jobs[position] = replacements[i]
 	}
 }
--- a/internal/placement/gangorder_test.go
+++ b/internal/placement/gangorder_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// TestSmallGangsFirstAtTheLimit: where a team's limit can't hold all that waits, its small
-// gangs go first, whichever has less time left; elsewhere the time left decides, and a
-// boosted one goes before all.
-func TestSmallGangsFirstAtTheLimit(t *testing.T) {
+// TestSmallGangsFirstAtLimit checks that a team's small gangs go first if its limit can't hold
+// all that waits, regardless of the time left. Otherwise the time left decides, and a boosted
+// gang goes before all others.
+func TestSmallGangsFirstAtLimit(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		limit float64
--- a/internal/placement/generator_test.go
+++ b/internal/placement/generator_test.go
@@ -11,7 +11,7 @@
 
 var drawnTeams = []string{"a", "b", "c"}
 
-// snapshotGenerator draws a small cluster with jobs that run and jobs that wait.
+// snapshotGenerator draws a small cluster with running and waiting jobs.
 type snapshotGenerator struct {
 	*rapid.T
 	snapshot   *Snapshot
@@ -40,8 +40,8 @@
 	}
 }
 
-// use books resources on a team.
-func (g *snapshotGenerator) use(team string, resources Resources) {
+// addUsage adds resources to a team's usage.
+func (g *snapshotGenerator) addUsage(team string, resources Resources) {
 	g.snapshot.Teams[team].Used = g.snapshot.Teams[team].Used.Add(resources)
 }
 
@@ -65,7 +65,7 @@
 	return machine
 }
 
-// drawRunningTask has a task of a new job array run on the machine, if it may.
+// drawRunningTask adds a task of a new job array to the machine, if it may run there.
 func (g *snapshotGenerator) drawRunningTask(machine *Machine) {
 	job := g.drawJob()
 	job.Spec.GPUs = 1
@@ -74,7 +74,7 @@
 		return
 	}
 	job.TasksByZone[machine.Zone]++
-	g.use(job.Spec.Team, TaskResources(job.Spec))
+	g.addUsage(job.Spec.Team, TaskResources(job.Spec))
 	machine.RunningTasks = append(machine.RunningTasks, RunningTask{
 		Job: job, Attempt: 1, Resources: TaskResources(job.Spec),
 		Stopping: rapid.Bool().Draw(g.T, "stopping"), StopCost: time.Second,
@@ -93,7 +93,7 @@
 		slot.Blocked = rapid.Bool().Draw(g.T, "blocked")
 	}
 	machine.Reserved = append(machine.Reserved, slot)
-	g.use(slot.Pipeline.Team, slot.Resources)
+	g.addUsage(slot.Pipeline.Team, slot.Resources)
 }
 
 func (g *snapshotGenerator) drawJob() *Job {
@@ -129,7 +129,7 @@
 	job := g.drawJob()
 	running := 0
 	if job.Spec.Kind == jobs.KindGang && job.Spec.Tasks > 1 && rapid.IntRange(0, 3).Draw(g.T, "lost task") == 0 {
-		// One task of a gang that waits has been lost; the others still run.
+		// A waiting gang has lost one task while the others still run.
 		running = job.Spec.Tasks - 1
 		if job.Spec.SpreadZones {
 			running = 1
--- a/internal/placement/limitpromise.go
+++ b/internal/placement/limitpromise.go
@@ -5,64 +5,65 @@
 	"slices"
 )
 
-// limitPromise is a part of a team's limit that a gang will need in a moment.
-type limitPromise struct {
+// limitEarmark is a part of a team's limit that is kept for a gang that is about to start.
+type limitEarmark struct {
 	job       *Job
 	resources Resources
 }
 
-// promiseLimit adds a gang's promise, or renews it.
-func (p *pass) promiseLimit(gang *Job) {
-	p.endLimitPromise(gang)
-	p.limitPromises[gang.Spec.Team] = append(p.limitPromises[gang.Spec.Team], limitPromise{gang, gang.waitingResources()})
+// earmarkLimit adds or renews the earmark for the gang's waiting tasks.
+func (p *pass) earmarkLimit(gang *Job) {
+	p.removeEarmark(gang)
+	p.earmarks[gang.Spec.Team] = append(p.earmarks[gang.Spec.Team], limitEarmark{gang, gang.waitingResources()})
 }
 
-func (p *pass) endLimitPromise(gang *Job) {
+func (p *pass) removeEarmark(gang *Job) {
 	team := gang.Spec.Team
-	p.limitPromises[team] = slices.DeleteFunc(p.limitPromises[team], func(promise limitPromise) bool { return promise.job == gang })
+	p.earmarks[team] = slices.DeleteFunc(p.earmarks[team], func(earmark limitEarmark) bool { return earmark.job == gang })
 }
 
-// renewLimitPromises renews those of the gangs that machines are being emptied for. Else
-// a smaller job of the team takes some of the limit meanwhile, the gang can't start, what
-// was preempted for it begins anew on the same machines, and is preempted again a moment
-// later: six thousand tasks in half a minute on Peakdale's day with a partition.
-func (p *pass) renewLimitPromises() {
+// renewEarmarks renews the earmarks of gangs for which machines are being vacated. Otherwise,
+// a smaller job of the team takes part of the limit in the meantime, the gang can't start, and
+// the tasks that were preempted for it restart on the same machines and are preempted again a
+// moment later. In one run with a network partition, this preempted 6,000 tasks in half a
+// minute.
+func (p *pass) renewEarmarks() {
 	for _, job := range p.Jobs {
 		if job.Draining && len(job.WaitingTasks) > 0 && !job.Blocked && p.Teams[job.Spec.Team] != nil {
-			p.promiseLimit(job)
+			p.earmarkLimit(job)
 		}
 	}
 }
 
-// keepLimitForBoosted is called for a boosted gang whose team is at its limit.
-// Reservations for jobs that it goes before give way at once: those jobs could not use
-// them. What comes free of the limit is kept for the gang, else jobs behind it go on
-// taking each bit. Lower jobs of its team may use it until the gang could start by
-// preempting them: gangs run for minutes, and a tenth of the limit would stand idle while
-// enough of it comes together. Then lower tasks are preempted, as far as the gang needs,
-// and nobody takes their place.
+// earmarkForBoosted keeps the team's limit for a boosted gang that does not fit into it.
+// Reservations that the gang overrides are released at once, because the jobs that they are
+// for could not use them. Whatever becomes free within the limit is kept for the gang;
+// otherwise, jobs behind it would keep taking it piece by piece. Lower-priority jobs of the
+// team may use it until preempting them would let the gang start: gangs run for minutes, and a
+// tenth of the limit would be unused while enough of it becomes free. Then the lower-priority
+// tasks that the gang needs to displace are preempted, and no other job may replace them.
 //
-// A gang that is not boosted waits, and smaller jobs go on meanwhile.
-func (p *pass) keepLimitForBoosted(gang *Job) {
+// A gang that is not boosted waits, and smaller jobs start in the meantime.
+func (p *pass) earmarkForBoosted(gang *Job) {
 	team := p.Teams[gang.Spec.Team]
 	needed := gang.waitingResources()
-	keptForAnother := team.Promised != (Resources{})
-	everFits := (&Team{Limit: team.Limit}).Allows(needed)
-	if keptForAnother || !everFits {
+	earmarkedForAnother := team.Earmarked != (Resources{})
+	fitsAlone := (&Team{Limit: team.Limit}).Allows(needed)
+	if earmarkedForAnother || !fitsAlone {
 		return
 	}
-	missing := needed.Sub(p.stopping[gang.Spec.Team])
-	p.releaseForLimit(gang, missing)
-	team.Promised, team.PromisedBelow = needed, 0
-	if !team.Allows(missing) && !p.preemptOwnTeam(gang, missing) {
-		team.PromisedBelow = gang.Priority
+	stillNeeded := needed.Sub(p.stopping[gang.Spec.Team])
+	p.releaseReservationsForLimit(gang, stillNeeded)
+	team.Earmarked, team.EarmarkMinPriority = needed, 0
+	if !team.Allows(stillNeeded) && !p.preemptWithinTeam(gang, stillNeeded) {
+		team.EarmarkMinPriority = gang.Priority
 	}
 }
 
-// preemptOwnTeam preempts tasks of the job's own team that are lower in priority, until
-// its team could use extra more once they are gone: those of the lowest priority first,
-// and of these those that lose least. It preempts none if all of them are not enough.
-func (p *pass) preemptOwnTeam(job *Job, extra Resources) (enough bool) {
+// preemptWithinTeam preempts lower-priority tasks of the job's own team until the team's limit
+// allows extra once they have ended: lowest priority first, then the least lost work. It
+// preempts nothing if preempting all of them would not be enough.
+func (p *pass) preemptWithinTeam(job *Job, extra Resources) (enough bool) {
 	type candidate struct {
 		machine *Machine
 		task    RunningTask
--- a/internal/placement/limitpromise_test.go
+++ b/internal/placement/limitpromise_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// TestLiftedGangGetsItsLimit: a boosted gang has lower tasks of its team preempted as far
-// as its team's limit needs, and no task of equal priority or of another team; one that is
-// not boosted waits while smaller jobs go on.
-func TestLiftedGangGetsItsLimit(t *testing.T) {
+// TestBoostedGangPreemptsWithinTeam checks that a boosted gang preempts lower-priority tasks
+// of its team as far as the team's limit requires, but none of equal priority or of another
+// team. A gang that is not boosted waits while smaller jobs start.
+func TestBoostedGangPreemptsWithinTeam(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		runningPriority int
 		boost           Boost
 		preempted       int
-		lowerStarts     bool // the lower job behind the gang
+		lowerStarts     bool // the lower-priority job behind the gang
 	}{
-		{"lower runs", 0, BoostWithinPriority, 4, false},
-		{"equal runs", 1, BoostWithinPriority, 0, true}, // may use the rest until the gang can start
+		{"lower priority running", 0, BoostWithinPriority, 4, false},
+		{"equal priority running", 1, BoostWithinPriority, 0, true}, // others may use the rest of the limit until the gang can start
 		{"not boosted", 0, NoBoost, 0, true},
 	} {
 		gang := gangJob("j-1", 1, 2)
@@ -47,21 +47,21 @@
 		}
 		for _, preemption := range plan.Preemptions {
 			if preemption.Victim.Job != running || preemption.Victim.StopCost > 2*time.Second {
-				t.Errorf("%s: preempted %v, which loses more than others", c.name, preemption.Victim)
+				t.Errorf("%s: preempted %v, want the tasks with the lowest stop cost", c.name, preemption.Victim)
 			}
 		}
-		started := startedTasks(plan)
+		started := countStartedTasks(plan)
 		if started["j-1"] > 0 || (started["j-3"] > 0) != c.lowerStarts || started["j-4"] == 0 {
 			t.Errorf("%s: started %v", c.name, started)
 		}
 	}
 }
 
-// TestLimitStaysForPreparedGang guards against Peakdale's day with a partition: tasks were
-// preempted for a gang, a small job of its team took some of the limit before they had
-// ended, and the gang could not start; what was preempted began anew there and was
-// preempted again, six thousand tasks in half a minute.
-func TestLimitStaysForPreparedGang(t *testing.T) {
+// TestLimitEarmarkedForDrainingGang guards against a preemption loop: tasks were preempted for
+// a gang, a small job of its team took part of the limit before they had ended, and the gang
+// could not start. The preempted tasks restarted on the same machines and were preempted
+// again, 6,000 tasks in half a minute after a network partition.
+func TestLimitEarmarkedForDrainingGang(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		smallPriority int
@@ -88,14 +88,14 @@
 		}
 
 		gang.Draining, gang.ClaimedMachines = true, map[string]bool{"m-0": true, "m-1": true}
-		// That it has missed its targets by now must not have it give up and begin anew.
+		// The gang must not give up its place because it has missed its targets by now.
 		gang.Late, gang.Targets = true, []time.Duration{time.Second}
-		// A small job of the team comes, with a place of its own.
+		// A small job of the team arrives. It fits on a machine that the gang does not need.
 		small := arrayJob("j-3", "a", c.smallPriority)
 		small.Spec.GPUs, small.Spec.AllowSpot, small.Order = 1, true, 3
 		plan = Schedule(&Snapshot{Machines: machines, Jobs: []*Job{gang, small}, Teams: teams()})
 		if (len(plan.Starts) == 0) != c.gangKeeps {
-			t.Errorf("%s: a small job starts: %v", c.name, len(plan.Starts) > 0)
+			t.Errorf("%s: small job started: %v", c.name, len(plan.Starts) > 0)
 		}
 		if (len(plan.Draining) == 1) != c.gangKeeps {
 			t.Errorf("%s: %d draining", c.name, len(plan.Draining))
@@ -103,11 +103,11 @@
 	}
 }
 
-// TestLimitIsKeptForLiftedGang guards against a recorded day: a team at its limit gave
-// each GPU that came free to its job arrays, and its gangs waited for eight minutes. Once
-// a gang is boosted what comes free of the limit is kept for it, but from nobody that
-// stands before it, and from no other team.
-func TestLimitIsKeptForLiftedGang(t *testing.T) {
+// TestLimitEarmarkedForBoostedGang guards against starving gangs: a team at its limit gave
+// each GPU that became free to its job arrays, and its gangs waited for eight minutes. Once a
+// gang is boosted, what becomes free within the limit is kept for it, except from jobs that
+// precede it and from other teams.
+func TestLimitEarmarkedForBoostedGang(t *testing.T) {
 	for _, boost := range []Boost{NoBoost, BoostWithinPriority, BoostAboveAll} {
 		before, gang, behind, otherTeam := arrayJob("j-1", "a", 2), gangJob("j-2", 1, 2), arrayJob("j-3", "a", 1), arrayJob("j-4", "b", 1)
 		gang.Boost = boost
@@ -117,7 +117,7 @@
 		for _, job := range []*Job{before, behind, otherTeam} {
 			job.Spec.GPUs = 1
 		}
-		started := startedTasks(Schedule(&Snapshot{
+		started := countStartedTasks(Schedule(&Snapshot{
 			Machines: testMachines(6), Jobs: []*Job{gang, before, behind, otherTeam},
 			Teams: map[string]*Team{
 				"a": {Limit: Resources{GPUs: 16}, Used: Resources{GPUs: 9}},
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -1,12 +1,12 @@
-// Package placement decides which task starts where and what has to make room for it. It
-// is a plain function of the state that it is shown, without I/O.
+// Package placement decides which tasks start on which machines, and which tasks are preempted
+// to make room for them. It works on a snapshot of the cluster and does no I/O.
 //
-// A pass goes through the queue rank by rank (queue.go): what is boosted (starvation.go),
-// of higher priority or within its team's guarantee (quota.go) stands before the rest.
-// Job arrays (array.go) start as many tasks as fit, gangs (gang.go) all or none. Of the
-// eligible machines (eligibility.go) a task takes the one with the best score
-// (binpacking.go). What can't be placed may preempt others (preemption.go) or keep
-// machines until these are empty (drain.go).
+// A pass handles the queue rank by rank (queue.go): boosted jobs (starvation.go), jobs of
+// higher priority and jobs within their team's guarantee (quota.go) come before the others.
+// Job arrays (array.go) start as many tasks as fit, gangs (gang.go) all or none. Each task is
+// placed on the eligible machine (eligibility.go) with the best score (binpacking.go). Jobs
+// that can't be placed may preempt others (preemption.go) or claim machines until these have
+// drained (drain.go).
 package placement
 
 import (
@@ -15,100 +15,100 @@
 	"thornnotch/internal/constants"
 )
 
-// Schedule runs one pass over the snapshot. It changes the machines that it places tasks
-// on or preempts tasks on; these must be made anew for the next pass.
+// Schedule runs one pass over the snapshot and returns its plan. It modifies the machines on
+// which it places or preempts tasks; the caller must rebuild them for the next pass.
 func Schedule(snapshot *Snapshot) *Plan {
 	p := newPass(snapshot)
 	sortMachines(p.Machines)
 	p.initMachines()
 	sortQueue(p.Jobs)
 	p.initSizeClasses()
-	p.releaseUseless()
+	p.releaseUnusableReservations()
 	p.renewClaims()
-	p.renewLimitPromises()
+	p.renewEarmarks()
 	forEachRank(p.Jobs, p.placeRank)
 	return p.plan
 }
 
-// pass is the state of one pass beside its input and its output. What it keeps for each
-// machine and job is in machineState and jobState.
+// pass holds the state of one scheduling pass. The state that it keeps for each machine and
+// job is in machineState and jobState.
 type pass struct {
 	*Snapshot
 	plan *Plan
 
-	// emptyOnDemand is the number of schedulable on-demand machines with nothing on them.
+	// emptyOnDemand is the number of schedulable on-demand machines without tasks.
 	emptyOnDemand int
-	// withRoom are the machines that can take any task at all: when most are full, no job
-	// need examine all of them. sizeClasses are these by size of task, largestTotal is
-	// the most that any machine has of each kind.
-	withRoom     []*Machine
-	sizeClasses  map[sizeClass]*sizeClassMachines
-	largestTotal Resources
+	// withFreeCapacity lists the machines with room for the smallest tasks: when most machines
+	// are full, jobs need not examine all of them. sizeClasses divides these machines by task
+	// size. maxTotal is the elementwise maximum of the machines' totals.
+	withFreeCapacity []*Machine
+	sizeClasses      map[sizeClass]*sizeClassMachines
+	maxTotal         Resources
 
-	// reserved are the reserved slots, by team. overridable caches the part of the limit
-	// that gives way to overridableFor.
-	reserved       map[string][]reservedOn
+	// reserved lists the reserved slots by team. overridable caches the result of
+	// overridableResources for the job overridableFor.
+	reserved       map[string][]machineReservation
 	overridableFor *Job
 	overridable    Resources
 
-	// limitPromises are the parts of the teams' limits that gangs will need.
-	limitPromises map[string][]limitPromise
-	// limitShortCache tells which teams' limits can't hold all that waits.
-	limitShortCache map[string]bool
-	// onTimeCache is what teams' jobs below a priority, that can still meet a target,
-	// wait for.
-	onTimeCache map[teamBelow]Resources
-	// stopping is what each team's stopping tasks take.
+	// earmarks lists the parts of each team's limit that are kept for gangs.
+	earmarks map[string][]limitEarmark
+	// demandExceedsLimitCache caches the results of demandExceedsLimit, by team.
+	demandExceedsLimitCache map[string]bool
+	// onTimeDemandCache caches what a team's waiting jobs below a priority request, counting
+	// only jobs that can still meet a target.
+	onTimeDemandCache map[teamBelowPriority]Resources
+	// stopping is the usage of each team's stopping tasks.
 	stopping map[string]Resources
-	// aboveGuaranteeCache tells which teams use more than their guarantee, as far as
-	// room has been sought for the present job; nil means no caching.
+	// aboveGuaranteeCache caches the results of aboveGuarantee, by team, for the present call
+	// of preemptOrDrain. If it is nil, nothing is cached.
 	aboveGuaranteeCache map[string]bool
 
-	// preemptible counts the running tasks by preemption class, classBits gives each
-	// class its bit.
-	preemptible map[preemptionClass]int
-	classBits   map[preemptionClass]uint64
-	// preemptionAttempts counts the jobs that room was sought for.
+	// preemptibleTasks counts the running tasks by preemption class. classBits assigns a bit
+	// to each class.
+	preemptibleTasks map[preemptionClass]int
+	classBits        map[preemptionClass]uint64
+	// preemptionAttempts counts the jobs for which preemptOrDrain was attempted.
 	preemptionAttempts int
-	// drainingMachines counts the machines that are kept for gangs until what runs on
-	// them ends.
+	// drainingMachines counts the machines that are kept for gangs until their tasks have
+	// ended.
 	drainingMachines int
-	// renewedClaims are the machines still kept from the last pass.
+	// renewedClaims lists the machines that are still claimed from the previous pass.
 	renewedClaims map[*Job][]*Machine
 
-	// victimBuffer and arrayBuffer are reused from job to job, to save allocations.
+	// victimBuffer and arrayBuffer are reused for each job to avoid allocations.
 	victimBuffer []RunningTask
 	arrayBuffer  arrayCandidates
 }
 
 func newPass(snapshot *Snapshot) *pass {
 	return &pass{
-		Snapshot:            snapshot,
-		plan:                &Plan{},
-		reserved:            make(map[string][]reservedOn),
-		limitPromises:       make(map[string][]limitPromise),
-		limitShortCache:     make(map[string]bool),
-		onTimeCache:         make(map[teamBelow]Resources),
-		stopping:            make(map[string]Resources),
-		aboveGuaranteeCache: make(map[string]bool),
-		preemptible:         make(map[preemptionClass]int),
-		classBits:           make(map[preemptionClass]uint64),
+		Snapshot:                snapshot,
+		plan:                    &Plan{},
+		reserved:                make(map[string][]machineReservation),
+		earmarks:                make(map[string][]limitEarmark),
+		demandExceedsLimitCache: make(map[string]bool),
+		onTimeDemandCache:       make(map[teamBelowPriority]Resources),
+		stopping:                make(map[string]Resources),
+		aboveGuaranteeCache:     make(map[string]bool),
+		preemptibleTasks:        make(map[preemptionClass]int),
+		classBits:               make(map[preemptionClass]uint64),
 	}
 }
 
-// placeRank places jobs of one rank. A place whose machine would have to fetch the first
-// job's image while the next job's is there goes to the next job, as long as the first
-// has not been passed over for longer than the fetch takes. What is left over is then
-// placed in order, wherever the images are.
+// placeRank places the jobs of one rank. If a machine has the image of a later job but would
+// have to fetch that of an earlier one, the later job goes first there, unless the earlier job
+// has been without a start for longer than the fetch takes. Tasks that are left over are then
+// placed in queue order, regardless of images.
 func (p *pass) placeRank(rank []*Job) {
-	type partlyPlaced struct {
+	type partlyPlacedArray struct {
 		job    *Job
 		placed int
 	}
-	var remaining []partlyPlaced
+	var remaining []partlyPlacedArray
 	if rank[0].Boost == NoBoost {
 		p.orderSmallGangsFirst(rank)
-		p.deferLateArrays(rank)
+		p.deferArraysUnderOverload(rank)
 	}
 	for _, job := range rank {
 		if job.Blocked || len(job.WaitingTasks) == 0 || p.Teams[job.Spec.Team] == nil {
@@ -120,7 +120,7 @@
 		}
 		maxImageWaitS := job.SinceLastStart.Seconds() + constants.LocalImageMaxWaitS
 		if placed := p.placeArray(job, 0, maxImageWaitS); placed < len(job.WaitingTasks) {
-			remaining = append(remaining, partlyPlaced{job, placed})
+			remaining = append(remaining, partlyPlacedArray{job, placed})
 		}
 	}
 	for _, rest := range remaining {
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -1,18 +1,18 @@
 package placement
 
-// Plan is what a pass decided. The starts of a gang are all there or none.
+// Plan is the result of a pass. It starts either all of a gang's waiting tasks or none.
 type Plan struct {
 	Starts      []Start
 	Preemptions []Preemption
 	Claims      []DrainClaim
-	// Draining are the gangs that will have room for all of their tasks once the tasks
-	// that were told to stop have ended.
+	// Draining lists the gangs for which all tasks will fit once the stopping tasks have
+	// ended.
 	Draining []*Job
-	// Released are reservations that gave way to jobs which may take them.
+	// Released lists reservations that were overridden by other jobs or that no job can use.
 	Released []Release
-	// Unplaced are the jobs, in order, that could not start all their tasks.
+	// Unplaced lists the jobs with tasks that could not be placed, in the order handled.
 	Unplaced []*Job
-	// Examined is how many machines were examined as places for tasks.
+	// Examined is the number of machines examined while placing tasks.
 	Examined int
 }
 
@@ -23,20 +23,20 @@
 	Machine *Machine
 }
 
-// Preemption stops a task to make room for a job.
+// Preemption stops a task to make room for another job.
 type Preemption struct {
 	Machine *Machine
 	Victim  RunningTask
 	For     *Job
 }
 
-// DrainClaim keeps a machine, whose room is about to come free, for a job.
+// DrainClaim keeps a machine that is about to have free capacity for a job.
 type DrainClaim struct {
 	Job     *Job
 	Machine *Machine
 }
 
-// Release ends one reservation on a machine.
+// Release ends one slot's reservation on a machine.
 type Release struct {
 	Machine *Machine
 	Slot    ReservedSlot
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -8,7 +8,7 @@
 	"thornnotch/internal/constants"
 )
 
-// preemptionClass is what decides, of a running task's job, whether the task may be
+// preemptionClass holds the properties of a job that decide whether its running tasks may be
 // preempted.
 type preemptionClass struct {
 	priority   int
@@ -20,26 +20,26 @@
 	return preemptionClass{job.Priority, job.Guaranteed, job.Spec.Team}
 }
 
-// mayPreemptClass tells whether the job may preempt tasks of a class. The protocol allows
-// it for higher priority and, to give a team its guarantee, against whatever another team
-// runs beyond its own. Taken together these two can go in a circle: an urgent job beyond
-// its guarantee and a standard one within, preempting each other for ever. So preemption
-// follows the queue's own order, priority first and guarantee second: what is preempted
-// also stands behind in the queue and can't take the room back.
+// mayPreemptClass reports whether the job may preempt tasks of a class. The protocol allows
+// preempting lower priorities and, to give a team its guarantee, whatever another team runs
+// above its own guarantee. Taken together, these two rules permit cycles: an urgent job above
+// its guarantee and a standard job within it would preempt each other forever. Preemption
+// therefore follows the queue order, priority first and guarantee second: a preempted job also
+// stands behind the preemptor in the queue and can't take the resources back.
 func (p *pass) mayPreemptClass(job *Job, class preemptionClass) bool {
 	if class.priority != job.Priority {
 		return class.priority < job.Priority
 	}
-	return reclaimsFrom(job, class) && p.aboveGuarantee(class.team)
+	return mayReclaimFrom(job, class) && p.aboveGuarantee(class.team)
 }
 
-// reclaimsFrom tells whether the job, of the same priority, may take its team's guarantee
-// from a class, as long as the other team uses more than its own guarantee.
-func reclaimsFrom(job *Job, class preemptionClass) bool {
+// mayReclaimFrom reports whether the job may preempt a class of the same priority to give its
+// team its guarantee, provided that the other team uses more than its own guarantee.
+func mayReclaimFrom(job *Job, class preemptionClass) bool {
 	return job.Guaranteed && !class.guaranteed && class.team != job.Spec.Team
 }
 
-// mayPreempt tells whether the job may preempt a task.
+// mayPreempt reports whether the job may preempt the task.
 func (p *pass) mayPreempt(job *Job, task *RunningTask) bool {
 	if task.Stopping || task.Job == nil {
 		return false
@@ -47,9 +47,9 @@
 	return p.mayPreemptClass(job, preemptionClassOf(task.Job))
 }
 
-// mayPreemptAny tells whether any task runs that the job may preempt.
+// mayPreemptAny reports whether the job may preempt any running task.
 func (p *pass) mayPreemptAny(job *Job) bool {
-	for class, tasks := range p.preemptible {
+	for class, tasks := range p.preemptibleTasks {
 		if tasks > 0 && p.mayPreemptClass(job, class) {
 			return true
 		}
@@ -57,10 +57,10 @@
 	return false
 }
 
-// maxClassBit is the last bit of a set of preemption classes.
+// maxClassBit is the highest bit of a set of preemption classes.
 const maxClassBit = 63
 
-// classBit gives a preemption class its bit; those beyond the last bit share it.
+// classBit returns the bit of a preemption class. Classes beyond the highest bit share it.
 func (p *pass) classBit(class preemptionClass) uint64 {
 	bit, known := p.classBits[class]
 	if !known {
@@ -70,18 +70,18 @@
 	return bit
 }
 
-// preemptibleClassBits are the classes, as bits, that the job may preempt: some of these
-// only while their team uses more than its guarantee.
+// preemptibleClassBits returns the set of classes that the job may preempt, some of them only
+// while their team uses more than its guarantee.
 func (p *pass) preemptibleClassBits(job *Job) (bits uint64) {
 	for class, bit := range p.classBits {
-		if class.priority < job.Priority || class.priority == job.Priority && reclaimsFrom(job, class) {
+		if class.priority < job.Priority || class.priority == job.Priority && mayReclaimFrom(job, class) {
 			bits |= bit
 		}
 	}
 	return bits
 }
 
-// preempt has a task stopped for a job.
+// preempt adds the preemption of a task to the plan and marks the task as stopping.
 func (p *pass) preempt(job *Job, machine *Machine, victim RunningTask) {
 	p.plan.Preemptions = append(p.plan.Preemptions, Preemption{machine, victim, job})
 	for i := range machine.RunningTasks {
@@ -91,25 +91,25 @@
 		}
 	}
 	machine.usage.stopping = machine.usage.stopping.Add(victim.Resources)
-	p.preemptible[preemptionClassOf(victim.Job)]--
-	// It counts toward the team's limit until it is proven gone; only what the team runs
-	// beyond its guarantee shrinks already.
+	p.preemptibleTasks[preemptionClassOf(victim.Job)]--
+	// The task counts toward the team's limit until it is proven to have ended. Only the usage
+	// that is compared with the team's guarantee is reduced at once.
 	team := victim.Job.Spec.Team
 	p.stopping[team] = p.stopping[team].Add(victim.Resources)
 }
 
-// mayPreemptOn tells whether anything on the machine may be worth preempting, without
-// looking at each task.
-func (s *roomSearch) mayPreemptOn(machine *Machine) bool {
+// mayHavePreemptible reports whether the machine may run tasks that the job can preempt. It
+// uses the machine's totals and does not examine each task.
+func (s *capacitySearch) mayHavePreemptible(machine *Machine) bool {
 	return s.anyPreemptible && machine.usage.preemptible && machine.state.classBits&s.preemptibleBits != 0 &&
 		(machine.usage.lowestPriority < s.job.Priority || s.job.Guaranteed)
 }
 
-// weighPreemption chooses the tasks to preempt on a machine that has free room but not
-// enough for one task of the job: the lowest priority first, then those that lose least.
-// It reports whether preempting is enough. A choice that costs maxCostS or more is not
-// worked out to the end and has no victims.
-func (s *roomSearch) weighPreemption(machine *Machine, free Resources, maxCostS float64) (option roomOption, enough bool) {
+// preemptionOption chooses the tasks to preempt on a machine whose free resources are not
+// enough for one task of the job: lowest priority first, then the least lost work. It reports
+// whether preemption frees enough. An option whose cost reaches maxCostS is left incomplete
+// and has no victims.
+func (s *capacitySearch) preemptionOption(machine *Machine, free Resources, maxCostS float64) (option capacityOption, enough bool) {
 	option.machine = machine
 	victims, freed := s.pass.victimBuffer[:0], free
 	for i := range machine.RunningTasks {
--- a/internal/placement/preemption_test.go
+++ b/internal/placement/preemption_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestEvictedStillCounts guards against an incident: a pass that preempted a team's task
-// let the same team start another at once, over its limit.
-func TestEvictedStillCounts(t *testing.T) {
+// TestPreemptedTaskCountsTowardLimit guards against an incident: a pass that preempted a
+// team's task let the same team start another one at once, above its limit.
+func TestPreemptedTaskCountsTowardLimit(t *testing.T) {
 	victim := arrayJob("j-1", "a", 0)
 	busy, spot := testMachine("m-1"), testMachine("m-2")
 	busy.RunningTasks = []RunningTask{{Job: victim, Resources: Resources{1, 4, 1}, StopCost: time.Second}}
@@ -29,10 +29,10 @@
 	}
 }
 
-// TestNoCircleOfEvictions guards against an incident: an urgent job beyond its team's
-// guarantee and a standard one within it preempted each other's tasks in turn, many times
-// a second.
-func TestNoCircleOfEvictions(t *testing.T) {
+// TestNoPreemptionCycles guards against an incident: an urgent job above its team's guarantee
+// and a standard job within its team's guarantee preempted each other's tasks in turn, many
+// times a second.
+func TestNoPreemptionCycles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		teams := map[string]*Team{}
 		for _, name := range []string{"a", "b"} {
@@ -49,36 +49,35 @@
 		}
 		p := &pass{Snapshot: &Snapshot{Teams: teams}, stopping: map[string]Resources{}}
 		for _, job := range queue {
-			if mayPreemptInTurn(p, queue, job, job, len(queue)) {
-				t.Fatalf("%s can come to preempt itself", job.Spec.ID)
+			if mayPreemptTransitively(p, queue, job, job, len(queue)) {
+				t.Fatalf("%s can preempt itself through a cycle", job.Spec.ID)
 			}
 		}
 	})
 }
 
-// mayPreemptInTurn tells whether a job may preempt another, or one that may preempt it,
-// and so on, with at most so many between them.
-func mayPreemptInTurn(p *pass, queue []*Job, preemptor, victim *Job, between int) bool {
+// mayPreemptTransitively reports whether the preemptor may preempt the victim, directly or
+// through a chain of at most that many intermediates, each of which may preempt the next.
+func mayPreemptTransitively(p *pass, queue []*Job, preemptor, victim *Job, intermediates int) bool {
 	if p.mayPreempt(preemptor, &RunningTask{Job: victim}) {
 		return true
 	}
-	if between == 0 {
+	if intermediates == 0 {
 		return false
 	}
 	for _, next := range queue {
-		if p.mayPreempt(preemptor, &RunningTask{Job: next}) && mayPreemptInTurn(p, queue, next, victim, between-1) {
+		if p.mayPreempt(preemptor, &RunningTask{Job: next}) && mayPreemptTransitively(p, queue, next, victim, intermediates-1) {
 			return true
 		}
 	}
 	return false
 }
 
-// TestWhoStopsStandsBefore guards against a drawn day of Peakdale: the order of a team's
-// jobs was changed without regard to guarantee. A job within its team's guarantee then
-// preempted tasks of another team whose jobs stood before it and took the room back at
-// once, two hundred thousand times. Whoever is given room that a pass frees is the one it
-// was freed for.
-func TestWhoStopsStandsBefore(t *testing.T) {
+// TestFreedCapacityGoesToPreemptor guards against a change that reordered a team's jobs
+// without regard to guarantees. A job within its team's guarantee preempted tasks of another
+// team whose jobs preceded it in the queue. These took the resources back at once, 200,000
+// times in one run. Resources freed by preemption must go to the job that they were freed for.
+func TestFreedCapacityGoesToPreemptor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		snapshot := drawSnapshot(t)
 		for _, job := range snapshot.Jobs {
@@ -90,9 +89,9 @@
 		plan := Schedule(snapshot)
 		for _, preemption := range plan.Preemptions {
 			for _, start := range plan.Starts {
-				takesItsPlace := start.Machine == preemption.Machine && preemptionClassOf(start.Job) == preemptionClassOf(preemption.Victim.Job)
-				if takesItsPlace && !Before(start.Job, preemption.For) {
-					t.Fatalf("%s starts on the machine where its like is preempted for %s", start.Job.Spec.ID, preemption.For.Spec.ID)
+				takesFreedCapacity := start.Machine == preemption.Machine && preemptionClassOf(start.Job) == preemptionClassOf(preemption.Victim.Job)
+				if takesFreedCapacity && !Before(start.Job, preemption.For) {
+					t.Fatalf("%s starts on a machine where a task of its preemption class is preempted for %s", start.Job.Spec.ID, preemption.For.Spec.ID)
 				}
 			}
 		}
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -7,8 +7,8 @@
 	"thornnotch/internal/constants"
 )
 
-// Before is the queue's order: boosted over all, then priority, then boosted within the
-// priority, then within the guarantee, then the time left to meet a target, then age.
+// Before reports whether a precedes b in the queue. Jobs boosted above all come first, then
+// the order is by priority, boost within the priority, guarantee, slack and submission.
 func Before(a, b *Job) bool {
 	switch {
 	case (a.Boost == BoostAboveAll) != (b.Boost == BoostAboveAll):
@@ -29,8 +29,7 @@
 	return a.Spec.ID < b.Spec.ID
 }
 
-// precedesByRank tells whether a job stands before another however the times left to
-// meet their targets change.
+// precedesByRank reports whether a precedes b regardless of how their slack changes.
 func precedesByRank(a, b *Job) bool {
 	if a.Boost == BoostAboveAll || b.Boost == BoostAboveAll {
 		return a.Boost > b.Boost
@@ -44,7 +43,7 @@
 	return a.Guaranteed && !b.Guaranteed
 }
 
-// sameRank tells whether two jobs differ only in the time left to meet a target.
+// sameRank reports whether the jobs have the same boost, priority and guarantee status.
 func sameRank(a, b *Job) bool {
 	return a.Boost == b.Boost && a.Priority == b.Priority && a.Guaranteed == b.Guaranteed
 }
@@ -61,7 +60,7 @@
 	})
 }
 
-// forEachRank calls do with each longest run of jobs of the same rank in a sorted queue.
+// forEachRank calls do for each maximal run of jobs of equal rank in a sorted queue.
 func forEachRank(queue []*Job, do func(rank []*Job)) {
 	for from := 0; from < len(queue); {
 		to := from + 1
@@ -73,14 +72,14 @@
 	}
 }
 
-// UpdateSlack sets how urgently the job must start, for the order within a rank: the job
-// that must start soonest to meet a target goes first. A job that has missed all its
-// targets would only make others miss theirs, so it stands behind them, but moves up with
-// its age and is not passed over for ever.
+// UpdateSlack updates the job's slack, by which jobs of one rank are ordered: the job that
+// must start soonest to meet a target goes first. A job that has missed all its targets would
+// only make others miss theirs, so it is placed behind them, but its slack shrinks with age so
+// that it is not postponed forever.
 //
-// Targets are met or missed by shares of each class's jobs, so one missed target weighs
-// the more, the fewer jobs its class has. classShare is the class's number of jobs,
-// relative to that of the most frequent class; it shortens the time left.
+// Objectives are measured as shares of each class's jobs, so a missed target has the more
+// weight the fewer jobs its class has. classShare is the class's number of jobs relative to
+// that of the most frequent class, and scales the time left.
 func (j *Job) UpdateSlack(now time.Time, classShare float64) {
 	age := now.Sub(j.Submitted)
 	for _, target := range j.Targets {
@@ -98,6 +97,6 @@
 	j.Slack = constants.LateSlack - (age-last)/constants.LateSlackDecay
 }
 
-// missedTargets tells whether the job had targets and can meet none any more. A boosted
-// job is not passed over for having missed them.
-func (j *Job) missedTargets() bool { return j.Late && len(j.Targets) > 0 && j.Boost == NoBoost }
+// missedAllTargets reports whether the job had targets and can't meet any of them any more. It
+// is false for a boosted job, which is not postponed for late targets.
+func (j *Job) missedAllTargets() bool { return j.Late && len(j.Targets) > 0 && j.Boost == NoBoost }
--- a/internal/placement/queue_test.go
+++ b/internal/placement/queue_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestOrderAmongEquals: who must start soonest goes first; a job that can meet no target
-// any more stands behind, but not for ever.
-func TestOrderAmongEquals(t *testing.T) {
+// TestSlackOrderWithinRank checks that the job that must start soonest goes first, and that a
+// job that can't meet any target goes behind, but not forever.
+func TestSlackOrderWithinRank(t *testing.T) {
 	now := time.Unix(100000, 0)
 	jobOfAge := func(id string, age time.Duration, targets ...time.Duration) *Job {
 		job := arrayJob(id, "a", 1)
--- a/internal/placement/quota.go
+++ b/internal/placement/quota.go
@@ -6,26 +6,26 @@
 	"thornnotch/internal/constants"
 )
 
-// Allows tells whether the team may use extra on top of what it uses.
+// Allows reports whether the team may use extra in addition to its present usage.
 func (t *Team) Allows(extra Resources) bool { return t.withinLimit(t.Used.Add(extra)) }
 
-func (t *Team) withinLimit(use Resources) bool {
-	return (t.Limit.CPUs <= 0 || use.CPUs <= t.Limit.CPUs+constants.ResourceTolerance) &&
-		(t.Limit.GPUs <= 0 || use.GPUs <= t.Limit.GPUs+constants.ResourceTolerance)
+func (t *Team) withinLimit(usage Resources) bool {
+	return (t.Limit.CPUs <= 0 || usage.CPUs <= t.Limit.CPUs+constants.ResourceTolerance) &&
+		(t.Limit.GPUs <= 0 || usage.GPUs <= t.Limit.GPUs+constants.ResourceTolerance)
 }
 
-// WithinGuarantee tells whether use as large as this lies within the guarantee. Only
-// the kinds that are set count, and a team with none set has no guarantee.
-func (t *Team) WithinGuarantee(use Resources) bool {
+// WithinGuarantee reports whether the usage is within the team's guarantee. Only the resources
+// for which a guarantee is set are compared; without any, nothing is within it.
+func (t *Team) WithinGuarantee(usage Resources) bool {
 	if t.Guarantee.CPUs <= 0 && t.Guarantee.GPUs <= 0 {
 		return false
 	}
-	return (t.Guarantee.CPUs <= 0 || use.CPUs <= t.Guarantee.CPUs+constants.ResourceTolerance) &&
-		(t.Guarantee.GPUs <= 0 || use.GPUs <= t.Guarantee.GPUs+constants.ResourceTolerance)
+	return (t.Guarantee.CPUs <= 0 || usage.CPUs <= t.Guarantee.CPUs+constants.ResourceTolerance) &&
+		(t.Guarantee.GPUs <= 0 || usage.GPUs <= t.Guarantee.GPUs+constants.ResourceTolerance)
 }
 
-// MarkGuaranteed sets Guaranteed on all unfinished jobs: a job lies within its team's
-// guarantee when it fits there together with the team's earlier ones.
+// MarkGuaranteed sets Guaranteed on all unfinished jobs. A job is within its team's guarantee
+// if it fits into it together with the team's earlier jobs.
 func MarkGuaranteed(unfinished []*Job, teams map[string]*Team) {
 	sort.Slice(unfinished, func(i, j int) bool { return unfinished[i].Order < unfinished[j].Order })
 	requested := make(map[string]Resources)
@@ -40,8 +40,8 @@
 	}
 }
 
-// aboveGuarantee tells whether a team uses more than its guarantee, without what its
-// stopping tasks take.
+// aboveGuarantee reports whether the team uses more than its guarantee, not counting its
+// stopping tasks.
 func (p *pass) aboveGuarantee(name string) bool {
 	above, known := p.aboveGuaranteeCache[name]
 	if !known {
@@ -54,31 +54,31 @@
 	return above
 }
 
-// limitAllows tells whether the job's team may use extra on top, once what is reserved
-// for lower jobs has given way. What is promised to a boosted gang, or to one that room
-// is being made for, is left to it, except by jobs of higher priority.
+// limitAllows reports whether the job's team may use extra after the reservations that the job
+// overrides have been released. What is earmarked for a boosted gang, or for one that machines
+// are being vacated for, is not available to other jobs, except to those of higher priority.
 func (p *pass) limitAllows(job *Job, extra Resources) bool {
 	team := p.Teams[job.Spec.Team]
 	if job.Boost == NoBoost {
-		if job.Priority >= team.PromisedBelow {
-			extra = extra.Add(team.Promised)
+		if job.Priority >= team.EarmarkMinPriority {
+			extra = extra.Add(team.Earmarked)
 		}
-		extra = extra.Add(p.leftToLowerJobs(job))
-		for _, promise := range p.limitPromises[job.Spec.Team] {
-			if promise.job != job && promise.job.Priority >= job.Priority {
-				extra = extra.Add(promise.resources)
+		extra = extra.Add(p.lowerPriorityOnTimeDemand(job))
+		for _, earmark := range p.earmarks[job.Spec.Team] {
+			if earmark.job != job && earmark.job.Priority >= job.Priority {
+				extra = extra.Add(earmark.resources)
 			}
 		}
 	}
 	if team.Allows(extra) {
 		return true
 	}
-	return len(p.reserved[job.Spec.Team]) > 0 && team.Allows(extra.Sub(p.overridableLimit(job)))
+	return len(p.reserved[job.Spec.Team]) > 0 && team.Allows(extra.Sub(p.overridableResources(job)))
 }
 
-// limitIsShort tells whether the team's limit is too small for all that it has waiting.
-func (p *pass) limitIsShort(name string) bool {
-	short, known := p.limitShortCache[name]
+// demandExceedsLimit reports whether the team's limit is too small for all its waiting tasks.
+func (p *pass) demandExceedsLimit(name string) bool {
+	exceeds, known := p.demandExceedsLimitCache[name]
 	if !known {
 		if team := p.Teams[name]; team != nil {
 			waiting := Resources{}
@@ -87,40 +87,40 @@
 					waiting = waiting.Add(job.waitingResources())
 				}
 			}
-			short = !team.Allows(waiting)
+			exceeds = !team.Allows(waiting)
 		}
-		p.limitShortCache[name] = short
+		p.demandExceedsLimitCache[name] = exceeds
 	}
-	return short
+	return exceeds
 }
 
-// teamBelow names a team's jobs below a priority.
-type teamBelow struct {
+// teamBelowPriority identifies a team's jobs below a priority.
+type teamBelowPriority struct {
 	team     string
 	priority int
 }
 
-// leftToLowerJobs is the part of its team's limit that a job which has missed all its
-// targets leaves to the team's jobs of lower priority that can still meet one. Taking it
-// from them would help nobody's targets.
+// lowerPriorityOnTimeDemand returns the part of its team's limit that a job which has missed
+// all its targets leaves to the team's lower-priority jobs that can still meet one. Using this
+// part itself would not help any job to meet a target.
 //
-// The job's place in the queue stays as it is: whoever may preempt another's tasks must
-// stand before it, or the room goes back to what was preempted, pass after pass.
-func (p *pass) leftToLowerJobs(job *Job) Resources {
-	if !job.missedTargets() || job.Draining || !p.limitIsShort(job.Spec.Team) {
-		// A draining gang keeps its promise: to give it up for a lower job, preempt that
-		// one's tasks and begin anew would go on pass after pass.
+// The job's position in the queue does not change: a job that may preempt another's tasks must
+// precede it. Otherwise, the resources return to the preempted job, pass after pass.
+func (p *pass) lowerPriorityOnTimeDemand(job *Job) Resources {
+	if !job.missedAllTargets() || job.Draining || !p.demandExceedsLimit(job.Spec.Team) {
+		// A draining gang keeps its earmark. Otherwise, it would give up its place to a lower
+		// job, preempt that job's tasks and start over, pass after pass.
 		return Resources{}
 	}
-	key := teamBelow{job.Spec.Team, job.Priority}
-	sum, known := p.onTimeCache[key]
+	key := teamBelowPriority{job.Spec.Team, job.Priority}
+	sum, known := p.onTimeDemandCache[key]
 	if !known {
 		for _, lower := range p.Jobs {
 			if lower.Spec.Team == key.team && lower.Priority < key.priority && !lower.Blocked && !lower.Late {
 				sum = sum.Add(lower.waitingResources())
 			}
 		}
-		p.onTimeCache[key] = sum
+		p.onTimeDemandCache[key] = sum
 	}
 	return sum
 }
--- a/internal/placement/quota_test.go
+++ b/internal/placement/quota_test.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// TestMissedLeaveTheLimit guards against Peakdale's days: large gangs that had long missed
-// their targets took the limit from their team's job arrays, which then missed theirs.
-// Where the limit is not short, or the arrays are late too, priority decides.
-func TestMissedLeaveTheLimit(t *testing.T) {
+// TestLateGangYieldsLimitToOnTimeJobs guards against large gangs that had long missed their
+// targets: they took the limit from their team's job arrays, which then missed theirs, too. If
+// the limit is sufficient, or the arrays are late as well, priority decides.
+func TestLateGangYieldsLimitToOnTimeJobs(t *testing.T) {
 	for _, c := range []struct {
 		name                string
 		gangLate, arrayLate bool
 		limit               float64
-		want                string // beside the other team's job, which always starts
+		want                string // in addition to the other team's job, which always starts
 	}{
-		{"both in time", false, false, 8, "j-1 j-3"},
+		{"both on time", false, false, 8, "j-1 j-3"},
 		{"gang late", true, false, 8, "j-2 j-3"},
 		{"both late", true, true, 8, "j-1 j-3"},
-		{"limit is enough", true, false, 64, "j-1 j-2 j-3"},
+		{"limit sufficient", true, false, 64, "j-1 j-2 j-3"},
 	} {
 		gang, array, other := gangJob("j-1", 1, 2), arrayJob("j-2", "a", 0), arrayJob("j-3", "b", 0)
 		snapshot := &Snapshot{
--- a/internal/placement/reserved.go
+++ b/internal/placement/reserved.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// Reserved slots keep a pipeline's room on a machine, and count toward their team's
-// limit. In both they give way to the jobs that may take them: the order of a team's own
-// jobs has to hold for its limit as it does for machines.
+// A reserved slot keeps resources of a machine for a pipeline and counts toward its team's
+// limit. In both it gives way to jobs that may override it: the order of a team's own jobs has
+// to hold for its limit as it does for machines.
 
-// reservedOn is a reserved slot with its machine.
-type reservedOn struct {
+// machineReservation is a reserved slot and its machine.
+type machineReservation struct {
 	machine *Machine
 	slot    ReservedSlot
 }
 
-// overriddenBy tells whether a reservation gives way to the job: to its own pipeline, and
-// to jobs of higher priority (paper, III-B, "Support of priority scheduling"). A boosted
-// gang goes before others of its priority, or before all. In its team's limit a
-// reservation gives way just as it does on its machine.
+// overriddenBy reports whether the job may use the reserved slot. Its own pipeline and jobs of
+// higher priority may (paper, III-B, "Support of priority scheduling"). A gang boosted within
+// its priority also overrides reservations of equal priority, and one boosted above all
+// overrides every reservation. The same rule applies to the team's limit.
 //
-// Without this, slots reserved for jobs that may not start, as the team's limit is kept
-// for a boosted gang, stand until they expire, while the gang waits for the limit that
-// they take: both wait for the other for a quarter of an hour.
+// Without it, slots reserved for jobs that may not start, because the team's limit is kept for
+// a boosted gang, would remain until they expire, while the gang waits for the part of the
+// limit that they use: a deadlock for a quarter of an hour.
 func (s ReservedSlot) overriddenBy(job *Job) bool {
 	switch {
 	case job.Owns(s.Pipeline), job.Boost == BoostAboveAll:
@@ -33,25 +33,24 @@
 	return s.Priority < job.Priority
 }
 
-// overriddenInLimitBy tells whether a reservation gives way to the job in their team's
-// limit. A reserved slot counts toward it, yet a job that waits for others takes no part
-// of it: what is reserved for one that may not start gives way to any job of the team
-// that may.
+// overriddenInLimitBy reports whether the job may use the part of their team's limit that the
+// reserved slot counts for. A job that waits for other jobs must not use up any of the limit,
+// so a slot reserved for a job that may not start gives way to any job of the team that may.
 func (s ReservedSlot) overriddenInLimitBy(job *Job) bool {
 	return s.Blocked || s.overriddenBy(job)
 }
 
-// closedTo tells whether the reserved room is closed to a job. It never keeps another
-// team from its guarantee.
-func (s ReservedSlot) closedTo(job *Job) bool {
+// unavailableTo reports whether the job must not use the reserved slot. A reservation never
+// keeps another team from its guarantee.
+func (s ReservedSlot) unavailableTo(job *Job) bool {
 	if s.overriddenBy(job) {
 		return false
 	}
 	return !job.Guaranteed || job.Spec.Team == s.Pipeline.Team
 }
 
-// hasReservedFor tells whether a slot on the machine is reserved for the job's pipeline.
-func (m *Machine) hasReservedFor(job *Job) bool {
+// hasReservedSlotFor reports whether a slot on the machine is reserved for the job's pipeline.
+func (m *Machine) hasReservedSlotFor(job *Job) bool {
 	for _, slot := range m.Reserved {
 		if job.Owns(slot.Pipeline) {
 			return true
@@ -60,11 +59,11 @@
 	return false
 }
 
-// overridableLimit is the part of the job's team's limit that is reserved and gives way
-// to the job. Its own pipeline's slots are part of it: whatever they amount to, they must
-// never keep the job that they are for from starting. The sum is asked for machine after
-// machine, so that of the last job is kept until a reservation ends.
-func (p *pass) overridableLimit(job *Job) Resources {
+// overridableResources returns the resources reserved within the limit of the job's team that
+// the job may override. They include the slots of the job's own pipeline: however large these
+// are, they must never keep that job from starting. The sum is needed for one machine after
+// the other, so it is cached for the last job until a reservation ends.
+func (p *pass) overridableResources(job *Job) Resources {
 	if p.overridableFor == job {
 		return p.overridable
 	}
@@ -77,12 +76,12 @@
 	return p.overridable
 }
 
-// unreserve takes a reserved slot off its machine and off its team's use.
-func (p *pass) unreserve(reserved reservedOn) {
+// removeReservation removes a reserved slot from its machine and from its team's usage.
+func (p *pass) removeReservation(reserved machineReservation) {
 	p.overridableFor = nil
 	machine, teamName := reserved.machine, reserved.slot.Pipeline.Team
 	if at := slices.Index(machine.Reserved, reserved.slot); at >= 0 {
-		// A new slice: the old one may be iterated over.
+		// Creates a new slice, because the old one may be in use by a loop.
 		machine.Reserved = slices.Concat(machine.Reserved[:at], machine.Reserved[at+1:])
 	}
 	if team := p.Teams[teamName]; team != nil {
@@ -93,23 +92,23 @@
 	}
 }
 
-// release ends a reservation for good.
-func (p *pass) release(reserved reservedOn) {
-	p.unreserve(reserved)
+// releaseReservation removes a reservation and adds its release to the plan.
+func (p *pass) releaseReservation(reserved machineReservation) {
+	p.removeReservation(reserved)
 	p.plan.Released = append(p.plan.Released, Release{reserved.machine, reserved.slot})
 }
 
-// releaseForLimit releases as many of the reservations that give way to the job as its
-// team needs to use extra on top: the lowest first, the job's own pipeline's last.
-func (p *pass) releaseForLimit(job *Job, extra Resources) {
+// releaseReservationsForLimit releases reservations that the job overrides until its team's
+// limit allows extra: lowest priority first, those of the job's own pipeline last.
+func (p *pass) releaseReservationsForLimit(job *Job, extra Resources) {
 	team := p.Teams[job.Spec.Team]
-	var overridable []reservedOn
+	var overridable []machineReservation
 	for _, reserved := range p.reserved[job.Spec.Team] {
 		if reserved.slot.overriddenInLimitBy(job) {
 			overridable = append(overridable, reserved)
 		}
 	}
-	slices.SortStableFunc(overridable, func(a, b reservedOn) int {
+	slices.SortStableFunc(overridable, func(a, b machineReservation) int {
 		if aOwn, bOwn := job.Owns(a.slot.Pipeline), job.Owns(b.slot.Pipeline); aOwn != bOwn {
 			return falseFirst(aOwn)
 		}
@@ -119,50 +118,50 @@
 		if team.Allows(extra) {
 			return
 		}
-		p.release(reserved)
+		p.releaseReservation(reserved)
 	}
 }
 
-// releaseUseless releases the reservations that no job of their pipeline can use: all
-// that wait are gangs for which their team's limit has no room even without any
-// reservation. Reserved slot by slot for a gang of 24, the limit stood idle while the
+// releaseUnusableReservations releases the reservations that no job of their pipeline can use:
+// all its waiting jobs are gangs that would not fit into their team's limit even without any
+// reservations. Reserving slot by slot for a gang of 24 once left the limit unused while the
 // team's other jobs waited for it.
-func (p *pass) releaseUseless() {
+func (p *pass) releaseUnusableReservations() {
 	if len(p.reserved) == 0 {
 		return
 	}
-	for pipeline, usable := range p.pipelinesByUse() {
+	for pipeline, usable := range p.usablePipelines() {
 		if usable {
 			continue
 		}
 		for _, reserved := range slices.Clone(p.reserved[pipeline.Team]) {
 			if reserved.slot.Pipeline == pipeline {
-				p.release(reserved)
+				p.releaseReservation(reserved)
 			}
 		}
 	}
 }
 
-// pipelinesByUse tells, for each pipeline that has a job waiting in a team with reserved
-// slots, whether any of its jobs could start within the team's limit.
-func (p *pass) pipelinesByUse() map[Pipeline]bool {
+// usablePipelines reports, for each pipeline with a waiting job in a team with reserved slots,
+// whether any of its jobs could start within the team's limit.
+func (p *pass) usablePipelines() map[Pipeline]bool {
 	usable := make(map[Pipeline]bool)
-	unreservedUse := make(map[string]Resources)
+	usageWithoutReservations := make(map[string]Resources)
 	for _, job := range p.Jobs {
 		name := job.Spec.Team
 		team := p.Teams[name]
 		if len(job.WaitingTasks) == 0 || len(p.reserved[name]) == 0 || team == nil {
 			continue
 		}
-		use, known := unreservedUse[name]
+		usage, known := usageWithoutReservations[name]
 		if !known {
-			use = team.Used
+			usage = team.Used
 			for _, reserved := range p.reserved[name] {
-				use = use.Sub(reserved.slot.Resources)
+				usage = usage.Sub(reserved.slot.Resources)
 			}
-			unreservedUse[name] = use
+			usageWithoutReservations[name] = usage
 		}
-		fits := !job.isGang() || team.withinLimit(use.Add(job.waitingResources()))
+		fits := !job.isGang() || team.withinLimit(usage.Add(job.waitingResources()))
 		for _, pipeline := range [2]Pipeline{job.Pipeline(), job.EdgePipeline()} {
 			usable[pipeline] = usable[pipeline] || fits
 		}
@@ -170,8 +169,7 @@
 	return usable
 }
 
-// falseFirst is the result of comparing a with its opposite in an order in which false
-// comes first.
+// falseFirst returns the result of comparing a with !a in an order where false comes first.
 func falseFirst(a bool) int {
 	if a {
 		return 1
--- a/internal/placement/reserved_test.go
+++ b/internal/placement/reserved_test.go
@@ -6,8 +6,8 @@
 	"thornnotch/internal/jobs"
 )
 
-// reservedSlotCase is a job on the only machine, whose GPUs are reserved for team a's
-// class x with priority 1.
+// reservedSlotCase is a job and the only machine, all of whose GPUs are in a reserved slot of
+// priority 1.
 type reservedSlotCase struct {
 	name      string
 	job       *Job
@@ -33,10 +33,10 @@
 	}
 }
 
-// TestHoldsKeepPriority: the pipeline's own tasks use a reserved slot, jobs of lower or
-// equal priority skip it, those of higher take it, and it never keeps another team from
-// its guarantee.
-func TestHoldsKeepPriority(t *testing.T) {
+// TestReservedSlotAccess checks that tasks of the pipeline use its reserved slot, that jobs of
+// lower or equal priority don't, that jobs of higher priority do, and that a slot never keeps
+// another team from its guarantee.
+func TestReservedSlotAccess(t *testing.T) {
 	checkReservedSlotCases(t, Pipeline{Team: "a", Class: "x"}, []reservedSlotCase{
 		{"own", arrayJob("j-1", "a", 1), 0, 1},
 		{"equal", arrayJob("j-1", "b", 1), 0, 0},
@@ -46,16 +46,17 @@
 	})
 }
 
-// TestEdgeHoldsKeepPriority: a slot reserved along an edge that users named is for the
-// job that waits and for those before it, whosever they are; others of the same team and
-// class are others. It gives way as any reservation does.
-func TestEdgeHoldsKeepPriority(t *testing.T) {
+// TestDependencyReservedSlotAccess checks a slot that is reserved along a declared dependency.
+// It is for the downstream job and for the jobs that this depends on, whichever team they
+// belong to, but not for other jobs of the same team and class. Otherwise it is overridden
+// like any other reservation.
+func TestDependencyReservedSlotAccess(t *testing.T) {
 	upstream := arrayJob("j-7", "b", 0)
 	upstream.ReservedDownstreams = map[string]bool{"j-1": true}
 	checkReservedSlotCases(t, Pipeline{"a", "x", "j-1"}, []reservedSlotCase{
-		{"the job that waited", arrayJob("j-1", "a", 1), 0, 1},
-		{"one before it", upstream, 0, 1},
-		{"its team's next", arrayJob("j-2", "a", 1), 0, 0},
+		{"downstream job", arrayJob("j-1", "a", 1), 0, 1},
+		{"upstream job", upstream, 0, 1},
+		{"same team and class", arrayJob("j-2", "a", 1), 0, 0},
 		{"equal", arrayJob("j-2", "b", 1), 0, 0},
 		{"lower", arrayJob("j-2", "b", 0), 0, 0},
 		{"higher", arrayJob("j-2", "b", 2), 0, 1},
@@ -63,11 +64,11 @@
 	})
 }
 
-// TestHoldsOfWaitingJobsLeaveTheLimit: a job that waits for others takes no part of its
-// team's limit, although reserved slots count toward it: what is reserved for such a job
-// gives way to any job of the team at the limit, and only there. Once the job may start,
-// its reservations count as others do.
-func TestHoldsOfWaitingJobsLeaveTheLimit(t *testing.T) {
+// TestBlockedReservationsYieldLimit checks that a job that waits for other jobs does not use
+// up its team's limit, although reserved slots count toward it. At the limit, and only there,
+// its reservations give way to any job of the team. Once the job may start, they count like
+// others.
+func TestBlockedReservationsYieldLimit(t *testing.T) {
 	for _, c := range []struct {
 		limit            float64
 		blocked          bool
@@ -89,12 +90,11 @@
 	}
 }
 
-// TestHoldsGiveWayToLiftedGang guards against Peakdale's steady day: reservations for a
-// team's job arrays filled its limit. Once its gang was boosted, what was left of the
-// limit was kept for it, so that the arrays could not even use their own slots, and these
-// stayed reserved for as long as the arrays waited: nothing of the team ran for the rest
-// of the day.
-func TestHoldsGiveWayToLiftedGang(t *testing.T) {
+// TestReservationsYieldToBoostedGang guards against a deadlock: reservations for a team's job
+// arrays filled its limit. Once its gang was boosted, what was left of the limit was kept for
+// the gang, so the arrays could not use even their own slots, which stayed reserved as long as
+// the arrays waited. Nothing of the team ran for the rest of the day.
+func TestReservationsYieldToBoostedGang(t *testing.T) {
 	for _, c := range []struct {
 		name                        string
 		gangPriority, arrayPriority int
@@ -103,15 +103,15 @@
 	}{
 		{"higher", 1, 0, NoBoost, true, false},
 		{"equal", 1, 1, NoBoost, false, true},
-		{"boosted over equal", 1, 1, BoostWithinPriority, true, false},
-		{"boosted over all", 0, 1, BoostAboveAll, true, false},
+		{"boosted within priority", 1, 1, BoostWithinPriority, true, false},
+		{"boosted above all", 0, 1, BoostAboveAll, true, false},
 		{"lower", 0, 1, NoBoost, false, true},
 	} {
 		gang := gangJob("j-1", c.gangPriority, 2)
 		gang.Spec.Class, gang.Order, gang.Boost = "big", 1, c.boost
 		array := arrayJob("j-2", "a", c.arrayPriority)
 		array.Order, array.Spec.GPUs = 2, 1
-		setTasks(array, 8)
+		setWaitingTasks(array, 8)
 		team := &Team{Limit: Resources{GPUs: 8}, Used: Resources{GPUs: 8}}
 		snapshot := &Snapshot{Machines: testMachines(4), Jobs: []*Job{gang, array}, Teams: map[string]*Team{"a": team}}
 		for _, machine := range snapshot.Machines {
@@ -119,7 +119,7 @@
 			machine.Reserved = []ReservedSlot{slot, slot}
 		}
 		plan := Schedule(snapshot)
-		started := startedTasks(plan)
+		started := countStartedTasks(plan)
 		if (started["j-1"] == 2) != c.gangStarts || (started["j-2"] == 8) != c.arrayStarts {
 			t.Errorf("%s: started %v", c.name, started)
 		}
@@ -132,10 +132,9 @@
 	}
 }
 
-// TestOwnHoldsNeverKeepItOut guards against the same days: what was reserved for a gang
-// used up its team's limit, and so kept the gang itself from starting for the rest of the
-// day.
-func TestOwnHoldsNeverKeepItOut(t *testing.T) {
+// TestOwnReservationsNeverBlockJob guards against a gang's own reservations using up its
+// team's limit, which kept the gang itself from starting for the rest of the day.
+func TestOwnReservationsNeverBlockJob(t *testing.T) {
 	for _, kind := range []string{jobs.KindGang, jobs.KindArray} {
 		job := gangJob("j-1", 1, 2)
 		job.Spec.Kind = kind
@@ -143,7 +142,7 @@
 		snapshot := &Snapshot{Machines: testMachines(7), Jobs: []*Job{job}, Teams: map[string]*Team{"a": team}}
 		for _, machine := range snapshot.Machines[:5] {
 			machine.Reserved = []ReservedSlot{{Pipeline: job.Pipeline(), Priority: 1, Resources: TaskResources(job.Spec)}}
-			machine.Spot = true // reserved long ago, for another job of the pipeline
+			machine.Spot = true // reserved earlier, for another job of the pipeline
 		}
 		plan := Schedule(snapshot)
 		if len(plan.Starts) != 2 || len(plan.Released) != 5 || team.Used.GPUs != 8 {
@@ -152,24 +151,23 @@
 	}
 }
 
-// TestUselessHoldsAreReleased guards against Peakdale's quiet days: what small gangs left
-// was reserved for a large one that the team's limit had no room for, and the team's job
-// arrays, which could have used it, were late. A reservation that a waiting job can use
-// stays.
-func TestUselessHoldsAreReleased(t *testing.T) {
+// TestUnusableReservationsReleased guards against reservations for a large gang that its
+// team's limit had no room for: they held what small gangs left, and the team's job arrays,
+// which could have used it, were late. A reservation that a waiting job can use stays.
+func TestUnusableReservationsReleased(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		limit     float64
 		otherKind string // of the second job of the pipeline, if any
-		edges     bool   // the second job is not of it: the gang's upstreams were named
+		edges     bool   // slots are reserved along the gang's declared dependencies, so not for the second job
 		released  int
 	}{
 		{"no room in the limit", 16, "", false, 2},
 		{"room for the gang", 24, "", false, 0},
 		{"a smaller gang", 16, jobs.KindGang, false, 0},
 		{"a job array", 16, jobs.KindArray, false, 0},
-		{"by edges, no room", 16, jobs.KindArray, true, 2},
-		{"by edges, room", 24, jobs.KindArray, true, 0},
+		{"dependency, no room", 16, jobs.KindArray, true, 2},
+		{"dependency, room", 24, jobs.KindArray, true, 0},
 	} {
 		gang := gangJob("j-1", 1, 3)
 		snapshot := &Snapshot{
@@ -182,7 +180,7 @@
 			snapshot.Jobs = append(snapshot.Jobs, other)
 		}
 		for _, job := range snapshot.Jobs {
-			job.AvoidMachines = map[string]bool{"m-0": true, "m-1": true} // nothing starts
+			job.AvoidMachines = map[string]bool{"m-0": true, "m-1": true} // keeps the jobs waiting
 		}
 		pipeline := gang.Pipeline()
 		if c.edges {
--- a/internal/placement/roomsearch.go
+++ b/internal/placement/roomsearch.go
@@ -7,44 +7,45 @@
 	"thornnotch/internal/constants"
 )
 
-// roomOption is a machine whose room could be made or kept for a job.
-type roomOption struct {
+// capacityOption is a machine on which resources can be freed or kept for a job.
+type capacityOption struct {
 	machine *Machine
-	victims []RunningTask // to be preempted
+	victims []RunningTask // tasks to preempt
 	costS   float64       // seconds of delay and of lost work
-	// tasks is how many tasks of the job fit once what stops has ended; 0 means that the
-	// machine would have to drain.
+	// tasks is the number of the job's tasks that fit once the stopping tasks have ended; 0
+	// means that the machine must drain first.
 	tasks int
 }
 
-// slots is for how many of the job's tasks the machine counts in the search: one that has
-// to drain for one.
-func (o roomOption) slots() int { return max(1, o.tasks) }
+// countedTasks returns the number of the job's tasks that the search counts for the machine,
+// which is one for a machine that must drain.
+func (o capacityOption) countedTasks() int { return max(1, o.tasks) }
 
-// roomSearch is the search for machines whose room could be made or kept for one job.
-type roomSearch struct {
+// capacitySearch searches for machines on which resources can be freed or kept for one job.
+type capacitySearch struct {
 	pass    *pass
 	job     *Job
-	request Resources // of one task
-	tasks   int       // that have no place
+	request Resources // per task
+	tasks   int       // tasks without a machine
 
-	anyPreemptible  bool   // something runs that the job may preempt
-	preemptibleBits uint64 // classes that it may preempt
-	mayDrain        bool   // machines may be kept that are of no use yet
-	oneZone         bool   // room is only of use in one zone
+	anyPreemptible  bool   // the job may preempt some running task
+	preemptibleBits uint64 // preemption classes that the job may preempt
+	allowDrains     bool   // further machines may be drained
+	singleZone      bool   // all machines must be in the same zone
 
-	// cheapest are the best options so far, as many as tasks, by zone if it matters, and
-	// zones the zones in the order in which they were found.
-	cheapest map[string][]roomOption
+	// cheapest lists the cheapest options so far, sorted by cost and at most as many as tasks;
+	// by zone if singleZone is set. zones lists the zones in the order in which they were
+	// found.
+	cheapest map[string][]capacityOption
 	zones    []string
 }
 
-// preemptOrDrain is called for a job that has some tasks without a place. It keeps
-// machines whose room is about to come free from jobs after this one, and preempts
-// others' tasks where the rules allow it. Only the first jobs in the queue get this: what
-// they leave is little, and looking takes time.
+// preemptOrDrain frees resources for a job with tasks that could not be placed. It claims
+// machines that are about to have free capacity, so that later jobs don't use it, and preempts
+// tasks of other jobs where the rules allow it. It does this only for the first jobs in the
+// queue: they leave little to the others, and the search is slow.
 func (p *pass) preemptOrDrain(job *Job, tasks int) {
-	clear(p.aboveGuaranteeCache) // what this pass has placed and preempted so far changes it
+	clear(p.aboveGuaranteeCache) // invalidated by placements and preemptions since the last call
 	anyPreemptible := p.mayPreemptAny(job)
 	if !p.limitAllows(job, TaskResources(job.Spec)) || !job.isGang() && !anyPreemptible {
 		return
@@ -53,37 +54,37 @@
 	if p.preemptionAttempts > constants.MaxPreemptionAttempts {
 		return
 	}
-	search := p.newRoomSearch(job, tasks, anyPreemptible)
+	search := p.newCapacitySearch(job, tasks, anyPreemptible)
 	for _, machine := range p.Machines {
-		search.consider(machine)
+		search.addIfCheapest(machine)
 	}
 	options := search.cheapestOptions()
 	if job.isGang() {
-		p.endClaims(job)
+		p.releaseClaims(job)
 	}
 	if !p.admitDrains(options) {
 		return
 	}
-	if job.isGang() && hasRoomWithoutDrains(options, tasks) {
-		p.promiseLimit(job)
+	if job.isGang() && fitWithoutDrains(options, tasks) {
+		p.earmarkLimit(job)
 		p.plan.Draining = append(p.plan.Draining, job)
 	}
 	for _, option := range options {
 		if tasks <= 0 {
 			break
 		}
-		p.take(job, option)
-		tasks -= option.slots()
+		p.applyOption(job, option)
+		tasks -= option.countedTasks()
 	}
 }
 
-func (p *pass) newRoomSearch(job *Job, tasks int, anyPreemptible bool) roomSearch {
-	search := roomSearch{
+func (p *pass) newCapacitySearch(job *Job, tasks int, anyPreemptible bool) capacitySearch {
+	search := capacitySearch{
 		pass: p, job: job, request: TaskResources(job.Spec), tasks: tasks,
 		anyPreemptible: anyPreemptible,
-		mayDrain:       job.isGang() && !p.tooManyDraining(1),
-		oneZone:        job.isGang() && job.Spec.SameZone && tasks > 1,
-		cheapest:       make(map[string][]roomOption),
+		allowDrains:    job.isGang() && !p.exceedsDrainLimit(1),
+		singleZone:     job.isGang() && job.Spec.SameZone && tasks > 1,
+		cheapest:       make(map[string][]capacityOption),
 	}
 	if anyPreemptible {
 		search.preemptibleBits = p.preemptibleClassBits(job)
@@ -91,13 +92,13 @@
 	return search
 }
 
-// consider adds the machine to the cheapest options if it is among them.
-func (s *roomSearch) consider(machine *Machine) {
-	if !s.mayMatter(machine) || !s.mayUse(machine) {
+// addIfCheapest adds the machine to the cheapest options if it is one of them.
+func (s *capacitySearch) addIfCheapest(machine *Machine) {
+	if !s.canYieldCapacity(machine) || !s.canUseWhenEmpty(machine) {
 		return
 	}
 	zone := ""
-	if s.oneZone {
+	if s.singleZone {
 		zone = machine.Zone
 	}
 	options := s.cheapest[zone]
@@ -105,20 +106,20 @@
 	if len(options) == s.tasks {
 		maxCostS = options[s.tasks-1].costS
 	}
-	option, cheaper := s.weigh(machine, maxCostS)
+	option, cheaper := s.evaluate(machine, maxCostS)
 	if !cheaper || option.tasks == 0 && !s.job.isGang() {
-		// An array's task takes any room that comes free; only whole machines for gangs
-		// need keeping.
+		// Tasks of job arrays use whatever becomes free; only gangs need whole machines kept
+		// for them.
 		return
 	}
 	if options == nil {
 		s.zones = append(s.zones, zone)
 	}
-	at, _ := slices.BinarySearchFunc(options, option, func(a, b roomOption) int {
+	at, _ := slices.BinarySearchFunc(options, option, func(a, b capacityOption) int {
 		if a.costS > b.costS {
 			return 1
 		}
-		return -1 // equal ones keep the machines' order
+		return -1 // options of equal cost keep the machines' order
 	})
 	if at < s.tasks {
 		options = slices.Insert(options, at, option)
@@ -126,75 +127,75 @@
 	}
 }
 
-// mayMatter leaves out machines that can't be of use: once as many machines drain as may,
-// only what comes free by itself or by preemption is.
-func (s *roomSearch) mayMatter(machine *Machine) bool {
-	return s.mayDrain || machine.state.hadRoom || machine.usage.stopping != (Resources{}) ||
+// canYieldCapacity reports whether the machine may be an option. Once no further machine may
+// drain, only free capacity, stopping tasks and preemptible tasks make it one.
+func (s *capacitySearch) canYieldCapacity(machine *Machine) bool {
+	return s.allowDrains || machine.state.hadFreeCapacity || machine.usage.stopping != (Resources{}) ||
 		machine.state.classBits&s.preemptibleBits != 0 || s.pass.exhaustive
 }
 
-// mayUse tells whether the job could use the machine if it were empty. A machine that is
-// kept for another job is taken only for a boosted one.
-func (s *roomSearch) mayUse(machine *Machine) bool {
+// canUseWhenEmpty reports whether the job could use the machine if it were empty. A machine
+// that is claimed for another job can be used only by a boosted one.
+func (s *capacitySearch) canUseWhenEmpty(machine *Machine) bool {
 	claimedBy := machine.state.claimedBy
 	if claimedBy != nil && claimedBy != s.job && s.job.Boost == NoBoost {
 		return false
 	}
-	return eligible(s.job, machine) && zoneAllows(s.job, machine.Zone) && machine.Total.Fits(s.request)
+	return eligible(s.job, machine) && zoneAllowed(s.job, machine.Zone) && machine.Total.Fits(s.request)
 }
 
-// weigh weighs one machine and reports whether it costs less than maxCostS, the worst
-// option that the job has already. Every gang that waits looks at all machines, so
-// nothing is computed or kept here that can't matter.
-func (s *roomSearch) weigh(machine *Machine, maxCostS float64) (option roomOption, cheaper bool) {
-	free := machine.freeFor(s.job).Add(machine.usage.stopping)
+// evaluate returns the machine's option and reports whether it costs less than maxCostS, the
+// cost of the worst option kept so far. Every waiting gang evaluates all machines, so evaluate
+// computes and allocates nothing that can't affect the result.
+func (s *capacitySearch) evaluate(machine *Machine, maxCostS float64) (option capacityOption, cheaper bool) {
+	free := machine.freeResourcesFor(s.job).Add(machine.usage.stopping)
 	if tasks := free.Count(s.request, s.tasks); tasks > 0 {
-		option = roomOption{machine: machine, tasks: tasks, costS: machine.imageDelayS(s.job)}
+		option = capacityOption{machine: machine, tasks: tasks, costS: machine.imageDelayS(s.job)}
 		return option, option.costS < maxCostS
 	}
-	if s.mayPreemptOn(machine) {
-		if option, enough := s.weighPreemption(machine, free, maxCostS); enough {
+	if s.mayHavePreemptible(machine) {
+		if option, enough := s.preemptionOption(machine, free, maxCostS); enough {
 			return option, option.costS < maxCostS
 		}
 	}
 	if !s.job.isGang() {
-		return roomOption{machine: machine}, false
+		return capacityOption{machine: machine}, false
 	}
-	return s.weighDrain(machine, maxCostS)
+	return s.drainOption(machine, maxCostS)
 }
 
-// cheapestOptions are the options of the zone that has enough for the least cost, or of
-// all zones together if the zone does not matter.
-func (s *roomSearch) cheapestOptions() []roomOption {
-	chosen, leastS := "", 0.0
+// cheapestOptions returns the options of the zone that has enough of them at the lowest cost,
+// or the options in all zones if singleZone is not set.
+func (s *capacitySearch) cheapestOptions() []capacityOption {
+	cheapestZone, minCostS := "", 0.0
 	for _, zone := range s.zones {
-		costS, slots := 0.0, 0
+		costS, countedTasks := 0.0, 0
 		for _, option := range s.cheapest[zone] {
-			if slots >= s.tasks {
+			if countedTasks >= s.tasks {
 				break
 			}
 			costS += option.costS
-			slots += option.slots()
+			countedTasks += option.countedTasks()
 		}
-		if s.oneZone && slots < s.tasks {
+		if s.singleZone && countedTasks < s.tasks {
 			continue
 		}
-		if chosen == "" && leastS == 0 || costS < leastS {
-			chosen, leastS = zone, costS
+		if cheapestZone == "" && minCostS == 0 || costS < minCostS {
+			cheapestZone, minCostS = zone, costS
 		}
 	}
-	return s.cheapest[chosen]
+	return s.cheapest[cheapestZone]
 }
 
-// hasRoomWithoutDrains tells whether the options have room for all the tasks once what
-// stops has ended.
-func hasRoomWithoutDrains(options []roomOption, tasks int) bool {
-	room := 0
+// fitWithoutDrains reports whether all the tasks fit on the options' machines once the
+// stopping tasks have ended, without draining any machine.
+func fitWithoutDrains(options []capacityOption, tasks int) bool {
+	fittingTasks := 0
 	for _, option := range options {
 		if option.tasks == 0 {
 			return false
 		}
-		room += option.tasks
+		fittingTasks += option.tasks
 	}
-	return len(options) > 0 && room >= tasks
+	return len(options) > 0 && fittingTasks >= tasks
 }
--- a/internal/placement/simulation_test.go
+++ b/internal/placement/simulation_test.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	simulatedTime = 15 * time.Minute
-	simulatedStep = time.Second
-	// simulatedStopCost is the work that stopping any task throws away.
+	simulatedDuration = 15 * time.Minute
+	simulatedStep     = time.Second
+	// simulatedStopCost is the work that is lost when a task is stopped.
 	simulatedStopCost = time.Minute
 )
 
-// simulation is a cluster of equal machines, in two zones and with four GPUs each, and a
-// queue. A pass runs every second; what it starts runs at once, for as long as runtime
-// tells.
+// simulation is a cluster of equal machines with four GPUs each, in two zones, and a queue. A
+// pass runs every second. Tasks that it starts run at once and for the duration given by
+// runtime.
 type simulation struct {
 	machines   int
-	teams      []Team // quota
+	teams      []Team // their quotas
 	classShare map[string]float64
 	starving   map[string]StarvingClass
 	runtime    func(*Job) time.Duration
-	// preempts has tasks that the plan stops end at once and wait again; without it they
-	// run on.
+	// preempts makes tasks that the plan preempts end at once and wait again. Without it they
+	// keep running.
 	preempts bool
 
 	start, now time.Time
 	running    []simulatedTask
 	queue      []*Job // with waiting tasks
 	submitted  []*Job
-	// beganAfter is when the first task of a job started, after its submission.
-	beganAfter map[*Job]time.Duration
+	// startDelay is the time from a job's submission until its first task started.
+	startDelay map[*Job]time.Duration
 }
 
 type simulatedTask struct {
@@ -44,13 +44,13 @@
 	end     time.Time
 }
 
-// run has submit called and a pass run every second.
+// run calls submit and runs a pass for every simulated second.
 func (s *simulation) run(submit func(elapsed time.Duration)) {
 	s.start = time.Unix(10000, 0)
-	s.beganAfter = map[*Job]time.Duration{}
-	for s.now = s.start; s.now.Before(s.start.Add(simulatedTime)); s.now = s.now.Add(simulatedStep) {
+	s.startDelay = map[*Job]time.Duration{}
+	for s.now = s.start; s.now.Before(s.start.Add(simulatedDuration)); s.now = s.now.Add(simulatedStep) {
 		submit(s.now.Sub(s.start))
-		s.endTasks()
+		s.removeFinishedTasks()
 		s.queue = slices.DeleteFunc(s.queue, func(job *Job) bool { return len(job.WaitingTasks) == 0 })
 		for _, job := range s.queue {
 			job.UpdateSlack(s.now, s.classShare[job.Spec.Kind])
@@ -58,11 +58,11 @@
 		snapshot := s.snapshot()
 		MarkGuaranteed(slices.Clone(s.queue), snapshot.Teams)
 		MarkStarving(s.queue, s.starving, s.now)
-		s.carryOut(Schedule(snapshot))
+		s.applyPlan(Schedule(snapshot))
 	}
 }
 
-// submit puts a job into the queue. Gangs must be in one zone and on on-demand machines.
+// submit adds a job to the queue. Gangs must run in one zone and on on-demand machines.
 func (s *simulation) submit(spec jobs.Spec, targets ...time.Duration) {
 	gang := spec.Kind == jobs.KindGang
 	spec.CPUs, spec.MemoryGB, spec.Image = 1, 1, "img"
@@ -71,15 +71,15 @@
 		Spec: &spec, Priority: jobs.Priority(spec.PriorityClass), Order: uint64(len(s.submitted) + 1),
 		Submitted: s.now, Targets: targets,
 	}
-	setTasks(job, spec.Tasks)
+	setWaitingTasks(job, spec.Tasks)
 	s.queue, s.submitted = append(s.queue, job), append(s.submitted, job)
 }
 
-func (s *simulation) endTasks() {
+func (s *simulation) removeFinishedTasks() {
 	s.running = slices.DeleteFunc(s.running, func(task simulatedTask) bool { return !task.end.After(s.now) })
 }
 
-// snapshot shows the present state to a pass.
+// snapshot returns the present state as the input of a pass.
 func (s *simulation) snapshot() *Snapshot {
 	snapshot := &Snapshot{Now: s.now, Jobs: slices.Clone(s.queue), Teams: map[string]*Team{}}
 	for _, team := range s.teams {
@@ -102,7 +102,7 @@
 	return snapshot
 }
 
-func (s *simulation) carryOut(plan *Plan) {
+func (s *simulation) applyPlan(plan *Plan) {
 	for _, job := range s.queue {
 		job.ClaimedMachines = nil
 	}
@@ -122,7 +122,7 @@
 	}
 }
 
-// preempt ends one task of the job on the machine; it waits again.
+// preempt ends one of the job's tasks on the machine and makes it wait again.
 func (s *simulation) preempt(job *Job, machine int) {
 	at := slices.IndexFunc(s.running, func(task simulatedTask) bool { return task.job == job && task.machine == machine })
 	if at >= 0 {
@@ -135,21 +135,21 @@
 	job := start.Job
 	s.running = append(s.running, simulatedTask{job, machineIndex(start.Machine), s.now.Add(s.runtime(job))})
 	job.WaitingTasks = slices.DeleteFunc(slices.Clone(job.WaitingTasks), func(index int) bool { return index == start.Index })
-	if _, began := s.beganAfter[job]; !began {
-		s.beganAfter[job] = s.now.Sub(job.Submitted)
+	if _, started := s.startDelay[job]; !started {
+		s.startDelay[job] = s.now.Sub(job.Submitted)
 	}
 }
 
-// machineIndex is the number in a simulated machine's name.
+// machineIndex returns the number in a simulated machine's name.
 func machineIndex(machine *Machine) int {
 	index, err := strconv.Atoi(machine.Name[len("m-"):])
 	if err != nil {
-		panic(err) // the simulation names its machines
+		panic(err) // can't happen: all names are set by snapshot
 	}
 	return index
 }
 
-// secondsBetween draws a time of whole seconds.
-func secondsBetween(random *rand.Rand, least, below int) time.Duration {
+// randomSeconds returns a random whole number of seconds from least to below-1.
+func randomSeconds(random *rand.Rand, least, below int) time.Duration {
 	return time.Duration(least+random.IntN(below-least)) * time.Second
 }
--- a/internal/placement/sizeclass.go
+++ b/internal/placement/sizeclass.go
@@ -2,31 +2,31 @@
 
 import "math"
 
-// sizeClass groups jobs whose tasks take about as much of a machine, within a factor of
-// two, and GPUs or none.
+// sizeClass groups jobs by the size of their tasks, within a factor of two, and by whether
+// these use GPUs.
 type sizeClass struct {
 	gpus         bool
-	sizeExponent int // binary exponent of the dominant share of the largest machine
+	sizeExponent int // binary exponent of the dominant share of maxTotal
 }
 
-// sizeClassMachines are the machines that can take any task of a class.
+// sizeClassMachines lists the machines with room for the smallest tasks of a class.
 type sizeClassMachines struct {
-	smallest Resources // the least that any waiting task of the class requests of each kind
-	listed   bool
-	machines []*Machine
+	minRequest Resources // elementwise minimum of the requests of the class's waiting tasks
+	listed     bool
+	machines   []*Machine
 }
 
 func (p *pass) sizeClassOf(request Resources) sizeClass {
-	_, exponent := math.Frexp(request.DominantShare(p.largestTotal))
+	_, exponent := math.Frexp(request.DominantShare(p.maxTotal))
 	return sizeClass{request.GPUs > 0, exponent}
 }
 
-// initSizeClasses sorts the waiting jobs into size classes. Where small tasks wait beside
-// large ones nearly every machine has room for some task, but few for a large one: each
-// job examines only the machines that have room for the smallest of its class.
+// initSizeClasses groups the waiting jobs by size class. If both small and large tasks wait,
+// nearly every machine has room for some task, but few have room for a large one. Each job
+// examines only the machines with room for the smallest tasks of its class.
 func (p *pass) initSizeClasses() {
 	for _, machine := range p.Machines {
-		p.largestTotal = maxEach(p.largestTotal, machine.Total)
+		p.maxTotal = elementwiseMax(p.maxTotal, machine.Total)
 	}
 	p.sizeClasses = make(map[sizeClass]*sizeClassMachines)
 	for _, job := range p.Jobs {
@@ -34,37 +34,38 @@
 		key := p.sizeClassOf(request)
 		class := p.sizeClasses[key]
 		if class == nil {
-			p.sizeClasses[key] = &sizeClassMachines{smallest: request}
+			p.sizeClasses[key] = &sizeClassMachines{minRequest: request}
 			continue
 		}
-		class.smallest = minEach(class.smallest, request)
+		class.minRequest = elementwiseMin(class.minRequest, request)
 	}
 }
 
-// smallestRequest is the least that any waiting task requests of each kind.
-func (p *pass) smallestRequest() (smallest Resources) {
+// minRequest returns the elementwise minimum of the requests of all waiting tasks.
+func (p *pass) minRequest() (minimum Resources) {
 	for i, job := range p.Jobs {
 		request := TaskResources(job.Spec)
 		if i == 0 {
-			smallest = request
+			minimum = request
 		}
-		smallest = minEach(smallest, request)
+		minimum = elementwiseMin(minimum, request)
 	}
-	return smallest
+	return minimum
 }
 
-// machinesFor are the machines that may have room for a task of the job, in their order.
-// Room only shrinks during a pass, so a machine that is left out once has none later.
-func (p *pass) machinesFor(job *Job) []*Machine {
+// candidateMachines returns the machines that may have room for a task of the job, in order of
+// name. Free capacity only shrinks during a pass, so a machine that is left out has none
+// later.
+func (p *pass) candidateMachines(job *Job) []*Machine {
 	class := p.sizeClasses[p.sizeClassOf(TaskResources(job.Spec))]
 	if p.exhaustive || class == nil {
-		p.plan.Examined += len(p.withRoom)
-		return p.withRoom
+		p.plan.Examined += len(p.withFreeCapacity)
+		return p.withFreeCapacity
 	}
 	if !class.listed {
 		class.listed = true
-		for _, machine := range p.withRoom {
-			if machine.unused().Fits(class.smallest) {
+		for _, machine := range p.withFreeCapacity {
+			if machine.unusedResources().Fits(class.minRequest) {
 				class.machines = append(class.machines, machine)
 			}
 		}
--- a/internal/placement/sizeclass_test.go
+++ b/internal/placement/sizeclass_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// TestLargeTasksLookAtFewMachines: small tasks keep nearly every machine of a full fleet
-// among those with room for some task. Gangs of whole machines examine those that have
-// room for them alone, however many the others are: on a trial day at 6,000 machines 60
-// gangs examined all of them in every pass, which took most of its time.
-func TestLargeTasksLookAtFewMachines(t *testing.T) {
+// TestLargeTasksExamineFewMachines guards against long passes: while small tasks wait, nearly
+// every machine of a full cluster has room for some task. In a trial with 6,000 machines, 60
+// gangs examined all of them in every pass, which took most of the pass's time. Gangs of whole
+// machines must examine only machines with room for them, however many others there are.
+func TestLargeTasksExamineFewMachines(t *testing.T) {
 	const gangs, empty = 50, 8
 	examined := make(map[int]int)
 	for _, machines := range []int{500, 6000} {
@@ -23,15 +23,15 @@
 		if len(plan.Starts) != 1 {
 			t.Errorf("%d machines: %d starts", machines, len(plan.Starts))
 		}
-		examined[machines] = plan.Examined - machines // the small job examines all
+		examined[machines] = plan.Examined - machines // the small job examines all machines
 	}
 	if examined[500] != examined[6000] || examined[6000] != gangs*empty {
 		t.Errorf("%d gangs examined %d machines of 500 and %d of 6,000, want %d", gangs, examined[500], examined[6000], gangs*empty)
 	}
 }
 
-// nearlyFullCluster has some empty machines; on the others all GPUs and half the CPUs are
-// used.
+// nearlyFullCluster returns a snapshot with a few empty machines. On the others, all GPUs and
+// half of the CPUs are used.
 func nearlyFullCluster(machines, empty int) *Snapshot {
 	snapshot := &Snapshot{Teams: map[string]*Team{"a": {Limit: Resources{GPUs: 1e6}}}}
 	busy := arrayJob("j-0", "a", 1)
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -6,53 +6,54 @@
 	"thornnotch/internal/jobs"
 )
 
-// Snapshot is all that one pass looks at. The pass books what it places on the snapshot's
-// machines, jobs and teams themselves: copying some thousand machines would take longer
-// than most passes do.
+// Snapshot is the input of a pass. The pass records its placements in the snapshot's machines,
+// jobs and teams themselves: copying a few thousand machines would take longer than most
+// passes.
 type Snapshot struct {
 	Now      time.Time
 	Machines []*Machine
 	Jobs     []*Job
 	Teams    map[string]*Team
-	// ReservedMachines is how many empty on-demand machines array tasks that may use spot
-	// machines leave to gangs that can use no others.
+	// ReservedMachines is the number of empty on-demand machines that tasks of job arrays
+	// leave to gangs that can't use spot machines. It applies to arrays that may use spot
+	// machines themselves.
 	ReservedMachines int
-	// StartRate is how many tasks of each class have been placed per second lately; a
-	// class not named has had none.
+	// StartRate is the recent number of placed tasks per second, by class. Classes without any
+	// are absent.
 	StartRate map[string]float64
 
-	// exhaustive has all machines examined where a pass need not; tests compare both.
+	// exhaustive makes a pass examine all machines. Tests compare it with the pruned search.
 	exhaustive bool
 }
 
-// Team is one team's quota and what it uses, reserved slots included.
+// Team is a team's quota and its usage, including reserved slots.
 type Team struct {
 	Name string
-	// Guarantee and Limit are its quota; 0 means none. Memory is not limited.
+	// Guarantee and Limit are the quota; 0 means none. Memory is not limited.
 	Guarantee, Limit Resources
 	Used             Resources
-	// Promised is the part of the limit that the pass keeps for a boosted gang, from jobs
-	// whose priority is at least PromisedBelow.
-	Promised      Resources
-	PromisedBelow int
+	// Earmarked is the part of the limit that a pass keeps for a boosted gang. Jobs of a
+	// priority below EarmarkMinPriority may still use it.
+	Earmarked          Resources
+	EarmarkMinPriority int
 }
 
-// Machine is a machine as placement sees it.
+// Machine is a machine as a pass sees it.
 type Machine struct {
 	Name, Type, Zone string
 	Spot             bool
-	// Schedulable tells whether new tasks may be placed here, AttemptCapacity how many at
-	// most: the machine's record must hold them all.
+	// Schedulable is set if new tasks may be placed on the machine. AttemptCapacity is how
+	// many at most, as the machine's stored record must hold all its attempts.
 	Schedulable     bool
 	AttemptCapacity int
 	Total           Resources
 	RunningTasks    []RunningTask
 	Reserved        []ReservedSlot
-	// ImageWait tells how long an image has still to be fetched; an image not named is
-	// not there.
+	// ImageWait is the time until each image has been fetched. Images that are neither present
+	// nor being fetched are absent.
 	ImageWait map[string]time.Duration
 	// FetchGBPerS is the image fetch rate in GB per second, ActiveFetches the number of
-	// fetches under way.
+	// fetches in progress.
 	FetchGBPerS   float64
 	ActiveFetches int
 
@@ -60,82 +61,82 @@
 	state machineState
 }
 
-// RunningTask is a task that occupies a machine.
+// RunningTask is a task that uses resources of a machine.
 type RunningTask struct {
 	Job       *Job
 	Index     int
 	Attempt   uint64
 	Resources Resources
-	Stopping  bool // told to stop
-	// Remaining is how long it is expected to go on, StopCost the work that stopping it
-	// would throw away.
+	Stopping  bool // has been told to stop
+	// Remaining is the expected time until the task ends, StopCost the work that stopping it
+	// would lose.
 	Remaining, StopCost time.Duration
 }
 
-// ReservedSlot is room on a machine that is reserved for a pipeline.
+// ReservedSlot is an amount of a machine's resources that is reserved for a pipeline.
 type ReservedSlot struct {
 	Pipeline  Pipeline
 	Priority  int
 	Resources Resources
-	// Blocked is set while the job that it is for may not start yet.
+	// Blocked is set while the job that the slot is reserved for may not start yet.
 	Blocked bool
 }
 
-// Pipeline is one team's jobs of one class, in submission order. Where users name the
-// edges it is what ends in one job: that job, its team and class, and all jobs that it
-// depends on.
+// Pipeline identifies jobs that share reservations. By default, these are one team's jobs of
+// one class, in submission order. If users declare dependencies, they are the job named by
+// Downstream, which determines the team and class, and all jobs that it depends on.
 type Pipeline struct {
 	Team, Class string
-	Downstream  string // the job that depends on the others, along named edges
+	Downstream  string // ID of the job that depends on the others; empty without declared dependencies
 }
 
-// Job is a job with tasks to start.
+// Job is a job as a pass sees it.
 type Job struct {
 	Spec         *jobs.Spec
 	Priority     int
-	Order        uint64 // revision of its submission
+	Order        uint64 // revision of the job's submission
 	Submitted    time.Time
-	Guaranteed   bool // fits its team's guarantee together with the team's earlier jobs
+	Guaranteed   bool // fits into its team's guarantee together with the team's earlier jobs
 	WaitingTasks []int
 	TasksByZone  map[string]int // tasks that may be on machines, by zone
-	// AvoidMachines are machines, by name, that the job must not use.
+	// AvoidMachines names the machines that the job must not use.
 	AvoidMachines map[string]bool
-	// ReservedDownstreams are the jobs with slots reserved for them that depend on this
-	// one, directly or through others.
+	// ReservedDownstreams names the jobs with reserved slots that depend on this one, directly
+	// or indirectly.
 	ReservedDownstreams map[string]bool
-	// SinceLastStart is for how long none of its tasks has been placed.
+	// SinceLastStart is the time since any of the job's tasks was placed.
 	SinceLastStart time.Duration
-	Blocked        bool // may not start now: in backoff, or an old attempt is not proven gone
-	// ClaimedMachines are the machines that the last pass kept for the job; Draining is
-	// set if these will have room for all of it.
+	Blocked        bool // must not start now: in backoff, or an earlier attempt is not proven to have ended
+	// ClaimedMachines names the machines that the previous pass claimed for the job. Draining
+	// is set if they will have room for all of its waiting tasks.
 	ClaimedMachines map[string]bool
 	Draining        bool
-	// Targets are the latest times after submission at which the job can start and still
-	// meet one service-level objective, in rising order.
+	// Targets are the latest times after submission at which a start still meets a
+	// service-level objective, in ascending order.
 	Targets []time.Duration
 	// Boost is set for a few gangs that have waited longest and are hard to place.
 	Boost Boost
-	// Late is set once no target can be met any more; Slack is the time left until the
-	// next one (weighted by class) or, if late, the job's place among the late.
+	// Late is set once no target can be met any more. Slack is the time left until the next
+	// target, weighted by class, or, for a late job, a value that orders it among other jobs.
 	Late  bool
 	Slack time.Duration
-	// TimeToTarget is the time left to the next target, not weighted; zero when late.
+	// TimeToTarget is the unweighted time left until the next target, or 0 if the job is late.
 	TimeToTarget time.Duration
 
 	state jobState
 }
 
-// Pipeline is the pipeline that the job belongs to by its team and class.
+// Pipeline returns the pipeline of the job's team and class.
 func (j *Job) Pipeline() Pipeline {
 	return Pipeline{Team: j.Spec.Team, Class: j.Spec.Class}
 }
 
-// EdgePipeline is the pipeline that ends in the job by the edges that users name.
+// EdgePipeline returns the pipeline of the job and the jobs that it depends on.
 func (j *Job) EdgePipeline() Pipeline {
 	return Pipeline{j.Spec.Team, j.Spec.Class, j.Spec.ID}
 }
 
-// Owns tells whether the job's tasks are the pipeline's own.
+// Owns reports whether the job belongs to the pipeline.
 func (j *Job) Owns(pipeline Pipeline) bool {
 	if pipeline.Downstream == "" {
 		return pipeline == j.Pipeline()
@@ -145,7 +146,7 @@
 
 func (j *Job) isGang() bool { return j.Spec.Kind == jobs.KindGang }
 
-// waitingResources is what all tasks of the job that still wait request together.
+// waitingResources returns the resources that all waiting tasks of the job request together.
 func (j *Job) waitingResources() Resources {
 	return TaskResources(j.Spec).Times(len(j.WaitingTasks))
 }
--- a/internal/placement/starvation.go
+++ b/internal/placement/starvation.go
@@ -9,28 +9,28 @@
 	"thornnotch/internal/jobs"
 )
 
-// Boost is how far a starving gang is moved up in the queue, so that none waits for ever
-// behind a steady flow of others. It does not widen what the gang may preempt.
+// Boost is how far a starving gang moves up in the queue, so that a steady flow of other jobs
+// can't delay it forever. It does not extend what the gang may preempt.
 type Boost int
 
-// How far a job is moved up.
+// Levels of boost.
 const (
 	NoBoost             Boost = iota
-	BoostWithinPriority       // before others of its priority
-	BoostAboveAll             // before all others
+	BoostWithinPriority       // before other jobs of the same priority
+	BoostAboveAll             // before all other jobs
 )
 
-// StarvingClass names the gangs of a class that are boosted, by their least size.
+// StarvingClass specifies which gangs of a class are boosted and how far.
 type StarvingClass struct {
-	Size  int // tasks
+	Size  int // minimum number of tasks
 	Boost Boost
 }
 
-// MarkStarving boosts a few gangs: those of the given classes and from their sizes on,
-// longest waiting first. Users want most of the largest jobs of a class to begin within
-// some minutes whatever else is queued. Boosting is costly for the others, as machines
-// stand empty until the last one for a large gang comes free, so it is done only where it
-// is needed, and to few.
+// MarkStarving boosts a few gangs of the given classes with at least the given sizes, the
+// longest waiting first, and clears the boost of all other jobs. Users expect most of the
+// largest jobs of a class to start within a few minutes, whatever else is queued. Boosting is
+// costly for other jobs, because machines stand empty until the last one for a large gang
+// becomes free, so only a few gangs are boosted, and only where it is needed.
 func MarkStarving(unfinished []*Job, starving map[string]StarvingClass, now time.Time) {
 	var overdue []*Job
 	for _, job := range unfinished {
--- a/internal/placement/starvation_test.go
+++ b/internal/placement/starvation_test.go
@@ -9,13 +9,12 @@
 	"thornnotch/internal/jobs"
 )
 
-// beginWithin is the time within which the users demand that jobs begin.
-const beginWithin = 4 * time.Minute
+// maxStartDelay is the delay within which users expect their jobs to start.
+const maxStartDelay = 4 * time.Minute
 
-// TestLargestGangBegins: under a steady flow of smaller work that would fill every machine,
-// of equal and of higher priority, the largest gangs begin within the four minutes that
-// the users demand.
-func TestLargestGangBegins(t *testing.T) {
+// TestLargestGangsStartInTime checks that the largest gangs start within maxStartDelay under a
+// steady flow of smaller jobs of equal and higher priority that would fill every machine.
+func TestLargestGangsStartInTime(t *testing.T) {
 	const (
 		largeTasks = 8
 		largeEvery = 2 * time.Minute
@@ -27,7 +26,7 @@
 		classShare: map[string]float64{jobs.KindArray: 1, jobs.KindGang: 1},
 		starving:   map[string]StarvingClass{"gang8": {largeTasks, BoostAboveAll}},
 		runtime: func(job *Job) time.Duration {
-			runtime := secondsBetween(random, 30, 70) // drawn for gangs, too
+			runtime := randomSeconds(random, 30, 70) // always drawn, so that gangs don't change the random sequence
 			if job.isGang() {
 				runtime = 150 * time.Second
 			}
@@ -41,7 +40,7 @@
 	}
 	submittedArrays := 0
 	cluster.run(func(elapsed time.Duration) {
-		// More comes than there is room for.
+		// Submits more work than the cluster can run.
 		for range 2 {
 			submittedArrays++
 			submit(fmt.Sprint("sweep-", submittedArrays), jobs.KindArray, "standard", 10, 1)
@@ -61,8 +60,8 @@
 			continue
 		}
 		large++
-		if after, began := cluster.beganAfter[job]; !began || after > beginWithin {
-			t.Errorf("%s began after %v (%v)", job.Spec.ID, after, began)
+		if delay, started := cluster.startDelay[job]; !started || delay > maxStartDelay {
+			t.Errorf("%s started after %v (started: %v)", job.Spec.ID, delay, started)
 		}
 	}
 	if large != 6 {
@@ -70,15 +69,15 @@
 	}
 }
 
-// TestNoClassOrTeamStarves: with somewhat more work than room, of two classes and three
-// teams, at least half of each class's and each team's jobs begin within four minutes,
-// although one team sends most of the work and small tasks would fill every machine. It
-// guards against what an overloaded deployment showed: claims of all waiting gangs left
-// the machines half empty.
+// TestNoClassOrTeamStarves guards against a fault seen in an overloaded deployment: machine
+// claims of all waiting gangs left the machines half empty. With somewhat more work than
+// capacity, at least half of the jobs of each of two classes and three teams must start within
+// maxStartDelay, although one team submits most of the work and small tasks would fill every
+// machine.
 func TestNoClassOrTeamStarves(t *testing.T) {
 	const submitFor = 10 * time.Minute
-	// Chances of a new job array per second; together with the gangs about 1.3 times what
-	// 24 machines of 4 GPUs can run.
+	// The probabilities of a new job array per second. Together with the gangs, this is about
+	// 1.3 times what 24 machines with 4 GPUs each can run.
 	chances := []struct {
 		team        string
 		arrayChance float64
@@ -88,7 +87,7 @@
 	cluster := &simulation{
 		machines:   24,
 		classShare: map[string]float64{jobs.KindArray: 1, jobs.KindGang: 0.25},
-		runtime:    func(*Job) time.Duration { return secondsBetween(random, 30, 90) },
+		runtime:    func(*Job) time.Duration { return randomSeconds(random, 30, 90) },
 		preempts:   true,
 	}
 	for _, c := range chances {
@@ -113,22 +112,22 @@
 		}
 	})
 
-	total, inTime := cluster.beganInTime()
+	total, inTime := cluster.startedInTime()
 	for group, count := range total {
 		if count < 3 || 2*inTime[group] < count {
-			t.Errorf("%s: %d of %d begun in time", group, inTime[group], count)
+			t.Errorf("%s: %d of %d started in time", group, inTime[group], count)
 		}
 	}
 }
 
-// beganInTime counts the jobs submitted, and those of them that began in time, by class
-// and by team.
-func (s *simulation) beganInTime() (total, inTime map[string]int) {
+// startedInTime returns the number of submitted jobs, and of those that started within
+// maxStartDelay, by class and by team.
+func (s *simulation) startedInTime() (total, inTime map[string]int) {
 	total, inTime = map[string]int{}, map[string]int{}
 	for _, job := range s.submitted {
 		for _, group := range []string{"class " + job.Spec.Class, "team " + job.Spec.Team} {
 			total[group]++
-			if after, began := s.beganAfter[job]; began && after <= beginWithin {
+			if delay, started := s.startDelay[job]; started && delay <= maxStartDelay {
 				inTime[group]++
 			}
 		}
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -6,42 +6,43 @@
 	"time"
 )
 
-// machineUsage is what follows from a machine's running tasks. It is summed once: a view
-// of a machine is shown again in later passes as long as nothing on it has changed.
+// machineUsage is derived from a machine's running tasks. It is computed once, because a
+// Machine is reused in later passes as long as nothing on it has changed.
 type machineUsage struct {
-	summed         bool
+	computed       bool
 	used           Resources
-	stopping       Resources     // of used, what was told to stop
-	remaining      time.Duration // until the last of its tasks is expected to end
+	stopping       Resources     // part of used, by tasks that were told to stop
+	maxRemaining   time.Duration // until the last task is expected to end
 	lowestPriority int           // of the tasks not told to stop
-	preemptible    bool          // whether there are any such
+	preemptible    bool          // whether there are any such tasks
 }
 
-// machineState is what a pass keeps about a machine.
+// machineState is the state that a pass keeps for a machine.
 type machineState struct {
-	rank      int  // place in the order of names
-	claimedBy *Job // waiting job that the machine is kept for
-	hadRoom   bool // for some task, as the pass began
-	// classBits are the preemption classes of the tasks not told to stop as the pass began.
+	position        int  // in the order of names
+	claimedBy       *Job // waiting job for which the machine is kept
+	hadFreeCapacity bool // had room for some waiting task when the pass began
+	// classBits are the preemption classes of the tasks not told to stop when the pass began.
 	classBits uint64
 }
 
-// jobState is what a pass keeps about a job whose tasks run.
+// jobState is the state that a pass keeps for a job with running tasks.
 type jobState struct {
-	counted  int    // running tasks, while a pass counts them
-	classBit uint64 // its preemption class
+	runningTasks int    // not told to stop; only set while a pass counts them
+	classBit     uint64 // bit of the job's preemption class
 }
 
-// sumUsage computes what follows from the running tasks.
-func (m *Machine) sumUsage() {
-	if m.usage.summed {
+// computeUsage computes the machine's usage from its running tasks, unless it is already
+// known.
+func (m *Machine) computeUsage() {
+	if m.usage.computed {
 		return
 	}
-	m.usage = machineUsage{summed: true}
+	m.usage = machineUsage{computed: true}
 	for i := range m.RunningTasks {
 		task := &m.RunningTasks[i]
 		m.usage.used = m.usage.used.Add(task.Resources)
-		m.usage.remaining = max(m.usage.remaining, task.Remaining)
+		m.usage.maxRemaining = max(m.usage.maxRemaining, task.Remaining)
 		switch {
 		case task.Stopping:
 			m.usage.stopping = m.usage.stopping.Add(task.Resources)
@@ -51,24 +52,25 @@
 	}
 }
 
-// unused is the room on the machine that no task takes, reserved or not.
-func (m *Machine) unused() Resources { return m.Total.Sub(m.usage.used) }
+// unusedResources returns the resources that no task uses, reserved or not.
+func (m *Machine) unusedResources() Resources { return m.Total.Sub(m.usage.used) }
 
-// freeFor is the room that the job may use on the machine.
-func (m *Machine) freeFor(job *Job) Resources {
-	free := m.unused()
+// freeResourcesFor returns the unused resources that the job may use on the machine.
+func (m *Machine) freeResourcesFor(job *Job) Resources {
+	free := m.unusedResources()
 	for _, slot := range m.Reserved {
-		if slot.closedTo(job) {
+		if slot.unavailableTo(job) {
 			free = free.Sub(slot.Resources)
 		}
 	}
 	return free
 }
 
-// emptyOnDemand tells whether the machine is whole for gangs that can't use spot machines.
+// emptyOnDemand reports whether the machine is an on-demand machine without tasks. Gangs that
+// can't use spot machines need such machines.
 func (m *Machine) emptyOnDemand() bool { return !m.Spot && m.usage.used == (Resources{}) }
 
-// sortMachines puts machines in the order of their names, which breaks ties in a pass.
+// sortMachines sorts machines by name. A pass uses this order to break ties.
 func sortMachines(machines []*Machine) {
 	byName := func(a, b *Machine) int { return strings.Compare(a.Name, b.Name) }
 	if !slices.IsSortedFunc(machines, byName) {
@@ -76,8 +78,9 @@
 	}
 }
 
-// machineNamed finds a machine among those sorted by name, or returns nil.
-func (p *pass) machineNamed(name string) *Machine {
+// findMachine returns the machine with the given name, or nil. Machines must be sorted by
+// name.
+func (p *pass) findMachine(name string) *Machine {
 	at, found := slices.BinarySearchFunc(p.Machines, name, func(machine *Machine, name string) int {
 		return strings.Compare(machine.Name, name)
 	})
@@ -87,35 +90,36 @@
 	return p.Machines[at]
 }
 
-// initMachines resets what the last pass kept about the machines and counts what is on
-// them.
+// initMachines resets the state that the previous pass kept for the machines and counts their
+// tasks and reserved slots.
 func (p *pass) initMachines() {
-	var running []*Job // jobs with preemptible tasks, each once
-	smallest := p.smallestRequest()
+	var running []*Job // jobs with preemptible tasks, without duplicates
+	minimum := p.minRequest()
 	for i, machine := range p.Machines {
-		machine.state = machineState{rank: i}
-		machine.sumUsage()
+		machine.state = machineState{position: i}
+		machine.computeUsage()
 		if machine.Schedulable && !machine.Spot && len(machine.RunningTasks) == 0 {
 			p.emptyOnDemand++
 		}
-		if machine.Schedulable && machine.AttemptCapacity > 0 && machine.unused().Fits(smallest) {
-			p.withRoom = append(p.withRoom, machine)
-			machine.state.hadRoom = true
+		if machine.Schedulable && machine.AttemptCapacity > 0 && machine.unusedResources().Fits(minimum) {
+			p.withFreeCapacity = append(p.withFreeCapacity, machine)
+			machine.state.hadFreeCapacity = true
 		}
 		running = p.countTasks(machine, running)
 		for _, slot := range machine.Reserved {
 			team := slot.Pipeline.Team
-			p.reserved[team] = append(p.reserved[team], reservedOn{machine, slot})
+			p.reserved[team] = append(p.reserved[team], machineReservation{machine, slot})
 		}
 	}
 	for _, job := range running {
-		p.preemptible[preemptionClassOf(job)] += job.state.counted
-		job.state.counted = 0
+		p.preemptibleTasks[preemptionClassOf(job)] += job.state.runningTasks
+		job.state.runningTasks = 0
 	}
 }
 
-// countTasks counts a machine's running tasks, by job as there are many tasks but few
-// preemption classes. It returns the jobs with preemptible tasks so far.
+// countTasks counts a machine's running tasks by job, because there are many tasks but few
+// preemption classes. It appends jobs with preemptible tasks that are not yet in running and
+// returns the result.
 func (p *pass) countTasks(machine *Machine, running []*Job) []*Job {
 	for i := range machine.RunningTasks {
 		task := &machine.RunningTasks[i]
@@ -125,11 +129,11 @@
 		case task.Stopping:
 			p.stopping[job.Spec.Team] = p.stopping[job.Spec.Team].Add(task.Resources)
 		default:
-			if job.state.counted == 0 {
+			if job.state.runningTasks == 0 {
 				running = append(running, job)
 				job.state.classBit = p.classBit(preemptionClassOf(job))
 			}
-			job.state.counted++
+			job.state.runningTasks++
 			machine.state.classBits |= job.state.classBit
 		}
 	}
