--- a/internal/attestation/attestation.go
+++ b/internal/attestation/attestation.go
@@ -1,17 +1,18 @@
-// Package attestation lets the nodes prove to a leader, without the state service, which
-// cancellations users have been told of.
+// Package attestation lets a leader learn from the other nodes, without the state service,
+// which job cancellations have been confirmed to users.
 //
-// What a leader knows of cancellations comes from its watch on the state service. While
-// that is not answered another node may have confirmed some, as the service may refuse
-// this node alone. So the leader must let workers' leases expire in time, and in an outage
-// that ends the work of the whole fleet although nobody can cancel anything. But a user is
-// told by a process of some node. If the processes of all nodes name what they have told
-// since the watch's last proof, nothing is missing.
+// A leader learns of cancellations by watching the state service. While the watch is not
+// answered, another node may have confirmed cancellations that the leader does not know of,
+// because the service may be refusing this node alone. The leader therefore has to let the
+// workers' leases expire in time. In an outage of the service that would end the work of the
+// whole fleet, although nobody can cancel anything. Every confirmation is sent by a process
+// of some node, however, so if the processes of all nodes list what they have confirmed since
+// the watch last proved the leader up to date, no cancellation is missing.
 //
-// A round goes as follows. The leader notes the time, asks each node for the cancellations
-// within Window, and puts the answers together with Merge. If that is complete, and the
-// answers have not come too late (AnsweredTooLate), it knows of all cancellations that any
-// user was told of before the time it noted. The argument, with all its conditions, is in
+// In one round the leader notes the time, asks each node for the cancellations within Window,
+// and combines the answers with Merge. If the result is complete and the answers did not
+// arrive too late (AnsweredTooLate), the leader knows every cancellation that was confirmed
+// to any user before the time that it noted. The argument, with all its conditions, is in
 // docs/design.md (Safety, "The gap").
 package attestation
 
@@ -21,31 +22,35 @@
 	"thornnotch/internal/constants"
 )
 
-// Window is how far back from its answer a node must attest, so that it reaches back to the
-// watch's last proof. Both times are by the leader's clock, and asked is the later one. The
-// clocks of two nodes may differ in rate by constants.ClockDrift, and the answer is given
-// up to constants.AttestationMaxAge after the question.
-func Window(asked, lastWatched time.Time) time.Duration {
-	return time.Duration(float64(asked.Sub(lastWatched))*(1+constants.ClockDrift)) + constants.AttestationMargin
+// Window returns how far back from the time of its answer a node must attest so that its
+// attestation reaches back to the watch's last proof. Both times are read from the leader's
+// clock; askedAt is the later one. The window allows for two clocks whose rates differ by
+// constants.ClockDrift and for an answer given up to constants.AttestationMaxAge after the
+// question.
+func Window(askedAt, watchedUntil time.Time) time.Duration {
+	return time.Duration(float64(askedAt.Sub(watchedUntil))*(1+constants.ClockDrift)) + constants.AttestationMargin
 }
 
-// AnsweredTooLate tells whether the answers have come too long after the question: nodes
-// count back from when they answer, so they may reach back less far than was asked for.
-func AnsweredTooLate(asked, now time.Time) bool {
-	return now.Sub(asked) > constants.AttestationMaxAge
+// AnsweredTooLate reports whether the answers arrived too long after the question. Nodes
+// count back from the time of their answer, so a late answer may not reach back as far as was
+// asked.
+func AnsweredTooLate(askedAt, now time.Time) bool {
+	return now.Sub(askedAt) > constants.AttestationMaxAge
 }
 
-// Attestation is what one node answers. The zero value is that of a node which is silent.
+// Attestation is one node's answer. The zero value stands for a node that did not answer.
 type Attestation struct {
-	// Cancelled are the IDs of the jobs that it may have told users to be cancelled.
+	// Cancelled lists the IDs of the jobs whose cancellation the node may have confirmed to
+	// users.
 	Cancelled []string
-	// Complete is set if no others can be, within the window that was asked for.
+	// Complete is set if Cancelled misses no such job within the requested window.
 	Complete bool
 }
 
-// Merge puts together what so many nodes attest to. It reports false unless all of them
-// have answered and each answer is complete: a node that is silent, or whose process has
-// begun anew meanwhile, may have told users of what nobody else knows.
+// Merge combines the attestations of a cluster with the given number of nodes. It reports
+// false unless every node has answered and every answer is complete: a node that did not
+// answer, or whose process restarted in the meantime, may have confirmed cancellations that
+// no other node knows of.
 func Merge(attestations []Attestation, nodes int) (cancelled []string, complete bool) {
 	if len(attestations) < nodes {
 		return nil, false
--- a/internal/attestation/attestation_test.go
+++ b/internal/attestation/attestation_test.go
@@ -8,159 +8,160 @@
 	"pgregory.net/rapid"
 )
 
-// TestVouchedIsComplete: nodes tell users of cancellations, end and begin anew,
-// answer a leader late or never, by clocks that run apart. Whatever time a leader
-// takes to be certain up to, it knows of every cancellation that a user was told of
-// before: from its watch, or because a node named it. Each condition of the
-// argument, taken out, makes this fail.
-func TestVouchedIsComplete(t *testing.T) {
+// TestAttestationCoversConfirmedCancellations has nodes confirm cancellations, restart, and
+// answer the leader late or never, with clocks that drift apart. The leader must know, from
+// its watch or from an attestation, every cancellation confirmed to a user before the time up
+// to which it considers itself certain. Removing any one condition of the argument makes this
+// test fail.
+func TestAttestationCoversConfirmedCancellations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newRun(t)
+		s := newSimulation(t)
 		for range rapid.IntRange(5, 40).Draw(t, "steps") {
-			r.pass(t, 0, 4000, "pause")
+			s.advance(t, 0, 4000, "pause")
 			if rapid.IntRange(0, 9).Draw(t, "long outage") == 0 {
-				r.now = r.now.Add(3 * time.Hour) // what clocks run apart adds up
+				s.now = s.now.Add(3 * time.Hour) // lets the clocks drift far apart
 			}
-			switch rapid.IntRange(0, 7).Draw(t, "what") {
+			switch rapid.IntRange(0, 7).Draw(t, "action") {
 			case 0, 1, 2:
-				r.cancelJob(t)
+				s.cancelJob(t)
 			case 3:
-				r.restartNode(t)
+				s.restartNode(t)
 			case 4:
 				if rapid.IntRange(0, 3).Draw(t, "watch answers") == 0 {
-					r.answerWatch()
+					s.answerWatch()
 				}
 			default:
-				r.askNodes(t)
+				s.askNodes(t)
 			}
-			r.checkCertainty(t)
+			s.checkCertainty(t)
 		}
 	})
 }
 
-// nodes is the number of nodes in the model; the first leads.
-const nodes = 3
+// modelNodes is the number of nodes in the model; the first one leads.
+const modelNodes = 3
 
-// process is a node's process in the model. Its clock runs apart from true time.
+// process is a node's process in the model. Its clock drifts from true time.
 type process struct {
-	log   *CancellationLog
-	rate  float64   // of its clock
-	start time.Time // by the true clock
-	base  time.Time // its own clock then
+	log          *CancellationLog
+	clockRate    float64   // relative to true time
+	startedAt    time.Time // in true time
+	clockAtStart time.Time // reading of its own clock at startedAt
 }
 
 func (p *process) clock(at time.Time) time.Time {
-	return p.base.Add(time.Duration(float64(at.Sub(p.start)) * p.rate))
+	return p.clockAtStart.Add(time.Duration(float64(at.Sub(p.startedAt)) * p.clockRate))
 }
 
-// confirmation is what a user was told.
+// confirmation is one cancellation confirmed to a user, and when.
 type confirmation struct {
 	jobID string
 	at    time.Time
 }
 
-// run is one generated history, by the true clock.
-type run struct {
+// simulation is one generated history, in true time.
+type simulation struct {
 	now       time.Time
-	processes [nodes]*process
-	leader    *process // whose clock the leader reads
-	// lastWatched is the leader's last proof from its watch, certainUntil up to when it
-	// takes itself to know all cancellations, known what it knows.
-	lastWatched, certainUntil time.Time
-	known                     map[string]bool
-	confirmations             []confirmation
-	jobs                      int
+	processes [modelNodes]*process
+	leader    *process // the process whose clock the leader reads
+	// watchedUntil is the time of the watch's last proof. The leader considers itself to know
+	// all cancellations up to certainUntil; known holds those that it does know.
+	watchedUntil, certainUntil time.Time
+	known                      map[string]bool
+	confirmations              []confirmation
+	jobs                       int
 }
 
-func newRun(t *rapid.T) *run {
-	r := &run{now: time.Unix(5000, 0), known: map[string]bool{}}
-	for i := range r.processes {
-		r.processes[i] = r.startProcess(t)
+func newSimulation(t *rapid.T) *simulation {
+	s := &simulation{now: time.Unix(5000, 0), known: map[string]bool{}}
+	for i := range s.processes {
+		s.processes[i] = s.startProcess(t)
 	}
-	r.leader = r.processes[0]
-	r.lastWatched, r.certainUntil = r.now, r.now
-	return r
+	s.leader = s.processes[0]
+	s.watchedUntil, s.certainUntil = s.now, s.now
+	return s
 }
 
-func (r *run) startProcess(t *rapid.T) *process {
-	p := &process{rate: 1 + rapid.Float64Range(-0.0005, 0.0005).Draw(t, "drift"), start: r.now, base: r.now.Add(time.Hour)}
-	p.log = NewCancellationLog(4, p.base)
+func (s *simulation) startProcess(t *rapid.T) *process {
+	p := &process{clockRate: 1 + rapid.Float64Range(-0.0005, 0.0005).Draw(t, "drift"), startedAt: s.now, clockAtStart: s.now.Add(time.Hour)}
+	p.log = NewCancellationLog(4, p.clockAtStart)
 	return p
 }
 
-// pass lets time pass, between least and most milliseconds.
-func (r *run) pass(t *rapid.T, least, most int, label string) {
-	r.now = r.now.Add(time.Duration(rapid.IntRange(least, most).Draw(t, label)) * time.Millisecond)
+// advance moves the time on by minMS to maxMS milliseconds.
+func (s *simulation) advance(t *rapid.T, minMS, maxMS int, label string) {
+	s.now = s.now.Add(time.Duration(rapid.IntRange(minMS, maxMS).Draw(t, label)) * time.Millisecond)
 }
 
-// cancelJob: the cancellation is recorded; a node adds it to its log, and a while later
-// tells a user.
-func (r *run) cancelJob(t *rapid.T) {
-	p := r.processes[rapid.IntRange(0, nodes-1).Draw(t, "by")]
-	id := fmt.Sprint("j-", r.jobs)
-	r.jobs++
-	p.log.Add(id, p.clock(r.now))
-	r.pass(t, 0, 300, "answering")
-	r.confirmations = append(r.confirmations, confirmation{id, r.now})
+// cancelJob records a cancellation: a node adds it to its log and confirms it to the user
+// some time later.
+func (s *simulation) cancelJob(t *rapid.T) {
+	p := s.processes[rapid.IntRange(0, modelNodes-1).Draw(t, "confirming node")]
+	id := fmt.Sprint("j-", s.jobs)
+	s.jobs++
+	p.log.Add(id, p.clock(s.now))
+	s.advance(t, 0, 300, "confirmation delay")
+	s.confirmations = append(s.confirmations, confirmation{id, s.now})
 }
 
-// restartNode ends the process of a node that does not lead, and begins another.
-func (r *run) restartNode(t *rapid.T) {
-	i := rapid.IntRange(1, nodes-1).Draw(t, "who ends")
-	r.processes[i] = r.startProcess(t)
+// restartNode replaces the process of a node that does not lead.
+func (s *simulation) restartNode(t *rapid.T) {
+	i := rapid.IntRange(1, modelNodes-1).Draw(t, "restarted node")
+	s.processes[i] = s.startProcess(t)
 }
 
-// answerWatch tells the leader all that was recorded before its question.
-func (r *run) answerWatch() {
-	r.lastWatched = r.now
-	r.certainAt(r.now)
-	for _, told := range r.confirmations {
-		r.known[told.jobID] = true
+// answerWatch answers the leader's watch with everything recorded before its request.
+func (s *simulation) answerWatch() {
+	s.watchedUntil = s.now
+	s.advanceCertainty(s.now)
+	for _, confirmed := range s.confirmations {
+		s.known[confirmed.jobID] = true
 	}
 }
 
-// askNodes is a round of attestation. Cancellations go on while the question is under way;
+// askNodes runs one attestation round. Jobs are cancelled while the questions are in transit;
 // a node may not be asked, and an answer may be lost.
-func (r *run) askNodes(t *rapid.T) {
-	asked := r.now
-	window := Window(r.leader.clock(asked), r.leader.clock(r.lastWatched))
+func (s *simulation) askNodes(t *rapid.T) {
+	askedAt := s.now
+	window := Window(s.leader.clock(askedAt), s.leader.clock(s.watchedUntil))
 	var attestations []Attestation
-	for i := range rapid.IntRange(nodes-1, nodes).Draw(t, "asked of") {
-		delay := rapid.SampledFrom([]int{0, 1, 40, 400, 1400, 6000}).Draw(t, "way")
-		r.now = r.now.Add(time.Duration(delay) * time.Millisecond)
-		if rapid.IntRange(0, 3).Draw(t, "meanwhile") == 0 {
-			r.cancelJob(t)
+	for i := range rapid.IntRange(modelNodes-1, modelNodes).Draw(t, "nodes asked") {
+		delay := rapid.SampledFrom([]int{0, 1, 40, 400, 1400, 6000}).Draw(t, "delay")
+		s.now = s.now.Add(time.Duration(delay) * time.Millisecond)
+		if rapid.IntRange(0, 3).Draw(t, "cancellation in transit") == 0 {
+			s.cancelJob(t)
 		}
 		var answer Attestation
-		answer.Cancelled, answer.Complete = r.processes[i].log.Since(window, r.processes[i].clock(r.now))
-		if rapid.IntRange(0, 9).Draw(t, "answer") == 0 {
-			answer = Attestation{} // lost
+		answer.Cancelled, answer.Complete = s.processes[i].log.Since(window, s.processes[i].clock(s.now))
+		if rapid.IntRange(0, 9).Draw(t, "answer lost") == 0 {
+			answer = Attestation{} // the answer is lost
 		}
 		attestations = append(attestations, answer)
 	}
-	cancelled, complete := Merge(attestations, nodes)
-	if !complete || AnsweredTooLate(r.leader.clock(asked), r.leader.clock(r.now)) {
+	cancelled, complete := Merge(attestations, modelNodes)
+	if !complete || AnsweredTooLate(s.leader.clock(askedAt), s.leader.clock(s.now)) {
 		return
 	}
 	for _, id := range cancelled {
-		r.known[id] = true
+		s.known[id] = true
 	}
-	r.certainAt(asked)
+	s.advanceCertainty(askedAt)
 }
 
-// certainAt: the leader takes itself to know all cancellations up to at.
-func (r *run) certainAt(at time.Time) {
-	if at.After(r.certainUntil) {
-		r.certainUntil = at
+// advanceCertainty notes that the leader considers itself to know all cancellations up to at.
+func (s *simulation) advanceCertainty(at time.Time) {
+	if at.After(s.certainUntil) {
+		s.certainUntil = at
 	}
 }
 
-// checkCertainty: the leader knows of all that users were told before it is certain.
-func (r *run) checkCertainty(t *rapid.T) {
+// checkCertainty fails if the leader does not know a cancellation that was confirmed before
+// certainUntil.
+func (s *simulation) checkCertainty(t *rapid.T) {
 	t.Helper()
-	for _, told := range r.confirmations {
-		if told.at.Before(r.certainUntil) && !r.known[told.jobID] {
-			t.Fatalf("certain until %v, but %s, told at %v, is not known", r.certainUntil, told.jobID, told.at)
+	for _, confirmed := range s.confirmations {
+		if confirmed.at.Before(s.certainUntil) && !s.known[confirmed.jobID] {
+			t.Fatalf("certain until %v, but the cancellation of %s, confirmed at %v, is not known", s.certainUntil, confirmed.jobID, confirmed.at)
 		}
 	}
 }
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -1,11 +1,11 @@
-// Package election elects the one leader of the nodes. A lease in the state service says
-// who leads, and a record whose number only rises says since when. The number is the term,
-// which is the fencing token of all commands to workers.
+// Package election elects one of the nodes as leader. A lease in the state service shows
+// which node leads; a record holds the term, a number that only increases and serves as the
+// fencing token of all commands to workers.
 //
-// Safety rests on the term's record alone: every write of a leader is conditioned on its
-// revision, so a deposed leader can write nothing, whatever became of its lease and however
-// late its requests arrive. The lease only decides when another node may campaign. The
-// argument is in docs/design.md (Safety, 1).
+// Safety depends on the term's record alone. Every write of a leader is conditioned on the
+// record's revision, so a deposed leader cannot write anything, whatever happens to its lease
+// and however late its requests arrive. The lease only decides when another node may
+// campaign. The argument is in docs/design.md (Safety, 1).
 package election
 
 import (
@@ -21,8 +21,8 @@
 	"thornnotch/internal/statestore"
 )
 
-// Store is what the election needs of the state service. Its methods are those of
-// statestore.Client.
+// Store is the part of the state service that the election uses. statestore.Client implements
+// it.
 type Store interface {
 	List(ctx context.Context, class statestore.Class, prefix string) (rows []statestore.KeyValue, revision uint64, err error)
 	Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (revision uint64, changes []statestore.Change, err error)
@@ -35,11 +35,11 @@
 // Grant is the right to lead for one term.
 type Grant struct {
 	Term     uint64
-	Revision uint64 // of the term's record, the condition of every write
+	Revision uint64 // of the term's record; a condition of every write
 }
 
-// LeadFunc leads for one term. It returns when ctx ends, whose cause tells why, or when it
-// finds the node deposed; its error says why the term is over.
+// LeadFunc leads for one term. It returns when ctx ends, whose cause says why, or when it
+// finds that this node has been deposed. Its error says why the term ended.
 type LeadFunc func(ctx context.Context, grant Grant) error
 
 // Elector runs the election on one node.
@@ -52,13 +52,13 @@
 	view View // guarded by mu
 }
 
-// New makes the elector of the node called self.
+// New returns an elector for the node named self.
 func New(self string, store Store, logger *slog.Logger) *Elector {
 	return &Elector{self: self, store: store, logger: logger}
 }
 
-// Leader names the node that leads, as far as this one knows, and the newest term. The name
-// is empty if nobody leads. It is safe for concurrent use.
+// Leader returns the node that leads and the newest term, as far as this node knows. The name
+// is empty if no node leads. It is safe for concurrent use.
 func (e *Elector) Leader() (node string, term uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -74,20 +74,20 @@
 	e.view = view
 }
 
-// Run takes part in the election until ctx ends, and returns its error. While this node
-// leads, lead runs.
+// Run takes part in the election until ctx ends and returns the error of ctx. It calls lead
+// whenever this node becomes leader.
 func (e *Elector) Run(ctx context.Context, lead LeadFunc) error {
 	for ctx.Err() == nil {
 		if err := e.runRound(ctx, lead); err != nil && ctx.Err() == nil {
 			e.logger.Debug("election round ended", "error", err)
-			pause(ctx, constants.MinBackoff)
+			sleepJittered(ctx, constants.MinBackoff)
 		}
 	}
 	return ctx.Err()
 }
 
-// pause waits for half to one and a half times d, so that nodes don't act in step.
-func pause(ctx context.Context, d time.Duration) {
+// sleepJittered waits for between 0.5 and 1.5 times d, so that nodes do not act in lockstep.
+func sleepJittered(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d/2 + rand.N(d))
 	defer timer.Stop()
 	select {
@@ -96,8 +96,8 @@
 	}
 }
 
-// runRound follows the election until this node may campaign, campaigns, and if it wins
-// leads until the term is over.
+// runRound follows the election until this node may campaign, then campaigns and, if it wins,
+// leads until the term ends.
 func (e *Elector) runRound(ctx context.Context, lead LeadFunc) error {
 	view, revision, err := e.readView(ctx)
 	if err != nil {
@@ -114,11 +114,11 @@
 	return e.serveTerm(ctx, view, lease, lead)
 }
 
-// readView reads the records of the election, and the revision to watch them from.
+// readView reads the election records and the revision from which to watch them.
 func (e *Elector) readView(ctx context.Context) (view View, revision uint64, err error) {
 	rows, revision, err := e.store.List(ctx, statestore.ClassLease, Prefix)
 	if err != nil {
-		return View{}, 0, fmt.Errorf("read the election's records: %w", err)
+		return View{}, 0, fmt.Errorf("read election records: %w", err)
 	}
 	for _, row := range rows {
 		if err := view.Apply(row.Key, row.Value, row.Revision); err != nil {
@@ -129,12 +129,12 @@
 	return view, revision, nil
 }
 
-// awaitVacancy watches the election until this node may campaign.
+// awaitVacancy watches the election records until this node may campaign.
 func (e *Elector) awaitVacancy(ctx context.Context, view View, revision uint64) (View, error) {
 	for !view.MayCampaign(e.self) {
 		next, changes, err := e.store.Watch(ctx, Prefix, revision, constants.ElectionWatchBlock)
 		if err != nil {
-			return View{}, fmt.Errorf("watch the election: %w", err)
+			return View{}, fmt.Errorf("watch election records: %w", err)
 		}
 		revision = next
 		for _, change := range changes {
@@ -147,42 +147,42 @@
 	return view, nil
 }
 
-// campaign tries to make this node the leader, under a lease of its own.
+// campaign tries to make this node the leader, under a new lease.
 func (e *Elector) campaign(ctx context.Context, view View) (won View, lease uint64, err error) {
 	lease, err = e.store.GrantLease(ctx, constants.LeaseTTL)
 	if err != nil {
-		return View{}, 0, fmt.Errorf("grant a lease to campaign with: %w", err)
+		return View{}, 0, fmt.Errorf("grant campaign lease: %w", err)
 	}
 	campaign := view.Campaign(e.self, lease)
 	revision, err := e.store.Txn(ctx, statestore.ClassLease, campaign.Conditions, campaign.Writes)
 	if err != nil {
 		var conflict *statestore.ConflictError
 		if errors.As(err, &conflict) {
-			// Another node was faster; the next round sees which. The lease is of no
-			// use, and ends by itself if this fails. After any other error the
-			// transaction may yet be carried out, and then the lease ends this term.
+			// Another node won; the next round reads which one. The lease is useless and
+			// expires by itself if revoking it fails. After any other error the transaction
+			// may still be carried out; the term then ends when the lease expires.
 			_ = e.store.RevokeLease(ctx, lease)
 		}
 		return View{}, 0, fmt.Errorf("campaign for term %d: %w", campaign.Term, err)
 	}
-	return viewOfWinner(e.self, campaign, revision), lease, nil
+	return winnerView(e.self, campaign, revision), lease, nil
 }
 
-// serveTerm leads while it holds the lease. It returns when both have ended.
+// serveTerm runs lead while holding the lease. It returns once both have ended.
 func (e *Elector) serveTerm(ctx context.Context, view View, lease uint64, lead LeadFunc) error {
 	e.setView(view)
 	e.logger.Info("became leader", "term", view.Term)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	var holding sync.WaitGroup
-	holding.Go(func() {
+	var leaseLoop sync.WaitGroup
+	leaseLoop.Go(func() {
 		if err := e.holdLease(ctx, view, lease); err != nil {
 			cancel(err)
 		}
 	})
 	err := lead(ctx, Grant{Term: view.Term, Revision: view.TermRevision})
 	cancel(err)
-	holding.Wait()
+	leaseLoop.Wait()
 	e.logger.Info("no longer leader", "term", view.Term, "reason", context.Cause(ctx))
 	return err
 }
--- a/internal/election/lease.go
+++ b/internal/election/lease.go
@@ -10,12 +10,12 @@
 	"thornnotch/internal/statestore"
 )
 
-// errTermRaised is why a term ends whose successor has begun.
-var errTermRaised = errors.New("another node has raised the term")
+// errTermSuperseded ends a term once another node has started a newer one.
+var errTermSuperseded = errors.New("another node has started a newer term")
 
-// holdLease renews the lease while ctx lasts. It returns an error only when the term is
-// known to be over. A lease that has expired is taken again as long as nobody else has
-// raised the term: safety rests on the term's record, not on the lease.
+// holdLease renews the lease until ctx ends. It returns an error only if the term is known to
+// be over. An expired lease is replaced as long as no other node has started a newer term,
+// because safety depends on the term's record and not on the lease.
 func (e *Elector) holdLease(ctx context.Context, view View, lease uint64) error {
 	ticker := time.NewTicker(constants.LeaseRenewInterval)
 	defer ticker.Stop()
@@ -26,52 +26,55 @@
 			return nil
 		case <-ticker.C:
 		}
-		// Any other error leaves open whether the lease was renewed: the next tick tells.
+		// After any other error the lease may or may not have been renewed; the next tick
+		// shows which.
 		if err := e.store.RenewLease(ctx, lease); !errors.Is(err, statestore.ErrLeaseExpired) {
 			continue
 		}
-		retaken, err := e.retakeLease(ctx, view)
+		reacquired, err := e.reacquireLease(ctx, view)
 		switch {
 		case err == nil:
-			e.logger.Info("lease taken again", "term", view.Term)
-			lease = retaken
-		case errors.Is(err, errTermRaised):
+			e.logger.Info("leader lease reacquired", "term", view.Term)
+			lease = reacquired
+		case errors.Is(err, errTermSuperseded):
 			return err
 		default:
-			// Undecided: renewing the old lease fails again, and then this is tried again.
+			// Not decided: renewing the old lease fails again at the next tick, which retries
+			// this.
 		}
 	}
 }
 
-// retakeLease has the leader of the view named again, under a lease of its own. The error
-// is errTermRaised if another node leads or did.
-func (e *Elector) retakeLease(ctx context.Context, view View) (lease uint64, err error) {
+// reacquireLease names the leader of the view again, under a new lease. The error is
+// errTermSuperseded if another node leads or has led since.
+func (e *Elector) reacquireLease(ctx context.Context, view View) (lease uint64, err error) {
 	lease, err = e.store.GrantLease(ctx, constants.LeaseTTL)
 	if err != nil {
-		return 0, fmt.Errorf("grant a lease in place of an expired one: %w", err)
+		return 0, fmt.Errorf("grant replacement for expired lease: %w", err)
 	}
-	conditions, writes := view.retakeLease(lease)
+	conditions, writes := view.reacquireLease(lease)
 	_, err = e.store.Txn(ctx, statestore.ClassLease, conditions, writes)
 	if err == nil {
 		return lease, nil
 	}
 	var conflict *statestore.ConflictError
 	if errors.As(err, &conflict) && conflict.HasKey(TermKey) {
-		return 0, errTermRaised
+		return 0, errTermSuperseded
 	}
-	// Should the transaction have been carried out, its key goes with the lease, so that the
-	// next try finds it free. If this fails too, the lease ends by itself.
+	// If the transaction was carried out after all, revoking the lease removes the key, so
+	// that the next attempt finds it free. If revoking fails too, the lease expires by
+	// itself.
 	_ = e.store.RevokeLease(ctx, lease)
-	return 0, fmt.Errorf("take the lease of term %d again: %w", view.Term, err)
+	return 0, fmt.Errorf("reacquire leader lease for term %d: %w", view.Term, err)
 }
 
-// releaseLease ends the lease after an orderly end of the term, so that another node can
-// lead at once. Otherwise the lease is left to expire.
+// releaseLease revokes the lease after an orderly end of the term, so that another node can
+// lead at once. After any other end the lease is left to expire.
 func (e *Elector) releaseLease(ctx context.Context, lease uint64) {
 	if !errors.Is(context.Cause(ctx), context.Canceled) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), constants.LeaseRenewInterval)
 	defer cancel()
-	_ = e.store.RevokeLease(ctx, lease) // if this fails it ends by itself
+	_ = e.store.RevokeLease(ctx, lease) // expires by itself if this fails
 }
--- a/internal/election/lease_test.go
+++ b/internal/election/lease_test.go
@@ -11,11 +11,11 @@
 	"thornnotch/internal/statestore"
 )
 
-// expiredLeaseStore grants one term, whose lease then has expired. If termRaised is set,
-// another node has raised the term meanwhile.
+// expiredLeaseStore grants one term whose lease then counts as expired. If termSuperseded is
+// set, another node has started a newer term in the meantime.
 type expiredLeaseStore struct {
-	Store      // no other calls are expected
-	termRaised bool
+	Store          // no other methods are expected to be called
+	termSuperseded bool
 }
 
 func (s *expiredLeaseStore) List(context.Context, statestore.Class, string) ([]statestore.KeyValue, uint64, error) {
@@ -31,32 +31,32 @@
 }
 
 func (s *expiredLeaseStore) Txn(_ context.Context, _ statestore.Class, _ []statestore.Condition, writes []statestore.Write) (uint64, error) {
-	if campaigns := len(writes) > 1; !campaigns && s.termRaised {
+	if isCampaign := len(writes) > 1; !isCampaign && s.termSuperseded {
 		return 0, &statestore.ConflictError{FailedKeys: []string{TermKey}}
 	}
 	return 2, nil
 }
 
-// TestLostLease: a lease that ran out is taken anew while the term stands, and
-// the lead ends once another node has raised it.
-func TestLostLease(t *testing.T) {
-	for name, termRaised := range map[string]bool{"term stands": false, "term raised": true} {
+// TestExpiredLease checks that an expired lease is replaced while the term is the newest one,
+// and that the leader stops leading once another node has started a newer term.
+func TestExpiredLease(t *testing.T) {
+	for name, termSuperseded := range map[string]bool{"term current": false, "term superseded": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ended, err := leadWithExpiredLease(t, termRaised)
-				if ended != termRaised {
-					t.Errorf("the lead was lost: %v (%v)", ended, err)
+				ended, err := leadWithExpiredLease(t, termSuperseded)
+				if ended != termSuperseded {
+					t.Errorf("term ended early: %v (%v)", ended, err)
 				}
 			})
 		})
 	}
 }
 
-// leadWithExpiredLease leads for a while with a lease that has expired. It tells whether
-// the election ended the term before.
-func leadWithExpiredLease(t *testing.T, termRaised bool) (ended bool, err error) {
+// leadWithExpiredLease leads for a while with a lease that has expired. It reports whether
+// the election ended the term before that time was up.
+func leadWithExpiredLease(t *testing.T, termSuperseded bool) (ended bool, err error) {
 	t.Helper()
-	elector := New("a", &expiredLeaseStore{termRaised: termRaised}, slog.New(slog.DiscardHandler))
+	elector := New("a", &expiredLeaseStore{termSuperseded: termSuperseded}, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
 	led := false
@@ -73,7 +73,7 @@
 		return ctx.Err()
 	})
 	if !led {
-		t.Fatalf("the node has not led: %v", err)
+		t.Fatalf("the node never led: %v", err)
 	}
 	return ended, err
 }
--- a/internal/election/view.go
+++ b/internal/election/view.go
@@ -11,37 +11,37 @@
 const (
 	// Prefix is common to both keys.
 	Prefix = "term/"
-	// LeaderKey holds the LeaderRecord. It is attached to the leader's lease, and goes
-	// with it.
+	// LeaderKey holds the LeaderRecord. It is attached to the leader's lease and removed with
+	// it.
 	LeaderKey = Prefix + "lead"
 	// TermKey holds the TermRecord, which is never removed.
 	TermKey = Prefix + "number"
 )
 
-// LeaderRecord says who leads. It lives as long as its lease.
+// LeaderRecord names the leader. It exists as long as the leader's lease.
 type LeaderRecord struct {
 	Node string `json:"label"`
 	Term uint64 `json:"term"`
 }
 
-// TermRecord is the newest term and the node that it was granted to. The term only rises.
-// Every write of a leader is conditioned on the revision of this record.
+// TermRecord holds the newest term and the node that it was granted to. The term only
+// increases. Every write of a leader is conditioned on the revision of this record.
 type TermRecord struct {
 	Term uint64 `json:"term"`
 	Node string `json:"label"`
 }
 
-// View is what a node knows of the election, by the records and the revisions of their
-// keys. It decides without I/O.
+// View is what a node knows of the election: the records and the revisions of their keys. Its
+// methods do no I/O.
 type View struct {
 	Leader         LeaderRecord
-	LeaderRevision uint64 // 0: nobody leads
+	LeaderRevision uint64 // 0: no node leads
 	Term           uint64
-	TermRevision   uint64 // 0: there was no term yet
+	TermRevision   uint64 // 0: there has been no term yet
 }
 
-// Apply brings the view up to date with one record; a nil value says that it was removed.
-// It leaves the view as it is if the record can't be read.
+// Apply updates the view with one record; a nil value means that the record was removed. If
+// the record can't be decoded, the view stays unchanged.
 func (v *View) Apply(key string, value json.RawMessage, revision uint64) error {
 	switch key {
 	case LeaderKey:
@@ -49,7 +49,7 @@
 		if value == nil {
 			revision = 0
 		} else if err := json.Unmarshal(value, &leader); err != nil {
-			return fmt.Errorf("record %s: %w", key, err)
+			return fmt.Errorf("decode record %s: %w", key, err)
 		}
 		v.Leader, v.LeaderRevision = leader, revision
 	case TermKey:
@@ -57,14 +57,14 @@
 		if value == nil {
 			revision = 0
 		} else if err := json.Unmarshal(value, &term); err != nil {
-			return fmt.Errorf("record %s: %w", key, err)
+			return fmt.Errorf("decode record %s: %w", key, err)
 		}
 		v.Term, v.TermRevision = term.Term, revision
 	}
 	return nil
 }
 
-// applyChange brings the view up to date with one change that a watch told of.
+// applyChange updates the view with one change reported by a watch.
 func (v *View) applyChange(change statestore.Change) error {
 	if change.Delete != "" {
 		return v.Apply(change.Delete, nil, change.Revision)
@@ -72,22 +72,23 @@
 	return v.Apply(change.Put, change.Value, change.Revision)
 }
 
-// MayCampaign tells whether the node may try to lead: nobody does, or its own earlier
-// process did, which is gone.
+// MayCampaign reports whether the node may campaign: no node leads, or the leader is an
+// earlier process of this node, which no longer runs.
 func (v View) MayCampaign(self string) bool {
 	return v.LeaderRevision == 0 || v.Leader.Node == self
 }
 
-// Campaign is the transaction that makes a node leader of Term.
+// Campaign is the transaction that makes a node the leader of Term.
 type Campaign struct {
 	Term       uint64
 	Conditions []statestore.Condition
 	Writes     []statestore.Write
 }
 
-// Campaign raises the term and names the node as leader, for as long as the lease lasts. It
-// is conditioned on all that the view rests on, so it fails if anybody else did anything
-// meanwhile, however late it arrives: no term is granted twice.
+// Campaign returns the transaction that increments the term and names the node as leader for
+// as long as the lease lasts. It is conditioned on the revisions of both records in the view,
+// so it fails if another node has changed either of them, however late it arrives: no term is
+// granted twice.
 func (v View) Campaign(self string, lease uint64) Campaign {
 	term := v.Term + 1
 	return Campaign{
@@ -103,8 +104,8 @@
 	}
 }
 
-// viewOfWinner is the view of a node whose campaign was carried out at this revision.
-func viewOfWinner(self string, campaign Campaign, revision uint64) View {
+// winnerView returns the view of a node whose campaign was carried out at the given revision.
+func winnerView(self string, campaign Campaign, revision uint64) View {
 	return View{
 		Leader:         LeaderRecord{Node: self, Term: campaign.Term},
 		LeaderRevision: revision,
@@ -113,15 +114,15 @@
 	}
 }
 
-// retakeLease is the transaction that names the leader of the view again, under another
-// lease. It fails if anybody is named, or the term was raised.
-func (v View) retakeLease(lease uint64) ([]statestore.Condition, []statestore.Write) {
+// reacquireLease returns the transaction that names the leader of the view again, under
+// another lease. It fails if a leader is named or the term has increased.
+func (v View) reacquireLease(lease uint64) ([]statestore.Condition, []statestore.Write) {
 	return []statestore.Condition{{Key: LeaderKey}, {Key: TermKey, Revision: v.TermRevision}},
 		[]statestore.Write{{Put: LeaderKey, Value: encode(v.Leader), Lease: lease}}
 }
 
-// encode gives the stored form of a record. Records hold nothing but plain values, which
-// can always be encoded: a failure is a fault of this package.
+// encode returns the stored form of a record. The records hold only plain values, which
+// always encode; a failure is a bug in this package.
 func encode(record any) json.RawMessage {
 	raw, err := json.Marshal(record)
 	if err != nil {
--- a/internal/leader/wal/checkpoint.go
+++ b/internal/leader/wal/checkpoint.go
@@ -6,45 +6,45 @@
 	"thornnotch/internal/constants"
 )
 
-// StateSource gives a checkpoint its contents, each as it is when its part is written. It
-// must include whatever may be on machines: what a checkpoint does not hold and no entry
-// on top of it says is forgotten.
+// StateSource provides the contents of a checkpoint. Each part reads the state as it is when
+// that part is written. The source must include everything that may be on machines: whatever
+// is neither in the checkpoint nor in a later entry is lost to the next leader.
 type StateSource interface {
-	// Machine is a machine's record; ok is false for one that is gone.
+	// Machine returns a machine's record; ok is false if the machine no longer exists.
 	Machine(name string) (machine Machine, ok bool)
-	// DoneTasks are a job's completed tasks.
+	// DoneTasks returns a job's completed tasks.
 	DoneTasks(jobID string) []DoneTasks
 }
 
-// checkpoint is one that is being written.
+// checkpoint is the state of a checkpoint that is being written.
 type checkpoint struct {
 	area string
-	// from is the first entry that counts on top of it.
-	from uint64
-	// parts are those that have been put into transactions.
-	parts int
-	// machines and jobs are those yet to be written; machineCount is how many machines
-	// there were at the start.
-	machines     []string
-	machineCount int
-	jobs         []string
-	// nextRun is the first run of jobs[0]'s completed tasks yet to be written.
+	// firstEntry is the first entry to be replayed on top of the checkpoint.
+	firstEntry uint64
+	// partsWritten counts the parts that have been put into transactions.
+	partsWritten int
+	// machines and jobs are those still to be written; totalMachines is the number of
+	// machines at the start.
+	machines      []string
+	totalMachines int
+	jobs          []string
+	// nextRun indexes the next run of completed tasks of jobs[0] to be written.
 	nextRun int
 	source  StateSource
-	// written is set once there is nothing more to write.
-	written bool
-	// onCommitted, if set, is called once the checkpoint counts.
+	// allPartsWritten is set once the last part has been put into a transaction.
+	allPartsWritten bool
+	// onCommitted, if set, is called once the head names the checkpoint.
 	onCommitted func()
-	// onMachineWritten is called with each machine that a part holds.
+	// onMachineWritten is called for each machine that is put into a part.
 	onMachineWritten func(machine string)
 }
 
-// Checkpointing tells whether a checkpoint is being written.
+// Checkpointing reports whether a checkpoint is being written.
 func (w *Writer) Checkpointing() bool { return w.checkpoint != nil }
 
-// BeginCheckpoint begins to write the whole state anew, with the transactions from the
-// next one on. committed is called once the checkpoint counts; it may be nil. While a
-// checkpoint is being written this does nothing.
+// BeginCheckpoint starts a new checkpoint of the whole state; its parts go into the next
+// transactions. committed is called once the checkpoint is complete and committed; it may be
+// nil. BeginCheckpoint does nothing while a checkpoint is being written.
 func (w *Writer) BeginCheckpoint(machines, jobIDs []string, source StateSource, committed func()) {
 	if w.checkpoint != nil {
 		return
@@ -53,117 +53,120 @@
 	if w.head.Area == areaA {
 		area = areaB
 	}
-	// Entries written from now on may tell of things that the parts hold already;
-	// reading them again on top changes nothing.
-	from := w.head.Next
+	// Entries written from now on may repeat what the parts already hold. Applying them again
+	// on top is idempotent.
+	firstEntry := w.head.Next
 	if w.inFlight != nil {
-		from = w.inFlight.head.Next
+		firstEntry = w.inFlight.head.Next
 	}
 	w.checkpoint = &checkpoint{
-		area: area, from: from,
-		machines: machines, machineCount: len(machines), jobs: jobIDs, source: source,
-		onCommitted: committed, onMachineWritten: w.overtaken,
+		area: area, firstEntry: firstEntry,
+		machines: machines, totalMachines: len(machines), jobs: jobIDs, source: source,
+		onCommitted: committed, onMachineWritten: w.markInCheckpoint,
 	}
 }
 
-// overtaken notes that a part holds what waits to be recorded of a machine.
-func (w *Writer) overtaken(machineName string) {
+// markInCheckpoint notes that a checkpoint part includes the machine's pending changes.
+func (w *Writer) markInCheckpoint(machineName string) {
 	if machine := w.pending.machines[machineName]; machine != nil {
 		machine.inCheckpoint = true
 	}
 }
 
-// CheckpointDue tells whether the next checkpoint should be begun: a failover should have
-// little to read on top of the last one, but writing one anew must not take more than
-// what it saves.
+// CheckpointDue reports whether the next checkpoint should be started. It balances the number
+// of entries that a failover has to read on top of the last checkpoint against the cost of
+// writing a new one.
 func (w *Writer) CheckpointDue() bool {
 	if w.checkpoint != nil {
 		return false
 	}
-	return w.Backlog() > w.checkpointAfter() || w.givesUpLargeRing(w.head) && w.Backlog() > 0
+	return w.Backlog() > w.checkpointThreshold() || w.mustLeaveLargeRing(w.head) && w.Backlog() > 0
 }
 
-// checkpointAfter is how many entries may be read on top of a checkpoint before the next
-// is begun. As many may come on top while it is written.
-func (w *Writer) checkpointAfter() int {
+// checkpointThreshold returns the backlog of entries above which the next checkpoint is
+// started. As many entries again may be added while it is being written.
+func (w *Writer) checkpointThreshold() int {
 	halfFull := int(float64(w.head.ringSize()) * constants.LogMaxFill / 2)
 	return max(constants.CheckpointEntries, min(constants.CheckpointPartsFactor*w.head.Parts, halfFull))
 }
 
-// partShare is how many of a transaction's operations are kept for parts of the
-// checkpoint, out of those that entries and parts share. It is as many as it takes for
-// the checkpoint to stand when there are twice as many entries as it was begun at, if
-// entries fill what is left. Without it, where transactions are small, a steady flow of
-// entries and ended jobs would leave the checkpoint no room until the ring is full, and
-// then nothing could start until it stands.
-func (w *Writer) partShare(ops int) int {
+// reservePartOps returns how many of ops, the operations of a transaction that entries and
+// checkpoint parts share, are reserved for parts. The reservation lets the checkpoint
+// complete by the time the backlog reaches twice the threshold at which it started, if
+// entries use the remaining operations. Without it, where transactions are small, a steady
+// flow of entries and finished jobs would leave no room for the checkpoint until the ring is
+// full, and then no attempt could start until the checkpoint is complete.
+func (w *Writer) reservePartOps(ops int) int {
 	switch {
-	case w.checkpoint == nil || w.checkpoint.written || ops <= 0:
+	case w.checkpoint == nil || w.checkpoint.allPartsWritten || ops <= 0:
 		return 0
-	case w.givesUpLargeRing(w.head):
+	case w.mustLeaveLargeRing(w.head):
 		return ops
 	}
-	parts := float64(w.checkpoint.partsLeft(w.head.Parts))
-	entries := float64(max(2*w.checkpointAfter()-w.Backlog(), 0))
-	w.partCredit += float64(ops) * parts / (parts + entries)
-	share := min(int(w.partCredit), ops)
-	w.partCredit = min(w.partCredit-float64(share), float64(w.limits.TxnOps))
-	return share
+	parts := float64(w.checkpoint.estimateRemainingParts(w.head.Parts))
+	entries := float64(max(2*w.checkpointThreshold()-w.Backlog(), 0))
+	w.partOpCredit += float64(ops) * parts / (parts + entries)
+	reserved := min(int(w.partOpCredit), ops)
+	w.partOpCredit = min(w.partOpCredit-float64(reserved), float64(w.limits.TxnOps))
+	return reserved
 }
 
-// partsLeft is about how many parts are yet to be written; the last checkpoint had so
-// many in all.
-func (c *checkpoint) partsLeft(lastParts int) int {
-	if c.parts == 0 {
+// estimateRemainingParts estimates how many parts are still to be written. Before the first
+// part is written it returns the number of parts of the last checkpoint.
+func (c *checkpoint) estimateRemainingParts(lastParts int) int {
+	if c.partsWritten == 0 {
 		return max(lastParts, 1)
 	}
-	machinesPerPart := max(float64(c.machineCount-len(c.machines))/float64(c.parts), 1)
+	machinesPerPart := max(float64(c.totalMachines-len(c.machines))/float64(c.partsWritten), 1)
 	return int(float64(len(c.machines))/machinesPerPart) + 1
 }
 
-func (c *checkpoint) nothingLeft() bool { return len(c.machines) == 0 && len(c.jobs) == 0 }
+func (c *checkpoint) nothingRemaining() bool {
+	return len(c.machines) == 0 && len(c.jobs) == 0
+}
 
-// partBuilder puts one part together.
+// partBuilder assembles one checkpoint part.
 type partBuilder struct {
-	// limit is the size of the largest value, room what is left of it (bytes).
-	limit, room int
-	contents    encodedPart
+	// maxBytes is the maximum size of a value; remaining is how much of it is free (bytes).
+	maxBytes, remaining int
+	contents            encodedPart
 }
 
 func (b *partBuilder) empty() bool { return len(b.contents.Machines)+len(b.contents.Done) == 0 }
 
-// addMachine adds a machine, if there is room for it or it is the first.
+// addMachine adds a machine if it fits or is the first one, and reports whether it did.
 func (b *partBuilder) addMachine(name string, machine Machine) bool {
 	raw := encode(machine)
-	if len(raw)+constants.LogRecordOverhead > b.limit {
-		machine.Images, machine.Holds = nil, nil // hints: better lost than the checkpoint
+	if len(raw)+constants.LogRecordOverhead > b.maxBytes {
+		machine.Images, machine.Holds = nil, nil // only hints: losing them is better than failing the checkpoint
 		raw = encode(machine)
 	}
 	size := len(raw) + len(name) + constants.LogMemberOverhead
-	if size > b.room && len(b.contents.Machines) > 0 {
+	if size > b.remaining && len(b.contents.Machines) > 0 {
 		return false
 	}
 	b.contents.Machines[name] = raw
-	b.room -= size
+	b.remaining -= size
 	return true
 }
 
-// addDone adds a run of completed tasks, if there is room for it or the part is empty.
+// addDone adds a run of completed tasks if it fits or the part is empty, and reports whether
+// it did.
 func (b *partBuilder) addDone(jobID string, run DoneTasks) bool {
-	const base64Bytes, base64Chars = 3, 4 // so many characters stand for so many bytes
+	const base64Bytes, base64Chars = 3, 4 // base64 encodes 3 bytes as 4 characters
 	size := len(run.Bits)*base64Chars/base64Bytes + len(jobID) + constants.LogDoneRunOverhead
-	if size > b.room && !b.empty() {
+	if size > b.remaining && !b.empty() {
 		return false
 	}
 	b.contents.Done[jobID] = append(b.contents.Done[jobID], run)
-	b.room -= size
+	b.remaining -= size
 	return true
 }
 
-// nextPart makes the next part, of at most so many bytes; nil when there is none.
-func (c *checkpoint) nextPart(limit int) json.RawMessage {
+// nextPart returns the next part, of at most maxBytes, or nil if nothing is left to write.
+func (c *checkpoint) nextPart(maxBytes int) json.RawMessage {
 	builder := &partBuilder{
-		limit: limit, room: limit - constants.LogRecordOverhead,
+		maxBytes: maxBytes, remaining: maxBytes - constants.LogRecordOverhead,
 		contents: encodedPart{Machines: make(map[string]json.RawMessage), Done: make(map[string][]DoneTasks)},
 	}
 	if c.addMachines(builder) {
@@ -175,7 +178,8 @@
 	return encode(builder.contents)
 }
 
-// addMachines moves machines into the part. It tells whether all have found room.
+// addMachines moves machines into the part until it is full. It reports whether all of them
+// fitted.
 func (c *checkpoint) addMachines(builder *partBuilder) bool {
 	for len(c.machines) > 0 {
 		name := c.machines[0]
--- a/internal/leader/wal/damage_test.go
+++ b/internal/leader/wal/damage_test.go
@@ -10,8 +10,8 @@
 	"thornnotch/internal/statestore"
 )
 
-// TestDamagedLog: a value that counts and can't be read stops the failover and
-// is named; a foreign key is named and does no harm.
+// TestDamagedLog checks that Read fails and names the record if a live record is damaged or
+// missing, and that a foreign key is listed and otherwise ignored.
 func TestDamagedLog(t *testing.T) {
 	store := newFakeStore()
 	writer := NewWriter(1, Limits{ValueBytes: 2000, TxnOps: 8}, Head{}, 0)
@@ -21,17 +21,17 @@
 	foreignKey := Prefix + "note"
 	store.rows[foreignKey] = statestore.KeyValue{Key: foreignKey, Value: json.RawMessage(`"hello"`)}
 	if state, foreign, err := Read(store.allRows()); err != nil || !slices.Equal(foreign, []string{foreignKey}) || len(state.Machines["m-1"].Attempts) != 1 {
-		t.Errorf("%v %v %v", state, foreign, err)
+		t.Errorf("state %v, foreign keys %v, error %v", state, foreign, err)
 	}
 
 	damaged := smallRingKey(0)
 	for _, test := range []struct {
 		name  string
-		value string // none: the record is missing
-		want  any    // pointer to the error's type
+		value string // empty: the record is missing
+		want  any    // pointer to the expected error type
 	}{
-		{"another type", `7`, new(*UnreadableRecordError)},
-		{"another entry", `{"s":99}`, new(*MisplacedEntryError)},
+		{"wrong type", `7`, new(*UnreadableRecordError)},
+		{"wrong entry", `{"s":99}`, new(*MisplacedEntryError)},
 		{"missing", ``, new(*MissingRecordError)},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -42,7 +42,7 @@
 			}
 			_, _, err := Read(store.allRows())
 			if !errors.As(err, test.want) || !strings.Contains(err.Error(), damaged) {
-				t.Errorf("%q is read: %v", test.value, err)
+				t.Errorf("value %q: error %v", test.value, err)
 			}
 		})
 	}
--- a/internal/leader/wal/errors.go
+++ b/internal/leader/wal/errors.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// The errors of Read. Each names a record that the head counts on: it may tell of a task
-// that still runs, so nothing may be decided without it. docs/operations.md quotes their
-// messages.
+// Errors returned by Read. Each names a record that the head refers to. The record may
+// describe a task that is still running, so the leader must not make any decision without it.
+// docs/operations.md quotes these messages.
 
-// MissingRecordError says that a record which counts does not exist.
+// MissingRecordError reports that a record which the head refers to does not exist.
 type MissingRecordError struct{ Key string }
 
 func (e *MissingRecordError) Error() string { return fmt.Sprintf("record %s is missing", e.Key) }
 
-// UnreadableRecordError says that a record can't be decoded, and why.
+// UnreadableRecordError reports that a record can't be decoded.
 type UnreadableRecordError struct {
 	Key string
 	Err error
@@ -19,16 +19,16 @@
 
 func (e *UnreadableRecordError) Error() string { return fmt.Sprintf("record %s: %v", e.Key, e.Err) }
 
-// Unwrap gives the decoder's error.
+// Unwrap returns the decoder's error.
 func (e *UnreadableRecordError) Unwrap() error { return e.Err }
 
-// MisplacedEntryError says that a slot of the ring holds another entry than the one that
-// counts: what was to be written there never was, or was written over.
+// MisplacedEntryError reports that a slot of the ring holds a different entry than the
+// expected one: the expected entry was never written, or was overwritten.
 type MisplacedEntryError struct {
-	Key            string
-	Holds, Expects uint64
+	Key         string
+	Found, Want uint64
 }
 
 func (e *MisplacedEntryError) Error() string {
-	return fmt.Sprintf("record %s holds entry %d, not %d", e.Key, e.Holds, e.Expects)
+	return fmt.Sprintf("record %s holds entry %d, not %d", e.Key, e.Found, e.Want)
 }
--- a/internal/leader/wal/head.go
+++ b/internal/leader/wal/head.go
@@ -12,12 +12,12 @@
 	Prefix = "log/"
 	// HeadKey is the key of the Head.
 	HeadKey = Prefix + "head"
-	// smallRingPrefix is of the ring that every version reads.
+	// smallRingPrefix is the prefix of the ring that every version can read.
 	smallRingPrefix = Prefix + "r/"
-	// largeRingPrefix is of the ring for large fleets, which versions before 0.2.0's
-	// release do not read.
+	// largeRingPrefix is the prefix of the ring for large fleets, which versions before the
+	// release of 0.2.0 can't read.
 	largeRingPrefix = Prefix + "w/"
-	// areaA and areaB are the areas that checkpoints are written to by turns.
+	// areaA and areaB are the two areas between which checkpoints alternate.
 	areaA = "a"
 	areaB = "b"
 )
@@ -34,28 +34,30 @@
 	return fmt.Sprintf("%s%s/%04d", Prefix, area, number)
 }
 
-// Head says which records of the log count. Every transaction of a leader sets it and is
-// conditioned on the revision that the one before gave it, so that no transaction can be
-// carried out twice, or after a later one.
+// Head defines which checkpoint and which entries are live. Every transaction of a leader
+// writes the head and is conditioned on the revision that the previous transaction gave it,
+// so no transaction can be carried out twice or after a later one.
 type Head struct {
-	// Term and Turn name the transaction that wrote the head.
-	Term uint64 `json:"term"`
-	Turn uint64 `json:"turn"`
-	// Entries from From up to Next, without it, count on top of the checkpoint.
+	// Term and TxnSeq identify the transaction that wrote the head.
+	Term   uint64 `json:"term"`
+	TxnSeq uint64 `json:"turn"`
+	// The entries from From up to but not including Next are replayed on top of the
+	// checkpoint.
 	From uint64 `json:"from"`
 	Next uint64 `json:"next"`
-	// Area and Parts say where the newest whole checkpoint stands, and of how many
-	// parts it is; Area is empty while there is none.
+	// Area and Parts locate the newest complete checkpoint and give its number of parts. Area
+	// is empty if there is no checkpoint.
 	Area  string `json:"area,omitempty"`
 	Parts int    `json:"parts,omitempty"`
-	// Ring is the number of slots of the large ring, in which entries from RingFrom on
-	// stand; 0: all are in the ring that every version reads. A version that does not
-	// know the large ring finds an entry missing, and so decides nothing.
+	// Ring is the number of slots of the large ring, which holds the entries from RingFrom
+	// on. If it is 0, all entries are in the small ring, which every version can read. A
+	// version that does not know the large ring finds an entry missing and therefore makes no
+	// decisions.
 	Ring     uint64 `json:"ring,omitempty"`
 	RingFrom uint64 `json:"ringFrom,omitempty"`
 }
 
-// entryKey is the key at which an entry stands.
+// entryKey returns the key that holds an entry.
 func (h Head) entryKey(seq uint64) string {
 	if h.Ring > 0 && seq >= h.RingFrom {
 		return largeRingKey(seq, h.Ring)
@@ -63,7 +65,7 @@
 	return smallRingKey(seq)
 }
 
-// ringSize is how many entries may count at a time.
+// ringSize returns the maximum number of live entries.
 func (h Head) ringSize() int {
 	if h.Ring > 0 {
 		return int(h.Ring)
@@ -71,9 +73,9 @@
 	return constants.LogRingSize
 }
 
-// Prefixes are those of the keys that a failover must read besides the head: of the
-// checkpoint and of the entries on top of it. Keys of the large ring are listed by the
-// hundred, as most of that ring does not count at a time.
+// Prefixes returns the prefixes of the keys that a failover must read besides the head: those
+// of the checkpoint and of the entries on top of it. The large ring is listed in blocks of
+// 100 slots, because most of it is not live at any one time.
 func (h Head) Prefixes() []string {
 	var prefixes []string
 	if h.Area != "" {
@@ -88,15 +90,15 @@
 	return prefixes
 }
 
-// largeRingPrefixes cover the slots of the large ring that hold entries which count.
+// largeRingPrefixes returns prefixes that cover all live slots of the large ring.
 func (h Head) largeRingPrefixes() []string {
 	var prefixes []string
-	last := ""
+	lastPrefix := ""
 	for seq := max(h.From, h.RingFrom); seq < h.Next; seq++ {
 		key := largeRingKey(seq, h.Ring)
-		if hundred := key[:len(key)-2]; hundred != last {
-			prefixes = append(prefixes, hundred)
-			last = hundred
+		if prefix := key[:len(key)-2]; prefix != lastPrefix {
+			prefixes = append(prefixes, prefix)
+			lastPrefix = prefix
 		}
 	}
 	return prefixes
--- a/internal/leader/wal/model_test.go
+++ b/internal/leader/wal/model_test.go
@@ -2,40 +2,40 @@
 
 import "slices"
 
-// leaderModel is a leader reduced to what its log must keep.
+// leaderModel models the part of a leader's state that the log must preserve.
 type leaderModel struct {
 	writer *Writer
 	term   uint64
-	// live is what may be on each machine as the leader knows it.
-	live map[string]map[Attempt]bool
-	// recorded are the attempts whose start is known to stand, less those whose end was
-	// recorded.
+	// liveAttempts are the attempts that may be on each machine, as far as the leader knows.
+	liveAttempts map[string]map[Attempt]bool
+	// recorded are the attempts whose start is known to be committed, except those whose end
+	// was recorded.
 	recorded map[Attempt]bool
-	// done are the tasks of each job that were completed, doneRecorded those of them
-	// whose completion is known to stand.
+	// done holds the completed tasks of each job; doneRecorded those whose completion is
+	// known to be committed.
 	done, doneRecorded map[string]map[int]bool
-	// zone is what was last recorded of each machine's metadata, zoneRecorded what is
-	// known to stand.
+	// zone is the last recorded metadata of each machine; zoneRecorded is what is known to be
+	// committed.
 	zone, zoneRecorded map[string]string
 }
 
 func newLeaderModel(term uint64, writer *Writer) *leaderModel {
 	return &leaderModel{
 		writer: writer, term: term,
-		live: map[string]map[Attempt]bool{}, recorded: map[Attempt]bool{},
+		liveAttempts: map[string]map[Attempt]bool{}, recorded: map[Attempt]bool{},
 		done: map[string]map[int]bool{}, doneRecorded: map[string]map[int]bool{},
 		zone: map[string]string{}, zoneRecorded: map[string]string{},
 	}
 }
 
-// restoreLeaderModel makes the leader of a later term from what it has read.
+// restoreLeaderModel creates the leader of a later term from the state that it has read.
 func restoreLeaderModel(term uint64, writer *Writer, state State, jobs []string) *leaderModel {
 	m := newLeaderModel(term, writer)
 	for name, machine := range state.Machines {
-		m.live[name] = map[Attempt]bool{}
+		m.liveAttempts[name] = map[Attempt]bool{}
 		m.zone[name], m.zoneRecorded[name] = machine.Zone, machine.Zone
 		for _, attempt := range machine.Attempts {
-			m.live[name][attempt], m.recorded[attempt] = true, true
+			m.liveAttempts[name][attempt], m.recorded[attempt] = true, true
 		}
 	}
 	for _, job := range jobs {
@@ -47,23 +47,23 @@
 	return m
 }
 
-// attemptsOn lists the attempts on a machine, by number.
+// attemptsOn returns the attempts on a machine, ordered by number.
 func (m *leaderModel) attemptsOn(machine string) (attempts []Attempt) {
-	for attempt := range m.live[machine] {
+	for attempt := range m.liveAttempts[machine] {
 		attempts = append(attempts, attempt)
 	}
 	slices.SortFunc(attempts, func(a, b Attempt) int { return int(a.Number) - int(b.Number) })
 	return attempts
 }
 
-func (m *leaderModel) place(machine string, attempt Attempt) {
+func (m *leaderModel) startAttempt(machine string, attempt Attempt) {
 	m.addMachine(machine)
-	m.live[machine][attempt] = true
+	m.liveAttempts[machine][attempt] = true
 	m.writer.AttemptPlaced(machine, attempt, "j-1", JobUse{Team: "x"}, func() { m.recorded[attempt] = true })
 }
 
-func (m *leaderModel) end(machine string, attempt Attempt) {
-	delete(m.live[machine], attempt)
+func (m *leaderModel) finishAttempt(machine string, attempt Attempt) {
+	delete(m.liveAttempts[machine], attempt)
 	delete(m.recorded, attempt)
 	m.writer.AttemptGone(machine, attempt)
 }
@@ -75,22 +75,22 @@
 }
 
 func (m *leaderModel) addMachine(machine string) {
-	if m.live[machine] == nil {
-		m.live[machine] = map[Attempt]bool{}
+	if m.liveAttempts[machine] == nil {
+		m.liveAttempts[machine] = map[Attempt]bool{}
 	}
 }
 
 func (m *leaderModel) removeMachine(machine string) {
-	for attempt := range m.live[machine] {
+	for attempt := range m.liveAttempts[machine] {
 		delete(m.recorded, attempt)
 	}
-	delete(m.live, machine)
+	delete(m.liveAttempts, machine)
 	delete(m.zone, machine)
 	delete(m.zoneRecorded, machine)
 	m.writer.MachineRemoved(machine)
 }
 
-func (m *leaderModel) complete(job string, task int) {
+func (m *leaderModel) finishTask(job string, task int) {
 	if m.done[job] == nil {
 		m.done[job], m.doneRecorded[job] = map[int]bool{}, map[int]bool{}
 	}
@@ -99,24 +99,24 @@
 	m.writer.TasksDone(job, []int{task}, func() { recorded[task] = true })
 }
 
-// machineNames lists the machines, sorted.
+// machineNames returns the names of the machines, sorted.
 func (m *leaderModel) machineNames() (names []string) {
-	for name := range m.live {
+	for name := range m.liveAttempts {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// Machine gives a checkpoint what the leader knows of a machine.
+// Machine implements StateSource.
 func (m *leaderModel) Machine(name string) (Machine, bool) {
-	if _, ok := m.live[name]; !ok {
+	if _, ok := m.liveAttempts[name]; !ok {
 		return Machine{}, false
 	}
 	return Machine{Zone: m.zone[name], Attempts: m.attemptsOn(name)}, true
 }
 
-// DoneTasks gives a checkpoint what is done of a job's first 64 tasks, in runs of eight.
+// DoneTasks implements StateSource. It covers a job's first 64 tasks, in runs of eight.
 func (m *leaderModel) DoneTasks(job string) (runs []DoneTasks) {
 	for first := 0; first < 64; first += 8 {
 		var bits byte
--- a/internal/leader/wal/pending.go
+++ b/internal/leader/wal/pending.go
@@ -6,26 +6,27 @@
 	"thornnotch/internal/constants"
 )
 
-// pendingChanges are changes that wait for a place in an entry, in the order in which
+// pendingChanges are the changes that are not in an entry yet, in the order in which their
 // machines and jobs first changed.
 type pendingChanges struct {
 	machines     map[string]*pendingMachine
 	machineOrder []string
-	// done are completed tasks by job ID.
+	// done holds completed tasks by job ID.
 	done      map[string][]int
 	doneOrder []string
-	// onDone are called once all completions stand that wait, as lists may be split over
-	// several entries.
+	// onDone are called once all pending completions are committed, because lists of
+	// completed tasks may be split across several entries.
 	onDone []func()
 }
 
-// pendingMachine is what waits to be recorded of one machine.
+// pendingMachine holds the pending changes of one machine.
 type pendingMachine struct {
 	MachineChange
-	// onCommitted are called once the metadata stand, onPlaced once their attempt does.
+	// onCommitted are called once the metadata is committed, each callback in onPlaced once
+	// its attempt is.
 	onCommitted []func()
 	onPlaced    map[Attempt]func()
-	// inCheckpoint is set if a part of a checkpoint holds what this says: it overtook it.
+	// inCheckpoint is set if a checkpoint part already includes these pending changes.
 	inCheckpoint bool
 }
 
@@ -33,7 +34,7 @@
 	return pendingChanges{machines: make(map[string]*pendingMachine), done: make(map[string][]int)}
 }
 
-// machine is what waits to be recorded of a machine; it is made if there is nothing yet.
+// machine returns the pending changes of a machine, creating them if there are none.
 func (p *pendingChanges) machine(name string) *pendingMachine {
 	machine := p.machines[name]
 	if machine == nil {
@@ -46,9 +47,10 @@
 
 func (p *pendingChanges) empty() bool { return len(p.machines) == 0 && len(p.done) == 0 }
 
-// AttemptPlaced records that an attempt may be on a machine from now on, and the use of
-// its job. Before the attempt is started on the machine, committed must have been called
-// (docs/design.md, Safety, 3): otherwise a failover would not know of it. It may be nil.
+// AttemptPlaced records that an attempt may be on a machine from now on, and the team and
+// resources of its job. The attempt must not be started before committed is called
+// (docs/design.md, Safety, 3); otherwise a failover would not know of it. committed may be
+// nil.
 func (w *Writer) AttemptPlaced(machineName string, attempt Attempt, jobID string, use JobUse, committed func()) {
 	machine := w.pending.machine(machineName)
 	machine.Placed = append(machine.Placed, attempt)
@@ -64,8 +66,9 @@
 	}
 }
 
-// AttemptGone records that an attempt is proven to be off its machine. If its start is
-// not recorded yet neither of the two need be, and the start's callback is never called.
+// AttemptGone records that an attempt is proven to be off its machine. If its start has not
+// been written yet, neither the start nor the end is recorded, and the callback of the start
+// is never called.
 func (w *Writer) AttemptGone(machineName string, attempt Attempt) {
 	machine := w.pending.machine(machineName)
 	for i, placed := range machine.Placed {
@@ -77,14 +80,14 @@
 		if !machine.inCheckpoint {
 			return
 		}
-		// A part of the checkpoint holds the start already, so its end must be recorded.
+		// A checkpoint part already includes the start, so the end must be recorded.
 	}
 	machine.Gone = append(machine.Gone, attempt)
 }
 
-// MachineChanged records all of a machine but its attempts and their jobs, which are
-// ignored. committed is called once it stands, also if a later change has replaced it
-// before it was written; it may be nil.
+// MachineChanged records a machine's metadata. The attempts and their jobs are ignored.
+// committed is called once this metadata, or a later one that replaced it before it was
+// written, is committed; it may be nil.
 func (w *Writer) MachineChanged(machineName string, metadata Machine, committed func()) {
 	metadata.Attempts, metadata.Jobs = nil, nil
 	machine := w.pending.machine(machineName)
@@ -94,8 +97,8 @@
 	}
 }
 
-// MachineRemoved records that a machine is no more, and all that was on it. Callbacks of
-// its changes that are not written yet are never called.
+// MachineRemoved records that a machine, with everything on it, no longer exists. Callbacks
+// of its changes that have not been written yet are never called.
 func (w *Writer) MachineRemoved(machineName string) {
 	machine := w.pending.machine(machineName)
 	machine.MachineChange = MachineChange{Removed: true}
@@ -103,7 +106,7 @@
 }
 
 // TasksDone records completed tasks of a job, by number, or AllTasks. committed is called
-// once they stand, and all other completions that wait with them; it may be nil.
+// once these and all other pending completions are committed; it may be nil.
 func (w *Writer) TasksDone(jobID string, tasks []int, committed func()) {
 	p := &w.pending
 	if p.done[jobID] == nil {
@@ -115,22 +118,21 @@
 	}
 }
 
-// takeEntry packs pending changes into one entry of at most so many bytes, and takes them
-// off what is pending. It also gives the callbacks to call once the entry stands. The
-// entry is nil if nothing is pending.
+// takeEntry moves pending changes into one entry of at most valueBytes and returns the
+// callbacks to call once the entry is committed. The entry is nil if nothing is pending.
 func (p *pendingChanges) takeEntry(seq uint64, valueBytes int) (json.RawMessage, []func()) {
 	if len(p.machineOrder) == 0 && len(p.doneOrder) == 0 {
 		return nil, nil
 	}
-	room := valueBytes - constants.LogRecordOverhead
-	machines, onCommitted, room := p.takeMachines(room)
+	remaining := valueBytes - constants.LogRecordOverhead
+	machines, onCommitted, remaining := p.takeMachines(remaining)
 	entry := encodedEntry{Seq: seq, Machines: machines}
 	if len(p.machineOrder) > 0 {
 		return encode(entry), onCommitted
 	}
-	// Completions come last: a task's exit and its completion stand together, or the
-	// exit alone for a moment, which only delays the worker's leave to forget the task.
-	entry.Done = p.takeDone(room)
+	// Completions come last: a task's exit is committed with its completion or shortly before
+	// it. In between, the worker only has to keep the task a little longer.
+	entry.Done = p.takeDone(remaining)
 	if len(p.doneOrder) == 0 {
 		onCommitted = append(onCommitted, p.onDone...)
 		p.onDone = nil
@@ -141,24 +143,24 @@
 	return encode(entry), onCommitted
 }
 
-// takeMachines takes the changes of as many machines as there is room for (bytes), one at
-// least, and tells the room that is left.
-func (p *pendingChanges) takeMachines(room int) (taken map[string]json.RawMessage, onCommitted []func(), left int) {
+// takeMachines takes the changes of as many machines as fit into remaining bytes, but at
+// least one. It also returns how many bytes are left.
+func (p *pendingChanges) takeMachines(remaining int) (taken map[string]json.RawMessage, onCommitted []func(), bytesLeft int) {
 	taken = make(map[string]json.RawMessage)
 	count := 0
 	for _, name := range p.machineOrder {
 		machine := p.machines[name]
 		raw := encode(machine.MachineChange)
 		size := len(raw) + len(name) + constants.LogMemberOverhead
-		if size > room && len(taken) > 0 {
+		if size > remaining && len(taken) > 0 {
 			break
 		}
 		count++
 		delete(p.machines, name)
 		if string(raw) == "{}" {
-			continue // all of it was taken back
+			continue // all its changes were withdrawn
 		}
-		room -= size
+		remaining -= size
 		taken[name] = raw
 		onCommitted = append(onCommitted, machine.onCommitted...)
 		for _, committed := range machine.onPlaced {
@@ -166,27 +168,27 @@
 		}
 	}
 	p.machineOrder = p.machineOrder[count:]
-	return taken, onCommitted, room
+	return taken, onCommitted, remaining
 }
 
-// takeDone takes as many completions as there is room for (bytes). The list of a job that
-// does not fit is split.
-func (p *pendingChanges) takeDone(room int) map[string][]int {
+// takeDone takes as many completions as fit into remaining bytes. It splits the list of a job
+// that does not fit.
+func (p *pendingChanges) takeDone(remaining int) map[string][]int {
 	taken := make(map[string][]int)
 	count := 0
 	for _, job := range p.doneOrder {
 		tasks := p.done[job]
-		fitting := (room - len(job) - constants.LogDoneJobOverhead) / constants.LogTaskNumber
-		if fitting < 1 {
+		maxTasks := (remaining - len(job) - constants.LogDoneJobOverhead) / constants.LogTaskNumber
+		if maxTasks < 1 {
 			break
 		}
-		if len(tasks) > fitting {
-			taken[job] = tasks[:fitting:fitting]
-			p.done[job] = tasks[fitting:]
+		if len(tasks) > maxTasks {
+			taken[job] = tasks[:maxTasks:maxTasks]
+			p.done[job] = tasks[maxTasks:]
 			break
 		}
 		taken[job] = tasks
-		room -= len(job) + constants.LogDoneJobOverhead + constants.LogTaskNumber*len(tasks)
+		remaining -= len(job) + constants.LogDoneJobOverhead + constants.LogTaskNumber*len(tasks)
 		delete(p.done, job)
 		count++
 	}
--- a/internal/leader/wal/replay.go
+++ b/internal/leader/wal/replay.go
@@ -8,24 +8,24 @@
 	"thornnotch/internal/statestore"
 )
 
-// State is what the log says once it is read.
+// State is the state restored from the log.
 type State struct {
-	// Head is the zero Head if there was no log yet.
+	// Head is the zero Head if there is no log yet.
 	Head Head
-	// Machines are by name.
+	// Machines holds the machines by name.
 	Machines map[string]*Machine
-	// Done lists completed tasks by job ID; AllTasks means all of them. A task may be
-	// listed more than once.
+	// Done holds completed tasks by job ID; AllTasks stands for all tasks of a job. A task
+	// may be listed more than once.
 	Done map[string][]int
 }
 
-// Read rebuilds the state from rows, which must include the head and all keys below
+// Read rebuilds the state from rows, which must include the head and all keys with one of
 // Head.Prefixes.
 //
-// A record that the head counts on and that can't be read may hide a task that still
-// runs, so it is an error (MissingRecordError, UnreadableRecordError or
-// MisplacedEntryError): nothing may be decided without it. Keys that are not the log's
-// are listed in foreign and do no harm.
+// A record that the head refers to may describe a task that is still running. If such a
+// record can't be read, Read returns a MissingRecordError, UnreadableRecordError or
+// MisplacedEntryError, and the leader must not make any decision. Keys that don't belong to
+// the log are returned in foreign and otherwise ignored.
 func Read(rows []statestore.KeyValue) (state State, foreign []string, err error) {
 	state = State{Machines: make(map[string]*Machine), Done: make(map[string][]int)}
 	stored := make(records, len(rows))
@@ -47,7 +47,7 @@
 	return state, foreign, state.readEntries(stored)
 }
 
-// isLogKey tells whether a key below Prefix is one that some version writes.
+// isLogKey reports whether any version of the log writes the given key below Prefix.
 func isLogKey(key string) bool {
 	if key == HeadKey {
 		return true
@@ -66,7 +66,7 @@
 	return false
 }
 
-// records are stored values by key.
+// records holds stored values by key.
 type records map[string]json.RawMessage
 
 func (r records) decode(key string, into any) error {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// readCheckpoint takes in all parts of the checkpoint that the head names.
+// readCheckpoint loads all parts of the checkpoint that the head refers to.
 func (s *State) readCheckpoint(stored records) error {
 	for number := range s.Head.Parts {
 		var p part
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// readEntries applies the entries on top of the checkpoint, in their order.
+// readEntries applies the entries on top of the checkpoint, in order.
 func (s *State) readEntries(stored records) error {
 	for seq := s.Head.From; seq < s.Head.Next; seq++ {
 		key := s.Head.entryKey(seq)
@@ -110,15 +110,15 @@
 			return err
 		}
 		if entry.Seq != seq {
-			return &MisplacedEntryError{Key: key, Holds: entry.Seq, Expects: seq}
+			return &MisplacedEntryError{Key: key, Found: entry.Seq, Want: seq}
 		}
 		s.apply(entry)
 	}
 	return nil
 }
 
-// apply takes in one entry. A part of the checkpoint may have taken in what it says
-// already: applying it once more changes nothing.
+// apply applies one entry. A checkpoint part may already include its changes; applying them
+// again is idempotent.
 func (s *State) apply(entry Entry) {
 	for name, change := range entry.Machines {
 		s.applyChange(name, change)
@@ -141,15 +141,15 @@
 		s.Machines[name] = machine
 	}
 	if change.Metadata != nil {
-		replaced := *change.Metadata
-		replaced.Attempts, replaced.Jobs = machine.Attempts, machine.Jobs
-		*machine = replaced
+		updated := *change.Metadata
+		updated.Attempts, updated.Jobs = machine.Attempts, machine.Jobs
+		*machine = updated
 	}
 	for _, attempt := range change.Gone {
 		machine.removeAttempt(attempt)
 	}
 	for _, attempt := range change.Placed {
-		machine.removeAttempt(attempt) // it may be there from the checkpoint
+		machine.removeAttempt(attempt) // the checkpoint may include it already
 		machine.Attempts = append(machine.Attempts, attempt)
 	}
 	for job, use := range change.Jobs {
@@ -160,11 +160,11 @@
 	}
 }
 
-// removeAttempt removes the attempt of this task and number, under any epoch.
-func (m *Machine) removeAttempt(gone Attempt) {
+// removeAttempt removes the attempt with the task and number of target, whatever its epoch.
+func (m *Machine) removeAttempt(target Attempt) {
 	var kept []Attempt
 	for _, attempt := range m.Attempts {
-		if attempt.Task != gone.Task || attempt.Number != gone.Number {
+		if attempt.Task != target.Task || attempt.Number != target.Number {
 			kept = append(kept, attempt)
 		}
 	}
--- a/internal/leader/wal/replay_test.go
+++ b/internal/leader/wal/replay_test.go
@@ -11,43 +11,43 @@
 	"thornnotch/internal/statestore"
 )
 
-// TestReplayEqualsWhatWasCommitted: for any order of changes, checkpoints,
-// lost answers, late copies of transactions and failovers, what a new leader
-// reads holds every start that stood and is not known to be over, none whose
-// end stood, every completion that stood and none that never was.
-func TestReplayEqualsWhatWasCommitted(t *testing.T) {
+// TestReplayMatchesCommittedState checks, for any order of changes, checkpoints, lost
+// answers, delayed copies of transactions and failovers, what a new leader reads. It must
+// include every committed start that is not known to have ended and every committed
+// completion, but no start whose end was committed and no completion that never happened.
+func TestReplayMatchesCommittedState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newReplayRun(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"add":        r.placeAttempt,
-			"del":        r.endAttempt,
-			"meta":       r.changeMachine,
-			"gone":       r.removeMachine,
-			"done":       r.completeTask,
-			"checkpoint": r.beginCheckpoint,
-			"ring":       r.allowLargeRing,
-			"send":       r.sendTransaction,
-			"send2":      r.sendTransaction, // twice as often
-			"late":       r.deliverLateCopy,
-			"takeover":   r.failOver,
+			"add attempt":          r.placeAttempt,
+			"end attempt":          r.endAttempt,
+			"metadata change":      r.changeMachine,
+			"machine removed":      r.removeMachine,
+			"finish task":          r.completeTask,
+			"checkpoint":           r.beginCheckpoint,
+			"ring allowed":         r.allowLargeRing,
+			"send":                 r.sendTransaction,
+			"send (again)":         r.sendTransaction, // doubles the frequency
+			"message arrives late": r.deliverDelayedCopy,
+			"takeover":             r.failOver,
 		})
 	})
 }
 
-// termKey stands for the term's record, on which every transaction is conditioned.
+// termKey stands for the key of the term's record, on which every transaction is conditioned.
 const termKey = "term/number"
 
-// replayLimits are so small that entries and parts are split and transactions fill up.
+// replayLimits are small enough that entries and parts are split and transactions fill up.
 var replayLimits = Limits{ValueBytes: 600, TxnOps: 5}
 
-// replayRun is one generated history: a state service, the leader of the present term,
-// and copies of transactions that are under way yet.
+// replayRun is one generated history: a state service, the leader of the current term, and
+// copies of transactions that are still in transit.
 type replayRun struct {
-	store  *fakeStore
-	leader *leaderModel
-	late   []transactionCopy
-	// attempts counts what needs a number of its own: attempts, zones, machines.
-	attempts uint64
+	store   *fakeStore
+	leader  *leaderModel
+	delayed []transactionCopy
+	// lastID is the last number given to an attempt, a zone or a machine.
+	lastID   uint64
 	machines []string
 	jobs     []string
 }
@@ -69,25 +69,25 @@
 	return r
 }
 
-// newReplayWriter has a large ring so small that it wraps, and that any checkpoint is
-// large enough for.
+// newReplayWriter returns a writer whose large ring is small enough to wrap around and is
+// used for a checkpoint of any size.
 func newReplayWriter(t *rapid.T, term uint64, head Head, headRevision uint64) *Writer {
 	writer := NewWriter(term, replayLimits, head, headRevision)
 	writer.largeRingSize, writer.largeRingParts = 24, 0
-	writer.AllowLargeRing(rapid.Bool().Draw(t, "large"))
+	writer.AllowLargeRing(rapid.Bool().Draw(t, "large ring allowed"))
 	return writer
 }
 
 func (r *replayRun) drawMachine(t *rapid.T) string {
-	return rapid.SampledFrom(r.machines).Draw(t, "rig")
+	return rapid.SampledFrom(r.machines).Draw(t, "machine")
 }
 
 func (r *replayRun) placeAttempt(t *rapid.T) {
 	machine := r.drawMachine(t)
-	r.attempts++
-	r.leader.place(machine, Attempt{
-		Task:   fmt.Sprintf("%s/%d", rapid.SampledFrom(r.jobs).Draw(t, "job"), r.attempts%20),
-		Number: r.attempts, Epoch: 1,
+	r.lastID++
+	r.leader.startAttempt(machine, Attempt{
+		Task:   fmt.Sprintf("%s/%d", rapid.SampledFrom(r.jobs).Draw(t, "job"), r.lastID%20),
+		Number: r.lastID, Epoch: 1,
 	})
 }
 
@@ -97,25 +97,25 @@
 	if len(attempts) == 0 {
 		t.Skip()
 	}
-	r.leader.end(machine, rapid.SampledFrom(attempts).Draw(t, "attempt"))
+	r.leader.finishAttempt(machine, rapid.SampledFrom(attempts).Draw(t, "attempt"))
 }
 
 func (r *replayRun) changeMachine(t *rapid.T) {
-	// Each zone is new, so that it tells which record was read.
-	r.attempts++
-	r.leader.setZone(r.drawMachine(t), fmt.Sprint("z-", r.attempts))
+	// Each zone is new, so that it identifies the record that was read.
+	r.lastID++
+	r.leader.setZone(r.drawMachine(t), fmt.Sprint("z-", r.lastID))
 }
 
 func (r *replayRun) removeMachine(t *rapid.T) {
 	machine := r.drawMachine(t)
 	r.leader.removeMachine(machine)
-	// The cloud never gives a name twice.
-	r.attempts++
-	r.machines[slices.Index(r.machines, machine)] = fmt.Sprint("m-", r.attempts+10)
+	// The cloud never reuses a name.
+	r.lastID++
+	r.machines[slices.Index(r.machines, machine)] = fmt.Sprint("m-", r.lastID+10)
 }
 
 func (r *replayRun) completeTask(t *rapid.T) {
-	r.leader.complete(rapid.SampledFrom(r.jobs).Draw(t, "job"), rapid.IntRange(0, 63).Draw(t, "task"))
+	r.leader.finishTask(rapid.SampledFrom(r.jobs).Draw(t, "job"), rapid.IntRange(0, 63).Draw(t, "task"))
 }
 
 func (r *replayRun) beginCheckpoint(*rapid.T) {
@@ -123,18 +123,18 @@
 }
 
 func (r *replayRun) allowLargeRing(t *rapid.T) {
-	r.leader.writer.AllowLargeRing(rapid.Bool().Draw(t, "large"))
+	r.leader.writer.AllowLargeRing(rapid.Bool().Draw(t, "large ring allowed"))
 }
 
 // sendTransaction sends the next transaction, or the one in flight once more. The state
-// service may carry it out or not, and the answer may be lost.
+// service may or may not carry it out, and the answer may be lost.
 func (r *replayRun) sendTransaction(t *rapid.T) {
 	writer := r.leader.writer
 	if !writer.Pending() && !writer.Checkpointing() {
 		return
 	}
 	var jobWrites []JobWrite
-	if !writer.InFlight() && rapid.IntRange(0, 4).Draw(t, "extra") == 0 {
+	if !writer.InFlight() && rapid.IntRange(0, 4).Draw(t, "with job write") == 0 {
 		jobWrites = append(jobWrites, r.drawJobWrite(t))
 	}
 	txn := writer.Next(jobWrites)
@@ -147,14 +147,14 @@
 		writes:     txn.Writes,
 	}
 	const lostRequest, lostAnswer = 0, 1
-	fate := rapid.IntRange(0, 5).Draw(t, "fate")
-	if fate == lostRequest { // it may arrive later
-		r.late = append(r.late, sent)
+	outcome := rapid.IntRange(0, 5).Draw(t, "outcome")
+	if outcome == lostRequest { // it may arrive later
+		r.delayed = append(r.delayed, sent)
 		return
 	}
-	failed := r.store.run(sent.conditions, sent.writes)
-	if fate == lostAnswer { // and a copy is under way yet
-		r.late = append(r.late, sent)
+	failed := r.store.commit(sent.conditions, sent.writes)
+	if outcome == lostAnswer { // a copy may arrive later
+		r.delayed = append(r.delayed, sent)
 		return
 	}
 	if failed == nil {
@@ -166,9 +166,9 @@
 
 // drawJobWrite draws a write of another key, whose condition may fail.
 func (r *replayRun) drawJobWrite(t *rapid.T) JobWrite {
-	key := fmt.Sprint("open/", rapid.IntRange(0, 3).Draw(t, "which"))
+	key := fmt.Sprint("open/", rapid.IntRange(0, 3).Draw(t, "key"))
 	revision := r.store.revisions[key]
-	if rapid.Bool().Draw(t, "wrong") {
+	if rapid.Bool().Draw(t, "wrong revision") {
 		revision += 100
 	}
 	return JobWrite{
@@ -176,7 +176,7 @@
 		Writes:     []statestore.Write{{Put: key, Value: json.RawMessage("1")}},
 		Committed: func(revision uint64) {
 			if r.store.revisions[key] != revision {
-				t.Fatalf("%s is told to stand at revision %d, it stands at %d", key, revision, r.store.revisions[key])
+				t.Fatalf("%s reported as committed at revision %d, but is at %d", key, revision, r.store.revisions[key])
 			}
 		},
 	}
@@ -185,7 +185,7 @@
 func checkLimits(t *rapid.T, txn *Txn) {
 	t.Helper()
 	if len(txn.Writes) > replayLimits.TxnOps+1 {
-		t.Fatalf("%d writes at once", len(txn.Writes))
+		t.Fatalf("%d writes in one transaction", len(txn.Writes))
 	}
 	for _, write := range txn.Writes {
 		if len(write.Value) > replayLimits.ValueBytes {
@@ -194,7 +194,7 @@
 	}
 }
 
-// resolveConflict finds out, as a leader does, what became of the transaction in flight.
+// resolveConflict determines, as a leader does, the outcome of the transaction in flight.
 func (r *replayRun) resolveConflict(t *rapid.T, failed []string) {
 	head, err := r.store.head()
 	if err != nil {
@@ -207,29 +207,29 @@
 	case writer.WroteHead(head):
 		writer.Committed(r.store.revisions[HeadKey])
 	case slices.Contains(failed, HeadKey):
-		t.Fatalf("somebody else wrote the head: %+v", head)
+		t.Fatalf("another leader wrote the head: %+v", head)
 	default:
 		writer.Conflicted(func(key string) bool { return slices.Contains(failed, key) })
 	}
 }
 
-func (r *replayRun) deliverLateCopy(t *rapid.T) {
-	if len(r.late) == 0 {
+func (r *replayRun) deliverDelayedCopy(t *rapid.T) {
+	if len(r.delayed) == 0 {
 		t.Skip()
 	}
-	late := r.late[rapid.IntRange(0, len(r.late)-1).Draw(t, "copy")]
-	r.store.run(late.conditions, late.writes)
+	delayed := r.delayed[rapid.IntRange(0, len(r.delayed)-1).Draw(t, "copy")]
+	r.store.commit(delayed.conditions, delayed.writes)
 }
 
-// failOver has another leader raise the term and read the log. What it reads is checked
-// against what the one before knew.
+// failOver lets another leader start a newer term and read the log, and compares the result
+// with what the previous leader knew.
 func (r *replayRun) failOver(t *rapid.T) {
 	r.store.revision++
 	term := r.store.revision
 	r.store.revisions[termKey] = term
 	state, foreign, err := Read(r.store.failoverRows())
 	if err != nil || len(foreign) > 0 {
-		t.Fatalf("can't read the log: %v %v", err, foreign)
+		t.Fatalf("read the log: error %v, foreign keys %v", err, foreign)
 	}
 	checkAttempts(t, r.leader, state)
 	checkZones(t, r.leader, state)
@@ -240,7 +240,8 @@
 	r.leader = restoreLeaderModel(term, writer, state, r.jobs)
 }
 
-// checkAttempts: every start that stood is read, and none whose end stood.
+// checkAttempts fails if a committed start is not read, or one is read whose end was
+// committed.
 func checkAttempts(t *rapid.T, leader *leaderModel, state State) {
 	t.Helper()
 	machineOf := map[Attempt]string{}
@@ -249,10 +250,10 @@
 			machineOf[attempt] = name
 		}
 	}
-	for name, attempts := range leader.live {
+	for name, attempts := range leader.liveAttempts {
 		for attempt := range attempts {
 			if leader.recorded[attempt] && machineOf[attempt] != name {
-				t.Fatalf("%v stood on %s and is forgotten", attempt, name)
+				t.Fatalf("%v on %s was committed but is not read", attempt, name)
 			}
 		}
 	}
@@ -260,39 +261,40 @@
 		return // ends may not be recorded yet
 	}
 	for attempt, name := range machineOf {
-		if !leader.live[name][attempt] {
-			t.Fatalf("%v is over, and its end stood, but it is read again", attempt)
+		if !leader.liveAttempts[name][attempt] {
+			t.Fatalf("%v is read although its end was committed", attempt)
 		}
 	}
 }
 
-// checkZones: metadata that stood, and that nothing came after, are read.
+// checkZones fails if a machine's metadata is not read although it was committed and not
+// changed since.
 func checkZones(t *rapid.T, leader *leaderModel, state State) {
 	t.Helper()
-	for name := range leader.live {
+	for name := range leader.liveAttempts {
 		recorded, ok := leader.zoneRecorded[name]
 		if !ok || leader.zone[name] != recorded {
 			continue
 		}
 		if machine := state.Machines[name]; machine == nil || machine.Zone != recorded {
-			t.Fatalf("%s: %+v, its zone %q stood", name, machine, recorded)
+			t.Fatalf("%s: read %+v, but zone %q was committed", name, machine, recorded)
 		}
 	}
 }
 
-// checkDone: every completion that stood is read, and none that never was.
+// checkDone fails if a committed completion is not read, or one is read that never happened.
 func checkDone(t *rapid.T, leader *leaderModel, state State, job string) {
 	t.Helper()
-	read := map[int]bool{}
+	restored := map[int]bool{}
 	for _, task := range state.Done[job] {
 		if !leader.done[job][task] {
-			t.Fatalf("%s/%d was never done", job, task)
+			t.Fatalf("%s/%d is read as completed but never was", job, task)
 		}
-		read[task] = true
+		restored[task] = true
 	}
 	for task := range leader.doneRecorded[job] {
-		if !read[task] {
-			t.Fatalf("%s/%d was done and is forgotten", job, task)
+		if !restored[task] {
+			t.Fatalf("the completion of %s/%d was committed but is not read", job, task)
 		}
 	}
 }
--- a/internal/leader/wal/ring.go
+++ b/internal/leader/wal/ring.go
@@ -2,38 +2,39 @@
 
 import "thornnotch/internal/constants"
 
-// mayAddEntry tells whether the ring has room for an entry behind the head that stands
-// and so many more that were added: it must never run into the entries that still count.
-// While the large ring is given up no entry is written, so that none counts when the
-// checkpoint stands.
+// mayAddEntry reports whether the ring has room for one more entry after the committed head
+// and the given number of added entries. New entries must never overwrite live ones. No entry
+// is added while the large ring is being abandoned, so that none is live once the checkpoint
+// is complete.
 func (w *Writer) mayAddEntry(next Head, added int) bool {
-	if w.givesUpLargeRing(next) {
+	if w.mustLeaveLargeRing(next) {
 		return false
 	}
 	return w.Backlog()+added < min(w.head.ringSize(), next.ringSize())-constants.LogSlack
 }
 
-// AllowLargeRing says whether entries may stand in the large ring. It is used once the
-// checkpoint is so large that it would have to be written again and again in the small
-// one. It must not be allowed before all nodes are known to read the large ring.
+// AllowLargeRing sets whether entries may be stored in the large ring. The large ring is used
+// once the checkpoint is so large that with the small ring it would have to be rewritten
+// continually. It must not be allowed before all nodes are known to be able to read the large
+// ring.
 func (w *Writer) AllowLargeRing(allowed bool) { w.largeRingAllowed = allowed }
 
-// WantsLargeRing tells whether the checkpoint is too large for the ring that all versions
-// read.
+// WantsLargeRing reports whether the checkpoint is too large for the small ring, which all
+// versions can read.
 func (w *Writer) WantsLargeRing() bool {
 	return w.head.Ring == 0 && w.head.Parts > w.largeRingParts
 }
 
-// givesUpLargeRing tells whether the large ring is in use and may not be any more.
-func (w *Writer) givesUpLargeRing(head Head) bool { return head.Ring > 0 && !w.largeRingAllowed }
+// mustLeaveLargeRing reports whether the large ring is in use but no longer allowed.
+func (w *Writer) mustLeaveLargeRing(head Head) bool { return head.Ring > 0 && !w.largeRingAllowed }
 
-// chooseRing moves to the large ring once that is allowed and wanted, and back when
-// nothing in it counts any more.
+// chooseRing switches to the large ring once it is allowed and wanted, and back once no entry
+// in it is live.
 func (w *Writer) chooseRing(next *Head) {
 	switch {
 	case w.largeRingAllowed && w.WantsLargeRing():
 		next.Ring, next.RingFrom = w.largeRingSize, next.Next
-	case w.givesUpLargeRing(*next) && next.From == next.Next:
+	case w.mustLeaveLargeRing(*next) && next.From == next.Next:
 		next.Ring, next.RingFrom = 0, 0
 	}
 }
--- a/internal/leader/wal/store_test.go
+++ b/internal/leader/wal/store_test.go
@@ -9,19 +9,19 @@
 	"thornnotch/internal/statestore"
 )
 
-// fakeStore is a state service that carries out transactions whole.
+// fakeStore is an in-memory state service with atomic transactions.
 type fakeStore struct {
 	rows      map[string]statestore.KeyValue
-	revisions map[string]uint64 // of each key's latest change
-	revision  uint64            // of the whole store
+	revisions map[string]uint64 // revision of each key's latest change
+	revision  uint64            // revision of the whole store
 }
 
 func newFakeStore() *fakeStore {
 	return &fakeStore{rows: map[string]statestore.KeyValue{}, revisions: map[string]uint64{}}
 }
 
-// run carries out a transaction, or tells the keys whose conditions failed.
-func (s *fakeStore) run(conditions []statestore.Condition, writes []statestore.Write) (failed []string) {
+// commit carries out a transaction, or returns the keys whose conditions failed.
+func (s *fakeStore) commit(conditions []statestore.Condition, writes []statestore.Write) (failed []string) {
 	for _, condition := range conditions {
 		if s.revisions[condition.Key] != condition.Revision {
 			failed = append(failed, condition.Key)
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// head is the log's head as it stands; the zero Head if there is none.
+// head returns the log's current head, or the zero Head if there is none.
 func (s *fakeStore) head() (head Head, err error) {
 	if row, ok := s.rows[HeadKey]; ok {
 		err = json.Unmarshal(row.Value, &head)
@@ -51,16 +51,17 @@
 	return head, err
 }
 
-// allRows lists all of the log's keys.
-func (s *fakeStore) allRows() []statestore.KeyValue { return s.rowsBelow(Prefix) }
+// allRows returns all rows of the log.
+func (s *fakeStore) allRows() []statestore.KeyValue { return s.rowsWithPrefixes(Prefix) }
 
-// failoverRows lists what a failover reads: the head, and what it names.
+// failoverRows returns the rows that a failover reads: the head and everything that it refers
+// to.
 func (s *fakeStore) failoverRows() []statestore.KeyValue {
-	head, _ := s.head() // of a damaged head Read tells
-	return s.rowsBelow(append(head.Prefixes(), HeadKey)...)
+	head, _ := s.head() // Read reports a damaged head
+	return s.rowsWithPrefixes(append(head.Prefixes(), HeadKey)...)
 }
 
-func (s *fakeStore) rowsBelow(prefixes ...string) (rows []statestore.KeyValue) {
+func (s *fakeStore) rowsWithPrefixes(prefixes ...string) (rows []statestore.KeyValue) {
 	for key, row := range s.rows {
 		if slices.ContainsFunc(prefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) }) {
 			rows = append(rows, row)
@@ -70,23 +71,23 @@
 	return rows
 }
 
-// commitNext sends the writer's next transaction, which must keep to the limits and be
-// carried out.
+// commitNext commits the writer's next transaction, which must observe the limits and meet
+// its conditions.
 func commitNext(t *testing.T, store *fakeStore, writer *Writer, jobWrites []JobWrite) {
 	t.Helper()
 	txn := writer.Next(jobWrites)
 	if txn == nil {
-		t.Fatal("nothing is written any more")
+		t.Fatal("no transaction to write")
 	}
 	if len(txn.Writes) > writer.limits.TxnOps {
-		t.Fatalf("%d writes in a transaction", len(txn.Writes))
+		t.Fatalf("%d writes in one transaction", len(txn.Writes))
 	}
 	for _, write := range txn.Writes {
 		if len(write.Value) > writer.limits.ValueBytes {
 			t.Fatalf("%s has %d bytes", write.Put, len(write.Value))
 		}
 	}
-	if failed := store.run(txn.Conditions, txn.Writes); failed != nil {
+	if failed := store.commit(txn.Conditions, txn.Writes); failed != nil {
 		t.Fatalf("conditions on %v failed", failed)
 	}
 	writer.Committed(store.revision)
--- a/internal/leader/wal/transaction.go
+++ b/internal/leader/wal/transaction.go
@@ -5,46 +5,47 @@
 	"thornnotch/internal/statestore"
 )
 
-// JobWrite is a change of other keys that goes with a transaction of the log, such as the
-// move of a job to the final ones. Exactly one of its callbacks is called once its fate is
-// known; each may be nil.
+// JobWrite is a change of other keys that is part of a transaction of the log, such as moving
+// a job to the final jobs. Exactly one of its callbacks is called once its outcome is known;
+// each of them may be nil.
 //
-// Its conditions must be such that once one has failed it never comes to hold again, as
-// with a key's revision. Otherwise an earlier copy of the transaction could be carried out
-// after the rest of it had been sent without the job write.
+// A condition that has failed must never hold again, as is the case for a condition on a
+// key's revision. Otherwise an earlier copy of the transaction could be carried out after the
+// rest of it was sent without the job write.
 type JobWrite struct {
 	Conditions []statestore.Condition
 	Writes     []statestore.Write
-	// Committed is called once the transaction is known to stand, with its revision.
+	// Committed is called with the transaction's revision once the transaction is known to be
+	// committed.
 	Committed func(revision uint64)
-	// Conflicted is called when a condition of this job write has failed: it will never
-	// be carried out.
+	// Conflicted is called if a condition of this job write has failed: it will never be
+	// carried out.
 	Conflicted func()
-	// Retry is called when a condition of another job write in the transaction has
-	// failed: this one was not carried out either, and must be asked for anew.
+	// Retry is called if a condition of another job write in the transaction has failed: this
+	// job write was not carried out either and must be submitted again.
 	Retry func()
 }
 
-// Txn is one transaction. It is sent with the same contents until its fate is known
-// (see Writer).
+// Txn is one transaction. It is sent with the same contents until its outcome is known (see
+// Writer).
 type Txn struct {
 	Conditions []statestore.Condition
 	Writes     []statestore.Write
 
 	jobWrites []JobWrite
-	// values are the entries and parts of a checkpoint.
-	values []statestore.Write
-	// head is the log's once this stands.
+	// logWrites are the writes of entries and checkpoint parts.
+	logWrites []statestore.Write
+	// head is the log's head once this transaction is committed.
 	head        Head
 	onCommitted []func()
-	// completes is the checkpoint whose last part this writes, nil if it writes none.
-	completes *checkpoint
+	// completedCheckpoint is the checkpoint whose last part this transaction writes, or nil.
+	completedCheckpoint *checkpoint
 }
 
-// txnSize is how much a transaction holds so far.
+// txnSize is the current size of a transaction.
 type txnSize struct {
-	ops   int // puts and deletes, that of the head among them
-	bytes int // of its values
+	ops   int // puts and deletes, including that of the head
+	bytes int // total size of the values
 }
 
 func (s *txnSize) add(value []byte) {
@@ -63,9 +64,9 @@
 	return size
 }
 
-// Next freezes a transaction of what is pending, with the job writes in front. It returns
-// nil if there is nothing to write. While a transaction is in flight it returns that one
-// again and leaves the job writes aside.
+// Next returns a transaction of the pending changes, preceded by the job writes, and puts it
+// in flight. It returns nil if there is nothing to write. While a transaction is in flight,
+// Next returns that one again and ignores jobWrites.
 func (w *Writer) Next(jobWrites []JobWrite) *Txn {
 	if w.inFlight != nil {
 		return w.inFlight
@@ -73,30 +74,30 @@
 	txn := &Txn{jobWrites: jobWrites, head: w.head}
 	w.chooseRing(&txn.head)
 	size := sizeOf(jobWrites)
-	partOps := w.partShare(w.limits.TxnOps - size.ops)
+	partOps := w.reservePartOps(w.limits.TxnOps - size.ops)
 	w.addEntries(txn, &size, partOps)
 	if w.checkpoint != nil {
 		w.addParts(txn, &size, partOps)
 	}
-	if len(txn.jobWrites) == 0 && len(txn.values) == 0 && txn.completes == nil {
+	if len(txn.jobWrites) == 0 && len(txn.logWrites) == 0 && txn.completedCheckpoint == nil {
 		return nil
 	}
-	w.seal(txn)
+	w.finalize(txn)
 	w.inFlight = txn
 	return txn
 }
 
-// addEntries puts pending changes into as many entries as there is room for, keeping so
-// many operations, and their part of the bytes, for parts of the checkpoint.
+// addEntries puts pending changes into as many entries as fit. It reserves partOps
+// operations, and a proportional share of the bytes, for checkpoint parts.
 func (w *Writer) addEntries(txn *Txn, size *txnSize, partOps int) {
 	partBytes := (constants.TxnBytes - size.bytes) * partOps / max(w.limits.TxnOps-size.ops, 1)
-	most := txnSize{ops: w.limits.TxnOps - partOps, bytes: constants.TxnBytes - partBytes}
-	for added := 0; size.ops < most.ops && size.bytes < most.bytes && w.mayAddEntry(txn.head, added); added++ {
+	maxSize := txnSize{ops: w.limits.TxnOps - partOps, bytes: constants.TxnBytes - partBytes}
+	for added := 0; size.ops < maxSize.ops && size.bytes < maxSize.bytes && w.mayAddEntry(txn.head, added); added++ {
 		value, onCommitted := w.pending.takeEntry(txn.head.Next, w.limits.ValueBytes)
 		if value == nil {
 			break
 		}
-		txn.values = append(txn.values, statestore.Write{Put: txn.head.entryKey(txn.head.Next), Value: value})
+		txn.logWrites = append(txn.logWrites, statestore.Write{Put: txn.head.entryKey(txn.head.Next), Value: value})
 		txn.onCommitted = append(txn.onCommitted, onCommitted...)
 		txn.head.Next++
 		size.add(value)
@@ -105,51 +106,51 @@
 	}
 }
 
-// addParts adds the next parts of the checkpoint: as many as operations are kept for
-// them, and one if entries leave room for it. With the last one the head changes over to
-// the checkpoint.
+// addParts adds the next checkpoint parts: as many as partOps allows, or one if the entries
+// have left room for it. With the last part the head switches to the new checkpoint.
 func (w *Writer) addParts(txn *Txn, size *txnSize, partOps int) {
 	c := w.checkpoint
-	for added := 0; added < max(partOps, 1) && size.ops < w.limits.TxnOps && size.bytes < constants.TxnBytes && !c.written; added++ {
+	for added := 0; added < max(partOps, 1) && size.ops < w.limits.TxnOps && size.bytes < constants.TxnBytes && !c.allPartsWritten; added++ {
 		value := c.nextPart(w.limits.ValueBytes)
 		if value == nil {
-			c.written = true
+			c.allPartsWritten = true
 			break
 		}
-		txn.values = append(txn.values, statestore.Write{Put: partKey(c.area, c.parts), Value: value})
-		c.parts++
+		txn.logWrites = append(txn.logWrites, statestore.Write{Put: partKey(c.area, c.partsWritten), Value: value})
+		c.partsWritten++
 		size.add(value)
 		w.stats.Parts++
 		w.stats.PartBytes += uint64(len(value))
 	}
-	if c.written || c.nothingLeft() {
-		txn.head.From, txn.head.Area, txn.head.Parts = c.from, c.area, c.parts
-		txn.completes = c
+	if c.allPartsWritten || c.nothingRemaining() {
+		txn.head.From, txn.head.Area, txn.head.Parts = c.firstEntry, c.area, c.partsWritten
+		txn.completedCheckpoint = c
 	}
 }
 
-// seal gives the transaction a name of its own and puts its writes together.
-func (w *Writer) seal(txn *Txn) {
-	w.turn++
-	txn.head.Term, txn.head.Turn = w.term, w.turn
+// finalize gives the transaction a unique identity and assembles its conditions and writes.
+func (w *Writer) finalize(txn *Txn) {
+	w.txnSeq++
+	txn.head.Term, txn.head.TxnSeq = w.term, w.txnSeq
 	txn.Conditions = []statestore.Condition{{Key: HeadKey, Revision: w.headRevision}}
 	txn.Writes = []statestore.Write{{Put: HeadKey, Value: encode(txn.head)}}
 	for _, jobWrite := range txn.jobWrites {
 		txn.Conditions = append(txn.Conditions, jobWrite.Conditions...)
 		txn.Writes = append(txn.Writes, jobWrite.Writes...)
 	}
-	txn.Writes = append(txn.Writes, txn.values...)
+	txn.Writes = append(txn.Writes, txn.logWrites...)
 }
 
-// Committed takes in that the transaction in flight was carried out, at this revision.
+// Committed tells the writer that the transaction in flight was carried out at the given
+// revision.
 func (w *Writer) Committed(revision uint64) {
 	txn := w.inFlight
 	w.inFlight = nil
 	w.head, w.headRevision = txn.head, revision
-	if txn.completes != nil {
+	if txn.completedCheckpoint != nil {
 		w.checkpoint = nil
-		if txn.completes.onCommitted != nil {
-			txn.completes.onCommitted()
+		if txn.completedCheckpoint.onCommitted != nil {
+			txn.completedCheckpoint.onCommitted()
 		}
 	}
 	for _, committed := range txn.onCommitted {
@@ -162,32 +163,33 @@
 	}
 }
 
-// WroteHead tells whether a head that was read is the one of the transaction in flight,
-// which then was carried out.
+// WroteHead reports whether the given head, as read from the state service, was written by
+// the transaction in flight, which has then been carried out.
 func (w *Writer) WroteHead(head Head) bool {
-	return w.inFlight != nil && head.Term == w.inFlight.head.Term && head.Turn == w.inFlight.head.Turn
+	return w.inFlight != nil && head.Term == w.inFlight.head.Term && head.TxnSeq == w.inFlight.head.TxnSeq
 }
 
-// Conflicted takes in that the transaction in flight was refused for conditions of its
-// job writes alone; failed tells whether the condition on a key is among them. These
-// conditions never come to hold again, so no copy of the transaction can be carried out
-// later: the rest of it goes on under a name of its own, without the job writes.
+// Conflicted tells the writer that the transaction in flight was refused only because of
+// conditions of its job writes; failed reports whether the condition on a key failed. These
+// conditions never hold again, so no copy of the transaction can be carried out later: the
+// rest of it is sent under a new identity, without the job writes.
 func (w *Writer) Conflicted(failed func(key string) bool) {
 	txn := w.inFlight
 	jobWrites := txn.jobWrites
 	txn.jobWrites = nil
-	if len(txn.values) == 0 && txn.completes == nil {
+	if len(txn.logWrites) == 0 && txn.completedCheckpoint == nil {
 		w.inFlight = nil
 	} else {
-		w.seal(txn)
+		w.finalize(txn)
 	}
 	for _, jobWrite := range jobWrites {
-		jobWrite.refused(failed)
+		jobWrite.notifyConflict(failed)
 	}
 }
 
-// refused calls back after a conflict on the conditions that failed tells.
-func (j JobWrite) refused(failed func(key string) bool) {
+// notifyConflict calls the callback that applies after a conflict on the conditions for which
+// failed returns true.
+func (j JobWrite) notifyConflict(failed func(key string) bool) {
 	conflicted := false
 	for _, condition := range j.Conditions {
 		conflicted = conflicted || failed(condition.Key)
