--- a/internal/peers/client.go
+++ b/internal/peers/client.go
@@ -12,36 +12,36 @@
 	"thornnotch/internal/constants"
 )
 
-// ErrUnknownNode means that no address of a node is known.
-var ErrUnknownNode = errors.New("no such node")
+// ErrUnknownNode means that the settings contain no address for a node.
+var ErrUnknownNode = errors.New("node address unknown")
 
-// DialFunc opens a connection to an address.
+// DialFunc opens a connection like net.Dialer.DialContext.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Client calls other nodes, over one connection to each.
+// Client calls other nodes over one connection to each. It is safe for concurrent use.
 type Client struct {
-	addresses map[string]string // by node
+	addresses map[string]string // by node name
 	dial      DialFunc
 
 	mu    sync.Mutex
-	conns map[string]*connection // by node; guarded by mu
+	conns map[string]*connection // by node name; guarded by mu
 }
 
-// connection is a connection to one node. One call at a time is written to it, and
-// others wait for that no longer than their own time allows: rpc.Client would have
-// them wait for as long as the write takes, which is for ever on a connection that
-// nobody reads.
+// connection is a connection to one node. Calls are written to it one at a time, and a call
+// waits for its turn only until its own deadline. With rpc.Client alone it would wait until
+// the current write completes, which is forever if the peer has stopped reading.
 type connection struct {
 	*rpc.Client
-	writing chan struct{} // holds one element while a call is being written
+	writeSem chan struct{} // semaphore of one, held while a call is written
 }
 
-// NewClient makes a client for the nodes at these addresses, by name.
+// NewClient returns a Client for the nodes with the given addresses, which are keyed by node
+// name.
 func NewClient(addresses map[string]string, dial DialFunc) *Client {
 	return &Client{addresses: addresses, dial: dial, conns: make(map[string]*connection)}
 }
 
-// connect returns the open connection to a node, or opens one.
+// connect returns the open connection to a node, or opens a new one.
 func (c *Client) connect(ctx context.Context, node string) (*connection, error) {
 	c.mu.Lock()
 	open := c.conns[node]
@@ -60,7 +60,7 @@
 	opened := &connection{rpc.NewClient(conn), make(chan struct{}, 1)}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if other := c.conns[node]; other != nil { // another call was quicker
+	if other := c.conns[node]; other != nil { // a concurrent call connected first
 		_ = opened.Close()
 		return other, nil
 	}
@@ -68,41 +68,41 @@
 	return opened, nil
 }
 
-// discard closes a connection, so that the next call opens a new one.
+// discard closes and removes a connection, so that the next call opens a new one.
 func (c *Client) discard(node string, conn *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conns[node] == conn {
 		delete(c.conns, node)
 	}
-	_ = conn.Close() // rpc.ErrShutdown if it has failed already
+	_ = conn.Close() // returns rpc.ErrShutdown if the connection has already failed
 }
 
-// call makes one call within a time limit. A connection that fails or is late is
-// discarded.
-func (c *Client) call(ctx context.Context, limit time.Duration, node, method string, args, reply any) error {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// call makes one RPC with a timeout. It discards the connection if the connection fails or
+// the call times out.
+func (c *Client) call(ctx context.Context, timeout time.Duration, node, method string, args, reply any) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	conn, err := c.connect(ctx, node)
 	if err != nil {
 		return callError(node, method, err)
 	}
 	select {
-	case conn.writing <- struct{}{}:
+	case conn.writeSem <- struct{}{}:
 	case <-ctx.Done():
 		c.discard(node, conn)
 		return callError(node, method, ctx.Err())
 	}
-	sent := conn.Go(method, args, reply, make(chan *rpc.Call, 1))
-	<-conn.writing
+	pending := conn.Go(method, args, reply, make(chan *rpc.Call, 1))
+	<-conn.writeSem
 	select {
-	case done := <-sent.Done:
+	case done := <-pending.Done:
 		if done.Error == nil {
 			return nil
 		}
-		// A ServerError is the other node's own answer: the connection works.
-		var answered rpc.ServerError
-		if !errors.As(done.Error, &answered) {
+		// A ServerError was returned by the remote method, so the connection works.
+		var serverErr rpc.ServerError
+		if !errors.As(done.Error, &serverErr) {
 			c.discard(node, conn)
 		}
 		return callError(node, method, done.Error)
@@ -113,10 +113,10 @@
 }
 
 func callError(node, method string, err error) error {
-	return fmt.Errorf("call %s at node %s: %w", method, node, err)
+	return fmt.Errorf("call %s on node %s: %w", method, node, err)
 }
 
-// Progress asks a node for the progress of jobs.
+// Progress returns the progress of the given jobs as known to a node.
 func (c *Client) Progress(ctx context.Context, node string, jobs []string) (map[string]TaskCounts, error) {
 	reply := new(ProgressReply)
 	if err := c.call(ctx, constants.MeshTimeout, node, methodProgress, ProgressArgs{jobs}, reply); err != nil {
@@ -125,7 +125,7 @@
 	return reply.Jobs, nil
 }
 
-// Status asks a node for its status.
+// Status returns the status of a node as JSON.
 func (c *Client) Status(ctx context.Context, node string) ([]byte, error) {
 	reply := new(StatusReply)
 	if err := c.call(ctx, constants.MeshTimeout, node, methodStatus, StatusArgs{}, reply); err != nil {
@@ -134,7 +134,7 @@
 	return reply.JSON, nil
 }
 
-// Health asks a node whether the state service answers it.
+// Health reports whether the state service responds to a node.
 func (c *Client) Health(ctx context.Context, node string) (bool, error) {
 	reply := new(HealthReply)
 	if err := c.call(ctx, constants.MeshTimeout, node, methodHealth, HealthArgs{}, reply); err != nil {
@@ -143,11 +143,11 @@
 	return reply.OK, nil
 }
 
-// AttestCancellations asks a node which cancellations it has confirmed to users within
-// the span. A node that can't be reached attests to nothing: ok is false.
+// AttestCancellations returns the jobs whose cancellation a node has confirmed to users
+// within the last span. ok is false if the node does not know or can't be reached.
 func (c *Client) AttestCancellations(ctx context.Context, node string, span time.Duration) (cancelled []string, ok bool) {
 	reply := new(VouchReply)
-	// Rounded up: never less than was asked for.
+	// Rounded up, so that the node covers at least the span.
 	args := VouchArgs{SpanMS: span.Milliseconds() + 1}
 	if err := c.call(ctx, constants.MeshTimeout, node, methodVouch, args, reply); err != nil {
 		return nil, false
@@ -155,7 +155,7 @@
 	return reply.Cancelled, reply.OK
 }
 
-// Formats asks which stored formats a node's version reads.
+// Formats returns the stored formats that a node's version can read.
 func (c *Client) Formats(ctx context.Context, node string) (FormatsReply, error) {
 	reply := new(FormatsReply)
 	if err := c.call(ctx, constants.MeshTimeout, node, methodFormats, FormatsArgs{}, reply); err != nil {
@@ -164,7 +164,7 @@
 	return *reply, nil
 }
 
-// Relay has a node serve a user's request.
+// Relay forwards a user's request to a node and returns the node's response.
 func (c *Client) Relay(ctx context.Context, node string, request RelayArgs) (RelayReply, error) {
 	reply := new(RelayReply)
 	if err := c.call(ctx, constants.RelayTimeout, node, methodRelay, request, reply); err != nil {
--- a/internal/peers/doc.go
+++ b/internal/peers/doc.go
@@ -1,7 +1,6 @@
-// Package peers carries the calls between controller nodes over net/rpc: wire.go
-// has the wire format, server.go answers calls, client.go makes them.
+// Package peers implements the calls between controller nodes over net/rpc: wire.go defines
+// the wire format, server.go the server and client.go the client.
 //
-// A node that can't be reached proves nothing. Safety rests on these calls in one
-// place alone: on the cancellations that nodes attest to while the state service
-// does not answer.
+// Nothing may be concluded from a node that can't be reached. Safety depends on these calls
+// in one case only: nodes attest to cancellations while the state service is unavailable.
 package peers
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// healthyNode is a node that the state service answers.
+// healthyNode is a LocalNode to which the state service responds.
 type healthyNode struct{}
 
 func (healthyNode) AttestCancellations(time.Duration) ([]string, bool)       { return nil, true }
@@ -17,7 +17,7 @@
 func (healthyNode) Progress(context.Context, []string) map[string]TaskCounts { return nil }
 func (healthyNode) Status(context.Context) ([]byte, error)                   { return []byte("{}"), nil }
 
-// pipeListener is a listener for connections within the process.
+// pipeListener is a listener for in-process connections.
 type pipeListener struct {
 	net.Listener
 	pending chan net.Conn
@@ -35,41 +35,42 @@
 
 func (l pipeListener) Close() error { close(l.closed); return nil }
 
-// healthy tells whether the server answers on this connection.
-func healthy(client *rpc.Client) (bool, error) {
+// callHealth returns the result of the Health method on the given connection.
+func callHealth(client *rpc.Client) (bool, error) {
 	var reply HealthReply
 	err := client.Call("Mesh.Health", HealthArgs{}, &reply)
 	return reply.OK, err
 }
 
-// TestStaleConnectionsMakeRoom: connections left from before a network partition, that
-// nobody will ever close, must not keep a node from being reached.
-func TestStaleConnectionsMakeRoom(t *testing.T) {
-	const limit, opened = 4, 12
+// TestOldestConnectionClosedAtLimit checks that a new connection replaces the oldest one when
+// the limit is reached. Connections left over from before a network partition are never
+// closed by the other end, and would otherwise make the node unreachable.
+func TestOldestConnectionClosedAtLimit(t *testing.T) {
+	const limit, dialed = 4, 12
 	listener := pipeListener{pending: make(chan net.Conn), closed: make(chan struct{})}
 	ctx, cancel := context.WithCancel(t.Context())
 	served := make(chan error, 1)
 	go func() { served <- Serve(ctx, listener, healthyNode{}, limit) }()
 
 	var clients []*rpc.Client
-	for range opened {
+	for range dialed {
 		local, remote := net.Pipe()
 		listener.pending <- remote
 		client := rpc.NewClient(local)
 		clients = append(clients, client)
-		if ok, err := healthy(client); err != nil || !ok {
+		if ok, err := callHealth(client); err != nil || !ok {
 			t.Fatalf("connection %d: %v", len(clients), err)
 		}
 	}
 
 	open := 0
 	for _, client := range clients {
-		if _, err := healthy(client); err == nil {
+		if _, err := callHealth(client); err == nil {
 			open++
 		}
 	}
 	if open != limit {
-		t.Errorf("%d connections are kept, want %d", open, limit)
+		t.Errorf("%d connections open, want %d", open, limit)
 	}
 	cancel()
 	<-served
--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -13,25 +13,26 @@
 	"thornnotch/internal/constants"
 )
 
-// LocalNode answers the calls of other nodes.
+// LocalNode is the node that serves the calls of other nodes.
 type LocalNode interface {
-	// AttestCancellations names the jobs whose cancellation this process has
-	// confirmed to users within the span; false if it can't say.
+	// AttestCancellations returns the jobs whose cancellation this process has confirmed to
+	// users within the last span. ok is false if it can't tell.
 	AttestCancellations(span time.Duration) (cancelled []string, ok bool)
-	// Healthy tells whether the state service answers this node.
+	// Healthy reports whether the state service responds to this node.
 	Healthy() bool
-	// Relay serves a user's request that came in at another node.
+	// Relay serves a user's request that another node received.
 	Relay(ctx context.Context, request RelayArgs) RelayReply
-	// Progress tells the progress of jobs if this node leads.
+	// Progress returns the progress of the given jobs if this node is the leader.
 	Progress(ctx context.Context, jobs []string) map[string]TaskCounts
-	// Status is the node's own status as JSON.
+	// Status returns the node's own status as JSON.
 	Status(ctx context.Context) ([]byte, error)
 }
 
-// rpcService is what net/rpc exports: its methods' names are part of the wire format.
+// rpcService is the service that net/rpc exports. Its method names are part of the wire
+// format.
 type rpcService struct{ node LocalNode }
 
-// Progress answers ProgressArgs.
+// Progress calls LocalNode.Progress.
 func (s *rpcService) Progress(args ProgressArgs, reply *ProgressReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), constants.MeshTimeout)
 	defer cancel()
@@ -39,19 +40,19 @@
 	return nil
 }
 
-// Health answers HealthArgs.
+// Health calls LocalNode.Healthy.
 func (s *rpcService) Health(_ HealthArgs, reply *HealthReply) error {
 	reply.OK = s.node.Healthy()
 	return nil
 }
 
-// Vouch answers VouchArgs.
+// Vouch calls LocalNode.AttestCancellations.
 func (s *rpcService) Vouch(args VouchArgs, reply *VouchReply) error {
 	reply.Cancelled, reply.OK = s.node.AttestCancellations(time.Duration(args.SpanMS) * time.Millisecond)
 	return nil
 }
 
-// Relay answers RelayArgs.
+// Relay calls LocalNode.Relay.
 func (s *rpcService) Relay(args RelayArgs, reply *RelayReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), constants.RelayTimeout)
 	defer cancel()
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// Status answers StatusArgs.
+// Status calls LocalNode.Status.
 func (s *rpcService) Status(_ StatusArgs, reply *StatusReply) (err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), constants.MeshTimeout)
 	defer cancel()
@@ -67,27 +68,27 @@
 	return err
 }
 
-// Formats answers FormatsArgs.
+// Formats returns the stored formats that this version can read.
 func (s *rpcService) Formats(_ FormatsArgs, reply *FormatsReply) error {
 	reply.LogRing = constants.LogLargeRingSize
 	return nil
 }
 
-// Serve answers other nodes' calls on the listener until ctx ends, and returns once
-// all connections are closed. It keeps maxConns connections at most.
+// Serve serves the calls of other nodes on the listener until ctx ends, and returns once all
+// connections are closed. At most maxConns connections are open at a time.
 func Serve(ctx context.Context, listener net.Listener, node LocalNode, maxConns int) error {
 	server := rpc.NewServer()
 	if err := server.RegisterName(serviceName, &rpcService{node}); err != nil {
-		return fmt.Errorf("register the %s service: %w", serviceName, err)
+		return fmt.Errorf("register RPC service %s: %w", serviceName, err)
 	}
-	open := &connections{limit: maxConns}
+	conns := &connSet{limit: maxConns}
 	stop := context.AfterFunc(ctx, func() {
-		_ = listener.Close() // Accept returns; there is nobody to tell of an error
-		open.closeAll()
+		_ = listener.Close() // makes Accept return
+		conns.closeAll()
 	})
 	defer stop()
-	var serving sync.WaitGroup
-	defer serving.Wait()
+	var handlers sync.WaitGroup
+	defer handlers.Wait()
 	for {
 		conn, err := listener.Accept()
 		switch {
@@ -96,53 +97,53 @@
 			return ctx.Err()
 		case errors.Is(err, net.ErrClosed):
 			return err
-		default: // too many open files, for one: it may pass
+		default: // possibly temporary, such as too many open files
 			time.Sleep(constants.MinBackoff)
 			continue
 		}
-		open.add(conn)
-		serving.Go(func() {
+		conns.add(conn)
+		handlers.Go(func() {
 			server.ServeConn(conn)
-			open.remove(conn)
+			conns.remove(conn)
 		})
 	}
 }
 
-// connections are the open connections from other nodes. Beyond the limit the oldest
-// is closed: it may well be left from before a network partition, with nobody at its
-// other end to close it.
-type connections struct {
+// connSet contains the open connections from other nodes. When the limit is exceeded, the
+// oldest is closed: it may be left over from before a network partition, so that its other
+// end will never close it.
+type connSet struct {
 	limit int
 
-	mu   sync.Mutex
-	open []net.Conn // oldest first; guarded by mu
+	mu    sync.Mutex
+	conns []net.Conn // oldest first; guarded by mu
 }
 
-// add takes in a new connection.
-func (c *connections) add(conn net.Conn) {
+// add adds a connection, and closes the oldest if the limit is exceeded.
+func (c *connSet) add(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.open = append(c.open, conn)
-	if len(c.open) > c.limit {
-		// Off the list at once: it must not be closed again in place of the next
-		// one before the goroutine that serves it has noticed.
-		_ = c.open[0].Close()
-		c.open = c.open[1:]
+	c.conns = append(c.conns, conn)
+	if len(c.conns) > c.limit {
+		// Removed here rather than by the goroutine that serves it: if that runs late, the
+		// next add would close this connection again instead of the next oldest.
+		_ = c.conns[0].Close()
+		c.conns = c.conns[1:]
 	}
 }
 
-// remove takes out a connection that is closed.
-func (c *connections) remove(conn net.Conn) {
+// remove removes a connection that is closed.
+func (c *connSet) remove(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.open = slices.DeleteFunc(c.open, func(other net.Conn) bool { return other == conn })
+	c.conns = slices.DeleteFunc(c.conns, func(other net.Conn) bool { return other == conn })
 }
 
-// closeAll closes all connections, so that the goroutines that serve them end.
-func (c *connections) closeAll() {
+// closeAll closes all connections, which ends the goroutines that serve them.
+func (c *connSet) closeAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, conn := range c.open {
+	for _, conn := range c.conns {
 		_ = conn.Close()
 	}
 }
--- a/internal/peers/wire.go
+++ b/internal/peers/wire.go
@@ -1,73 +1,72 @@
 package peers
 
-// The wire format of the calls between nodes. During an upgrade nodes of two
-// versions call one another: gob matches the fields of these structs by name, and
-// net/rpc the methods. Names may be added here but neither changed nor removed.
+// This file defines the wire format of the calls between nodes. During an upgrade, nodes of
+// two versions call each other: gob matches the fields of these structs by name, and net/rpc
+// the methods. Fields and methods may be added but not renamed or removed.
 
-// serviceName and the methods below it are what callers ask for; they are the
-// exported methods of rpcService.
+// Names of the RPC service and its methods, which are the exported methods of rpcService.
 const (
 	serviceName    = "Mesh"
 	methodProgress = serviceName + ".Progress"
 	methodHealth   = serviceName + ".Health"
-	methodVouch    = serviceName + ".Vouch" // AttestCancellations
+	methodVouch    = serviceName + ".Vouch" // serves AttestCancellations
 	methodRelay    = serviceName + ".Relay"
 	methodStatus   = serviceName + ".Status"
 	methodFormats  = serviceName + ".Formats"
 )
 
-// ProgressArgs asks for the progress of these jobs.
+// ProgressArgs requests the progress of the given jobs.
 type ProgressArgs struct{ Jobs []string }
 
-// TaskCounts is the progress of one job.
+// TaskCounts is the progress of a job: its numbers of completed and running tasks.
 type TaskCounts struct{ Done, Running int }
 
-// ProgressReply answers ProgressArgs. Jobs that the node does not know are left
-// out; a node that does not lead knows none.
+// ProgressReply is the reply to ProgressArgs. It omits jobs that the node does not know. Only
+// the leader knows any.
 type ProgressReply struct{ Jobs map[string]TaskCounts }
 
-// HealthArgs asks whether the state service answers the node.
+// HealthArgs asks whether the state service responds to the node.
 type HealthArgs struct{}
 
-// HealthReply answers HealthArgs.
+// HealthReply is the reply to HealthArgs.
 type HealthReply struct{ OK bool }
 
-// RelayArgs is a user's request that the calling node can't serve itself.
+// RelayArgs is a user's request that the calling node can't serve.
 type RelayArgs struct {
 	Method, Path string
 	Body         []byte
 }
 
-// RelayReply is the HTTP response for the user. Status 0 means that the node can't
-// serve the request either.
+// RelayReply is the HTTP response for the user. Status 0 means that this node can't serve
+// the request either.
 type RelayReply struct {
 	Status     int
 	RetryAfter string
 	Body       []byte
 }
 
-// VouchArgs asks which cancellations the node has confirmed to users within the
-// last SpanMS milliseconds.
+// VouchArgs requests the cancellations that the node has confirmed to users within the last
+// SpanMS milliseconds.
 type VouchArgs struct{ SpanMS int64 }
 
-// VouchReply answers VouchArgs. Without OK the node can't attest to anything.
+// VouchReply is the reply to VouchArgs. If OK is false, the node can't tell which
+// cancellations it has confirmed.
 type VouchReply struct {
 	OK        bool
 	Cancelled []string
 }
 
-// StatusArgs asks for the node's own status.
+// StatusArgs requests the node's own status.
 type StatusArgs struct{}
 
-// StatusReply answers StatusArgs.
+// StatusReply is the reply to StatusArgs.
 type StatusReply struct{ JSON []byte }
 
-// FormatsArgs asks which stored formats the node's version reads.
+// FormatsArgs requests the stored formats that the node's version can read.
 type FormatsArgs struct{}
 
-// FormatsReply answers FormatsArgs. The call fails on a version that does not have
-// the method.
+// FormatsReply is the reply to FormatsArgs. The call fails on versions without the method.
 type FormatsReply struct {
-	// LogRing is the largest ring of log entries that the version reads (entries).
+	// LogRing is the size of the largest log ring that the version can read, in entries.
 	LogRing uint64
 }
--- a/internal/statestore/budget.go
+++ b/internal/statestore/budget.go
@@ -10,76 +10,77 @@
 	"thornnotch/internal/constants"
 )
 
-// Budget keeps this node's calls below its share of the state service's limits. It has a
-// token bucket for requests and one for writes (puts and deletes), each of one second's
-// worth. A call may draw only while the bucket keeps the reserve of its class for more
-// important calls. It is safe for concurrent use.
+// Budget limits this node's calls to its share of the state service's rate limits. It has a
+// token bucket for requests and one for writes (puts and deletes), each holding one second's
+// worth of tokens. A call takes tokens only if the reserve that its class leaves for more
+// important calls stays in the bucket. A Budget is safe for concurrent use.
 type Budget struct {
-	mu       sync.Mutex // guards all below, so that both buckets are drawn on at once
+	mu       sync.Mutex // guards the fields below; both buckets are charged atomically
 	requests *rate.Limiter
 	writes   *rate.Limiter
 	usage    [len(Classes)]Usage
 }
 
-// Usage is what the calls of one class have drawn so far.
+// Usage holds the cumulative token usage of one class.
 type Usage struct {
 	Requests, Writes uint64
-	// WaitSeconds is the time that calls waited for tokens, in all.
+	// WaitSeconds is the total time that calls have waited for tokens.
 	WaitSeconds float64
 }
 
-// NewBudget makes a budget of so many requests and writes per second.
+// NewBudget returns a Budget with the given rates.
 func NewBudget(requestsPerSecond, writesPerSecond float64) *Budget {
 	return &Budget{
-		requests: rate.NewLimiter(rate.Limit(requestsPerSecond), burst(requestsPerSecond)),
-		writes:   rate.NewLimiter(rate.Limit(writesPerSecond), burst(writesPerSecond)),
+		requests: rate.NewLimiter(rate.Limit(requestsPerSecond), bucketSize(requestsPerSecond)),
+		writes:   rate.NewLimiter(rate.Limit(writesPerSecond), bucketSize(writesPerSecond)),
 	}
 }
 
-// burst is the size of a bucket: one second's worth, as the service allows, and one token
-// at least.
-func burst(perSecond float64) int { return max(1, int(perSecond)) }
+// bucketSize returns the capacity of a bucket: one second's worth of tokens, which is the
+// burst that the service allows, but at least one token.
+func bucketSize(perSecond float64) int { return max(1, int(perSecond)) }
 
-// SetRates changes the rates, as when a node becomes leader or no longer is.
+// SetRates changes the rates, for example when the node gains or loses leadership.
 func (b *Budget) SetRates(requestsPerSecond, writesPerSecond float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.requests.SetLimit(rate.Limit(requestsPerSecond))
-	b.requests.SetBurst(burst(requestsPerSecond))
+	b.requests.SetBurst(bucketSize(requestsPerSecond))
 	b.writes.SetLimit(rate.Limit(writesPerSecond))
-	b.writes.SetBurst(burst(writesPerSecond))
+	b.writes.SetBurst(bucketSize(writesPerSecond))
 }
 
-// Usage is what the calls of a class have drawn so far.
+// Usage returns the cumulative usage of a class.
 func (b *Budget) Usage(class Class) Usage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.usage[class]
 }
 
-// Available is the number of tokens now in both buckets; it is negative while
-// ClassLease has drawn more than there were.
+// Available returns the number of tokens in each bucket. It is negative after ClassLease
+// calls have overdrawn a bucket.
 func (b *Budget) Available() (requests, writes float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.requests.Tokens(), b.writes.Tokens()
 }
 
-// Take draws one request and so many writes, and waits for them as long as ctx lasts. Its
-// error is that of ctx: nothing was drawn, and the call must not be made.
+// Take takes the tokens for one request with the given number of writes, waiting until they
+// are available or ctx ends. If it returns an error, which is that of ctx, no tokens were
+// taken and the call must not be made.
 func (b *Budget) Take(ctx context.Context, class Class, writes int) error {
 	if b.tryTake(class, writes) {
 		return nil
 	}
-	began := time.Now()
-	defer func() { b.noteWait(class, time.Since(began)) }()
+	start := time.Now()
+	defer func() { b.addWaitTime(class, time.Since(start)) }()
 	for {
-		retry := time.NewTimer(constants.BudgetRetryInterval)
+		timer := time.NewTimer(constants.BudgetRetryInterval)
 		select {
 		case <-ctx.Done():
-			retry.Stop()
+			timer.Stop()
 			return ctx.Err()
-		case <-retry.C:
+		case <-timer.C:
 		}
 		if b.tryTake(class, writes) {
 			return nil
@@ -87,20 +88,21 @@
 	}
 }
 
-func (b *Budget) noteWait(class Class, waited time.Duration) {
+func (b *Budget) addWaitTime(class Class, waited time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.usage[class].WaitSeconds += waited.Seconds()
 }
 
-// tryTake draws the tokens of a call if both buckets hold enough.
+// tryTake takes the tokens for a call if both buckets have enough, and reports whether it
+// did.
 func (b *Budget) tryTake(class Class, writes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	// A lease that is not renewed in time ends the term: its calls never wait.
+	// Lease calls never wait: a lease that is not renewed in time ends the leader's term.
 	if class != ClassLease {
-		if !holdsEnough(b.requests, now, 1, class) || writes > 0 && !holdsEnough(b.writes, now, writes, class) {
+		if !hasTokens(b.requests, now, 1, class) || writes > 0 && !hasTokens(b.writes, now, writes, class) {
 			return false
 		}
 	}
@@ -113,10 +115,10 @@
 	return true
 }
 
-// holdsEnough tells whether a bucket holds so many tokens on top of the reserve of the
-// class. A call larger than the bucket less its reserve may go out of a full bucket:
-// otherwise it would wait for ever.
-func holdsEnough(bucket *rate.Limiter, now time.Time, tokens int, class Class) bool {
-	full := float64(bucket.Burst())
-	return bucket.TokensAt(now) >= min(float64(tokens)+class.reserve()*full, full)
+// hasTokens reports whether a bucket has the given number of tokens in addition to the
+// reserve of the class. A call that needs more than the capacity less the reserve passes
+// when the bucket is full; otherwise it would wait forever.
+func hasTokens(bucket *rate.Limiter, now time.Time, tokens int, class Class) bool {
+	capacity := float64(bucket.Burst())
+	return bucket.TokensAt(now) >= min(float64(tokens)+class.reserve()*capacity, capacity)
 }
--- a/internal/statestore/budget_test.go
+++ b/internal/statestore/budget_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// TestImportantCallsFirst: when tokens run short, unimportant calls leave the
-// last ones to important calls, and the lease is always renewed.
-func TestImportantCallsFirst(t *testing.T) {
+// TestReservesKeepTokensForImportantClasses checks that less important classes leave their
+// reserve to more important ones when tokens run short, that lease calls always pass, and
+// that waiting calls proceed once the buckets refill.
+func TestReservesKeepTokensForImportantClasses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		budget := NewBudget(10, 10)
 		drawn := map[Class]int{}
@@ -19,27 +20,28 @@
 			}
 		}
 		if drawn[ClassOther] == 0 || drawn[ClassPoll] == 0 {
-			t.Errorf("a full bucket refuses: %v", drawn)
+			t.Errorf("call refused although the bucket was full: %v", drawn)
 		}
-		left, _ := budget.Available()
-		if left < ClassCancel.reserve()*10 {
-			t.Errorf("%v tokens left, below the reserve of the most important", left)
+		remaining, _ := budget.Available()
+		if remaining < ClassCancel.reserve()*10 {
+			t.Errorf("%v tokens left, below the reserve of ClassCancel", remaining)
 		}
 		if !budget.tryTake(ClassLease, 0) {
-			t.Errorf("a lease renewal was refused")
+			t.Errorf("lease call refused")
 		}
 
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
 		start := time.Now()
 		if err := budget.Take(ctx, ClassOther, 1); err != nil || time.Since(start) > time.Second {
-			t.Errorf("tokens do not come back: %v after %v", err, time.Since(start))
+			t.Errorf("Take after the bucket emptied: %v after %v", err, time.Since(start))
 		}
 	})
 }
 
-// TestRateIsKept: over time no more goes out than the rate allows.
-func TestRateIsKept(t *testing.T) {
+// TestTakeStaysWithinRates checks that the calls made over 10 s stay within the rates plus
+// one full bucket.
+func TestTakeStaysWithinRates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		budget := NewBudget(50, 20)
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
@@ -58,8 +60,8 @@
 	})
 }
 
-// TestDrawnByClass: what is drawn and waited for is counted by class.
-func TestDrawnByClass(t *testing.T) {
+// TestUsageByClass checks that requests, writes and waiting time are counted per class.
+func TestUsageByClass(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		budget := NewBudget(10, 4)
 		for range 2 {
@@ -72,10 +74,10 @@
 		}
 		record, poll := budget.Usage(ClassRecord), budget.Usage(ClassPoll)
 		if record.Requests != 2 || record.Writes != 6 || record.WaitSeconds <= 0 {
-			t.Errorf("records have drawn %+v", record)
+			t.Errorf("usage of ClassRecord: %+v", record)
 		}
 		if poll.Requests != 1 || poll.Writes != 0 || poll.WaitSeconds != 0 {
-			t.Errorf("polls have drawn %+v", poll)
+			t.Errorf("usage of ClassPoll: %+v", poll)
 		}
 	})
 }
--- a/internal/statestore/class.go
+++ b/internal/statestore/class.go
@@ -2,32 +2,32 @@
 
 import "thornnotch/internal/constants"
 
-// Class is the importance of a call. When the budget runs short, the calls of less
+// Class is the priority class of a call. When the budget runs short, calls of less
 // important classes wait first.
 type Class int
 
-// Classes of calls, most important first.
+// The priority classes, most important first.
 const (
-	// ClassLease is what leadership depends on: leases, elections, watches, and a
-	// failover's reads. It never waits for budget, and has connections of its own.
+	// ClassLease is for calls that leadership depends on: leases, elections, watches, and
+	// the reads of a failover. They never wait for budget and use separate connections.
 	ClassLease Class = iota
-	// ClassCancel is users' cancellations.
+	// ClassCancel is for job cancellations by users.
 	ClassCancel
-	// ClassSubmit is users' submissions.
+	// ClassSubmit is for job submissions by users.
 	ClassSubmit
-	// ClassRecord is the leader's log.
+	// ClassRecord is for the leader's writes to its log.
 	ClassRecord
-	// ClassPoll is reads for users' queries and for the replica of the open jobs.
+	// ClassPoll is for reads that serve user queries and refresh the replica of open jobs.
 	ClassPoll
-	// ClassOther is what can wait longest, such as the last known catalog.
+	// ClassOther is for calls that can wait longest, such as storing the last known catalog.
 	ClassOther
 )
 
-// Classes lists all classes, most important first.
+// Classes contains all classes, most important first.
 var Classes = [...]Class{ClassLease, ClassCancel, ClassSubmit, ClassRecord, ClassPoll, ClassOther}
 
-// reserve is the part of a full bucket that a call of the class must leave for more
-// important ones (ratio).
+// reserve returns the fraction of a full bucket that a call of the class must leave for
+// more important calls.
 func (c Class) reserve() float64 {
 	switch c {
 	case ClassLease:
@@ -45,7 +45,7 @@
 	}
 }
 
-// String names the class, as in metrics and log lines.
+// String returns the name of the class that metrics and log lines use.
 func (c Class) String() string {
 	switch c {
 	case ClassLease:
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -9,33 +9,34 @@
 	"thornnotch/internal/constants"
 )
 
-// Client calls the state service. It is safe for concurrent use.
+// Client is a client of the state service. It is safe for concurrent use.
 type Client struct {
-	// Budget rations the calls.
+	// Budget limits the rate of the calls.
 	Budget *Budget
-	// OnRateLimited, if set, is called with each refusal for too many calls. It must be
-	// set before the first call.
+	// OnRateLimited, if set, is called for each response with status 429. It must be set
+	// before the first call.
 	OnRateLimited func()
 
 	baseURL string
-	// general carries all calls but those of ClassLease, which leadership depends on.
-	// These have connections of their own, as they must not wait for calls that hang.
-	general, lease *http.Client
-	health         health
-	// txnTimeout bounds all transactions but those of ClassLease.
+	// generalHTTPClient is used for all calls except those of ClassLease. Leadership depends
+	// on those, so they use separate connections and never wait for other calls that hang.
+	generalHTTPClient, leaseHTTPClient *http.Client
+	health                             health
+	// txnTimeout limits the duration of all transactions except those of ClassLease.
 	txnTimeout txnTimeout
 }
 
-// DialFunc opens a connection, as net.Dialer.DialContext does.
+// DialFunc opens a connection like net.Dialer.DialContext.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// New makes a client of the service at addr (host and port), reached through dial.
+// New returns a Client for the state service at addr (host and port) that connects with
+// dial.
 func New(addr string, budget *Budget, dial DialFunc) *Client {
 	return &Client{
-		Budget:  budget,
-		baseURL: "http://" + addr,
-		general: newHTTPClient(dial, constants.StateConns),
-		lease:   newHTTPClient(dial, constants.StateLeaseConns),
+		Budget:            budget,
+		baseURL:           "http://" + addr,
+		generalHTTPClient: newHTTPClient(dial, constants.StateConns),
+		leaseHTTPClient:   newHTTPClient(dial, constants.StateLeaseConns),
 	}
 }
 
@@ -48,9 +49,10 @@
 	}}
 }
 
-// LastSuccess is when the service last answered this node usefully; zero if it never has.
+// LastSuccess returns when the service last responded to a call other than by refusing it, or
+// the zero time if it never has.
 func (c *Client) LastSuccess() time.Time { return c.health.lastSuccess() }
 
-// FailingFor is for how long the service has not answered this node usefully; 0 while it
-// does.
+// FailingFor returns the time since the first failed call after LastSuccess, or 0 if no call
+// has failed since.
 func (c *Client) FailingFor() time.Duration { return c.health.failingFor() }
--- a/internal/statestore/client_test.go
+++ b/internal/statestore/client_test.go
@@ -14,7 +14,8 @@
 	"thornnotch/internal/constants"
 )
 
-// newTestClient makes a client of a service with this handler, and ample budget.
+// newTestClient returns a client of a test server with the given handler. Its budget is large
+// enough that no call waits.
 func newTestClient(t *testing.T, handler http.HandlerFunc) *Client {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -22,81 +23,82 @@
 	return New(strings.TrimPrefix(server.URL, "http://"), NewBudget(10000, 10000), new(net.Dialer).DialContext)
 }
 
-// cannedAnswer is a service that answers everything alike.
-type cannedAnswer struct {
+// cannedResponse is a handler that sends the same response to every request.
+type cannedResponse struct {
 	status int
 	body   string
 }
 
-func (a *cannedAnswer) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
-	w.WriteHeader(a.status)
-	_, _ = w.Write([]byte(a.body)) // a client that is gone fails its own check
+func (c *cannedResponse) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+	w.WriteHeader(c.status)
+	_, _ = w.Write([]byte(c.body)) // if this fails, the client's call fails and the test sees it
 }
 
-// TestImpossibleAnswers: whatever the state service says that the protocol does
-// not know counts as no answer.
-func TestImpossibleAnswers(t *testing.T) {
-	var canned cannedAnswer
+// TestUnexpectedResponses checks that a response outside the protocol is reported as
+// ErrOutcomeUnknown, and statuses 503 and 429 as ErrUnavailable.
+func TestUnexpectedResponses(t *testing.T) {
+	var canned cannedResponse
 	client := newTestClient(t, canned.ServeHTTP)
 	ctx := t.Context()
 	calls := map[string]func() error{
-		"get":    func() error { _, _, err := client.Get(ctx, ClassRecord, "k"); return err },
-		"list":   func() error { _, _, err := client.List(ctx, ClassRecord, "k/"); return err },
-		"multi":  func() error { _, err := client.Txn(ctx, ClassRecord, nil, nil); return err },
-		"lease":  func() error { _, err := client.GrantLease(ctx, time.Second); return err },
-		"renew":  func() error { return client.RenewLease(ctx, 1) },
-		"follow": func() error { _, _, err := client.Watch(ctx, "k/", 1, 0); return err },
+		"get":         func() error { _, _, err := client.Get(ctx, ClassRecord, "k"); return err },
+		"list":        func() error { _, _, err := client.List(ctx, ClassRecord, "k/"); return err },
+		"transaction": func() error { _, err := client.Txn(ctx, ClassRecord, nil, nil); return err },
+		"grant lease": func() error { _, err := client.GrantLease(ctx, time.Second); return err },
+		"renew lease": func() error { return client.RenewLease(ctx, 1) },
+		"watch":       func() error { _, _, err := client.Watch(ctx, "k/", 1, 0); return err },
 	}
 	for _, test := range []struct {
-		answer cannedAnswer
-		want   error
+		response cannedResponse
+		want     error
 	}{
-		{cannedAnswer{200, "<html>"}, ErrOutcomeUnknown},
-		{cannedAnswer{200, `{"epoch":"x","tenure":"x","stamp":"x","rows":1,"log":1}`}, ErrOutcomeUnknown},
-		{cannedAnswer{500, "oops"}, ErrOutcomeUnknown},
-		{cannedAnswer{503, `{"error":"trouble"}`}, ErrUnavailable},
-		{cannedAnswer{429, ""}, ErrUnavailable},
-		{cannedAnswer{418, "{}"}, ErrOutcomeUnknown},
+		{cannedResponse{200, "<html>"}, ErrOutcomeUnknown},
+		{cannedResponse{200, `{"epoch":"x","tenure":"x","stamp":"x","rows":1,"log":1}`}, ErrOutcomeUnknown},
+		{cannedResponse{500, "oops"}, ErrOutcomeUnknown},
+		{cannedResponse{503, `{"error":"trouble"}`}, ErrUnavailable},
+		{cannedResponse{429, ""}, ErrUnavailable},
+		{cannedResponse{418, "{}"}, ErrOutcomeUnknown},
 	} {
-		canned = test.answer
+		canned = test.response
 		for name, call := range calls {
-			if name == "renew" && test.answer.status == 200 {
-				continue // its answer has no content that matters
+			if name == "renew lease" && test.response.status == 200 {
+				continue // a renewal ignores the response body
 			}
 			if err := call(); !errors.Is(err, test.want) {
-				t.Errorf("%s: %d %s: %v", name, test.answer.status, test.answer.body, err)
+				t.Errorf("%s: %d %s: %v", name, test.response.status, test.response.body, err)
 			}
 		}
 	}
 }
 
-// TestConflictNamesItsKeys: a conflict tells which conditions failed; one on none makes no
-// sense and counts as no answer.
-func TestConflictNamesItsKeys(t *testing.T) {
-	canned := cannedAnswer{409, `{"failed":["a"]}`}
+// TestConflictFailedKeys checks that a conflict reports the keys whose conditions failed. A
+// conflict without keys violates the protocol and is reported as ErrOutcomeUnknown.
+func TestConflictFailedKeys(t *testing.T) {
+	canned := cannedResponse{409, `{"failed":["a"]}`}
 	client := newTestClient(t, canned.ServeHTTP)
 	var conflict *ConflictError
 	if _, err := client.Txn(t.Context(), ClassRecord, nil, nil); !errors.As(err, &conflict) || !conflict.HasKey("a") || conflict.HasKey("b") {
-		t.Errorf("a conflict is not told: %v", err)
+		t.Errorf("conflict on key a: %v", err)
 	}
-	canned = cannedAnswer{409, `{"failed":[]}`}
+	canned = cannedResponse{409, `{"failed":[]}`}
 	if _, err := client.Txn(t.Context(), ClassRecord, nil, nil); !errors.Is(err, ErrOutcomeUnknown) {
-		t.Errorf("a conflict on nothing: %v", err)
+		t.Errorf("conflict without keys: %v", err)
 	}
 }
 
-// TestRenewalsDoNotWaitForOthers: however many calls hang, those that the lead depends
-// on find a connection at once, before any of the others has been given up.
-func TestRenewalsDoNotWaitForOthers(t *testing.T) {
+// TestLeaseCallsUseSeparateConnections checks that lease calls complete while hanging calls
+// occupy all connections for other classes. If they shared connections, a slow service could
+// cost the leader its lease.
+func TestLeaseCallsUseSeparateConnections(t *testing.T) {
 	release := make(chan struct{})
-	var hanging sync.WaitGroup
-	hanging.Add(constants.StateConns)
+	var blocked sync.WaitGroup
+	blocked.Add(constants.StateConns)
 	client := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/store/") {
-			hanging.Done()
+			blocked.Done()
 			<-release
 		}
-		_, _ = w.Write([]byte(`{"tenure":7}`)) // a client that is gone fails its own check
+		_, _ = w.Write([]byte(`{"tenure":7}`)) // if this fails, the client's call fails
 	})
 	var calls sync.WaitGroup
 	var finished atomic.Int64
@@ -104,19 +106,19 @@
 	defer close(release)
 	for range constants.StateConns {
 		calls.Go(func() {
-			_, _, _ = client.Get(t.Context(), ClassPoll, "k") // it only takes a connection
+			_, _, _ = client.Get(t.Context(), ClassPoll, "k") // only occupies a connection
 			finished.Add(1)
 		})
 	}
-	hanging.Wait() // all their connections are taken
+	blocked.Wait() // all connections for other classes are in use
 
 	if err := client.RenewLease(t.Context(), 7); err != nil {
-		t.Errorf("renewal: %v", err)
+		t.Errorf("renew lease: %v", err)
 	}
 	if _, err := client.GrantLease(t.Context(), time.Second); err != nil {
-		t.Errorf("acquisition: %v", err)
+		t.Errorf("grant lease: %v", err)
 	}
 	if count := finished.Load(); count > 0 {
-		t.Errorf("they waited for %d others to be given up", count)
+		t.Errorf("lease calls completed only after %d hanging calls had timed out", count)
 	}
 }
--- a/internal/statestore/doc.go
+++ b/internal/statestore/doc.go
@@ -1,10 +1,10 @@
-// Package statestore is the client of the state service, the only place where the nodes
-// can keep state, and rations the calls to it.
+// Package statestore is a rate-limited client of the state service, which holds all durable
+// state of the controller nodes.
 //
 // The service is a consensus-backed key-value store (protocol, "Controller nodes -> state
-// service"). Every change has a revision, which counts all changes of the store; a key's
-// revision is that of its latest change, and 0 while the key does not exist. Changes are
-// made by transactions on conditions: compare-and-swap on the revisions of keys.
+// service"). Each change increments the revision of the store. The revision of a key is that
+// of its latest change, or 0 if the key does not exist. Writes are made by transactions that
+// compare the revisions of keys and apply only if all match (compare-and-swap).
 //
-// What a caller may conclude of a call that failed stands with each error.
+// The documentation of each error says what a caller may conclude from it.
 package statestore
--- a/internal/statestore/health.go
+++ b/internal/statestore/health.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// health follows whether the service answers this node.
+// health tracks whether the node's calls to the state service succeed.
 type health struct {
-	mu           sync.Mutex // guards all below
-	success      time.Time  // the last useful answer
-	firstFailure time.Time  // the first failure since; zero while there is none
+	mu             sync.Mutex // guards the fields below
+	lastSuccessAt  time.Time  // zero if there is none
+	firstFailureAt time.Time  // first failure after the last success; zero if there is none
 }
 
-// note takes in that a call had a useful answer, or none.
-func (h *health) note(answered bool) {
+// record updates the health with the result of a call.
+func (h *health) record(success bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
 	switch {
-	case answered:
-		h.success, h.firstFailure = now, time.Time{}
-	case h.firstFailure.IsZero():
-		h.firstFailure = now
+	case success:
+		h.lastSuccessAt, h.firstFailureAt = now, time.Time{}
+	case h.firstFailureAt.IsZero():
+		h.firstFailureAt = now
 	}
 }
 
 func (h *health) lastSuccess() time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.success
+	return h.lastSuccessAt
 }
 
 func (h *health) failingFor() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.firstFailure.IsZero() {
+	if h.firstFailureAt.IsZero() {
 		return 0
 	}
-	return time.Since(h.firstFailure)
+	return time.Since(h.firstFailureAt)
 }
--- a/internal/statestore/keys.go
+++ b/internal/statestore/keys.go
@@ -10,7 +10,7 @@
 	"thornnotch/internal/constants"
 )
 
-// Get reads one key; found is false if it does not exist.
+// Get returns the value and revision of a key; found is false if the key does not exist.
 func (c *Client) Get(ctx context.Context, class Class, key string) (row KeyValue, found bool, err error) {
 	if err := c.Budget.Take(ctx, class, 0); err != nil {
 		return KeyValue{}, false, fmt.Errorf("get %s: %w: %w", key, ErrUnavailable, err)
@@ -19,58 +19,58 @@
 		class: class, timeout: constants.StateTimeout,
 		method: http.MethodGet, path: pathKeys + "/" + key, result: &row,
 	}
-	answer, err := c.call(ctx, request)
+	response, err := c.call(ctx, request)
 	switch {
 	case err != nil:
 		return KeyValue{}, false, err
-	case answer.status == http.StatusOK:
+	case response.status == http.StatusOK:
 		return row, true, nil
-	case answer.status == http.StatusNotFound:
+	case response.status == http.StatusNotFound:
 		return KeyValue{}, false, nil
 	}
-	return KeyValue{}, false, request.unexpected(answer)
+	return KeyValue{}, false, request.unexpectedResponseError(response)
 }
 
-// List reads all keys below prefix, in pages. The revision is that of the first page, so a
-// watch from it tells of every change made while the pages were read.
+// List returns all keys with the given prefix, reading them in pages. The revision is that of
+// the first page, so a watch from it reports every change made while the pages were read.
 func (c *Client) List(ctx context.Context, class Class, prefix string) (rows []KeyValue, revision uint64, err error) {
-	after := ""
+	afterKey := ""
 	for {
-		page, err := c.listPage(ctx, class, prefix, after)
+		page, err := c.listPage(ctx, class, prefix, afterKey)
 		if err != nil {
 			return nil, 0, err
 		}
-		if after == "" {
+		if afterKey == "" {
 			revision = page.Revision
 		}
 		rows = append(rows, page.Rows...)
 		if !page.HasNext || len(page.Rows) == 0 {
 			return rows, revision, nil
 		}
-		after = page.Rows[len(page.Rows)-1].Key
+		afterKey = page.Rows[len(page.Rows)-1].Key
 	}
 }
 
-// listPage reads one page of the keys below prefix, of those behind the key after.
-func (c *Client) listPage(ctx context.Context, class Class, prefix, after string) (listPage, error) {
+// listPage reads one page of the keys with the given prefix that sort after afterKey.
+func (c *Client) listPage(ctx context.Context, class Class, prefix, afterKey string) (listPage, error) {
 	if err := c.Budget.Take(ctx, class, 0); err != nil {
 		return listPage{}, fmt.Errorf("list %s: %w: %w", prefix, ErrUnavailable, err)
 	}
 	query := url.Values{paramPrefix: {prefix}, paramLimit: {strconv.Itoa(constants.ListPage)}}
-	if after != "" {
-		query.Set(paramFrom, after)
+	if afterKey != "" {
+		query.Set(paramFrom, afterKey)
 	}
 	var page listPage
 	request := request{
-		class: class, timeout: 2 * constants.StateTimeout, // a page is large
+		class: class, timeout: 2 * constants.StateTimeout, // pages are large
 		method: http.MethodGet, path: pathKeys + "?" + query.Encode(), result: &page,
 	}
-	answer, err := c.call(ctx, request)
+	response, err := c.call(ctx, request)
 	switch {
 	case err != nil:
 		return listPage{}, err
-	case answer.status != http.StatusOK:
-		return listPage{}, request.unexpected(answer)
+	case response.status != http.StatusOK:
+		return listPage{}, request.unexpectedResponseError(response)
 	}
 	return page, nil
 }
--- a/internal/statestore/lease.go
+++ b/internal/statestore/lease.go
@@ -9,53 +9,53 @@
 	"thornnotch/internal/constants"
 )
 
-// GrantLease makes a lease that ends when it has not been renewed for ttl. After
-// ErrOutcomeUnknown there may be one that nobody knows of; it ends by itself.
+// GrantLease creates a lease that expires when it has not been renewed for ttl. After
+// ErrOutcomeUnknown a lease may exist whose ID was lost; it expires after ttl.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (lease uint64, err error) {
 	if err := c.Budget.Take(ctx, ClassLease, 0); err != nil {
-		return 0, fmt.Errorf("grant a lease: %w: %w", ErrUnavailable, err)
+		return 0, fmt.Errorf("grant lease: %w: %w", ErrUnavailable, err)
 	}
-	var result leaseAnswer
+	var result leaseResponse
 	request := request{
 		class: ClassLease, timeout: constants.StateTimeout,
 		method: http.MethodPost, path: pathLeases,
 		body: leaseRequest{TTLMS: ttl.Milliseconds()}, result: &result,
 	}
-	answer, err := c.call(ctx, request)
+	response, err := c.call(ctx, request)
 	if err != nil {
 		return 0, err
 	}
-	if answer.status != http.StatusOK || result.Lease == 0 {
-		return 0, request.unexpected(answer)
+	if response.status != http.StatusOK || result.Lease == 0 {
+		return 0, request.unexpectedResponseError(response)
 	}
 	return result.Lease, nil
 }
 
-// RenewLease gives a lease its full time again. ErrLeaseExpired means that it has ended.
+// RenewLease extends a lease by its full TTL. It returns ErrLeaseExpired if the lease has
+// ended.
 func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
 	if err := c.Budget.Take(ctx, ClassLease, 0); err != nil {
 		return fmt.Errorf("renew lease %d: %w: %w", lease, ErrUnavailable, err)
 	}
 	request := request{
-		class: ClassLease, timeout: constants.LeaseRenewInterval, // then the next one is due
+		class: ClassLease, timeout: constants.LeaseRenewInterval, // by then the next renewal is due
 		method: http.MethodPost, path: leasePath(lease) + pathRenew,
 	}
-	answer, err := c.call(ctx, request)
+	response, err := c.call(ctx, request)
 	switch {
 	case err != nil:
 		return err
-	case answer.status == http.StatusOK:
+	case response.status == http.StatusOK:
 		return nil
-	case answer.status == http.StatusNotFound:
+	case response.status == http.StatusNotFound:
 		return ErrLeaseExpired
 	}
-	return request.unexpected(answer)
+	return request.unexpectedResponseError(response)
 }
 
-// RevokeLease ends a lease at once, as on an orderly shutdown, and with it the keys that
-// are attached to it. It draws on no budget, as whoever shuts down must not wait. Whatever
-// the answer, the lease has ended or ends by itself: an error only means that this may
-// take its full time.
+// RevokeLease ends a lease immediately, for example on shutdown, and deletes the keys that
+// are attached to it. It takes no tokens from the budget, so that a shutdown never waits.
+// After an error the lease may last until its TTL expires.
 func (c *Client) RevokeLease(ctx context.Context, lease uint64) error {
 	_, err := c.call(ctx, request{
 		class: ClassLease, timeout: constants.StateTimeout,
--- a/internal/statestore/transaction.go
+++ b/internal/statestore/transaction.go
@@ -12,16 +12,17 @@
 	"thornnotch/internal/constants"
 )
 
-// Txn carries out all writes at once if all conditions hold, and gives the revision of
-// these changes. Without writes it only compares.
+// Txn atomically executes all writes if all conditions hold, and returns the revision of the
+// changes. Without writes it only checks the conditions.
 //
-// Nothing was written by this try if the error is a *ConflictError, ErrUnavailable,
-// ErrRejected or ErrLeaseExpired; after ErrOutcomeUnknown it may have been, or may yet be.
+// This attempt has written nothing if the error is a *ConflictError, ErrUnavailable,
+// ErrRejected or ErrLeaseExpired. After ErrOutcomeUnknown the transaction may have been
+// executed, or may be executed later.
 func (c *Client) Txn(ctx context.Context, class Class, conditions []Condition, writes []Write) (revision uint64, err error) {
 	if err := c.Budget.Take(ctx, class, len(writes)); err != nil {
-		return 0, fmt.Errorf("transaction: %w: %w", ErrUnavailable, err)
+		return 0, fmt.Errorf("execute transaction: %w: %w", ErrUnavailable, err)
 	}
-	var result txnAnswer
+	var result txnResponse
 	request := request{
 		class: class, timeout: constants.StateTimeout,
 		method: http.MethodPost, path: pathTxn,
@@ -30,41 +31,42 @@
 	if class != ClassLease {
 		request.timeout = c.txnTimeout.next()
 	}
-	sent := time.Now()
-	answer, err := c.call(ctx, request)
-	if ctx.Err() == nil { // that a caller gave up says nothing
-		c.noteTxn(err, time.Since(sent))
+	start := time.Now()
+	response, err := c.call(ctx, request)
+	if ctx.Err() == nil { // a call that the caller cancelled says nothing about the latency
+		c.adjustTxnTimeout(err, time.Since(start))
 	}
 	switch {
 	case err != nil:
 		return 0, err
-	case answer.status == http.StatusOK:
+	case response.status == http.StatusOK:
 		return result.Revision, nil
-	case answer.status == http.StatusConflict:
-		return 0, conflictOf(request, answer)
-	case answer.status == http.StatusBadRequest && bytes.Contains(answer.body, []byte(leaseExpiredMessage)):
+	case response.status == http.StatusConflict:
+		return 0, decodeConflict(request, response)
+	case response.status == http.StatusBadRequest && bytes.Contains(response.body, []byte(leaseExpiredMessage)):
 		return 0, ErrLeaseExpired
-	case answer.status == http.StatusBadRequest:
-		return 0, fmt.Errorf("transaction of %d writes: %w: %.120s", len(writes), ErrRejected, answer.body)
+	case response.status == http.StatusBadRequest:
+		return 0, fmt.Errorf("execute transaction with %d writes: %w: %.120s", len(writes), ErrRejected, response.body)
 	}
-	return 0, request.unexpected(answer)
+	return 0, request.unexpectedResponseError(response)
 }
 
-// noteTxn has the timeout of transactions follow how long this one took.
-func (c *Client) noteTxn(err error, took time.Duration) {
+// adjustTxnTimeout adapts the transaction timeout to the outcome and duration of a
+// transaction.
+func (c *Client) adjustTxnTimeout(err error, elapsed time.Duration) {
 	if errors.Is(err, ErrOutcomeUnknown) {
-		c.txnTimeout.lost()
+		c.txnTimeout.recordTimeout()
 		return
 	}
-	c.txnTimeout.answered(took)
+	c.txnTimeout.recordResponse(elapsed)
 }
 
-// conflictOf reads which conditions failed. A conflict on none makes no sense, so it proves
-// nothing.
-func conflictOf(request request, answer answer) error {
-	var conflict conflictAnswer
-	if err := json.Unmarshal(answer.body, &conflict); err != nil || len(conflict.FailedKeys) == 0 {
-		return request.unexpected(answer)
+// decodeConflict returns a *ConflictError with the keys in the response. A response without
+// keys violates the protocol and leaves the outcome unknown.
+func decodeConflict(request request, response response) error {
+	var conflict conflictResponse
+	if err := json.Unmarshal(response.body, &conflict); err != nil || len(conflict.FailedKeys) == 0 {
+		return request.unexpectedResponseError(response)
 	}
 	return &ConflictError{FailedKeys: conflict.FailedKeys}
 }
--- a/internal/statestore/transport.go
+++ b/internal/statestore/transport.go
@@ -10,67 +10,67 @@
 	"time"
 )
 
-// request is one call to the service.
+// request describes one HTTP request to the state service.
 type request struct {
 	class   Class
 	timeout time.Duration
 	method  string
-	path    string // with the query, if any
-	body    any    // encoded as JSON; nil for none
-	// result takes the answer's contents if its status is 200; nil if they don't matter.
+	path    string // includes the query, if any
+	body    any    // encoded as JSON; nil for no body
+	// result is decoded from the response body if the status is 200; nil ignores the body.
 	result any
 }
 
-// answer is what the service has said. A status other than 200 is the caller's to judge.
-type answer struct {
+// response is the service's response. The caller handles statuses other than 200.
+type response struct {
 	status int
 	body   []byte
 }
 
-// call sends one request and notes what it tells of the service's health. The error is
-// ErrOutcomeUnknown if there was no usable answer, and ErrUnavailable if the request was
-// refused.
-func (c *Client) call(ctx context.Context, request request) (answer, error) {
-	answer, err := c.send(ctx, request)
-	rateLimited := answer.status == http.StatusTooManyRequests
-	// What the caller gave up itself, and a refusal for too many calls, say nothing of the
-	// service.
+// call sends a request and updates the health of the service. The error is ErrOutcomeUnknown
+// if there was no valid response, and ErrUnavailable if the service refused the request with
+// status 503 or 429.
+func (c *Client) call(ctx context.Context, request request) (response, error) {
+	response, err := c.send(ctx, request)
+	rateLimited := response.status == http.StatusTooManyRequests
+	// Calls cancelled by the caller and rate-limited calls say nothing about the service's
+	// health.
 	if ctx.Err() == nil && !rateLimited {
-		c.health.note(err == nil)
+		c.health.record(err == nil)
 	}
 	if rateLimited && c.OnRateLimited != nil {
 		c.OnRateLimited()
 	}
-	return answer, err
+	return response, err
 }
 
-func (c *Client) send(ctx context.Context, request request) (answer, error) {
+func (c *Client) send(ctx context.Context, request request) (response, error) {
 	ctx, cancel := context.WithTimeout(ctx, request.timeout)
 	defer cancel()
 	httpRequest, err := c.encode(ctx, request)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	httpClient := c.general
+	httpClient := c.generalHTTPClient
 	if request.class == ClassLease {
-		httpClient = c.lease
+		httpClient = c.leaseHTTPClient
 	}
-	response, err := httpClient.Do(httpRequest)
+	httpResponse, err := httpClient.Do(httpRequest)
 	if err != nil {
-		return answer{}, request.outcomeUnknown(err)
+		return response{}, request.outcomeUnknownError(err)
 	}
-	defer func() { _ = response.Body.Close() }() // all that matters of it has been read
-	body, err := io.ReadAll(response.Body)
+	defer func() { _ = httpResponse.Body.Close() }() // the body has been read by then
+	body, err := io.ReadAll(httpResponse.Body)
 	if err != nil {
-		return answer{}, request.outcomeUnknown(err)
+		return response{}, request.outcomeUnknownError(err)
 	}
-	received := answer{status: response.StatusCode, body: body}
+	received := response{status: httpResponse.StatusCode, body: body}
 	if notExecuted(received.status) {
-		return received, fmt.Errorf("%s %s: %w (%d)", request.method, request.path, ErrUnavailable, received.status)
+		return received, fmt.Errorf("%s %s: %w (status %d)", request.method, request.path, ErrUnavailable, received.status)
 	}
 	if received.status == http.StatusOK && request.result != nil {
 		if err := json.Unmarshal(body, request.result); err != nil {
-			return answer{}, request.outcomeUnknown(fmt.Errorf("bad answer: %w", err))
+			return response{}, request.outcomeUnknownError(fmt.Errorf("decode response: %w", err))
 		}
 	}
 	return received, nil
@@ -81,7 +81,7 @@
 	if request.body != nil {
 		raw, err := json.Marshal(request.body)
 		if err != nil {
-			return nil, fmt.Errorf("encode %s: %w", request.path, err)
+			return nil, fmt.Errorf("encode request body for %s: %w", request.path, err)
 		}
 		body = bytes.NewReader(raw)
 	}
@@ -92,12 +92,13 @@
 	return httpRequest, nil
 }
 
-// outcomeUnknown is the error of a request that had no usable answer.
-func (r request) outcomeUnknown(err error) error {
+// outcomeUnknownError returns the error of a request that had no valid response.
+func (r request) outcomeUnknownError(err error) error {
 	return fmt.Errorf("%s %s: %w: %w", r.method, r.path, ErrOutcomeUnknown, err)
 }
 
-// unexpected is the error of an answer that the protocol does not know: it proves nothing.
-func (r request) unexpected(answer answer) error {
-	return fmt.Errorf("%s %s: %w: status %d: %.120s", r.method, r.path, ErrOutcomeUnknown, answer.status, answer.body)
+// unexpectedResponseError returns the error of a request whose response does not follow the
+// protocol, which leaves the outcome unknown.
+func (r request) unexpectedResponseError(response response) error {
+	return fmt.Errorf("%s %s: %w: status %d: %.120s", r.method, r.path, ErrOutcomeUnknown, response.status, response.body)
 }
--- a/internal/statestore/txn_timeout.go
+++ b/internal/statestore/txn_timeout.go
@@ -7,32 +7,33 @@
 	"thornnotch/internal/constants"
 )
 
-// txnTimeout is how long a transaction may take, between constants.TxnTimeout and
-// constants.StateTimeout. It can be sent again, so a lost answer should not be waited for
-// long; but if the service is slow throughout, whoever never waits longer hears no answer
-// at all.
+// txnTimeout is an adaptive timeout for transactions, between constants.TxnTimeout and
+// constants.StateTimeout. Transactions can be retried, so the timeout should be short when a
+// response is lost. It must grow when the service is slow, as otherwise every attempt would
+// time out before its response arrives.
 type txnTimeout struct {
 	mu      sync.Mutex
-	timeout time.Duration // guarded by mu; 0 stands for the least
+	timeout time.Duration // guarded by mu; 0 means constants.TxnTimeout
 }
 
-// next is the timeout of the next transaction.
+// next returns the timeout for the next transaction.
 func (t *txnTimeout) next() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return max(t.timeout, constants.TxnTimeout)
 }
 
-// lost takes in that a transaction had no answer in time.
-func (t *txnTimeout) lost() {
+// recordTimeout raises the timeout to its maximum after a transaction without a response.
+func (t *txnTimeout) recordTimeout() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.timeout = constants.StateTimeout
 }
 
-// answered takes in that a transaction was answered after so long.
-func (t *txnTimeout) answered(after time.Duration) {
+// recordResponse sets the timeout to a multiple of the duration of a transaction that got a
+// response. The timeout falls by at most half per response.
+func (t *txnTimeout) recordResponse(elapsed time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.timeout = min(max(t.timeout/2, constants.TxnTimeoutFactor*after), constants.StateTimeout)
+	t.timeout = min(max(t.timeout/2, constants.TxnTimeoutFactor*elapsed), constants.StateTimeout)
 }
--- a/internal/statestore/txn_timeout_test.go
+++ b/internal/statestore/txn_timeout_test.go
@@ -9,36 +9,37 @@
 	"thornnotch/internal/constants"
 )
 
-// TestPatience: however slow the service is, within what one request may take, all but
-// the first transaction hear its answer; lost answers are waited for no longer than
-// that, and where answers are quick soon for the least again.
-func TestPatience(t *testing.T) {
+// TestTxnTimeoutAdapts checks that at most one transaction times out while the service
+// responds with a constant latency within constants.StateTimeout, that the timeout after a
+// lost response is constants.StateTimeout, and that two fast responses reset it to
+// constants.TxnTimeout.
+func TestTxnTimeoutAdapts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var timeout txnTimeout
-		takes := time.Duration(rapid.IntRange(1, int(constants.StateTimeout/time.Millisecond)).Draw(t, "ms")) * time.Millisecond
-		unheard := 0
+		latency := time.Duration(rapid.IntRange(1, int(constants.StateTimeout/time.Millisecond)).Draw(t, "ms")) * time.Millisecond
+		timeouts := 0
 		for range 30 {
-			if takes > timeout.next() {
-				unheard++
-				timeout.lost()
+			if latency > timeout.next() {
+				timeouts++
+				timeout.recordTimeout()
 				continue
 			}
-			timeout.answered(takes)
+			timeout.recordResponse(latency)
 		}
-		if unheard > 1 {
-			t.Fatalf("of a service that takes %v %d answers are not heard", takes, unheard)
+		if timeouts > 1 {
+			t.Fatalf("latency %v: %d transactions timed out", latency, timeouts)
 		}
 
-		timeout.lost()
+		timeout.recordTimeout()
 		if timeout.next() != constants.StateTimeout {
-			t.Fatalf("after a loss it waits %v", timeout.next())
+			t.Fatalf("timeout after a lost response: %v", timeout.next())
 		}
 
-		quick := time.Duration(rapid.IntRange(1, 200).Draw(t, "quick")) * time.Millisecond
-		timeout.answered(quick)
-		timeout.answered(quick)
+		shortLatency := time.Duration(rapid.IntRange(1, 200).Draw(t, "shortLatency")) * time.Millisecond
+		timeout.recordResponse(shortLatency)
+		timeout.recordResponse(shortLatency)
 		if timeout.next() != constants.TxnTimeout {
-			t.Fatalf("after two answers in %v it waits %v", quick, timeout.next())
+			t.Fatalf("timeout after two responses within %v: %v", shortLatency, timeout.next())
 		}
 	})
 }
--- a/internal/statestore/watch.go
+++ b/internal/statestore/watch.go
@@ -11,33 +11,34 @@
 	"thornnotch/internal/constants"
 )
 
-// Watch waits until a key below prefix has changed after the revision from, or until block
-// has passed, a minute at most. The changes are all since from; the next watch goes on from
-// the revision that is returned. ErrCompacted means that from is too old.
-func (c *Client) Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (revision uint64, changes []Change, err error) {
+// Watch waits until a key with the given prefix changes after fromRevision, or until maxWait
+// has passed, which may be at most a minute. It returns all changes since fromRevision, and
+// the revision from which the next watch continues. It returns ErrCompacted if fromRevision
+// is too old.
+func (c *Client) Watch(ctx context.Context, prefix string, fromRevision uint64, maxWait time.Duration) (revision uint64, changes []Change, err error) {
 	if err := c.Budget.Take(ctx, ClassLease, 0); err != nil {
 		return 0, nil, fmt.Errorf("watch %s: %w: %w", prefix, ErrUnavailable, err)
 	}
 	query := url.Values{
 		paramPrefix:  {prefix},
-		paramFrom:    {strconv.FormatUint(from, 10)},
-		paramBlockMS: {strconv.FormatInt(block.Milliseconds(), 10)},
+		paramFrom:    {strconv.FormatUint(fromRevision, 10)},
+		paramBlockMS: {strconv.FormatInt(maxWait.Milliseconds(), 10)},
 	}
-	var result watchAnswer
+	var result watchResponse
 	request := request{
-		// An open watch stays open through an outage, so a watch that is late is given up
-		// and asked again.
-		class: ClassLease, timeout: block + 2*constants.StateTimeout,
+		// An open watch does not fail when the service has an outage, so one without a
+		// timely response must time out and be repeated.
+		class: ClassLease, timeout: maxWait + 2*constants.StateTimeout,
 		method: http.MethodGet, path: pathWatch + "?" + query.Encode(), result: &result,
 	}
-	answer, err := c.call(ctx, request)
+	response, err := c.call(ctx, request)
 	switch {
 	case err != nil:
 		return 0, nil, err
-	case answer.status == http.StatusOK:
-		return max(result.Revision, from), result.Changes, nil
-	case answer.status == http.StatusGone:
+	case response.status == http.StatusOK:
+		return max(result.Revision, fromRevision), result.Changes, nil
+	case response.status == http.StatusGone:
 		return 0, nil, ErrCompacted
 	}
-	return 0, nil, request.unexpected(answer)
+	return 0, nil, request.unexpectedResponseError(response)
 }
--- a/internal/statestore/wire.go
+++ b/internal/statestore/wire.go
@@ -2,23 +2,25 @@
 
 import "encoding/json"
 
-// The types of this file are the protocol's JSON. Its themed names stand here alone.
+// This file defines the JSON format of the state service's protocol. The protocol's own
+// names for fields and paths appear only here.
 
-// KeyValue is one key with its value and the revision of its latest change.
+// KeyValue is a key with its value and the revision of its latest change.
 type KeyValue struct {
 	Key      string          `json:"k"`
 	Value    json.RawMessage `json:"v"`
 	Revision uint64          `json:"stamp"`
 }
 
-// Condition demands that a key has this revision; 0 demands that it does not exist.
+// Condition requires a key to have the given revision. Revision 0 requires that the key does
+// not exist.
 type Condition struct {
 	Key      string `json:"k"`
 	Revision uint64 `json:"stamp"`
 }
 
-// Write sets the key Put to Value, attached to Lease unless that is 0, or else removes the
-// key Delete.
+// Write sets the key Put to Value, attached to Lease unless that is 0, or deletes the key
+// Delete.
 type Write struct {
 	Put    string          `json:"set,omitempty"`
 	Value  json.RawMessage `json:"v,omitempty"`
@@ -26,8 +28,8 @@
 	Delete string          `json:"remove,omitempty"`
 }
 
-// Change is one change that a watch tells of: the key Put was set to Value, or the key
-// Delete was removed.
+// Change is one change reported by a watch: the key Put was set to Value, or the key Delete
+// was deleted.
 type Change struct {
 	Put      string          `json:"set"`
 	Value    json.RawMessage `json:"v"`
@@ -35,7 +37,7 @@
 	Revision uint64          `json:"stamp"`
 }
 
-// listPage is one page of keys; Revision is the store's when it was made.
+// listPage is one page of keys. Revision is the revision of the store at the time of the read.
 type listPage struct {
 	Rows     []KeyValue `json:"rows"`
 	HasNext  bool       `json:"hasNext"`
@@ -47,36 +49,36 @@
 	Writes     []Write     `json:"writes,omitempty"`
 }
 
-type txnAnswer struct {
+type txnResponse struct {
 	Revision uint64 `json:"epoch"`
 }
 
-type conflictAnswer struct {
+type conflictResponse struct {
 	FailedKeys []string `json:"failed"`
 }
 
-// leaseExpiredMessage is in the answer to a transaction that names a lease which has ended.
+// leaseExpiredMessage is contained in the response to a transaction whose lease has ended.
 const leaseExpiredMessage = "no such lease"
 
 type leaseRequest struct {
 	TTLMS int64 `json:"ttlMs"`
 }
 
-type leaseAnswer struct {
+type leaseResponse struct {
 	Lease uint64 `json:"tenure"`
 }
 
-type watchAnswer struct {
+type watchResponse struct {
 	Revision uint64   `json:"epoch"`
 	Changes  []Change `json:"log"`
 }
 
-// Paths of the service, and parameters of its queries.
+// URL paths and query parameters of the service.
 const (
 	pathKeys   = "/store"
 	pathTxn    = "/multi"
 	pathLeases = "/holds"
-	pathRenew  = "/touch" // after a lease
+	pathRenew  = "/touch" // appended to the path of a lease
 	pathWatch  = "/follow"
 
 	paramPrefix  = "prefix"
--- a/internal/workers/agent.go
+++ b/internal/workers/agent.go
@@ -1,5 +1,6 @@
-// Package workers is the leader's view of the workers: their heartbeats, their epochs and
-// attempts, the commands to them, and the proofs that a task has left its machine.
+// Package workers implements the leader's model of the workers: their heartbeats, epochs and
+// attempts, the commands sent to them, and the proofs that an attempt is no longer on its
+// machine.
 package workers
 
 import (
@@ -7,58 +8,58 @@
 	"time"
 )
 
-// Agent is the leader's view of one worker: its newest epoch and the attempts that are not
-// proven gone. It is a state machine without I/O: messages and the time go in, events and
-// commands come out.
+// Agent is the leader's model of one worker: its newest epoch, and the attempts that are not
+// proven gone from its machine. It is a state machine without I/O: its inputs are messages
+// and the current time, its outputs are events and commands.
 type Agent struct {
 	Name, Endpoint, MachineType, Zone string
 	Spot                              bool
-	// ReclaimAt is when the cloud takes the machine away; zero if it does not.
+	// ReclaimAt is when the cloud will reclaim the machine; zero if no reclaim is announced.
 	ReclaimAt time.Time
 
-	// Epoch and Sequence are those of the newest message.
+	// Epoch and Sequence are the epoch and sequence number of the newest message.
 	Epoch, Sequence uint64
-	// HeartbeatSequence is the sequence number of the newest heartbeat: one that arrives
-	// with a number up to it is a late duplicate.
+	// HeartbeatSequence is the sequence number of the newest heartbeat. A heartbeat of the
+	// same epoch with this or a lower number is a late duplicate.
 	HeartbeatSequence uint64
-	// ExpiredEpoch is the newest epoch proven to be over.
+	// ExpiredEpoch is the newest epoch that is proven to be over.
 	ExpiredEpoch uint64
-	// Registered is set once a heartbeat has arrived in this term.
+	// Registered is set once a message from the worker has arrived in this term.
 	Registered bool
-	// LastHeartbeat is when the last message arrived, LastAcknowledged when the last
-	// heartbeat arrived that was answered with 200. The worker's lease counts from when it
-	// sent that heartbeat, which was earlier still.
+	// LastHeartbeat is when the last message arrived. LastAcknowledged is when the last
+	// heartbeat arrived that was answered with status 200. The worker's lease starts when it
+	// sent that heartbeat, which is earlier.
 	LastHeartbeat, LastAcknowledged time.Time
 
 	// Token is the highest fencing token that the worker has reported.
 	Token uint64
-	// TokenConfirmedAt is when the worker first showed that it has this term's token; no
-	// other leader can have renewed its lease since.
+	// TokenConfirmedAt is when the worker first reported this term's token. No earlier
+	// leader can have renewed its lease since.
 	TokenConfirmedAt time.Time
 
-	// RepliesLost is set while the worker's heartbeats arrive but our replies evidently do
-	// not reach it. It gets neither work nor a 200 until it shows that it receives again.
+	// RepliesLost is set while the worker's heartbeats arrive but the leader's replies
+	// evidently do not reach it. The worker gets no work and no status 200 until there is
+	// evidence that it receives messages again.
 	RepliesLost bool
-	// EpochUnconfirmed is set when an epoch has ended although the worker goes on sending
-	// heartbeats: it may receive again, or may never have received our replies. It gets no
-	// work until something that we sent has evidently arrived.
+	// EpochUnconfirmed is set when an epoch has ended although the worker keeps sending
+	// heartbeats, so it may not have received the leader's replies. The worker gets no work
+	// until there is evidence that it receives them.
 	EpochUnconfirmed   bool
 	EpochUnconfirmedAt time.Time
-	// IgnoredStops counts the heartbeats in a row that show a stop not carried out.
+	// IgnoredStops counts the consecutive heartbeats that show a stop not carried out.
 	IgnoredStops int
 
 	Attempts map[AttemptID]*Attempt
 }
 
-// NewAgent makes a view of a worker that has not been heard yet.
+// NewAgent returns the model of a worker from which no message has arrived yet.
 func NewAgent(name string) *Agent {
 	return &Agent{Name: name, Attempts: make(map[AttemptID]*Attempt)}
 }
 
-// Observe takes in a message from the worker. fresh is false for one that is older than
-// what is known; it changes nothing. direct marks the body of an answer to /commands or
-// /status: it may overtake the reply to a heartbeat, so what is absent from it proves
-// nothing.
+// Observe applies a message from the worker. fresh is false if the message is outdated, and
+// then nothing changes. direct marks the response to /commands or /status: it may overtake
+// the reply to a heartbeat, so an attempt missing from it proves nothing.
 func (agent *Agent) Observe(heartbeat *Heartbeat, term uint64, direct bool, now time.Time) (events []Event, fresh bool) {
 	if agent.isOutdated(heartbeat) {
 		return nil, false
@@ -66,43 +67,44 @@
 	if heartbeat.Epoch > agent.Epoch {
 		events = agent.beginEpoch(heartbeat.Epoch, now)
 	}
-	agent.observeOrder(heartbeat, direct, now)
+	agent.observeSequence(heartbeat, direct, now)
 	agent.observeToken(heartbeat.Token, term, now)
 	agent.observeMachine(heartbeat, now)
-	listed := make(map[AttemptID]bool, len(heartbeat.Tasks)) // made here, so that it stays on the stack
+	listed := make(map[AttemptID]bool, len(heartbeat.Tasks)) // created here to stay on the stack
 	events = append(events, agent.observeTasks(heartbeat, listed, now)...)
 	if !direct {
 		agent.detectLostReplies(heartbeat, listed, now)
-		events = append(events, agent.goneByAbsence(heartbeat, listed, term)...)
+		events = append(events, agent.removeAbsent(heartbeat, listed, term)...)
 	}
 	sortEvents(events)
 	return events, true
 }
 
-// isOutdated applies the protocol's order of messages: the one with the larger pair of epoch
-// and sequence number is the newer one. A message of an epoch that is proven over is never new.
+// isOutdated reports whether a message is not newer than the newest one applied. The protocol
+// orders messages by epoch, then sequence number. A message of an epoch that is proven over is
+// always outdated.
 func (agent *Agent) isOutdated(heartbeat *Heartbeat) bool {
 	return heartbeat.Epoch <= agent.ExpiredEpoch ||
 		heartbeat.Epoch < agent.Epoch ||
 		heartbeat.Epoch == agent.Epoch && heartbeat.Sequence <= agent.Sequence
 }
 
-// IsDuplicate tells whether a heartbeat is a late copy of one that has been taken in, or of
-// an older epoch (protocol, "Delayed messages"). It renews nothing and is not answered. One
-// that the answer to a direct command has overtaken is no duplicate: the worker waits for
-// its reply.
+// IsDuplicate reports whether a heartbeat is a late copy of an applied one, or belongs to an
+// older epoch (protocol, "Delayed messages"). A duplicate does not renew the lease and gets no
+// reply. A heartbeat that was overtaken by the response to a direct command is not a
+// duplicate, as the worker waits for its reply.
 func (agent *Agent) IsDuplicate(heartbeat *Heartbeat) bool {
 	return heartbeat.Epoch < agent.Epoch ||
 		heartbeat.Epoch <= agent.ExpiredEpoch ||
 		heartbeat.Epoch == agent.Epoch && heartbeat.Sequence <= agent.HeartbeatSequence
 }
 
-// beginEpoch applies the protocol's rule for leases: a worker proceeds with the next epoch
-// only after it has killed and forgotten every task of the one before.
+// beginEpoch starts a new epoch. By the protocol's lease rule a worker enters an epoch only
+// after it has killed and forgotten every task of the previous one.
 func (agent *Agent) beginEpoch(epoch uint64, now time.Time) []Event {
 	if agent.Registered && agent.Epoch > 0 {
-		// Nothing can be left of what it missed, so even one whose replies were lost may be
-		// answered again: if it keeps this epoch, it receives our replies.
+		// No missed command can matter any more, so even a worker whose replies were lost
+		// gets replies again: if it then stays in this epoch, it receives them.
 		agent.EpochUnconfirmed, agent.RepliesLost, agent.EpochUnconfirmedAt = true, false, now
 	}
 	gone := agent.expireEpochs(epoch - 1)
@@ -111,12 +113,12 @@
 	return gone
 }
 
-// observeOrder notes the message's place in the worker's order, and that the worker is
-// reachable if the message answers a command.
-func (agent *Agent) observeOrder(heartbeat *Heartbeat, direct bool, now time.Time) {
+// observeSequence updates the sequence numbers and the time of the last message. The response
+// to a direct command also shows that the worker receives messages.
+func (agent *Agent) observeSequence(heartbeat *Heartbeat, direct bool, now time.Time) {
 	agent.Sequence = heartbeat.Sequence
 	if direct {
-		agent.noteReachable()
+		agent.markReachable()
 	} else {
 		agent.HeartbeatSequence = heartbeat.Sequence
 	}
@@ -124,13 +126,14 @@
 	agent.LastHeartbeat = now
 }
 
-// observeToken applies the protocol's rule for tokens: the worker stores the highest one it
-// has seen, so once it reports this term's token it drops what an older leader sends.
+// observeToken updates the worker's fencing token. By the protocol the worker keeps the
+// highest token it has seen, so once it reports this term's token it drops the messages of
+// earlier leaders.
 func (agent *Agent) observeToken(token, term uint64, now time.Time) {
 	if token > agent.Token {
 		agent.Token = token
 		if token == term {
-			agent.noteReachable()
+			agent.markReachable()
 		}
 	}
 	if agent.Token == term && agent.TokenConfirmedAt.IsZero() {
@@ -138,8 +141,7 @@
 	}
 }
 
-// observeMachine takes over what the worker says of its machine, and the cloud's notice to
-// reclaim it.
+// observeMachine updates the description of the machine and the time of an announced reclaim.
 func (agent *Agent) observeMachine(heartbeat *Heartbeat, now time.Time) {
 	agent.Endpoint, agent.MachineType = heartbeat.Endpoint, heartbeat.MachineType
 	agent.Zone, agent.Spot = heartbeat.Zone, heartbeat.Spot
@@ -150,13 +152,13 @@
 	agent.ReclaimAt = now.Add(time.Duration(max(*heartbeat.ReclaimInS, 0) * float64(time.Second)))
 }
 
-// observeTasks takes in the listed tasks, and notes in listed which attempts these are.
+// observeTasks applies the tasks that a message lists, and adds their attempts to listed.
 func (agent *Agent) observeTasks(heartbeat *Heartbeat, listed map[AttemptID]bool, now time.Time) (events []Event) {
 	for i := range heartbeat.Tasks {
 		report := &heartbeat.Tasks[i]
 		task, err := ParseTaskID(report.Task)
 		if err != nil {
-			continue // DecodeHeartbeat has refused such a heartbeat
+			continue // not reached: DecodeHeartbeat rejects such heartbeats
 		}
 		id := AttemptID{task, report.Attempt}
 		listed[id] = true
@@ -172,9 +174,9 @@
 	return events
 }
 
-// addUnrecorded keeps an attempt in view that no record names: it occupies the machine all
-// the same until it is proven gone. Who started it is not known, so it counts as an earlier
-// term's.
+// addUnrecorded adds an attempt that is in no record. It occupies the machine until it is
+// proven gone. As it is unknown which leader started it, it is treated as an attempt of an
+// earlier term.
 func (agent *Agent) addUnrecorded(id AttemptID, epoch uint64, now time.Time) *Attempt {
 	attempt := &Attempt{
 		ID: id, Epoch: epoch, Committed: true, StartAllowed: true, FromEarlierTerm: true, RunSent: true, PlacedAt: now,
@@ -183,7 +185,8 @@
 	return attempt
 }
 
-// observeAttempt takes in what a message says of one attempt. An exit is final.
+// observeAttempt applies the reported state of one attempt. An exit is final: later reports
+// of the attempt are ignored.
 func (agent *Agent) observeAttempt(attempt *Attempt, report *TaskReport, now time.Time) (kind EventKind, changed bool) {
 	if attempt.exited() {
 		return 0, false
@@ -191,7 +194,7 @@
 	if attempt.FirstReportedAt.IsZero() {
 		attempt.FirstReportedAt = now
 		if !attempt.FromEarlierTerm {
-			agent.noteReachable() // it has carried out our `run`
+			agent.markReachable() // it has carried out this term's `run`
 		}
 	}
 	changed = attempt.Status != report.Status
@@ -205,7 +208,7 @@
 	return EventStatusChanged, changed
 }
 
-// SortedAttempts lists the attempts in a fixed order.
+// SortedAttempts returns the attempts ordered by job, task index and attempt number.
 func (agent *Agent) SortedAttempts() []*Attempt {
 	attempts := make([]*Attempt, 0, len(agent.Attempts))
 	for _, attempt := range agent.Attempts {
--- a/internal/workers/agent_test.go
+++ b/internal/workers/agent_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// newHeartbeat is a heartbeat of a worker that has our token.
+// newHeartbeat returns a heartbeat of a worker that has the token of the term under test.
 func newHeartbeat(epoch, sequence uint64, tasks ...TaskReport) *Heartbeat {
 	return &Heartbeat{
 		Machine: "m-1", MachineType: "t", Zone: "z",
@@ -13,8 +13,8 @@
 	}
 }
 
-// registeredAgent is the view of a worker whose first heartbeat, of epoch 1 and with sequence
-// number 1, has been taken in and acknowledged.
+// registeredAgent returns the model of a worker whose first heartbeat, with epoch 1 and
+// sequence number 1, has been applied and acknowledged.
 func registeredAgent(now time.Time) *Agent {
 	agent := NewAgent("m-1")
 	agent.Observe(newHeartbeat(1, 1), ownTerm, false, now)
@@ -22,8 +22,9 @@
 	return agent
 }
 
-// TestOutdatedMessagesChangeNothing: an older message, by epoch or sequence number, changes nothing.
-func TestOutdatedMessagesChangeNothing(t *testing.T) {
+// TestOutdatedMessagesIgnored checks that Observe rejects messages that are older by epoch or
+// sequence number.
+func TestOutdatedMessagesIgnored(t *testing.T) {
 	agent := NewAgent("m-1")
 	for _, c := range []struct {
 		epoch, sequence uint64
@@ -43,14 +44,14 @@
 	}
 }
 
-// TestDuplicatesRenewNothing: copies of heartbeats, of this epoch or an older one, are told
-// apart, also when an answer to a command has gone before; a heartbeat that such an answer
-// has overtaken is no copy.
-func TestDuplicatesRenewNothing(t *testing.T) {
+// TestIsDuplicate checks that late copies of heartbeats from the current or an older epoch are
+// detected, and that a heartbeat overtaken by the response to a direct command is not taken
+// for a duplicate.
+func TestIsDuplicate(t *testing.T) {
 	now := time.Unix(1000, 0)
 	agent := registeredAgent(now)
 	agent.Observe(newHeartbeat(1, 5), ownTerm, false, now)
-	agent.Observe(newHeartbeat(1, 9), ownTerm, true, now) // the answer to a command
+	agent.Observe(newHeartbeat(1, 9), ownTerm, true, now) // the response to a direct command
 	for _, c := range []struct {
 		epoch, sequence uint64
 		duplicate       bool
@@ -70,6 +71,6 @@
 	agent.LastAcknowledged = now
 	agent.ExpireLease(ownTerm, modelLease, now.Add(modelLease+2*time.Second))
 	if !agent.IsDuplicate(newHeartbeat(1, 60)) {
-		t.Errorf("a heartbeat of an epoch that is over counts")
+		t.Errorf("heartbeat of an expired epoch is not a duplicate")
 	}
 }
--- a/internal/workers/attempt.go
+++ b/internal/workers/attempt.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// TaskID names one task of a job.
+// TaskID identifies one task of a job.
 type TaskID struct {
 	Job   string
 	Index int
 }
 
-// String is the task's name in messages and logs.
+// String returns the task's name as used in messages and logs, such as "j-1/0".
 func (t TaskID) String() string { return t.Job + "/" + strconv.Itoa(t.Index) }
 
-// ParseTaskID reads a task's name as it stands in messages.
+// ParseTaskID parses a task's name as returned by TaskID.String.
 func ParseTaskID(name string) (TaskID, error) {
 	job, index, ok := strings.Cut(name, "/")
 	number, err := strconv.Atoi(index)
@@ -28,7 +28,7 @@
 	return TaskID{job, number}, nil
 }
 
-// AttemptID names one start of one task.
+// AttemptID identifies one attempt to run a task.
 type AttemptID struct {
 	Task   TaskID
 	Number uint64
@@ -42,32 +42,33 @@
 	)
 }
 
-// Attempt is one start of a task on one machine, from the moment it is planned until it is
+// Attempt is one attempt to run a task on a machine. It exists from its placement until it is
 // proven gone.
 type Attempt struct {
 	ID AttemptID
-	// Epoch is the worker's epoch that the attempt was planned for.
+	// Epoch is the worker's epoch in which the attempt was placed.
 	Epoch uint64
 	// Committed is set once the machine's record with this attempt is durable.
 	Committed bool
-	// StartAllowed is set by the owner when `run` may be sent; a gang waits for the records
-	// of all its tasks.
+	// StartAllowed is set by the leader when `run` may be sent. The tasks of a gang wait until
+	// all of them are recorded.
 	StartAllowed bool
-	// FromEarlierTerm attempts were recorded by an earlier term, whose reply with `run` may
-	// still be under way.
+	// FromEarlierTerm is set if an earlier term recorded the attempt. That term's reply with
+	// `run` may still be in flight.
 	FromEarlierTerm bool
 	// PlacedAt is when the attempt was placed on this machine.
 	PlacedAt time.Time
 
-	// RunSent tells that a `run` was sent; RunSentSequence is the sequence number of the
-	// heartbeat that the last one was the reply to, and RunSentAt when the first was sent.
+	// RunSent is set once a `run` was sent. RunSentSequence is the sequence number of the
+	// heartbeat whose reply carried the last `run`, RunSentAt is when the first was sent.
 	RunSent         bool
 	RunSentSequence uint64
 	RunSentAt       time.Time
-	// MissedHeartbeats counts the later heartbeats that did not list the attempt.
+	// MissedHeartbeats counts the heartbeats after a `run` that did not list the attempt.
 	MissedHeartbeats int
 
-	// Status is what the worker reported last; empty until it first lists the attempt.
+	// Status is the last status that the worker reported; empty until the worker first lists
+	// the attempt.
 	Status TaskStatus
 	Cause  ExitCause
 	Saved  bool
@@ -75,56 +76,58 @@
 	// first listed it as running.
 	FirstReportedAt, RunningSince time.Time
 
-	// StopRequested is set when the attempt must stop; GraceS is the time it gets to save
-	// (seconds).
+	// StopRequested is set when the attempt must stop. GraceS is the time it gets to write a
+	// checkpoint, in seconds.
 	StopRequested   bool
 	GraceS          float64
 	StopRequestedAt time.Time
-	StopSentAt      time.Time // when a stop was last sent directly
-	// ExitRecorded is set once what the exit means is durable, so that the worker may forget
-	// the attempt.
+	StopSentAt      time.Time // when a stop was last sent as a direct command
+	// ExitRecorded is set once the consequences of the exit are durable, so that the worker
+	// may forget the attempt.
 	ExitRecorded bool
 }
 
-// Live tells whether the attempt may be, or may come to be, on its machine.
+// Live reports whether the attempt may be on its machine or may still start there.
 func (a *Attempt) Live() bool { return !a.exited() }
 
 func (a *Attempt) exited() bool { return a.Status == StatusExited }
 
-// unreported tells whether the worker has never listed the attempt.
+// unreported reports whether the worker has never listed the attempt.
 func (a *Attempt) unreported() bool { return a.Status == "" }
 
-// runNeverSent tells whether no `run` for the attempt can ever have left a node.
+// runNeverSent reports whether no node can have sent a `run` for the attempt.
 func (a *Attempt) runNeverSent() bool { return !a.RunSent && !a.FromEarlierTerm }
 
-// runUnconfirmed tells whether this term has sent a `run` that the worker has not shown to
-// have carried out.
+// runUnconfirmed reports whether this term has sent a `run` and the worker has not yet listed
+// the attempt.
 func (a *Attempt) runUnconfirmed() bool {
 	return a.RunSent && !a.FromEarlierTerm && a.unreported()
 }
 
-// EventKind says what has become known of an attempt.
+// EventKind is the kind of an Event.
 type EventKind int
 
-// What can become known of an attempt.
+// Kinds of events.
 const (
-	// EventExited: the worker lists it as exited; Attempt.Cause tells why.
+	// EventExited means that the worker lists the attempt as exited. Attempt.Cause is the
+	// reason.
 	EventExited EventKind = iota
-	// EventGone: it is proven to be off the machine, and no exit was seen.
+	// EventGone means that the attempt is proven gone from its machine and no exit was seen.
 	EventGone
-	// EventStatusChanged: the worker lists it in a new state that is not its end.
+	// EventStatusChanged means that the worker lists the attempt with a new status other than
+	// exited.
 	EventStatusChanged
-	// EventUnrecorded: the worker lists an attempt that no record names.
+	// EventUnrecorded means that the worker lists an attempt that is in no record.
 	EventUnrecorded
 )
 
-// Event is what a message or the clock reveals of one attempt.
+// Event is a change of one attempt caused by a message or the passage of time.
 type Event struct {
 	Kind    EventKind
 	Attempt *Attempt
 }
 
-// sortEvents puts events into a fixed order; those of one attempt keep theirs.
+// sortEvents sorts events by attempt. The events of one attempt keep their order.
 func sortEvents(events []Event) {
 	slices.SortStableFunc(events, func(a, b Event) int {
 		return compareAttemptIDs(a.Attempt.ID, b.Attempt.ID)
--- a/internal/workers/command_client.go
+++ b/internal/workers/command_client.go
@@ -12,10 +12,10 @@
 	"thornnotch/internal/constants"
 )
 
-// CommandClient sends commands directly to workers' own addresses.
+// CommandClient sends direct commands to the endpoints of workers.
 type CommandClient struct{ http *http.Client }
 
-// NewCommandClient makes a client that reaches workers through dial.
+// NewCommandClient returns a CommandClient that connects with dial.
 func NewCommandClient(dial func(ctx context.Context, network, addr string) (net.Conn, error)) *CommandClient {
 	return &CommandClient{&http.Client{Transport: &http.Transport{
 		DialContext:         dial,
@@ -27,8 +27,8 @@
 	}}}
 }
 
-// Send sends commands to the worker at endpoint. The answer, also when the worker refuses
-// them (409), is its heartbeat.
+// Send sends commands to the worker at endpoint. It returns the heartbeat in the worker's
+// response, also if the worker refuses the commands (409).
 func (c *CommandClient) Send(ctx context.Context, endpoint string, batch CommandBatch) (*Heartbeat, error) {
 	ctx, cancel := context.WithTimeout(ctx, constants.CommandTimeout)
 	defer cancel()
@@ -44,13 +44,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("send commands to %s: %w", endpoint, err)
 	}
-	defer func() { _ = response.Body.Close() }() // all that counts has been read by then
+	defer func() { _ = response.Body.Close() }() // the body has been read by then
 	body, err := io.ReadAll(io.LimitReader(response.Body, constants.MaxCommandAnswerBytes))
 	if err != nil {
 		return nil, fmt.Errorf("send commands to %s: %w", endpoint, err)
 	}
 	if response.StatusCode != http.StatusOK && response.StatusCode != http.StatusConflict {
-		return nil, fmt.Errorf("send commands to %s: status %d", endpoint, response.StatusCode)
+		return nil, fmt.Errorf("send commands to %s: unexpected status %d", endpoint, response.StatusCode)
 	}
 	return DecodeHeartbeat(body)
 }
--- a/internal/workers/commands.go
+++ b/internal/workers/commands.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// RequestStop marks an attempt as no longer wanted; graceS is the time it gets to save
-// (seconds). It reports true when no `run` can ever have left for the attempt, so that it is
-// gone at once.
+// RequestStop marks an attempt to be stopped. graceS is the time it gets to write a
+// checkpoint, in seconds. gone is true if no `run` can have been sent for the attempt, which
+// is then removed immediately.
 func (agent *Agent) RequestStop(attempt *Attempt, graceS float64, now time.Time) (gone bool) {
 	switch {
 	case attempt.exited():
@@ -14,17 +14,18 @@
 	case !attempt.StopRequested:
 		attempt.StopRequested, attempt.GraceS, attempt.StopRequestedAt = true, graceS, now
 	case graceS < attempt.GraceS:
-		// The worker must hear of the shorter grace at once: it may end the saving.
+		// A shorter grace period must be sent immediately, as it may end a checkpoint in
+		// progress.
 		attempt.GraceS = graceS
 		attempt.StopSentAt = time.Time{}
 	}
 	return false
 }
 
-// Commands lists what the worker must be told. Starts go only into the reply to a heartbeat
-// (replying) of the epoch that they were planned for, and only once their record is
-// durable; Commands marks them as sent. A start in a direct command could be carried out
-// late (protocol, "Delayed messages"); a reply can't.
+// Commands returns the pending commands for the worker. A `run` is included only in the reply
+// to a heartbeat (replying) of the epoch in which the attempt was placed, and only once the
+// attempt's record is durable; Commands marks it as sent. A `run` in a direct command could be
+// executed late (protocol, "Delayed messages"), while a worker drops late replies.
 func (agent *Agent) Commands(replying bool, now time.Time) []Command {
 	var commands []Command
 	for _, attempt := range agent.SortedAttempts() {
@@ -42,7 +43,7 @@
 			graceS := attempt.GraceS
 			command.Verb, command.GraceS = VerbStop, &graceS
 		case replying && agent.mayStart(attempt):
-			agent.noteRunSent(attempt, now)
+			agent.markRunSent(attempt, now)
 			command.Verb = VerbRun
 		default:
 			continue
@@ -52,7 +53,7 @@
 	return commands
 }
 
-// HasCommands tells whether Commands would list anything in the reply to a heartbeat.
+// HasCommands reports whether Commands would return any for the reply to a heartbeat.
 func (agent *Agent) HasCommands() bool {
 	for _, attempt := range agent.Attempts {
 		switch {
@@ -71,14 +72,15 @@
 	return false
 }
 
-// mayStart tells whether `run` may be sent for an attempt that is neither exited nor to stop.
+// mayStart reports whether `run` may be sent for an attempt that has not exited and whose
+// stop was not requested.
 func (agent *Agent) mayStart(attempt *Attempt) bool {
 	return attempt.unreported() && attempt.Committed && attempt.StartAllowed &&
 		attempt.Epoch == agent.Epoch && !attempt.FromEarlierTerm
 }
 
-// noteRunSent notes that the reply to the newest heartbeat carries the attempt's `run`.
-func (agent *Agent) noteRunSent(attempt *Attempt, now time.Time) {
+// markRunSent records that the reply to the newest heartbeat carries the attempt's `run`.
+func (agent *Agent) markRunSent(attempt *Attempt, now time.Time) {
 	if !attempt.RunSent {
 		attempt.RunSentAt = now
 	}
--- a/internal/workers/commands_test.go
+++ b/internal/workers/commands_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestRunWaitsForRecord: `run` waits until the attempt is recorded and may start, and goes
-// only into the reply to a heartbeat.
-func TestRunWaitsForRecord(t *testing.T) {
+// TestRunSentOnlyAfterCommit checks that `run` is sent only after the attempt is committed and
+// its start allowed, and only in the reply to a heartbeat.
+func TestRunSentOnlyAfterCommit(t *testing.T) {
 	now := time.Unix(1000, 0)
 	agent := NewAgent("m-1")
 	agent.Observe(newHeartbeat(1, 1), ownTerm, false, now)
@@ -24,7 +24,7 @@
 	} {
 		attempt.Committed, attempt.StartAllowed = c.committed, c.startAllowed
 		if got := len(agent.Commands(false, now)); got != 0 {
-			t.Errorf("committed %v allowed %v: a start went out beside a reply", c.committed, c.startAllowed)
+			t.Errorf("committed %v allowed %v: direct command contains a start", c.committed, c.startAllowed)
 		}
 		if got := len(agent.Commands(true, now)); got != c.commands {
 			t.Errorf("committed %v allowed %v: %d commands, want %d", c.committed, c.startAllowed, got, c.commands)
--- a/internal/workers/gone.go
+++ b/internal/workers/gone.go
@@ -6,53 +6,57 @@
 	"thornnotch/internal/constants"
 )
 
-// This file holds every proof that an attempt is gone: that it is not on its machine and
-// never will be. Only then may its task start elsewhere, or it could run twice. The proofs:
+// This file contains the proofs that an attempt is gone: that it is not on its machine and
+// never will be. Its task may start elsewhere only after such a proof, as it could otherwise
+// run twice. The proofs are:
 //
-//   - never sent: no `run` for it can ever have left a node (RequestStop);
-//   - absence: a heartbeat of its epoch does not list it (goneByAbsence);
+//   - never sent: no node can have sent a `run` for it (RequestStop);
+//   - absence: a heartbeat of its epoch does not list it (removeAbsent);
 //   - expired epoch: the worker reports a newer epoch (expireEpochs);
-//   - lease expiry: the worker's lease has run out unrenewed (ExpireLease);
+//   - lease expiry: the worker's lease has expired without renewal (ExpireLease);
 //   - machine terminated: the cloud has confirmed that the machine is gone (MarkTerminated).
 
-// goneByAbsence removes the attempts that the heartbeat, by not listing them, proves gone.
-func (agent *Agent) goneByAbsence(heartbeat *Heartbeat, listed map[AttemptID]bool, term uint64) (gone []Event) {
+// removeAbsent removes the attempts that are proven gone because the heartbeat does not list
+// them.
+func (agent *Agent) removeAbsent(heartbeat *Heartbeat, listed map[AttemptID]bool, term uint64) (gone []Event) {
 	for id, attempt := range agent.Attempts {
-		if !listed[id] && absenceProves(attempt, heartbeat, term) {
+		if !listed[id] && absenceProvesGone(attempt, heartbeat, term) {
 			gone = append(gone, agent.remove(attempt)...)
 		}
 	}
 	return gone
 }
 
-// absenceProves tells whether a heartbeat that does not list an attempt proves that it is
-// not on the machine and never will be.
-func absenceProves(attempt *Attempt, heartbeat *Heartbeat, term uint64) bool {
+// absenceProvesGone reports whether a heartbeat that does not list an attempt proves that it
+// is not on the machine and never will be.
+func absenceProvesGone(attempt *Attempt, heartbeat *Heartbeat, term uint64) bool {
 	switch {
 	case attempt.exited():
-		// The worker lists exited tasks until a `forget`, which it has carried out.
+		// The worker lists an exited task until it executes a `forget`, which is sent only
+		// once the exit is recorded.
 		return attempt.ExitRecorded
 	case attempt.FromEarlierTerm:
-		// An older leader's reply may be under way until the worker has seen our token,
-		// from when on it drops that reply.
+		// A reply of an earlier leader may still start the attempt until the worker has this
+		// term's token. After that it drops such replies.
 		return heartbeat.Token >= term
 	case !attempt.RunSent:
-		// A reply that carries its `run` can still leave, unless it is no longer wanted.
+		// A later reply can still carry its `run`, unless a stop was requested.
 		return attempt.StopRequested
 	case !attempt.unreported():
-		// It was there, and only a `forget` or the epoch's end removes a task from the
-		// heartbeats of one epoch.
+		// The worker has listed it before, and only a `forget` or the end of the epoch
+		// removes a task from the heartbeats.
 		return true
 	default:
-		// The worker has one heartbeat under way at a time, so a later one shows that the
-		// reply with `run` was dropped. An attempt that is still wanted stays: the next
-		// reply carries its `run` again.
+		// The worker sends the next heartbeat only after the reply to the last one has
+		// arrived or timed out, so a later heartbeat without the attempt shows that the reply
+		// with `run` was lost. Without a requested stop the attempt remains: the next reply
+		// carries its `run` again.
 		return attempt.StopRequested && heartbeat.Sequence > attempt.RunSentSequence
 	}
 }
 
-// expireEpochs removes all attempts of epochs up to this one: the worker has killed and
-// forgotten every task before it went on to the next (protocol, "Leases").
+// expireEpochs removes the attempts of all epochs up to the given one. The worker kills and
+// forgets every task of an epoch before it starts the next (protocol, "Leases").
 func (agent *Agent) expireEpochs(epoch uint64) (gone []Event) {
 	agent.ExpiredEpoch = max(agent.ExpiredEpoch, epoch)
 	for _, attempt := range agent.Attempts {
@@ -64,8 +68,8 @@
 	return gone
 }
 
-// ExpireLease ends the worker's epoch once its lease must have expired (LeaseExpired); the
-// worker has then killed every task of it.
+// ExpireLease ends the worker's epoch if its lease must have expired (LeaseExpired), in which
+// case the worker has killed every task of that epoch.
 func (agent *Agent) ExpireLease(term uint64, lease time.Duration, now time.Time) []Event {
 	if !agent.LeaseExpired(term, lease, now) || agent.Epoch <= agent.ExpiredEpoch {
 		return nil
@@ -73,11 +77,11 @@
 	return agent.expireEpochs(agent.Epoch)
 }
 
-// LeaseExpired tells whether the lease of the epoch that we know must have expired: the
-// worker has this term's token, so no other leader can have renewed it, and the last
-// heartbeat that we acknowledged arrived longer ago than the lease lasts, with allowance
-// for clocks that differ and timers that fire late. A worker that has not shown this term's
-// token may still be renewed by an older leader, so its silence proves nothing.
+// LeaseExpired reports whether the worker's lease must have expired. This requires that the
+// worker has this term's token, so that no other leader can have renewed the lease, and that
+// the last acknowledged heartbeat arrived longer ago than the lease lasts, allowing for clock
+// drift and late timers. The lease of a worker without this term's token may still be renewed
+// by an earlier leader, so its silence proves nothing.
 func (agent *Agent) LeaseExpired(term uint64, lease time.Duration, now time.Time) bool {
 	if !agent.Registered || agent.Token != term || agent.TokenConfirmedAt.IsZero() {
 		return false
@@ -90,7 +94,7 @@
 	return now.Sub(lastRenewal) > proofAfter
 }
 
-// MarkTerminated removes everything from a machine that the cloud has confirmed gone.
+// MarkTerminated removes all attempts after the cloud has confirmed that the machine is gone.
 func (agent *Agent) MarkTerminated() (gone []Event) {
 	for _, attempt := range agent.Attempts {
 		gone = append(gone, agent.remove(attempt)...)
@@ -99,7 +103,8 @@
 	return gone
 }
 
-// remove takes a gone attempt out of view. The exit of an exited one has been told already.
+// remove removes an attempt that is gone. It returns an EventGone unless the attempt has
+// exited, which EventExited has already reported.
 func (agent *Agent) remove(attempt *Attempt) []Event {
 	delete(agent.Attempts, attempt.ID)
 	if attempt.exited() {
--- a/internal/workers/lost_replies.go
+++ b/internal/workers/lost_replies.go
@@ -6,35 +6,35 @@
 	"thornnotch/internal/constants"
 )
 
-// A network that is cut in one direction lets heartbeats through but not what we send. This
-// file holds the signs of that, and the signs that a worker receives again.
+// An asymmetric network partition may deliver heartbeats but not the leader's messages to the
+// worker. This file detects that, and when the worker receives messages again.
 
-// noteReachable notes that something we sent has arrived.
-func (agent *Agent) noteReachable() {
+// markReachable records that the worker has evidently received a message from the leader.
+func (agent *Agent) markReachable() {
 	agent.RepliesLost, agent.EpochUnconfirmed, agent.IgnoredStops = false, false, 0
 }
 
-// ConfirmEpoch ends the doubt about a worker that has kept its epoch for longer than it
-// could have without our replies.
+// ConfirmEpoch clears EpochUnconfirmed once the worker has kept its epoch for longer than it
+// could have without receiving the leader's replies.
 func (agent *Agent) ConfirmEpoch(lease time.Duration, now time.Time) {
 	if agent.EpochUnconfirmed && now.Sub(agent.EpochUnconfirmedAt) > lease+lease/2 {
 		agent.EpochUnconfirmed = false
 	}
 }
 
-// detectLostReplies looks for signs that our replies do not reach the worker: starts that
-// several later heartbeats do not list, or stops that several do not heed. Starts that never
-// arrived are then withdrawn; the heartbeat that shows it proves them gone.
+// detectLostReplies sets RepliesLost if the leader's replies evidently do not reach the worker:
+// several consecutive heartbeats do not list a started attempt, or show a stop not carried
+// out. It then cancels the starts that never arrived, which the same heartbeat proves gone.
 func (agent *Agent) detectLostReplies(heartbeat *Heartbeat, listed map[AttemptID]bool, now time.Time) {
 	agent.countMissedStarts(heartbeat.Sequence, listed)
 	agent.countIgnoredStops(listed, now)
 	if agent.RepliesLost {
-		agent.withdrawMissedStarts(listed, now)
+		agent.cancelMissedStarts(listed, now)
 	}
 }
 
-// countMissedStarts counts for each start the heartbeats, later than its `run`, that do not
-// list it.
+// countMissedStarts counts, for each started attempt, the heartbeats after its `run` that do
+// not list it.
 func (agent *Agent) countMissedStarts(sequence uint64, listed map[AttemptID]bool) {
 	for id, attempt := range agent.Attempts {
 		if listed[id] || !attempt.runUnconfirmed() || sequence <= attempt.RunSentSequence {
@@ -47,8 +47,8 @@
 	}
 }
 
-// countIgnoredStops counts the heartbeats in a row that list an attempt as going on although
-// it was told to stop long ago.
+// countIgnoredStops counts the consecutive heartbeats that list an attempt as active although
+// its stop was requested more than constants.StopIgnoredAfter ago.
 func (agent *Agent) countIgnoredStops(listed map[AttemptID]bool, now time.Time) {
 	if !agent.ignoresStop(listed, now) {
 		agent.IgnoredStops = 0
@@ -69,8 +69,8 @@
 	return false
 }
 
-// ignoresStop tells whether the attempt goes on long after it was told to stop. One that
-// saves has heeded the stop.
+// ignoresStop reports whether the attempt is active although its stop was requested more than
+// constants.StopIgnoredAfter ago. An attempt that is saving has received the stop.
 func (a *Attempt) ignoresStop(now time.Time) bool {
 	if !a.StopRequested || a.StopRequestedAt.IsZero() || now.Sub(a.StopRequestedAt) <= constants.StopIgnoredAfter {
 		return false
@@ -78,8 +78,8 @@
 	return a.Status == StatusRunning || a.Status == StatusFetching || a.Status == StatusWaiting
 }
 
-// withdrawMissedStarts stops the starts that have evidently not arrived.
-func (agent *Agent) withdrawMissedStarts(listed map[AttemptID]bool, now time.Time) {
+// cancelMissedStarts requests a stop of the attempts whose `run` has evidently not arrived.
+func (agent *Agent) cancelMissedStarts(listed map[AttemptID]bool, now time.Time) {
 	for id, attempt := range agent.Attempts {
 		if !listed[id] && attempt.runUnconfirmed() && !attempt.StopRequested {
 			attempt.StopRequested, attempt.StopRequestedAt = true, now
@@ -87,8 +87,8 @@
 	}
 }
 
-// StartOverdue tells whether a start was sent so long ago that the worker must have reported
-// it, and has not.
+// StartOverdue reports whether the worker has not listed an attempt whose first `run` was sent
+// more than constants.StartOverdueAfter ago.
 func (agent *Agent) StartOverdue(now time.Time) bool {
 	for _, attempt := range agent.Attempts {
 		if attempt.RunSent && attempt.unreported() && !attempt.RunSentAt.IsZero() &&
--- a/internal/workers/lost_replies_test.go
+++ b/internal/workers/lost_replies_test.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// TestMissedStartsShowLostReplies: when heartbeats go on but do not show what the worker was told, its
-// replies are taken for lost: the start is taken back, as the heartbeat proves it never
-// arrived, and no 200 goes out until the worker shows that it receives again.
-func TestMissedStartsShowLostReplies(t *testing.T) {
+// TestMissedStartsRevealLostReplies checks that RepliesLost is set after two heartbeats without
+// a started attempt, that the second one proves the attempt gone, and that only the response
+// to a direct command, not a heartbeat, clears RepliesLost.
+func TestMissedStartsRevealLostReplies(t *testing.T) {
 	now := time.Unix(1000, 0)
 	agent := registeredAgent(now)
 	id := AttemptID{TaskID{"j-1", 0}, 7}
 	agent.Attempts[id] = &Attempt{ID: id, Epoch: 1, Committed: true, StartAllowed: true}
 	for missed := 1; missed <= 2; missed++ {
 		if agent.RepliesLost {
-			t.Fatalf("replies taken for lost after %d heartbeats", missed-1)
+			t.Fatalf("RepliesLost set after %d heartbeats", missed-1)
 		}
 		if got := agent.Commands(true, now); len(got) != 1 || got[0].Verb != VerbRun {
 			t.Fatalf("commands %v", got)
 		}
 		now = now.Add(6 * time.Second)
 		if !agent.StartOverdue(now) {
-			t.Errorf("a start missing for 6 s raises no doubt")
+			t.Errorf("start not overdue after 6 s")
 		}
 		events, _ := agent.Observe(newHeartbeat(1, uint64(1+missed)), ownTerm, false, now)
 		if gone := len(events) == 1 && events[0].Kind == EventGone; gone != (missed == 2) {
@@ -35,16 +35,17 @@
 
 	agent.Observe(newHeartbeat(1, 8), ownTerm, false, now)
 	if !agent.RepliesLost {
-		t.Errorf("a heartbeat is taken for a sign that the worker receives")
+		t.Errorf("RepliesLost cleared by a heartbeat")
 	}
 	agent.Observe(newHeartbeat(1, 9), ownTerm, true, now)
 	if agent.RepliesLost {
-		t.Errorf("an answer to a command is no sign that the worker receives")
+		t.Errorf("RepliesLost not cleared by the response to a direct command")
 	}
 }
 
-// TestIgnoredStopsShowLostReplies: the same for a task that runs on although it was stopped.
-func TestIgnoredStopsShowLostReplies(t *testing.T) {
+// TestIgnoredStopsRevealLostReplies checks that RepliesLost is set when a task keeps running
+// long after its stop was requested, and that its attempt is not removed.
+func TestIgnoredStopsRevealLostReplies(t *testing.T) {
 	now := time.Unix(1000, 0)
 	agent := registeredAgent(now)
 	running := TaskReport{Task: "j-1/0", Attempt: 7, Status: StatusRunning}
@@ -59,27 +60,28 @@
 		}
 	}
 	if len(agent.Attempts) != 1 {
-		t.Errorf("a task that still runs was let go")
+		t.Errorf("attempt removed although it is still running")
 	}
 }
 
-// TestNewEpochIsUnconfirmed: a worker whose epoch ended while it went on sending heartbeats
-// gets no work until it shows that it receives, by whatever sign.
+// TestNewEpochIsUnconfirmed checks that EpochUnconfirmed is set when a worker's epoch ends
+// while it keeps sending heartbeats, and which evidence that the worker receives messages
+// clears it.
 func TestNewEpochIsUnconfirmed(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
-		name    string
-		sign    func(agent *Agent)
-		confirm bool
+		name      string
+		evidence  func(agent *Agent)
+		confirmed bool
 	}{
 		{"nothing", func(*Agent) {}, false},
-		{"a heartbeat", func(agent *Agent) {
+		{"heartbeat", func(agent *Agent) {
 			agent.Observe(newHeartbeat(2, 30), ownTerm, false, now)
 		}, false},
-		{"an answer to a command", func(agent *Agent) {
+		{"response to a direct command", func(agent *Agent) {
 			agent.Observe(newHeartbeat(2, 30), ownTerm, true, now)
 		}, true},
-		{"a start carried out", func(agent *Agent) {
+		{"start carried out", func(agent *Agent) {
 			id := AttemptID{TaskID{"j-1", 0}, 7}
 			agent.Attempts[id] = &Attempt{ID: id, Epoch: 2, RunSent: true}
 			fetching := TaskReport{Task: "j-1/0", Attempt: 7, Status: StatusFetching}
@@ -88,19 +90,19 @@
 	} {
 		agent := registeredAgent(now)
 		if agent.EpochUnconfirmed {
-			t.Fatalf("%s: doubt from the start", c.name)
+			t.Fatalf("%s: first epoch is unconfirmed", c.name)
 		}
 		agent.Observe(newHeartbeat(2, 20), ownTerm, false, now)
-		c.sign(agent)
-		if agent.EpochUnconfirmed == c.confirm {
-			t.Errorf("%s: doubt %v, want %v", c.name, agent.EpochUnconfirmed, !c.confirm)
+		c.evidence(agent)
+		if agent.EpochUnconfirmed == c.confirmed {
+			t.Errorf("%s: EpochUnconfirmed = %v, want %v", c.name, agent.EpochUnconfirmed, !c.confirmed)
 		}
 		agent.ConfirmEpoch(modelLease, now.Add(modelLease))
-		if agent.EpochUnconfirmed == c.confirm {
-			t.Errorf("%s: an epoch kept for one lease is taken for a sign", c.name)
+		if agent.EpochUnconfirmed == c.confirmed {
+			t.Errorf("%s: EpochUnconfirmed cleared after one lease", c.name)
 		}
 		if agent.ConfirmEpoch(modelLease, now.Add(2*modelLease)); agent.EpochUnconfirmed {
-			t.Errorf("%s: an epoch kept for two leases is no sign", c.name)
+			t.Errorf("%s: EpochUnconfirmed still set after two leases", c.name)
 		}
 	}
 }
--- a/internal/workers/wire.go
+++ b/internal/workers/wire.go
@@ -6,54 +6,54 @@
 	"fmt"
 	"strings"
 
-	// Thousands of heartbeats arrive each second: this package decodes one in a sixth of the
+	// Thousands of heartbeats arrive each second, and this package decodes one in a sixth of the
 	// time that the standard library takes.
 	"github.com/segmentio/encoding/json"
 
 	"thornnotch/internal/constants"
 )
 
-// The messages of the protocol between workers and controller nodes. The protocol's own
-// names stand in the JSON tags here, and in the errors that name a field of a message.
+// This file defines the JSON messages between workers and controller nodes. The protocol's own
+// names appear only in the JSON tags, and in errors that refer to a field of a message.
 
-// TaskStatus is the state of a task on a worker, as the worker reports it.
+// TaskStatus is the status of a task as reported by its worker.
 type TaskStatus string
 
-// States of a task on a worker.
+// Statuses of a task.
 const (
-	StatusFetching TaskStatus = "fetching" // waits for its image
-	StatusWaiting  TaskStatus = "waiting"  // waits for the other tasks of its gang
+	StatusFetching TaskStatus = "fetching" // waiting for its image
+	StatusWaiting  TaskStatus = "waiting"  // waiting for the other tasks of its gang
 	StatusRunning  TaskStatus = "running"
-	StatusSaving   TaskStatus = "saving" // was told to stop, and writes a checkpoint
+	StatusSaving   TaskStatus = "saving" // stopping, and writing a checkpoint
 	StatusExited   TaskStatus = "exited"
 )
 
-// ExitCause is why a task exited.
+// ExitCause is the reason why a task exited.
 type ExitCause string
 
-// Causes of an exit.
+// Exit causes.
 const (
 	CauseDone           ExitCause = "done"
 	CauseError          ExitCause = "error"
-	CauseStopped        ExitCause = "halted"     // on command
-	CauseGangIncomplete ExitCause = "alone"      // the gang's other tasks did not come in time
-	CauseGangLost       ExitCause = "mates_gone" // another task of the running gang is gone
-	CauseFull           ExitCause = "full"       // start refused: the machine has no room
-	CauseInUse          ExitCause = "in_use"     // start refused: the task is there with another attempt
+	CauseStopped        ExitCause = "halted"     // by a `stop`
+	CauseGangIncomplete ExitCause = "alone"      // the other tasks of the gang did not start in time
+	CauseGangLost       ExitCause = "mates_gone" // another task of the running gang is no longer there
+	CauseFull           ExitCause = "full"       // start refused: the machine lacks capacity
+	CauseInUse          ExitCause = "in_use"     // start refused: another attempt of the task is on the machine
 	CauseUnknownJob     ExitCause = "unknown"    // start refused: no such job
 )
 
-// Verb is what a command tells a worker to do with a task.
+// Verb is the action that a command requests for a task.
 type Verb string
 
-// Verbs of commands.
+// Command verbs.
 const (
 	VerbRun    Verb = "run"
 	VerbStop   Verb = "stop"
-	VerbForget Verb = "forget" // drop an exited task from the heartbeats
+	VerbForget Verb = "forget" // stop listing an exited task in heartbeats
 )
 
-// TaskReport is one task in a heartbeat.
+// TaskReport is the state of one task in a heartbeat.
 type TaskReport struct {
 	Task    string     `json:"piece"`
 	Attempt uint64     `json:"try"`
@@ -62,8 +62,8 @@
 	Saved   bool       `json:"saved,omitempty"`
 }
 
-// Heartbeat is what a worker reports of itself: at intervals, on each change, and in the
-// answer to a direct command.
+// Heartbeat is a worker's report of its state, sent at intervals, on each change, and in the
+// response to a direct command.
 type Heartbeat struct {
 	Machine     string       `json:"rig"`
 	Endpoint    string       `json:"endpoint"`
@@ -77,7 +77,8 @@
 	Tasks       []TaskReport `json:"pieces"`
 }
 
-// Command tells a worker what to do with a task. GraceS is the time to save, for a stop.
+// Command is a command to a worker concerning one task. For a stop, GraceS is the time the
+// task gets to write a checkpoint, in seconds.
 type Command struct {
 	Verb    Verb     `json:"verb"`
 	Task    string   `json:"piece"`
@@ -85,14 +86,14 @@
 	GraceS  *float64 `json:"windDownS,omitempty"`
 }
 
-// CommandBatch is the reply to a heartbeat; with an epoch it is a direct command.
+// CommandBatch is the reply to a heartbeat or, if Epoch is set, a direct command.
 type CommandBatch struct {
 	Token    uint64    `json:"warrant"`
 	Epoch    uint64    `json:"shift,omitempty"`
 	Commands []Command `json:"orders"`
 }
 
-// DecodeHeartbeat reads and checks a heartbeat.
+// DecodeHeartbeat decodes and validates a heartbeat.
 func DecodeHeartbeat(raw []byte) (*Heartbeat, error) {
 	if text := bytes.TrimSpace(raw); len(text) == 0 || text[0] != '{' {
 		return nil, errors.New("the report is not a JSON object")
@@ -110,7 +111,7 @@
 	return &heartbeat, nil
 }
 
-// checkMachine checks what the heartbeat says of the machine.
+// checkMachine validates the fields that describe the machine.
 func (h *Heartbeat) checkMachine() error {
 	switch {
 	case h.Machine == "" || len(h.Machine) > constants.MaxMachineNameBytes || strings.ContainsAny(h.Machine, " /\n"):
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// checkTasks checks that each task is well formed and that no attempt is listed twice.
+// checkTasks validates each task, and checks that no attempt is listed twice.
 func (h *Heartbeat) checkTasks() error {
 	type reportedAttempt struct {
 		task   string
--- a/internal/workers/wire_test.go
+++ b/internal/workers/wire_test.go
@@ -11,12 +11,12 @@
 	"pgregory.net/rapid"
 )
 
-// TestDecodeHeartbeat: well-formed heartbeats are read, also with fields that are not known,
-// and malformed ones refused.
+// TestDecodeHeartbeat checks that valid heartbeats are decoded, also with unknown fields, that
+// invalid ones are rejected, and that task IDs survive formatting and parsing.
 func TestDecodeHeartbeat(t *testing.T) {
 	good := `{"rig":"m-1","endpoint":"1.2.3.4:9","rigType":"g","hall":"a","loaners":true,"shift":1,"tick":3,"warrant":2,"recallS":null,"new":{},"pieces":[{"piece":"j-1/0","try":1,"status":"exited","cause":"done"}]}`
 	if heartbeat, err := DecodeHeartbeat([]byte(good)); err != nil || len(heartbeat.Tasks) != 1 {
-		t.Fatalf("good heartbeat: %v", err)
+		t.Fatalf("valid heartbeat: %v", err)
 	}
 	for _, bad := range []string{
 		``, `[]`, `{`, `{"rig":"m-1"}`, `{"rig":"a b","rigType":"g","hall":"a","shift":1}`,
@@ -26,39 +26,38 @@
 		`{"rig":"m-1","rigType":"g","hall":"a","shift":1,"pieces":[{"piece":"j-1/0","try":1,"status":"odd"}]}`,
 	} {
 		if _, err := DecodeHeartbeat([]byte(bad)); err == nil {
-			t.Errorf("accepted: %s", bad)
+			t.Errorf("invalid heartbeat accepted: %s", bad)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		id := TaskID{fmt.Sprintf("j-%d", rapid.IntRange(0, 1<<30).Draw(t, "job")), rapid.IntRange(0, 99999).Draw(t, "index")}
 		if got, err := ParseTaskID(id.String()); err != nil || got != id {
-			t.Fatalf("%v read back as %v, %v", id, got, err)
+			t.Fatalf("%v parsed as %v, %v", id, got, err)
 		}
 	})
 }
 
-// TestDecodesLikeTheStandardLibrary: whatever a message holds, and however it is
-// damaged, the faster decoder takes and refuses what the standard library does, and reads
-// the same.
-func TestDecodesLikeTheStandardLibrary(t *testing.T) {
+// TestDecoderMatchesStandardLibrary checks that the faster JSON decoder accepts the same valid
+// and corrupted heartbeats as encoding/json and decodes them to the same values.
+func TestDecoderMatchesStandardLibrary(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		raw, err := json.Marshal(drawHeartbeat(t))
 		if err != nil {
 			t.Fatal(err)
 		}
-		raw = drawDamage(t, raw)
+		raw = drawCorruption(t, raw)
 		var ours, standard Heartbeat
 		oursErr, standardErr := fast.Unmarshal(raw, &ours), json.Unmarshal(raw, &standard)
 		if (oursErr == nil) != (standardErr == nil) {
-			t.Fatalf("%q: %v, by the standard library %v", raw, oursErr, standardErr)
+			t.Fatalf("%q: error %v, encoding/json error %v", raw, oursErr, standardErr)
 		}
 		if standardErr == nil && !reflect.DeepEqual(ours, standard) {
-			t.Fatalf("%q: %+v, by the standard library %+v", raw, ours, standard)
+			t.Fatalf("%q: decoded %+v, encoding/json decoded %+v", raw, ours, standard)
 		}
 	})
 }
 
-// drawHeartbeat draws a heartbeat of any content.
+// drawHeartbeat draws a heartbeat with arbitrary field values.
 func drawHeartbeat(t *rapid.T) Heartbeat {
 	text := rapid.StringMatching(`[a-zA-Z0-9 ./_"\\\x{e4}\x{2028}\n-]{0,12}`)
 	heartbeat := Heartbeat{
@@ -71,7 +70,7 @@
 		Sequence:    rapid.Uint64().Draw(t, "sequence"),
 		Token:       rapid.Uint64().Draw(t, "token"),
 	}
-	if rapid.Bool().Draw(t, "notice") {
+	if rapid.Bool().Draw(t, "reclaim") {
 		seconds := rapid.Float64Range(-1e9, 1e9).Draw(t, "seconds")
 		heartbeat.ReclaimInS = &seconds
 	}
@@ -87,9 +86,9 @@
 	return heartbeat
 }
 
-// drawDamage cuts the text off, replaces a byte, inserts a piece, or leaves it as it is.
-func drawDamage(t *rapid.T, raw []byte) []byte {
-	switch rapid.IntRange(0, 5).Draw(t, "damage") {
+// drawCorruption truncates the text, replaces a byte, inserts a fragment, or changes nothing.
+func drawCorruption(t *rapid.T, raw []byte) []byte {
+	switch rapid.IntRange(0, 5).Draw(t, "corruption") {
 	case 0:
 		return raw[:rapid.IntRange(0, len(raw)).Draw(t, "cut")]
 	case 1:
@@ -103,8 +102,8 @@
 	return raw
 }
 
-// BenchmarkDecodeHeartbeat decodes the heartbeat of a machine with eight tasks. Heartbeats
-// are most of what the leader reads.
+// BenchmarkDecodeHeartbeat decodes the heartbeat of a machine with eight tasks. Heartbeats are
+// most of the messages that the leader decodes.
 func BenchmarkDecodeHeartbeat(b *testing.B) {
 	heartbeat := Heartbeat{
 		Machine: "m-000231", Endpoint: "10.1.0.232:9000", MachineType: "g8", Zone: "a", Spot: true,
--- a/internal/workers/worker_model_test.go
+++ b/internal/workers/worker_model_test.go
@@ -3,30 +3,30 @@
 import "time"
 
 const (
-	modelLease       = 12 * time.Second
-	modelReplyWithin = 4 * time.Second // the worker gives a reply up after that
+	modelLease        = 12 * time.Second
+	modelReplyTimeout = 4 * time.Second // the worker drops replies that arrive later
 
-	ownTerm     = 5 // the term under test, whose number is its fencing token
-	earlierTerm = 4 // an earlier leader's, whose messages are still under way
+	ownTerm     = 5 // term under test; the term number is the fencing token
+	earlierTerm = 4 // term of an earlier leader whose messages are still in flight
 )
 
-// modelWorker follows the protocol's rules for a worker: tokens, leases and commands.
+// modelWorker implements the protocol's rules for a worker: tokens, leases and commands.
 type modelWorker struct {
 	epoch, sequence, token uint64
 	tasks                  map[AttemptID]TaskStatus
-	// leaseFrom is when the last answered heartbeat was sent.
-	leaseFrom time.Time
-	// awaiting is the sequence number of the heartbeat under way, 0 if there is none;
-	// awaitingSince is when it was sent.
-	awaiting      uint64
-	awaitingSince time.Time
+	// leaseStart is when the last heartbeat that got a reply was sent.
+	leaseStart time.Time
+	// pendingSequence is the sequence number of the heartbeat that waits for its reply, 0 if
+	// there is none. pendingSince is when it was sent.
+	pendingSequence uint64
+	pendingSince    time.Time
 }
 
 func newModelWorker(now time.Time) *modelWorker {
-	return &modelWorker{epoch: 1, tasks: map[AttemptID]TaskStatus{}, leaseFrom: now}
+	return &modelWorker{epoch: 1, tasks: map[AttemptID]TaskStatus{}, leaseStart: now}
 }
 
-// report is the worker's next message.
+// report returns the worker's state as a heartbeat with the next sequence number.
 func (w *modelWorker) report() *Heartbeat {
 	w.sequence++
 	heartbeat := &Heartbeat{
@@ -43,40 +43,41 @@
 	return heartbeat
 }
 
-// sendHeartbeat is a heartbeat that the worker awaits the reply to.
+// sendHeartbeat returns a heartbeat and makes it the pending one.
 func (w *modelWorker) sendHeartbeat(now time.Time) *Heartbeat {
 	heartbeat := w.report()
-	w.awaiting, w.awaitingSince = heartbeat.Sequence, now
+	w.pendingSequence, w.pendingSince = heartbeat.Sequence, now
 	return heartbeat
 }
 
-// expireLease kills and forgets every task once the lease has run out.
+// expireLease forgets every task and starts the next epoch if the lease has expired.
 func (w *modelWorker) expireLease(now time.Time) {
-	if now.Sub(w.leaseFrom) > modelLease {
+	if now.Sub(w.leaseStart) > modelLease {
 		w.epoch++
 		w.tasks = map[AttemptID]TaskStatus{}
-		w.leaseFrom = now
-		w.awaiting = 0
+		w.leaseStart = now
+		w.pendingSequence = 0
 	}
 }
 
-// takeReply takes the reply to a heartbeat, unless it is late, of an earlier epoch, or
-// carries a lower token.
-func (w *modelWorker) takeReply(reply *CommandBatch, epoch, sequence uint64, now time.Time) {
-	if sequence != w.awaiting || epoch != w.epoch || now.Sub(w.awaitingSince) > modelReplyWithin {
+// receiveReply executes the commands in the reply to a heartbeat, unless the reply is late, for
+// an earlier epoch, or has a lower token.
+func (w *modelWorker) receiveReply(reply *CommandBatch, epoch, sequence uint64, now time.Time) {
+	if sequence != w.pendingSequence || epoch != w.epoch || now.Sub(w.pendingSince) > modelReplyTimeout {
 		return
 	}
-	w.awaiting = 0
+	w.pendingSequence = 0
 	if reply.Token < w.token {
 		return
 	}
 	w.token = reply.Token
-	w.leaseFrom = w.awaitingSince
+	w.leaseStart = w.pendingSince
 	w.execute(reply.Commands)
 }
 
-// takeDirect takes a direct command of any age, and answers with a report.
-func (w *modelWorker) takeDirect(batch *CommandBatch) *Heartbeat {
+// receiveDirectCommand executes a direct command, however old, if its token and epoch allow
+// that, and returns the heartbeat for the response.
+func (w *modelWorker) receiveDirectCommand(batch *CommandBatch) *Heartbeat {
 	if batch.Token >= w.token && batch.Epoch == w.epoch {
 		w.token = batch.Token
 		w.execute(batch.Commands)
@@ -88,14 +89,14 @@
 	for _, command := range commands {
 		task, err := ParseTaskID(command.Task)
 		if err != nil {
-			panic(err) // the agent has sent a command that no worker can read
+			panic(err) // the agent sent a malformed command
 		}
 		id := AttemptID{task, command.Attempt}
-		status, has := w.tasks[id]
+		status, exists := w.tasks[id]
 		switch {
-		case command.Verb == VerbRun && !has:
+		case command.Verb == VerbRun && !exists:
 			w.tasks[id] = StatusRunning
-		case command.Verb == VerbStop && has:
+		case command.Verb == VerbStop && exists:
 			w.tasks[id] = StatusExited
 		case command.Verb == VerbForget && status == StatusExited:
 			delete(w.tasks, id)
