--- a/internal/leader/attempt_numbers_test.go
+++ b/internal/leader/attempt_numbers_test.go
@@ -8,10 +8,10 @@
 	"thornnotch/internal/constants"
 )
 
-// TestAttemptNumbersAreUnique: numbers of different terms, and numbers allocated at different
-// times within a term, are distinct, and owns recognizes exactly the numbers of its own term.
-// The carry is reached in practice: a busy fleet of thousands of machines starts a million
-// tasks, the range of the low bits, within an hour.
+// TestAttemptNumbersAreUnique checks that numbers of different terms, and numbers allocated at
+// different times within a term, are distinct, and owns recognizes exactly the numbers of its
+// own term. The carry is reached in practice: a busy fleet of thousands of machines starts a
+// million tasks, the range of the low bits, within an hour.
 func TestAttemptNumbersAreUnique(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) attemptNumbers {
@@ -45,9 +45,9 @@
 	})
 }
 
-// TestAttemptNumbersMatchEarlierVersions: the first million numbers of a term must keep the
-// layout that the version in production writes and reads. A term too large to leave room for
-// the carry must run out of numbers instead of going on.
+// TestAttemptNumbersMatchEarlierVersions checks that the first million numbers of a term keep
+// the layout that the version in production writes and reads, and that a term too large to
+// leave bits for the carry runs out of numbers at the first carry.
 func TestAttemptNumbersMatchEarlierVersions(t *testing.T) {
 	n := attemptNumbers{term: 7}
 	if number, _ := n.next(); number != 7<<20|1 {
--- a/internal/leader/attempt_records_test.go
+++ b/internal/leader/attempt_records_test.go
@@ -7,8 +7,8 @@
 	"thornnotch/internal/jobs"
 )
 
-// TestGangStartsWhenAllAttemptsCommitted: no task of a gang may start until the attempts of
-// all its tasks are committed; then all of them may.
+// TestGangStartsWhenAllAttemptsCommitted checks that no task of a gang may start until the
+// attempts of all its tasks are committed, and that then all of them may.
 func TestGangStartsWhenAllAttemptsCommitted(t *testing.T) {
 	const tasks = 3
 	now := time.Now()
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -87,9 +87,9 @@
 				job.retry.notBefore = time.Time{}
 				clear(job.retry.avoid)
 			}
-			revision = commitAll(l, revision)
+			revision = commitPending(l, revision)
 			l.runSchedulingPass(now)
-			revision = commitAll(l, revision)
+			revision = commitPending(l, revision)
 			for k := range 20 {
 				machine := fleet[(i*20+k*101)%len(fleet)]
 				machine.agent.Commands(true, now)
@@ -132,7 +132,7 @@
 		b.ResetTimer()
 		for i := range b.N {
 			machine := fleet[i%len(fleet)]
-			l.heartbeat(nextHeartbeat(l, machine, workers.StatusRunning, ""), now, reply)
+			l.handleHeartbeat(nextHeartbeat(l, machine, workers.StatusRunning, ""), now, reply)
 			l.commit(now)
 			l.replies.byMachine[machine].until = now
 			l.replies.wake(machine)
@@ -142,8 +142,8 @@
 	})
 }
 
-// BenchmarkTick measures the periodic work that the loop does four times a second: lease
-// expiry, expiry of holds and scaling.
+// BenchmarkTick measures the periodic work that the loop does four times a second: expiry of
+// leases and reservations, and scaling.
 func BenchmarkTick(b *testing.B) {
 	perFleetSize(b, func(b *testing.B, machines int) {
 		b.Helper()
@@ -168,14 +168,14 @@
 	perFleetSize(b, func(b *testing.B, machines int) {
 		b.Helper()
 		l, fleet := largeFleet(b, machines)
-		revision := commitAll(l, 1000)
+		revision := commitPending(l, 1000)
 		before := l.wal.Stats().EntryBytes
 		b.ResetTimer()
 		for i := range b.N {
 			for k := range 20 {
 				l.logMetadata(fleet[(i*20+k)%len(fleet)], nil)
 			}
-			revision = commitAll(l, revision)
+			revision = commitPending(l, revision)
 		}
 		b.ReportMetric(float64(l.wal.Stats().EntryBytes-before)/float64(b.N), "bytes")
 	})
--- a/internal/leader/certainty/certainty.go
+++ b/internal/leader/certainty/certainty.go
@@ -1,9 +1,9 @@
-// Package certainty tracks up to which time the leader knows all cancellations for certain,
+// Package certainty tracks the time up to which the leader certainly knows all cancellations,
 // and therefore whether it may still acknowledge workers' heartbeats.
 //
 // Any node accepts cancellations. The leader learns of them through its watch on the state
 // service, or through attestations from all nodes. While it gets neither, another node may
-// have confirmed a cancellation to a user, and the tasks of that job must have left their
+// have confirmed a cancellation to a user, and the tasks of that job must have ended on all
 // machines within the promised time. So the leader stops acknowledging heartbeats early enough
 // for every worker's lease to expire by then. The proof is in docs/design.md (Safety, "The
 // gap"), and the arithmetic at [Window].
@@ -30,8 +30,8 @@
 	return max(cancel-lease-drift-constants.WorkerKillDelay, time.Second)
 }
 
-// Tracker tracks up to which time all cancellations are known. A zero time means that nothing
-// is known yet.
+// Tracker tracks the time up to which all cancellations are known. A zero time means that
+// nothing is known yet.
 type Tracker struct {
 	window time.Duration
 	// watchedUntil is the time up to which the watch on the state service has reported all
@@ -45,9 +45,9 @@
 // NewTracker returns a tracker that permits acknowledgements for window after the last proof.
 func NewTracker(window time.Duration) Tracker { return Tracker{window: window} }
 
-// Watched records an answer of the state service to a request sent at askedAt. However late it
-// arrives, it contains all changes up to some moment after the request.
-func (t *Tracker) Watched(askedAt time.Time) {
+// RecordWatch records the state service's answer to a watch request sent at askedAt. However
+// late the answer arrives, it contains all changes up to some moment after the request.
+func (t *Tracker) RecordWatch(askedAt time.Time) {
 	t.watchedUntil = askedAt
 	if askedAt.After(t.certainUntil) {
 		t.certainUntil = askedAt
@@ -61,13 +61,13 @@
 	if !askedAt.After(t.certainUntil) {
 		return false
 	}
-	restored = !t.Holds(now)
+	restored = !t.MayAcknowledge(now)
 	t.certainUntil = askedAt
 	return restored
 }
 
-// Holds reports whether heartbeats may be acknowledged.
-func (t *Tracker) Holds(now time.Time) bool { return now.Sub(t.certainUntil) <= t.window }
+// MayAcknowledge reports whether heartbeats may be acknowledged.
+func (t *Tracker) MayAcknowledge(now time.Time) bool { return now.Sub(t.certainUntil) <= t.window }
 
 // SinceProof returns the time since all cancellations were last known for certain.
 func (t *Tracker) SinceProof(now time.Time) time.Duration { return now.Sub(t.certainUntil) }
--- a/internal/leader/certainty/certainty_test.go
+++ b/internal/leader/certainty/certainty_test.go
@@ -16,9 +16,9 @@
 	latest, watched time.Time // request times of the latest proof, and of the watch's last answer
 }
 
-// TestProofsOnlyAdvance: whatever proofs arrive in whatever order, cancellations are known up
-// to the latest request that was answered, and by the watch up to the last request that it
-// answered.
+// TestProofsOnlyAdvance checks that, for any proofs in any order, cancellations are known up
+// to the latest request that was answered, and that WatchedUntil is the time of the watch
+// request that was answered last.
 func TestProofsOnlyAdvance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -28,12 +28,12 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 15000).Draw(t, "pause")) * time.Millisecond)
 			askedAt := now.Add(-time.Duration(rapid.IntRange(0, 5000).Draw(t, "late")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "attested") {
-				want := !tracker.Holds(now) && askedAt.After(model.latest)
+				want := !tracker.MayAcknowledge(now) && askedAt.After(model.latest)
 				if restored := tracker.RecordAttestation(askedAt, now); restored != want {
 					t.Fatalf("acknowledgements restored: %v, want %v", restored, want)
 				}
 			} else {
-				tracker.Watched(askedAt)
+				tracker.RecordWatch(askedAt)
 				model.watched = askedAt
 			}
 			if askedAt.After(model.latest) {
@@ -53,22 +53,23 @@
 	if got := tracker.SinceProof(now); got != since {
 		t.Fatalf("last proof %v ago, want %v", got, since)
 	}
-	if got := tracker.Holds(now); got != (since <= m.window) {
+	if got := tracker.MayAcknowledge(now); got != (since <= m.window) {
 		t.Fatalf("acknowledgements permitted: %v, %v after the last proof", got, since)
 	}
 }
 
-// TestNoAcknowledgementWithoutProof: a leader that has read nothing acknowledges no
+// TestNoAcknowledgementWithoutProof checks that a leader that has read nothing acknowledges no
 // heartbeats.
 func TestNoAcknowledgementWithoutProof(t *testing.T) {
 	tracker := NewTracker(20 * time.Second)
-	if tracker.Holds(time.Now()) {
+	if tracker.MayAcknowledge(time.Now()) {
 		t.Error("acknowledgements permitted without any proof")
 	}
 }
 
-// TestWindowLeavesTimeForLeases: after the end of the window, a lease by a slow clock and the
-// worker's kill delay fit into the promised time by a fast clock.
+// TestWindowLeavesTimeForLeases checks that a lease that begins at the end of the window,
+// measured by a slow clock, and the worker's kill delay end within the promised time, measured
+// by a fast clock.
 func TestWindowLeavesTimeForLeases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lease := rapid.Float64Range(2, 30).Draw(t, "lease")
--- a/internal/leader/certainty_test.go
+++ b/internal/leader/certainty_test.go
@@ -14,11 +14,11 @@
 	"thornnotch/internal/workers"
 )
 
-// TestCancelledTasksEndInTimeDuringOutage: from time W on, the state service refuses the
-// leader while another node confirms cancellations. Whatever the network delays, the leader's
-// processing delays and the clock drift, the tasks must be off the last machine within
-// cancel_s of the first confirmation. Omitting any term of certainty.Window makes this test
-// fail.
+// TestCancelledTasksEndInTimeDuringOutage checks that tasks of cancelled jobs end in time
+// although, from time W on, the state service refuses the leader while another node confirms
+// cancellations. For any network delays, delays in the leader and clock drift, the last task
+// must end within cancel_s of the first confirmation. Omitting any term of certainty.Window
+// makes this test fail.
 func TestCancelledTasksEndInTimeDuringOutage(t *testing.T) {
 	for seed := range uint64(60) {
 		synctest.Test(t, func(t *testing.T) {
@@ -57,7 +57,7 @@
 	s := &outageScenario{l: testLeader(t), rng: rand.New(rand.NewPCG(seed, 5)), refusedAt: time.Now()}
 	s.timings = s.l.deps.Settings.Params.Workers
 	s.lease, s.cancelWithin = config.Seconds(s.timings.LeaseS), config.Seconds(s.timings.CancelWithinS)
-	s.l.certainty.Watched(s.refusedAt)
+	s.l.certainty.RecordWatch(s.refusedAt)
 	s.confirmedAt = s.refusedAt.Add(time.Duration(s.rng.IntN(2)) * s.randomBelow(2*time.Second))
 	s.renewedAt = s.refusedAt
 	return s
@@ -79,7 +79,7 @@
 	s.sequence++
 	reply := make(chan Reply, 1)
 	heartbeat := &workers.Heartbeat{Machine: "m-1", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: s.sequence, Token: s.l.term.number()}
-	s.l.heartbeat(heartbeat, time.Now(), reply)
+	s.l.handleHeartbeat(heartbeat, time.Now(), reply)
 	if s.rng.IntN(3) == 0 { // the reply is delayed, too
 		time.Sleep(s.randomBelow(2 * time.Second))
 	}
@@ -127,8 +127,8 @@
 	return from, nil, ctx.Err()
 }
 
-// TestWatchProofDatesFromRequest: an answer to a watch that took long proves that
-// cancellations are known up to the request, not up to the answer.
+// TestWatchProofDatesFromRequest checks that a late answer to a watch request proves that
+// cancellations are known up to the time of the request, not of the answer.
 func TestWatchProofDatesFromRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := testLeader(t)
@@ -148,12 +148,13 @@
 	})
 }
 
-// TestAttestedCancellations: attestations by all nodes prove that cancellations are known up
-// to the request, and end the jobs that they name. A stale attestation proves nothing.
+// TestAttestedCancellations checks that attestations by all nodes prove that cancellations are
+// known up to the request, and end the jobs that they name. A stale attestation proves
+// nothing.
 func TestAttestedCancellations(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	l.certainty.Watched(now.Add(-time.Minute))
+	l.certainty.RecordWatch(now.Add(-time.Minute))
 	job := addJob(t, l, arraySpec("j-1", 1), now)
 	l.applyAttestation([]string{"j-1"}, now.Add(-constants.AttestationMaxAge-time.Second), now)
 	if job.removed || l.certainty.SinceProof(now) < time.Minute {
--- a/internal/leader/class_stats.go
+++ b/internal/leader/class_stats.go
@@ -25,10 +25,10 @@
 	}
 }
 
-// fade decays the counts and rates by the time elapsed.
-func (s *classStats) fade(elapsed time.Duration) {
-	s.arrivals.fade(elapsed)
-	s.placementRates.fade(elapsed)
+// decay reduces the counts and rates by the elapsed time.
+func (s *classStats) decay(elapsed time.Duration) {
+	s.arrivals.decay(elapsed)
+	s.placementRates.decay(elapsed)
 }
 
 // classArrivals counts the jobs of each class. Counts decay, so older jobs weigh less.
@@ -36,16 +36,16 @@
 
 func (a classArrivals) add(class string) { a[class]++ }
 
-// fade reduces all counts by the time elapsed.
-func (a classArrivals) fade(elapsed time.Duration) {
+// decay reduces all counts by the elapsed time.
+func (a classArrivals) decay(elapsed time.Duration) {
 	for class := range a {
 		a[class] *= 1 - elapsed.Seconds()/constants.ArrivalWindow.Seconds()
 	}
 }
 
-// share returns the number of jobs of a class relative to that of the most frequent class, 1
-// if no jobs have been counted yet.
-func (a classArrivals) share(class string) float64 {
+// relativeCount returns the number of jobs of a class relative to that of the most frequent
+// class. It returns 1 if no jobs have been counted yet.
+func (a classArrivals) relativeCount(class string) float64 {
 	most := 0.0
 	for _, count := range a {
 		most = max(most, count)
@@ -62,8 +62,8 @@
 
 func (r placementRates) add(class string) { r[class] += 1 / constants.StartRateWindow.Seconds() }
 
-// fade reduces all rates by the time elapsed.
-func (r placementRates) fade(elapsed time.Duration) {
+// decay reduces all rates by the elapsed time.
+func (r placementRates) decay(elapsed time.Duration) {
 	for class := range r {
 		r[class] *= 1 - elapsed.Seconds()/constants.StartRateWindow.Seconds()
 	}
@@ -86,9 +86,9 @@
 	r[spec.Class] = previous + (ratio-previous)*constants.RuntimeRatioWeight
 }
 
-// expected returns the expected run time of the job's tasks: the owner's estimate, corrected
-// by the recent ratio of its class. The correction is bounded in both directions.
-func (r runtimeRatios) expected(spec *jobs.Spec) time.Duration {
+// expectedRuntime returns the expected run time of the job's tasks: the owner's estimate,
+// corrected by the recent ratio of its class. The correction is bounded in both directions.
+func (r runtimeRatios) expectedRuntime(spec *jobs.Spec) time.Duration {
 	ratio := 1.0
 	if observed, ok := r[spec.Class]; ok {
 		ratio = min(max(observed, 1/constants.MaxRuntimeRatio), constants.MaxRuntimeRatio)
--- a/internal/leader/class_stats_test.go
+++ b/internal/leader/class_stats_test.go
@@ -9,34 +9,34 @@
 	"thornnotch/internal/jobs"
 )
 
-// TestClassShare: shares are relative to the most frequent class, and 1 for every class before
-// any job has arrived.
-func TestClassShare(t *testing.T) {
+// TestRelativeClassCount checks that counts are relative to the most frequent class, and are 1
+// for every class before any job has arrived.
+func TestRelativeClassCount(t *testing.T) {
 	arrivals := make(classArrivals)
-	if got := arrivals.share("x"); got != 1 {
-		t.Errorf("share before any job has arrived: %v, want 1", got)
+	if got := arrivals.relativeCount("x"); got != 1 {
+		t.Errorf("relative count before any job has arrived: %v, want 1", got)
 	}
 	for range 4 {
 		arrivals.add("x")
 	}
 	arrivals.add("y")
 	for class, want := range map[string]float64{"x": 1, "y": 0.25, "z": 0} {
-		if got := arrivals.share(class); got != want {
-			t.Errorf("share of class %s: %v, want %v", class, got, want)
+		if got := arrivals.relativeCount(class); got != want {
+			t.Errorf("relative count of class %s: %v, want %v", class, got, want)
 		}
 	}
-	arrivals.fade(constants.ArrivalWindow / 4)
+	arrivals.decay(constants.ArrivalWindow / 4)
 	if got := arrivals["x"]; math.Abs(got-3) > 1e-9 {
 		t.Errorf("count of 4 jobs after a quarter of the window: %v, want 3", got)
 	}
 }
 
-// TestPlacementRatesConverge: at a steady rate of placements the estimate converges to that
-// rate.
+// TestPlacementRatesConverge checks that at a steady rate of placements the estimate converges
+// to that rate.
 func TestPlacementRatesConverge(t *testing.T) {
 	rates := make(placementRates)
 	for range 200 {
-		rates.fade(time.Second)
+		rates.decay(time.Second)
 		for range 3 {
 			rates.add("x")
 		}
@@ -46,30 +46,30 @@
 	}
 }
 
-// TestExpectedRuntimeCorrection: owners' estimates are often wrong, so recent run times of the
-// class correct them, within bounds.
+// TestExpectedRuntimeCorrection checks that recent run times of a class correct owners'
+// estimates, which are often wrong, within bounds.
 func TestExpectedRuntimeCorrection(t *testing.T) {
 	ratios := make(runtimeRatios)
 	spec := &jobs.Spec{Class: "x", ExpectedS: 10}
-	if got := ratios.expected(spec); got != 10*time.Second {
+	if got := ratios.expectedRuntime(spec); got != 10*time.Second {
 		t.Errorf("expected run time without observations: %v, want 10s", got)
 	}
 	for range 100 {
 		ratios.record(spec, 15*time.Second)
 	}
-	if off := ratios.expected(spec) - 15*time.Second; off.Abs() > 100*time.Millisecond {
-		t.Errorf("corrected run time: %v, want about 15s", ratios.expected(spec))
+	if off := ratios.expectedRuntime(spec) - 15*time.Second; off.Abs() > 100*time.Millisecond {
+		t.Errorf("corrected run time: %v, want about 15s", ratios.expectedRuntime(spec))
 	}
 	for range 100 {
 		ratios.record(spec, 900*time.Second)
 	}
-	if got := ratios.expected(spec); got > 31*time.Second {
+	if got := ratios.expectedRuntime(spec); got > 31*time.Second {
 		t.Errorf("corrected run time exceeds its bound: %v", got)
 	}
 }
 
-// TestRuntimeRatiosIgnoreJobsWithoutEstimate: run times of a job without an estimate are not
-// recorded for its class.
+// TestRuntimeRatiosIgnoreJobsWithoutEstimate checks that run times of a job without an
+// estimate are not recorded for its class.
 func TestRuntimeRatiosIgnoreJobsWithoutEstimate(t *testing.T) {
 	ratios := make(runtimeRatios)
 	ratios.record(&jobs.Spec{Class: "x"}, time.Minute)
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -8,12 +8,12 @@
 	"thornnotch/internal/workers"
 )
 
-// commandDispatcher limits the number of direct commands in flight, because a node has few
-// sockets beside those that its workers use. Half of the slots are reserved for stops. At
+// commandLimiter limits the number of direct commands in flight, because a node has few
+// sockets besides those that its workers use. Half of the slots are reserved for stops. At
 // most half may be taken by commands to silent workers: most likely these hang until their
 // timeout, and those of a whole unreachable zone would take the slots that stops for other
 // workers need.
-type commandDispatcher struct {
+type commandLimiter struct {
 	inFlight int
 	// silentInFlight counts the commands in flight to silent workers.
 	silentInFlight int
@@ -21,33 +21,34 @@
 
 // acquire takes a slot for a command, and reports whether one was free. stops is set if the
 // command stops tasks, silent if it goes to a silent worker.
-func (d *commandDispatcher) acquire(stops, silent bool) bool {
+func (c *commandLimiter) acquire(stops, silent bool) bool {
 	limit := constants.MaxCommandsInFlight
 	if !stops {
 		limit /= 2
 	}
-	if d.inFlight >= limit || silent && d.silentInFlight >= constants.MaxSilentCommandsInFlight {
+	if c.inFlight >= limit || silent && c.silentInFlight >= constants.MaxSilentCommandsInFlight {
 		return false
 	}
-	d.inFlight++
+	c.inFlight++
 	if silent {
-		d.silentInFlight++
+		c.silentInFlight++
 	}
 	return true
 }
 
-// release frees the slot of a command. silent must be as it was in the call of acquire.
-func (d *commandDispatcher) release(silent bool) {
-	d.inFlight--
+// release frees the slot of a command. silent must have the same value as in the call of
+// acquire.
+func (c *commandLimiter) release(silent bool) {
+	c.inFlight--
 	if silent {
-		d.silentInFlight--
+		c.silentInFlight--
 	}
 }
 
 // directCommandState tracks the direct commands to one worker.
 type directCommandState struct {
 	inFlight bool
-	lastSent time.Time // zero if none was sent, or if the next need not wait
+	lastSent time.Time // zero if none was sent or after resetInterval
 }
 
 func (d *directCommandState) begin(now time.Time) { d.inFlight, d.lastSent = true, now }
@@ -61,15 +62,15 @@
 // sinceLast returns how long ago the last command was sent.
 func (d *directCommandState) sinceLast(now time.Time) time.Duration { return now.Sub(d.lastSent) }
 
-// sendCommand sends a direct command, that is, a request to the worker's own address. It
+// sendDirectCommand sends a direct command, that is, a request to the worker's own address. It
 // may arrive minutes late, so only stops are sent this way: a late stop is harmless, as it
-// names an attempt that is never started again. Without stops the command only tells the
-// worker this term's token and asks for its status. sendCommand returns false if no slot is
-// free for the command.
-func (l *Leader) sendCommand(machine *machineState, stops []workers.Command, now time.Time) bool {
+// names an attempt that is never started again. Without stops the command only sends the
+// worker this term's token and asks for its status. sendDirectCommand returns false if no slot
+// is free for the command.
+func (l *Leader) sendDirectCommand(machine *machineState, stops []workers.Command, now time.Time) bool {
 	agent := machine.agent
 	if agent.Endpoint == "" || agent.Epoch == 0 || machine.direct.inFlight && len(stops) == 0 {
-		return true // no address yet, or a command that tells the token is already in flight
+		return true // no address yet, or another command with the token is already in flight
 	}
 	silent := l.isSilent(machine, now)
 	if !l.commands.acquire(len(stops) > 0, silent) {
@@ -111,7 +112,7 @@
 	if !machine.stopsDue(resend, now) {
 		return
 	}
-	if !l.sendCommand(machine, stopCommands(machine.agent, now), now) {
+	if !l.sendDirectCommand(machine, stopCommands(machine.agent, now), now) {
 		return // retried on the next tick
 	}
 	for _, attempt := range machine.agent.Attempts {
@@ -147,6 +148,6 @@
 // ProbeInterval. A response shows that the worker is reachable.
 func (l *Leader) probeAgent(machine *machineState, now time.Time) {
 	if machine.direct.sinceLast(now) >= constants.ProbeInterval {
-		l.sendCommand(machine, nil, now)
+		l.sendDirectCommand(machine, nil, now)
 	}
 }
--- a/internal/leader/commands_test.go
+++ b/internal/leader/commands_test.go
@@ -17,42 +17,42 @@
 // TestCommandLimiter checks that half of the slots are reserved for stops, that half are
 // reserved for workers that are not silent, and that a released slot can be acquired again.
 func TestCommandLimiter(t *testing.T) {
-	const stops, probe, silent, heard = true, false, true, false
-	acquire := func(d *commandDispatcher, stops, silent bool) (n int) {
-		for d.acquire(stops, silent) {
+	const stops, probe, silent, reporting = true, false, true, false
+	acquire := func(c *commandLimiter, stops, silent bool) (n int) {
+		for c.acquire(stops, silent) {
 			n++
 		}
 		return n
 	}
 	t.Run("probes leave slots for stops", func(t *testing.T) {
-		var limiter commandDispatcher
-		if n := acquire(&limiter, probe, heard); n != constants.MaxCommandsInFlight/2 {
+		var limiter commandLimiter
+		if n := acquire(&limiter, probe, reporting); n != constants.MaxCommandsInFlight/2 {
 			t.Errorf("%d slots for probes", n)
 		}
-		if n := acquire(&limiter, stops, heard); n != constants.MaxCommandsInFlight-constants.MaxCommandsInFlight/2 {
+		if n := acquire(&limiter, stops, reporting); n != constants.MaxCommandsInFlight-constants.MaxCommandsInFlight/2 {
 			t.Errorf("%d slots left for stops", n)
 		}
 	})
 	t.Run("silent workers leave slots for others", func(t *testing.T) {
-		var limiter commandDispatcher
+		var limiter commandLimiter
 		if n := acquire(&limiter, stops, silent); n != constants.MaxSilentCommandsInFlight {
 			t.Errorf("%d slots for silent workers", n)
 		}
-		if n := acquire(&limiter, stops, heard); n != constants.MaxCommandsInFlight-constants.MaxSilentCommandsInFlight {
+		if n := acquire(&limiter, stops, reporting); n != constants.MaxCommandsInFlight-constants.MaxSilentCommandsInFlight {
 			t.Errorf("%d slots left for other workers", n)
 		}
 		limiter.release(silent)
-		if !limiter.acquire(stops, silent) || limiter.acquire(stops, heard) {
+		if !limiter.acquire(stops, silent) || limiter.acquire(stops, reporting) {
 			t.Error("a released slot was not available exactly once")
 		}
 	})
 	t.Run("all slots are released", func(t *testing.T) {
-		var limiter commandDispatcher
+		var limiter commandLimiter
 		limiter.acquire(stops, silent)
-		limiter.acquire(probe, heard)
+		limiter.acquire(probe, reporting)
 		limiter.release(silent)
-		limiter.release(heard)
-		if limiter != (commandDispatcher{}) {
+		limiter.release(reporting)
+		if limiter != (commandLimiter{}) {
 			t.Errorf("after the last release: %+v", limiter)
 		}
 	})
@@ -65,20 +65,20 @@
 func testDirectCommandLimit(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	offline(t, l)
+	useUnavailableStore(t, l)
 	unblock := make(chan struct{})
 	l.deps.Workers = blockedWorkers(unblock)
 	for i := range 400 {
 		machine := addMachine(l, fmt.Sprintf("m-%04d", i), "east", now)
 		machine.agent.Endpoint = "x"
-		l.sendCommand(machine, nil, now)
+		l.sendDirectCommand(machine, nil, now)
 	}
 	if l.commands.inFlight != constants.MaxCommandsInFlight/2 {
 		t.Errorf("%d probes in flight", l.commands.inFlight)
 	}
 	addJob(t, l, arraySpec("j-1", 16), now)
 	l.runSchedulingPass(now)
-	commitAll(l, 100)
+	commitPending(l, 100)
 	for machine := range l.fleet.all() {
 		machine.agent.Commands(true, now)
 	}
@@ -88,21 +88,21 @@
 		t.Errorf("only %d stops were sent", stops)
 	}
 	close(unblock)
-	runUntilQuiet(t, l)
+	runUntilIdle(t, l)
 	if l.commands.inFlight != 0 {
 		t.Errorf("%d slots were never released", l.commands.inFlight)
 	}
 }
 
-// TestStopsReachReachableMachines guards against stops that are delayed by commands to
-// unreachable machines: a network cut separates hundreds of machines with cancelled tasks,
-// and direct commands to them hang. A gang in another zone that must save its state has to
-// get all its stops within seconds, or saving fails.
-func TestStopsReachReachableMachines(t *testing.T) {
+// TestUnreachableMachinesDoNotDelayStops guards against stops that are delayed by commands to
+// unreachable machines: a network partition separates hundreds of machines with cancelled
+// tasks, and direct commands to them hang. A gang in another zone that must save its state has
+// to get all its stops within seconds, or saving fails.
+func TestUnreachableMachinesDoNotDelayStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
 		l := testLeader(t)
-		offline(t, l)
+		useUnavailableStore(t, l)
 		l.teams = []config.Team{{Name: "a", GuaranteedGPUs: 10000, MaxGPUs: 10000}}
 		unblock := make(chan struct{})
 		l.deps.Workers = blockedWorkers(unblock)
@@ -113,7 +113,7 @@
 		addJob(t, l, arraySpec("j-1", 4*machines), now)
 		for range 6 {
 			l.runSchedulingPass(now)
-			commitAll(l, 100)
+			commitPending(l, 100)
 		}
 		for machine := range l.fleet.all() {
 			machine.agent.Commands(true, now)
@@ -126,7 +126,7 @@
 		spec.Kind, spec.GPUs = jobs.KindGang, 4
 		job := addJob(t, l, spec, now)
 		l.runSchedulingPass(now)
-		commitAll(l, 1000)
+		commitPending(l, 1000)
 		for _, task := range job.attempts.sorted() {
 			task.machine.agent.Commands(true, now)
 		}
@@ -142,7 +142,7 @@
 			t.Errorf("%d of %d stops for the gang were sent at once", sent, gang)
 		}
 		close(unblock)
-		runUntilQuiet(t, l)
+		runUntilIdle(t, l)
 		if l.commands.inFlight != 0 || l.commands.silentInFlight != 0 {
 			t.Errorf("%d slots were never released, %d of them for silent workers", l.commands.inFlight, l.commands.silentInFlight)
 		}
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -32,9 +32,9 @@
 	obsoleteKeys, replacedKeys map[string]uint64
 
 	inFlight bool
-	// firstSentAt is when the current transaction was first sent; lastCommitAt is when any
-	// transaction was last sent, retries included.
-	firstSentAt, lastCommitAt time.Time
+	// firstSentAt is when the current transaction was first sent. lastSentAt is when a
+	// transaction was last sent, including retries.
+	firstSentAt, lastSentAt time.Time
 	// backoff is the delay after a transaction that got no answer; zero while commits succeed.
 	// retryAt is the earliest time of the next retry.
 	backoff time.Duration
@@ -48,13 +48,13 @@
 	largeRingCheckedAt time.Time
 }
 
-// newGroupCommit returns a groupCommit without a log; open must be called before use.
+// newGroupCommit returns a groupCommit without a log; setLog must be called before use.
 func newGroupCommit(logger *slog.Logger, beginCheckpoint func()) groupCommit {
 	return groupCommit{logger: logger, beginCheckpoint: beginCheckpoint, obsoleteKeys: make(map[string]uint64), replacedKeys: make(map[string]uint64)}
 }
 
-// open sets the log whose changes are committed.
-func (c *groupCommit) open(log *wal.Writer, txnOps int) { c.log, c.txnOps = log, txnOps }
+// setLog sets the log whose changes are committed.
+func (c *groupCommit) setLog(log *wal.Writer, txnOps int) { c.log, c.txnOps = log, txnOps }
 
 // healthy reports whether commits are succeeding, as far as is known.
 func (c *groupCommit) healthy() bool { return c.backoff == 0 }
@@ -84,11 +84,11 @@
 	case c.lastTxnFull:
 		// Waiting would not batch more changes, as the next transaction is already full. The
 		// state service's request tokens limit the rate.
-		at = c.lastCommitAt
+		at = c.lastSentAt
 	case c.log.Pending() || c.hasFinalRecords():
-		at = c.lastCommitAt.Add(constants.CommitInterval)
+		at = c.lastSentAt.Add(constants.CommitInterval)
 	case c.log.Checkpointing() || len(c.obsoleteKeys) > 0:
-		at = c.lastCommitAt.Add(constants.CheckpointPartInterval)
+		at = c.lastSentAt.Add(constants.CheckpointPartInterval)
 	default:
 		return time.Time{}
 	}
@@ -104,8 +104,9 @@
 // hasRemaining reports whether changes are pending that are not in the transaction in flight.
 func (c *groupCommit) hasRemaining() bool { return c.log.Remaining() || c.hasFinalRecords() }
 
-// setMore records whether the transaction being sent left changes pending for lack of space.
-func (c *groupCommit) setMore(full bool, now time.Time) {
+// setLastTxnFull records whether the transaction being sent left changes pending for lack of
+// space.
+func (c *groupCommit) setLastTxnFull(full bool, now time.Time) {
 	if full && !c.lastTxnFull {
 		c.fullSince = now
 	}
@@ -133,11 +134,11 @@
 	txn := c.next()
 	if txn == nil {
 		c.backoff = 0
-		c.setMore(false, now)
+		c.setLastTxnFull(false, now)
 		return nil
 	}
-	c.inFlight, c.lastCommitAt = true, now
-	c.setMore(c.hasRemaining(), now)
+	c.inFlight, c.lastSentAt = true, now
+	c.setLastTxnFull(c.hasRemaining(), now)
 	return txn
 }
 
--- a/internal/leader/commit_calls.go
+++ b/internal/leader/commit_calls.go
@@ -77,7 +77,7 @@
 	// downgraded to a version that can't read it unless the operators' setting has been turned
 	// off first.
 	l.wal.AllowLargeRing(head.Ring > 0 && l.deps.Operator.Log.LargeRing)
-	l.commits.open(l.wal, state.TxnOps)
+	l.commits.setLog(l.wal, state.TxnOps)
 }
 
 // checkLargeRingSupport periodically asks whether all nodes can read the log's large ring, if
--- a/internal/leader/commit_job_writes.go
+++ b/internal/leader/commit_job_writes.go
@@ -26,12 +26,12 @@
 	write func() wal.JobWrite
 }
 
-// recordCompleted queues the final record of a completed job.
-func (c *groupCommit) recordCompleted(record finalRecord) { c.completed = append(c.completed, record) }
+// queueCompleted queues the final record of a completed job.
+func (c *groupCommit) queueCompleted(record finalRecord) { c.completed = append(c.completed, record) }
 
-// recordCancelled queues the final record of a job cancelled because a job that it depends on
+// queueCancelled queues the final record of a job cancelled because a job that it depends on
 // was cancelled.
-func (c *groupCommit) recordCancelled(write func() wal.JobWrite) {
+func (c *groupCommit) queueCancelled(write func() wal.JobWrite) {
 	c.cancelled = append(c.cancelled, write)
 }
 
--- a/internal/leader/commit_result.go
+++ b/internal/leader/commit_result.go
@@ -22,7 +22,7 @@
 	headRevision uint64
 }
 
-// commitOutcome is what the leader has to do after a transaction, besides the log's own
+// commitOutcome tells the leader what to do after a transaction, besides the log's own
 // callbacks.
 type commitOutcome struct {
 	// duration is how long the transaction was in flight.
@@ -36,7 +36,7 @@
 // finishTxn handles the result of the transaction in flight.
 func (c *groupCommit) finishTxn(result commitResult, now time.Time) commitOutcome {
 	c.inFlight = false
-	outcome := commitOutcome{duration: now.Sub(c.lastCommitAt)}
+	outcome := commitOutcome{duration: now.Sub(c.lastSentAt)}
 	var conflict *statestore.ConflictError
 	deposed := errors.As(result.err, &conflict) && conflict.HasKey(election.TermKey)
 	switch {
--- a/internal/leader/commit_test.go
+++ b/internal/leader/commit_test.go
@@ -16,16 +16,16 @@
 	"thornnotch/internal/workers"
 )
 
-// TestFullTransactionSendsNextImmediately: changes that did not fit into a transaction are
-// sent as soon as it is committed. At four operations per transaction, sending one every
-// CommitInterval recorded only about 40 values a second, whatever rate the state service
-// allowed, and starts on 4,000 machines waited a minute for their record. A small number of
-// changes is still batched, and the loop does not spin if the remaining changes have become
-// unnecessary.
+// TestFullTransactionSendsNextImmediately checks that changes that did not fit into a
+// transaction are sent as soon as it is committed. At four operations per transaction, sending
+// one every CommitInterval recorded only about 40 values a second, whatever rate the state
+// service allowed, and starts on 4,000 machines waited a minute for their record. A small
+// number of changes is still batched, and the loop does not spin if the remaining changes have
+// become unnecessary.
 func TestFullTransactionSendsNextImmediately(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	offline(t, l)
+	useUnavailableStore(t, l)
 	l.deps.Settings.Params.State.TxnOps, l.deps.Settings.Params.State.ValueKB = constants.MinTxnOps, 1
 	l.openLog(l.wal.Head(), 0)
 	for i := range 100 {
@@ -70,15 +70,16 @@
 
 // commitNextTxn executes the next transaction, as Run's goroutines would.
 func commitNextTxn(l *Leader, now time.Time) {
-	l.commits.lastCommitAt = now
+	l.commits.lastSentAt = now
 	if l.commits.next() != nil {
-		l.commits.setMore(l.commits.hasRemaining(), now)
+		l.commits.setLastTxnFull(l.commits.hasRemaining(), now)
 		l.applyCommitResult(commitResult{revision: 1})
 	}
 }
 
-// TestUnansweredTransactionIsResolvedByHead: a transaction that got no answer is sent again
-// unchanged. If it then conflicts, the log's head shows that the first attempt was executed.
+// TestUnansweredTransactionIsResolvedByHead checks that a transaction that got no answer is
+// sent again unchanged. If the retry conflicts, the log's head shows whether the first attempt
+// was executed.
 func TestUnansweredTransactionIsResolvedByHead(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
@@ -114,8 +115,8 @@
 	}
 }
 
-// TestLargeJobStaysWithinStoreLimits: a nearly completed job of the maximum size keeps every
-// value and transaction within the state service's limits.
+// TestLargeJobStaysWithinStoreLimits checks that a nearly completed job of the maximum size
+// keeps every value and transaction within the state service's limits.
 func TestLargeJobStaysWithinStoreLimits(t *testing.T) {
 	const valueKB, txnOps = 8, 4
 	now := time.Now()
@@ -187,9 +188,9 @@
 	return 99, nil
 }
 
-// TestDeposedLeaderWritesNothing: a deposed leader's transactions are refused even before its
-// successor, which has already read the log, writes to it. The condition on the log's head
-// alone would let them through, and the successor would not know of the attempt.
+// TestDeposedLeaderWritesNothing checks that a deposed leader's transactions are refused even
+// before its successor, which has already read the log, writes to it. The condition on the
+// log's head alone would let them through, and the successor would not know of the attempt.
 func TestDeposedLeaderWritesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
@@ -207,8 +208,8 @@
 	})
 }
 
-// TestRejectedTransactionEndsTerm: a transaction that the state service rejects as too large
-// must not be retried forever. The term ends instead, so that a copy still in flight can no
+// TestRejectedTransactionEndsTerm checks that a transaction that the state service rejects as
+// too large is not retried forever: the term ends, so that a copy still in flight can no
 // longer be executed.
 func TestRejectedTransactionEndsTerm(t *testing.T) {
 	now := time.Now()
--- a/internal/leader/demand_propagation.go
+++ b/internal/leader/demand_propagation.go
@@ -7,10 +7,10 @@
 	"thornnotch/internal/jobs"
 )
 
-// Users set the due time and the priority they care about only on the last job of a chain. The
-// jobs upstream of it inherit both, across all jobs that depend on them directly or
-// indirectly: the highest priority, and the latest start that still lets the rest of the chain
-// finish in time. A job's inherited values change only when its downstream jobs change.
+// Users set a due time and a priority only on the last job of a chain. The jobs upstream of it
+// inherit both, across all jobs that depend on them directly or indirectly: the highest
+// priority, and the latest start that still lets the rest of the chain finish in time. A job's
+// inherited values change only when its downstream jobs change.
 
 // demand is what the downstream jobs of a job require of it.
 type demand struct {
@@ -51,7 +51,7 @@
 		}
 		combined.priority = max(combined.priority, downstream.view.Priority)
 		if latest := l.latestStart(downstream); !latest.IsZero() {
-			latest = latest.Add(-l.classes.runtimeRatios.expected(upstream.spec) - constants.ChainStep)
+			latest = latest.Add(-l.classes.runtimeRatios.expectedRuntime(upstream.spec) - constants.ChainStep)
 			combined.latestStart = earlier(combined.latestStart, latest)
 		}
 	}
--- a/internal/leader/demand_propagation_test.go
+++ b/internal/leader/demand_propagation_test.go
@@ -30,7 +30,7 @@
 func newDemandModel(t *testing.T) *demandModel {
 	t.Helper()
 	m := &demandModel{leader: testLeader(t), now: time.Now()}
-	m.leader.certainty.Watched(m.now)
+	m.leader.certainty.RecordWatch(m.now)
 	return m
 }
 
@@ -100,10 +100,10 @@
 	return priority, latestStart
 }
 
-// TestDemandPropagation: in any graph, and in any order of submissions and cancellations, each
-// job has the highest priority of all jobs that depend on it and the latest start that lets
-// the longest path to any due time finish in time. The incremental computation must give the
-// same result as a full one.
+// TestDemandPropagation checks that in any graph, and in any order of submissions and
+// cancellations, each job has the highest priority of all jobs that depend on it and the
+// latest start that lets the longest path to any due time finish in time. The incremental
+// computation must give the same result as a full one.
 func TestDemandPropagation(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := newDemandModel(t)
@@ -126,9 +126,9 @@
 	})
 }
 
-// TestWaitCountsFromLastUpstreamEnd: a job's wait counts from the recorded end of its last
-// upstream job, in any order of reads and with any clock error of the leader that wrote the
-// final records. Its due time counts from its submission.
+// TestWaitCountsFromLastUpstreamEnd checks that a job's wait counts from the recorded end of
+// its last upstream job, in any order of reads and with any clock error of the leader that
+// wrote the final records. Its due time counts from its submission.
 func TestWaitCountsFromLastUpstreamEnd(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.UnixMilli(1_700_000_000_000)
@@ -140,8 +140,8 @@
 		accepted, last := job.acceptedAt, job.acceptedAt
 		now = now.Add(100 * time.Second)
 		for _, upstream := range spec.DependsOn {
-			// The recorded time is up to a minute ahead of our clock, up to a minute before
-			// the submission, or missing.
+			// The recorded time is up to a minute ahead of the leader's clock, up to a minute
+			// before the submission, or missing.
 			finished := now.Add(time.Duration(rapid.IntRange(-160, 60).Draw(rt, "finishedS")) * time.Second)
 			final := jobs.FinalRecord{Status: jobs.StatusDone, FinishedAtMS: finished.UnixMilli()}
 			if rapid.IntRange(0, 4).Draw(rt, "recorded") == 0 {
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -16,7 +16,7 @@
 func (l *Leader) addDependencies(job *jobState, dependencies jobs.Dependencies) {
 	job.upstreams.unlinked, job.upstreams.declared = true, true
 	if dependencies.Split != nil || !l.failover.recordsLoaded() {
-		// Some names are still to be read, or not all open jobs are loaded yet.
+		// Some names have not been read yet, or not all open jobs are loaded yet.
 		l.dependencies.addUnlinked(job, dependencies)
 		return
 	}
@@ -43,9 +43,10 @@
 	l.propagateDemand(names)
 }
 
-// upstreamEnded handles the end of a job according to its final record. A downstream job waits
-// for one job less if that job is done, and is cancelled otherwise, as are all jobs downstream
-// of it. It uses a queue instead of recursion, so long chains can't exhaust the stack.
+// upstreamEnded handles the end of a job according to its final record. If the job is done,
+// each of its downstream jobs waits for one job less. Otherwise they are cancelled, and so are
+// all jobs downstream of them. It uses a queue instead of recursion, so long chains can't
+// exhaust the stack.
 func (l *Leader) upstreamEnded(id string, final jobs.FinalRecord, now time.Time) {
 	type endedUpstream struct {
 		id    string
@@ -70,18 +71,18 @@
 func (l *Leader) cancelWithUpstream(job *jobState, upstream string, now time.Time) {
 	l.deps.Log.Debug("job cancelled with upstream", "job", job.spec.ID, "upstream", upstream)
 	l.removeJob(job, now)
-	l.recordCancellation(job)
+	l.queueCancellationWrite(job)
 }
 
 // upstreamDone handles the completion of a job that this one depends on. This job's wait
 // counts from the recorded end of its last upstream job; its due time still counts from its
 // submission.
 func (l *Leader) upstreamDone(job *jobState, upstream string, final jobs.FinalRecord, now time.Time) {
-	job.upstreams.done(upstream)
+	job.upstreams.markDone(upstream)
 	finishedAt := time.UnixMilli(final.FinishedAtMS)
 	if final.FinishedAtMS > 0 && finishedAt.After(job.view.Submitted) {
-		// The time is from the clock of an earlier leader, which may be ahead of ours. The job
-		// has ended by now in any case, so now is the latest possible time.
+		// The time is from the clock of an earlier leader, which may be ahead of this
+		// leader's. The job has ended by now in any case, so now is the latest possible time.
 		if finishedAt.After(now) {
 			finishedAt = now
 		}
@@ -95,7 +96,7 @@
 // dependenciesSatisfied makes a job eligible to start once all its upstream jobs are done.
 func (l *Leader) dependenciesSatisfied(job *jobState, now time.Time) {
 	l.updateTargets(job)
-	job.servedAt = now
+	job.lastPlacedAt = now
 	l.recordArrival(job, now)
 	l.deps.Log.Debug("dependencies satisfied", "job", job.spec.ID, "waited_s", now.Sub(job.acceptedAt).Seconds())
 }
--- a/internal/leader/dependency_tracker.go
+++ b/internal/leader/dependency_tracker.go
@@ -14,7 +14,7 @@
 	downstreams map[string][]*jobState
 	// pendingFinals are the IDs of the jobs whose final record has to be read.
 	pendingFinals map[string]bool
-	// unlinked are the jobs whose dependency lists are still to be read, or that wait until
+	// unlinked are the jobs whose dependency lists have not been read yet, or that wait until
 	// all open jobs are loaded.
 	unlinked map[*jobState]jobs.Dependencies
 	// activeReads are the reads in progress. After a failed read, none is started before
--- a/internal/leader/dependency_tracker_test.go
+++ b/internal/leader/dependency_tracker_test.go
@@ -10,8 +10,8 @@
 	"thornnotch/internal/jobs"
 )
 
-// TestDependencyReadsPauseAfterFailure: final records are read only while jobs wait for them,
-// and not during the pause after a failed read.
+// TestDependencyReadsPauseAfterFailure checks that final records are read only while jobs wait
+// for them, and not during the pause after a failed read.
 func TestDependencyReadsPauseAfterFailure(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tracker := newDependencyTracker()
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestDependencyReadsAreBounded: the number of concurrent reads is limited, no record is read
-// twice, and reads that are no longer needed are dropped.
+// TestDependencyReadsAreBounded checks that the number of concurrent reads is limited, no
+// record is read twice, and reads that are no longer needed are dropped.
 func TestDependencyReadsAreBounded(t *testing.T) {
 	const upstreams = constants.MaxFinalReads + 5
 	tracker := newDependencyTracker()
--- a/internal/leader/events.go
+++ b/internal/leader/events.go
@@ -45,7 +45,7 @@
 	reply     chan<- Reply
 }
 
-func (e heartbeatReceived) apply(l *Leader) { l.heartbeat(e.heartbeat, e.arrived, e.reply) }
+func (e heartbeatReceived) apply(l *Leader) { l.handleHeartbeat(e.heartbeat, e.arrived, e.reply) }
 
 // statusRequested asks for the operators' view of the term.
 type statusRequested struct{ reply chan<- Status }
@@ -77,7 +77,7 @@
 
 func (e openJobsChanged) apply(l *Leader) {
 	now := time.Now()
-	l.certainty.Watched(e.askedAt)
+	l.certainty.RecordWatch(e.askedAt)
 	for _, c := range e.changes {
 		if c.Delete != "" {
 			l.jobRecordDeleted(c.Delete[len(jobs.OpenPrefix):], now)
@@ -87,7 +87,8 @@
 	}
 }
 
-// watchedUntilRequested asks up to which time the watch has reported all cancellations.
+// watchedUntilRequested asks for the time up to which the watch has reported all
+// cancellations.
 type watchedUntilRequested struct{ reply chan<- time.Time }
 
 func (e watchedUntilRequested) apply(l *Leader) { e.reply <- l.certainty.WatchedUntil() }
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -34,9 +34,9 @@
 // completed reports whether no failover is in progress.
 func (f *failover) completed() bool { return f.progress == "" }
 
-// reported records how many of the known machines have reported. The failover completes once all
-// have, or once the leases of the others must have expired. It reports whether the failover is
-// now complete, and the time since it started.
+// reported records how many of the known machines have reported. The failover completes once
+// all have, or once the leases of the others must have expired. It returns the time since the
+// failover started and whether the failover is now complete.
 func (f *failover) reported(reported, total int, lease time.Duration, now time.Time) (took time.Duration, completed bool) {
 	took = now.Sub(f.startedAt)
 	if reported != total && took <= lease {
--- a/internal/leader/failover_test.go
+++ b/internal/leader/failover_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// TestFailoverCompletesOnReportsOrLeaseExpiry: a failover completes once all machines have
-// reported, or the leases of the others have expired. Until then it shows its progress.
+// TestFailoverCompletesOnReportsOrLeaseExpiry checks that a failover completes once all
+// machines have reported or the leases of the others have expired, and that it shows its
+// progress until then.
 func TestFailoverCompletesOnReportsOrLeaseExpiry(t *testing.T) {
 	const lease = 12 * time.Second
 	startedAt := time.Unix(1000, 0)
@@ -33,7 +34,7 @@
 	}
 }
 
-// TestPublishedStateIsVisible: other goroutines see the last published state.
+// TestPublishedStateIsVisible checks that other goroutines see the last published state.
 func TestPublishedStateIsVisible(t *testing.T) {
 	l := testLeader(t)
 	if l.Machines() != 0 || l.FailoverProgress() != "" {
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -28,7 +28,7 @@
 		l.clearMachineSuspicion(job)
 		return
 	}
-	if machine.health.Suspect(job.spec.ID, now) {
+	if machine.health.MarkSuspect(job.spec.ID, now) {
 		l.quarantine(machine, "several jobs failed on this machine", now)
 	}
 	l.attributeFailures(job, now)
@@ -37,11 +37,11 @@
 // attributeFailures quarantines the machines that the job's failures can now be attributed
 // to.
 func (l *Leader) attributeFailures(job *jobState, now time.Time) {
-	if !job.failures.Unattributed() {
+	if !job.failures.HasUnattributed() {
 		return
 	}
 	for _, name := range job.failures.TakeFaultyMachines(job.longestRuns(), now) {
-		job.failures.ClearJob()
+		job.failures.ClearJobFault()
 		if machine := l.fleet.get(name); machine != nil {
 			l.quarantine(machine, "a job that runs elsewhere failed on this machine", now)
 		}
@@ -88,7 +88,7 @@
 	l.deps.Log.Warn("machine quarantined", "machine", machine.agent.Name, "zone", machine.agent.Zone, "reason", reason)
 	for _, attempt := range machine.agent.SortedAttempts() {
 		job := l.jobs.get(attempt.ID.Task.Job)
-		if job == nil || attempt.StopRequested || !attempt.Live() || hasStarted(attempt) {
+		if job == nil || attempt.StopRequested || !attempt.Live() || isRunningOrSaving(attempt) {
 			continue
 		}
 		if job.spec.Kind != jobs.KindGang {
@@ -102,8 +102,7 @@
 	l.passes.request()
 }
 
-// hasStarted reports whether an attempt has been reported as running or saving and has not
-// exited.
-func hasStarted(attempt *workers.Attempt) bool {
+// isRunningOrSaving reports whether an attempt was last reported as running or saving.
+func isRunningOrSaving(attempt *workers.Attempt) bool {
 	return attempt.Status == workers.StatusRunning || attempt.Status == workers.StatusSaving
 }
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -84,14 +84,14 @@
 // machine.
 func (s *simulatedCluster) step(now time.Time) {
 	s.leader.runSchedulingPass(now)
-	s.revision = commitAll(s.leader, s.revision)
+	s.revision = commitPending(s.leader, s.revision)
 	for _, machine := range s.leader.fleet.sortedByName() {
 		for _, command := range machine.agent.Commands(true, now) {
 			s.execute(machine.agent.Name, command, now)
 		}
 		s.leader.applyHeartbeat(machine, s.heartbeat(machine, now), false, now)
 	}
-	s.revision = commitAll(s.leader, s.revision)
+	s.revision = commitPending(s.leader, s.revision)
 	s.leader.attributeAllFailures(now)
 }
 
@@ -131,7 +131,7 @@
 	return heartbeat
 }
 
-// advance lets a running task fail or complete if its time has come.
+// advance makes a running task fail or complete if it has run long enough.
 func (s *simulatedCluster) advance(machine string, id workers.AttemptID, task *simulatedTask, now time.Time) {
 	if task.status != workers.StatusRunning {
 		return
@@ -182,12 +182,12 @@
 	}
 }
 
-// TestFaultyMachinesAndFaultyJobs guards against a failure attributed to the wrong side. Eight
-// tasks of an array once failed on one faulty machine: the whole job was held back for a
-// minute, and the machine went on to fail the next job's tasks. In any mix of faulty machines
-// and faulty jobs, faulty machines must be quarantined after their first failures, healthy
-// machines must not be, faulty jobs must be retried rarely, and healthy jobs must complete
-// soon.
+// TestFaultyMachinesAndFaultyJobs guards against attributing failures to the wrong cause.
+// Eight tasks of an array once failed on one faulty machine: the whole job was held back for a
+// minute, and the machine went on to fail the next job's tasks. For any combination of faulty
+// machines and faulty jobs, faulty machines must be quarantined after their first failures,
+// healthy machines must not be, faulty jobs must be retried rarely, and healthy jobs must
+// complete soon.
 func TestFaultyMachinesAndFaultyJobs(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		start := time.Unix(1000, 0)
--- a/internal/leader/final_records.go
+++ b/internal/leader/final_records.go
@@ -35,8 +35,8 @@
 				err = json.Unmarshal(row.Value, &final)
 			}
 			if err != nil || !found {
-				// The read failed, or there is no final record yet. In that case the watch
-				// will report the job's end.
+				// The read failed, or there is no final record yet. In the latter case, the
+				// watch will report the job's end.
 				l.dependencies.readFailed(time.Now())
 				return
 			}
--- a/internal/leader/finish_reservations.go
+++ b/internal/leader/finish_reservations.go
@@ -8,8 +8,9 @@
 	"thornnotch/internal/workers"
 )
 
-// reserveFreed applies the reservation rule to the resources that a finished task frees.
-func (l *Leader) reserveFreed(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
+// reserveFreedResources applies the reservation rule to the resources that a finished task
+// frees.
+func (l *Leader) reserveFreedResources(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
 	finish := reservations.TaskFinish{
 		Job: job.spec.ID, Tasks: job.spec.Tasks, UpstreamStartedAt: job.started, Machine: machine.agent.Name, Downstreams: l.downstreams(job), Now: now,
 		Fits: func(downstream reservations.Downstream) bool {
@@ -45,7 +46,7 @@
 // free resources for it.
 func (l *Leader) mayReserve(machine *machineState, downstream reservations.Downstream) bool {
 	job := l.jobs.get(downstream.Job)
-	return job != nil && placement.Allowed(&job.view, l.placementMachine(machine)) && l.freeResources(machine).Fits(downstream.TaskResources)
+	return job != nil && placement.Allowed(&job.view, l.placementMachine(machine)) && l.freeResources(machine).Covers(downstream.TaskResources)
 }
 
 // downstreams returns the jobs that follow a job in its pipeline and have not started: the
@@ -53,7 +54,7 @@
 // class if the operators enabled reservations in submission order.
 func (l *Leader) downstreams(upstream *jobState) []reservations.Downstream {
 	if upstream.upstreams.declared || len(l.dependencies.downstreamsOf(upstream.spec.ID)) > 0 {
-		return l.downstreamEdges(upstream)
+		return l.dependentDownstreams(upstream)
 	}
 	if !l.deps.Operator.Holds.SubmissionOrder {
 		return nil
--- a/internal/leader/fixtures_test.go
+++ b/internal/leader/fixtures_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { os.Exit(testseed.Main(m, 300)) }
 
-// testLeader returns a leader of a small cluster that has loaded its records. Its loop does
+// testLeader returns a leader of an empty cluster that has loaded its records. Its loop does
 // not run: tests call its methods directly.
 func testLeader(tb testing.TB) *Leader {
 	tb.Helper()
@@ -84,9 +84,9 @@
 	return heartbeat
 }
 
-// commitAll commits pending log changes and the final records of completed jobs. The state
-// service's revision starts from the given one; commitAll returns the last.
-func commitAll(l *Leader, revision uint64) uint64 {
+// commitPending commits pending log changes and the final records of completed jobs. The state
+// service's revision starts from the given one; commitPending returns the last one.
+func commitPending(l *Leader, revision uint64) uint64 {
 	for l.wal.Pending() || len(l.commits.completed) > 0 {
 		if l.commits.next() == nil {
 			break
@@ -97,7 +97,7 @@
 	return revision
 }
 
-// commitEverything also commits what has no urgency: checkpoints and key deletions.
+// commitEverything also commits checkpoints and key deletions.
 func commitEverything(l *Leader, revision uint64) {
 	for l.commits.next() != nil {
 		revision++
@@ -105,9 +105,9 @@
 	}
 }
 
-// runUntilQuiet starts queued calls and applies events until none arrive. In a synctest bubble
-// its timeout elapses only once nothing else can run.
-func runUntilQuiet(tb testing.TB, l *Leader) {
+// runUntilIdle starts queued calls and applies events until none arrive. In a synctest bubble,
+// its timeout elapses only once all goroutines are blocked.
+func runUntilIdle(tb testing.TB, l *Leader) {
 	tb.Helper()
 	group, ctx := errgroup.WithContext(tb.Context())
 	defer func() { _ = group.Wait() }()
@@ -131,8 +131,8 @@
 	_ = group.Wait()
 }
 
-// offline makes the leader's state service unavailable.
-func offline(tb testing.TB, l *Leader) {
+// useUnavailableStore makes the leader's state service unavailable.
+func useUnavailableStore(tb testing.TB, l *Leader) {
 	tb.Helper()
 	l.deps.Store = unavailableStore{}
 }
--- a/internal/leader/fleet_fixtures_test.go
+++ b/internal/leader/fleet_fixtures_test.go
@@ -65,8 +65,8 @@
 	now := time.Now()
 	l := testLeader(tb)
 	l.teams, l.deps.Settings.Params.Teams = teams, teams
-	offline(tb, l)
-	l.certainty.Watched(now)
+	useUnavailableStore(tb, l)
+	l.certainty.RecordWatch(now)
 	var fleet []*machineState
 	for i := range machines {
 		machine := addMachine(l, fmt.Sprintf("m-%06d", i), []string{"east", "west"}[i%2], now)
@@ -81,7 +81,7 @@
 	for range 5 {
 		l.passes.request()
 		l.runSchedulingPass(now)
-		commitAll(l, 100)
+		commitPending(l, 100)
 	}
 	for _, machine := range fleet {
 		machine.agent.Commands(true, now) // marks the starts as sent, so that no reply waits for them
--- a/internal/leader/gang_recovery.go
+++ b/internal/leader/gang_recovery.go
@@ -54,8 +54,8 @@
 	return true
 }
 
-// waitsForStart reports whether an attempt has not been reported in any state after waiting
-// for its gang.
+// waitsForStart reports whether an attempt, by its last reported status, has not started: it
+// is fetching its image, or waiting for the rest of its gang.
 func waitsForStart(attempt *workers.Attempt) bool {
 	return attempt.Status == "" || attempt.Status == workers.StatusFetching || attempt.Status == workers.StatusWaiting
 }
--- a/internal/leader/gang_recovery_test.go
+++ b/internal/leader/gang_recovery_test.go
@@ -9,8 +9,9 @@
 	"thornnotch/internal/workers"
 )
 
-// TestIncompleteGangFromEarlierTermIsStopped: a gang that an earlier term placed only in part
-// can't be completed, so its attempts are stopped instead of waiting forever.
+// TestIncompleteGangFromEarlierTermIsStopped checks that the attempts of a gang that an
+// earlier term placed only in part are stopped. Such a gang can't be completed and would wait
+// forever.
 func TestIncompleteGangFromEarlierTermIsStopped(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
@@ -46,7 +47,7 @@
 	}
 	gang = addJob(t, l, twoTaskGang("j-1"), now)
 	l.runSchedulingPass(now)
-	revision := commitAll(l, 100)
+	revision := commitPending(l, 100)
 	placed = gang.attempts.sorted()
 	if len(placed) != 2 {
 		t.Fatalf("%d of 2 tasks placed", len(placed))
@@ -62,13 +63,13 @@
 	l.applyEvents(lost, lost.agent.MarkTerminated(), now)
 	lost.lifecycle.leaving = true
 	l.runSchedulingPass(now)
-	commitAll(l, revision)
+	commitPending(l, revision)
 	return l, gang, placed
 }
 
-// TestLostTaskOfWaitingGangIsReplaced: a gang that loses a task before it starts gets a
-// replacement under the same attempt number and in the same zone. A gang that has started, or
-// whose tasks report that others are lost, restarts as a whole.
+// TestLostTaskOfWaitingGangIsReplaced checks that a gang that loses a task before it starts
+// gets a replacement under the same attempt number and in the same zone. A gang that has
+// started, or whose tasks report that others are lost, restarts as a whole.
 func TestLostTaskOfWaitingGangIsReplaced(t *testing.T) {
 	t.Run(string(workers.StatusWaiting), func(t *testing.T) {
 		now := time.Now()
--- a/internal/leader/gang_reserve.go
+++ b/internal/leader/gang_reserve.go
@@ -9,10 +9,10 @@
 	"thornnotch/internal/placement"
 )
 
-// reservedMachines returns how many whole on-demand machines other jobs must leave free for
-// gangs: as many as the gangs expected soon need, up to a share of the schedulable on-demand
+// gangReserve returns how many empty on-demand machines other jobs must leave to gangs: as
+// many as the gangs that are expected soon need, up to a share of the schedulable on-demand
 // machines.
-func (l *Leader) reservedMachines(machines []*placement.Machine, now time.Time) int {
+func (l *Leader) gangReserve(machines []*placement.Machine, now time.Time) int {
 	onDemand := 0
 	for _, machine := range machines {
 		if machine.Schedulable && !machine.Spot {
--- a/internal/leader/gang_starvation.go
+++ b/internal/leader/gang_starvation.go
@@ -19,7 +19,7 @@
 
 // gangWaitStats holds the statistics of the largest gangs of one class.
 type gangWaitStats struct {
-	size int // tasks of the largest gang
+	maxTasks int // tasks of the largest gang
 	// onTime and late count the observed gangs. Counts decay, so older ones weigh less.
 	onTime, late float64
 }
@@ -35,9 +35,9 @@
 	}
 }
 
-// boost returns how far the waiting ones must be boosted: over other jobs of their priority
-// when too many start late, over all other jobs when the share of late ones is near the
-// users' bound of a half.
+// boost returns how far the waiting gangs must be boosted: before other jobs of their priority
+// if too many gangs start late, before all other jobs if the share of late gangs is near one
+// half, the users' bound.
 func (s *gangWaitStats) boost() placement.Boost {
 	lateShare := 0.0
 	if s.late > 0 {
@@ -57,12 +57,12 @@
 	if spec.Kind != jobs.KindGang {
 		return
 	}
-	if stats := g[spec.Class]; stats != nil && spec.Tasks <= stats.size {
+	if stats := g[spec.Class]; stats != nil && spec.Tasks <= stats.maxTasks {
 		return
 	}
 	// A few gangs are assumed to have started in time, so that a single late one does not
 	// trigger a boost.
-	g[spec.Class] = &gangWaitStats{size: spec.Tasks, onTime: constants.LargeGangPriorOnTime}
+	g[spec.Class] = &gangWaitStats{maxTasks: spec.Tasks, onTime: constants.LargeGangPriorOnTime}
 }
 
 // observe records, once per job, whether one of the largest gangs started in time: when it
@@ -73,7 +73,7 @@
 	}
 	startedBeforeTerm := job.fromEarlierTerm && !job.started.IsZero()
 	stats := g[job.spec.Class]
-	if startedBeforeTerm || stats == nil || job.spec.Tasks < stats.size {
+	if startedBeforeTerm || stats == nil || job.spec.Tasks < stats.maxTasks {
 		return
 	}
 	late := now.Sub(job.view.Submitted) > constants.LargeGangLateAfter
@@ -84,12 +84,12 @@
 	stats.record(late)
 }
 
-// boostedClasses returns the classes whose largest gangs are to be boosted.
+// boostedClasses returns the classes whose largest gangs must be boosted.
 func (g gangWaits) boostedClasses() map[string]placement.StarvingClass {
 	classes := make(map[string]placement.StarvingClass)
 	for class, stats := range g {
 		if boost := stats.boost(); boost != placement.NoBoost {
-			classes[class] = placement.StarvingClass{Size: stats.size, Boost: boost}
+			classes[class] = placement.StarvingClass{MinTasks: stats.maxTasks, Boost: boost}
 		}
 	}
 	return classes
--- a/internal/leader/gang_starvation_test.go
+++ b/internal/leader/gang_starvation_test.go
@@ -10,8 +10,8 @@
 	"thornnotch/internal/placement"
 )
 
-// TestLateLargestGangsAreBoosted: the largest gangs of a class are boosted once too many of
-// them start late, and no longer once they start in time again.
+// TestLateLargestGangsAreBoosted checks that the largest gangs of a class are boosted once too
+// many of them start late, and no longer once they start in time again.
 func TestLateLargestGangsAreBoosted(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
@@ -45,7 +45,7 @@
 	want := []placement.Boost{placement.BoostWithinPriority, placement.BoostAboveAll}
 	for i := 0; i < 10 && len(want) > 0; i++ {
 		observeLate(8)
-		if got := waits.boostedClasses()["x"]; got.Boost == want[0] && got.Size == 8 {
+		if got := waits.boostedClasses()["x"]; got.Boost == want[0] && got.MinTasks == 8 {
 			want = want[1:]
 		}
 	}
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestOnlyLargestGangsAreObserved: late gangs of smaller sizes never cause a boost, and a new
-// largest size resets the statistics.
+// TestOnlyLargestGangsAreObserved checks that late gangs of smaller sizes never cause a boost,
+// and a new largest size resets the statistics.
 func TestOnlyLargestGangsAreObserved(t *testing.T) {
 	now := time.Now()
 	waits := make(gangWaits)
--- a/internal/leader/group_commit_test.go
+++ b/internal/leader/group_commit_test.go
@@ -17,7 +17,7 @@
 func newTestGroupCommit(t *testing.T, txnOps int) *groupCommit {
 	t.Helper()
 	c := newGroupCommit(slog.New(slog.DiscardHandler), func() { t.Error("unexpected checkpoint") })
-	c.open(wal.NewWriter(3, wal.Limits{ValueBytes: 16 << 10, TxnOps: txnOps}, wal.Head{}, 0), txnOps)
+	c.setLog(wal.NewWriter(3, wal.Limits{ValueBytes: 16 << 10, TxnOps: txnOps}, wal.Head{}, 0), txnOps)
 	return &c
 }
 
@@ -28,9 +28,9 @@
 	written, committed, conflicted int
 }
 
-// queue adds the record to the group commit, and again when it is to be retried.
+// queue adds the record to the group commit, and adds it again when it must be retried.
 func (r *testFinalRecord) queue(c *groupCommit) {
-	c.recordCompleted(finalRecord{
+	c.queueCompleted(finalRecord{
 		obsolete: func() bool { return r.obsolete },
 		write: func() wal.JobWrite {
 			r.written++
@@ -45,8 +45,8 @@
 	})
 }
 
-// TestFinalRecordsShareTransactions: final records are included in transactions in order, as
-// far as they fit. Obsolete ones take no space.
+// TestFinalRecordsShareTransactions checks that each transaction includes final records in
+// order, as many as fit, and that obsolete ones take no space.
 func TestFinalRecordsShareTransactions(t *testing.T) {
 	now := time.Now()
 	c := newTestGroupCommit(t, opsReservedForLog+2*opsPerFinalRecord)
@@ -81,8 +81,9 @@
 	}
 }
 
-// TestConflictingFinalRecordDoesNotBlockOthers: the final record of a job that its user has
-// cancelled conflicts. The other records of its transaction are sent again.
+// TestConflictingFinalRecordDoesNotBlockOthers checks that if a final record conflicts,
+// because its job's user has cancelled the job, the other records of the transaction are sent
+// again.
 func TestConflictingFinalRecordDoesNotBlockOthers(t *testing.T) {
 	now := time.Now()
 	c := newTestGroupCommit(t, 20)
@@ -110,9 +111,9 @@
 	}
 }
 
-// TestUnansweredTransactionBacksOff: while the state service does not answer, the same
-// transaction is sent again after growing, bounded delays. An answer resets the delay. Later
-// changes wait for the next transaction.
+// TestUnansweredTransactionBacksOff checks that while the state service does not answer, the
+// same transaction is sent again after growing, bounded delays. An answer resets the delay.
+// Later changes wait for the next transaction.
 func TestUnansweredTransactionBacksOff(t *testing.T) {
 	now := time.Now()
 	c := newTestGroupCommit(t, 20)
@@ -158,8 +159,8 @@
 	}
 }
 
-// TestConflictWithOtherLeaderEndsTerm: a conflict on the term record, or on a log head that
-// this leader did not write, means that another node leads.
+// TestConflictWithOtherLeaderEndsTerm checks that a conflict on the term record, or on a log
+// head that this leader did not write, means that another node leads.
 func TestConflictWithOtherLeaderEndsTerm(t *testing.T) {
 	for _, key := range []string{election.TermKey, wal.HeadKey} {
 		now := time.Now()
@@ -179,8 +180,8 @@
 	}
 }
 
-// TestReplacedKeysAreDeletedAfterCheckpoint: keys replaced by a checkpoint are deleted once it
-// is committed, not before.
+// TestReplacedKeysAreDeletedAfterCheckpoint checks that keys replaced by a checkpoint are
+// deleted once it is committed, not before.
 func TestReplacedKeysAreDeletedAfterCheckpoint(t *testing.T) {
 	now := time.Now()
 	c := newTestGroupCommit(t, 20)
--- a/internal/leader/growth_test.go
+++ b/internal/leader/growth_test.go
@@ -7,8 +7,8 @@
 	"thornnotch/internal/workers"
 )
 
-// TestWorkIsIndependentOfFleetSize: the cost of a heartbeat, of a change and of its record
-// does not grow with the fleet. The test counts allocations, rebuilt views, bytes and
+// TestWorkIsIndependentOfFleetSize checks that the cost of a heartbeat, of a change and of its
+// record does not grow with the fleet. The test counts allocations, rebuilt views, bytes and
 // transactions, which do not depend on the speed of the test machine. A scheduling pass itself
 // still visits all machines (BenchmarkPass).
 func TestWorkIsIndependentOfFleetSize(t *testing.T) {
@@ -27,16 +27,16 @@
 		w.heartbeat = testing.AllocsPerRun(200, func() {
 			machine := fleet[next%len(fleet)]
 			next += 7
-			l.heartbeat(nextHeartbeat(l, machine, workers.StatusRunning, ""), now, reply)
+			l.handleHeartbeat(nextHeartbeat(l, machine, workers.StatusRunning, ""), now, reply)
 			l.replies.byMachine[machine].until = now
 			l.replies.wake(machine)
 			l.flushReplies(now)
 			<-reply
 		})
-		commitAll(l, 1000)
+		commitPending(l, 1000)
 		now = time.Now()
 		l.runSchedulingPass(now)
-		commitAll(l, 2000)
+		commitPending(l, 2000)
 		for _, machine := range fleet[:changes] {
 			l.logMetadata(machine, nil)
 			machine.markStale()
--- a/internal/leader/health/delays.go
+++ b/internal/leader/health/delays.go
@@ -15,8 +15,8 @@
 	d.delays = append(d.delays, taskDelay{task, until})
 }
 
-// Waiting reports whether a task is delayed. It removes expired delays.
-func (d *TaskDelays) Waiting(task int, now time.Time) bool {
+// IsDelayed reports whether a task is delayed. It removes expired delays.
+func (d *TaskDelays) IsDelayed(task int, now time.Time) bool {
 	kept := d.delays[:0]
 	found := false
 	for _, delay := range d.delays {
@@ -29,6 +29,6 @@
 	return found
 }
 
-// Empty reports whether there are no delays. Expired delays count until Waiting removes
+// Empty reports whether there are no delays. Expired delays count until IsDelayed removes
 // them.
 func (d *TaskDelays) Empty() bool { return len(d.delays) == 0 }
--- a/internal/leader/health/failures.go
+++ b/internal/leader/health/failures.go
@@ -42,8 +42,8 @@
 // JobIsFaulty reports whether the job counts as faulty, that is, as failing on every machine.
 func (h *FailureHistory) JobIsFaulty() bool { return h.failedRounds > 0 }
 
-// Unattributed reports whether there are failures that are not attributed yet.
-func (h *FailureHistory) Unattributed() bool { return len(h.byMachine) > 0 }
+// HasUnattributed reports whether there are failures that are not attributed yet.
+func (h *FailureHistory) HasUnattributed() bool { return len(h.byMachine) > 0 }
 
 // SuspectMachines returns the machines with unattributed failures.
 func (h *FailureHistory) SuspectMachines() []string {
@@ -54,10 +54,10 @@
 	return names
 }
 
-// Record records the failure of a task that ran on a machine for the given time; jobWaits is
+// Record records the failure of a task that ran on a machine for the given time; inBackoff is
 // set if the job is already in backoff after an earlier failure. It returns the pause before
 // the job may be retried or, if taskOnly is set, before this task may be.
-func (h *FailureHistory) Record(machine string, task int, ran time.Duration, jobWaits bool, now time.Time) (pause time.Duration, taskOnly bool) {
+func (h *FailureHistory) Record(machine string, task int, ran time.Duration, inBackoff bool, now time.Time) (pause time.Duration, taskOnly bool) {
 	if h.byMachine == nil {
 		h.byMachine, h.failuresByTask = make(map[string]failure), make(map[int]int)
 	}
@@ -74,7 +74,7 @@
 	if h.recentMachines(now) < constants.FaultyJobMachines && !h.JobIsFaulty() {
 		return constants.RetryBase, false
 	}
-	if !jobWaits {
+	if !inBackoff {
 		// Tasks that fail in the same round count once.
 		h.failedRounds++
 	}
@@ -104,16 +104,16 @@
 // RecordSuccess records that a task of the job has succeeded: the job is not faulty.
 func (h *FailureHistory) RecordSuccess() {
 	h.succeeded = true
-	h.ClearJob()
+	h.ClearJobFault()
 }
 
-// ClearJob withdraws the finding that the job is faulty.
-func (h *FailureHistory) ClearJob() { h.failedRounds = 0 }
+// ClearJobFault withdraws the finding that the job is faulty.
+func (h *FailureHistory) ClearJobFault() { h.failedRounds = 0 }
 
 // TakeFaultyMachines returns the machines to blame for failures of the job, because the job
-// has succeeded or has run clearly longer elsewhere. runs holds the longest run time of the
-// job's running tasks, by machine. The failures on the returned machines are removed, as are
-// those older than FailureWindow.
+// has succeeded or has run much longer elsewhere. runs holds the longest run time of the job's
+// running tasks, by machine. The failures on the returned machines are removed, as are those
+// older than FailureWindow.
 func (h *FailureHistory) TakeFaultyMachines(runs map[string]time.Duration, now time.Time) (machines []string) {
 	for name, f := range h.byMachine {
 		if now.Sub(f.at) >= constants.FailureWindow {
--- a/internal/leader/health/failures_test.go
+++ b/internal/leader/health/failures_test.go
@@ -93,10 +93,10 @@
 	now := time.Unix(1000, 0)
 	var delays TaskDelays
 	delays.Add(3, now.Add(time.Second))
-	if !delays.Waiting(3, now) || delays.Waiting(4, now) {
+	if !delays.IsDelayed(3, now) || delays.IsDelayed(4, now) {
 		t.Error("the wrong task waits")
 	}
-	if delays.Waiting(3, now.Add(time.Second)) || len(delays.delays) != 0 {
+	if delays.IsDelayed(3, now.Add(time.Second)) || len(delays.delays) != 0 {
 		t.Error("the delay does not end")
 	}
 }
--- a/internal/leader/health/machine.go
+++ b/internal/leader/health/machine.go
@@ -39,10 +39,10 @@
 	return true
 }
 
-// Suspect records that a job failed on the machine and blocks new tasks for
+// MarkSuspect records that a job failed on the machine and blocks new tasks for
 // SuspectMachinePause, so that no other job fails there before the cause is known. It reports
 // whether so many different jobs have failed that the machine must be faulty.
-func (m *Machine) Suspect(job string, now time.Time) (faulty bool) {
+func (m *Machine) MarkSuspect(job string, now time.Time) (faulty bool) {
 	m.suspectUntil = now.Add(constants.SuspectMachinePause)
 	if m.failedJobs == nil {
 		m.failedJobs = make(map[string]bool)
--- a/internal/leader/health/machine_test.go
+++ b/internal/leader/health/machine_test.go
@@ -16,13 +16,13 @@
 	if !machine.AcceptsTasks(now) {
 		t.Fatal("a new machine accepts no tasks")
 	}
-	if machine.Suspect("j-1", now) || machine.AcceptsTasks(now) {
+	if machine.MarkSuspect("j-1", now) || machine.AcceptsTasks(now) {
 		t.Error("a suspect machine accepts tasks, or one job makes it faulty")
 	}
 	if !machine.AcceptsTasks(now.Add(constants.SuspectMachinePause)) {
 		t.Error("the suspicion does not expire")
 	}
-	machine.Suspect("j-2", now)
+	machine.MarkSuspect("j-2", now)
 	machine.ClearSuspicion("j-1")
 	if machine.AcceptsTasks(now) {
 		t.Error("clearing the suspicion of one job cleared that of another")
@@ -32,12 +32,12 @@
 		t.Error("a cleared suspicion still counts")
 	}
 	for i := range constants.FaultyMachineJobs {
-		if faulty := machine.Suspect(fmt.Sprint("j-", i), now); faulty != (i == constants.FaultyMachineJobs-1) {
+		if faulty := machine.MarkSuspect(fmt.Sprint("j-", i), now); faulty != (i == constants.FaultyMachineJobs-1) {
 			t.Errorf("after %d jobs: faulty %v", i+1, faulty)
 		}
 	}
 	machine.RecordSuccess()
-	if machine.Suspect("j-9", now) {
+	if machine.MarkSuspect("j-9", now) {
 		t.Error("failures before a success still count")
 	}
 	if !machine.Quarantine() || machine.Quarantine() || machine.AcceptsTasks(now.Add(time.Hour)) {
@@ -70,30 +70,30 @@
 	}
 }
 
-// TestTypicalRuntime checks that the typical run time needs enough samples, covers only the
-// latest ones, and gives the expected slowness signals.
-func TestTypicalRuntime(t *testing.T) {
+// TestMedianRuntime checks that the median run time requires enough samples and covers only
+// the latest ones, and that run times relative to it give the expected slowness signals.
+func TestMedianRuntime(t *testing.T) {
 	var runtimes Runtimes
 	runtimes.Add(time.Second)
-	if _, ok := runtimes.Typical(1); ok {
-		t.Error("typical run time from one sample")
+	if _, ok := runtimes.Median(1); ok {
+		t.Error("median run time from one sample")
 	}
 	runtimes.Add(time.Second)
-	if _, ok := runtimes.Typical(5); ok {
-		t.Error("typical run time from two samples of five tasks")
+	if _, ok := runtimes.Median(5); ok {
+		t.Error("median run time from two samples of five tasks")
 	}
-	if typical, ok := runtimes.Typical(4); !ok || typical != time.Second {
-		t.Errorf("typical run time %v, %v", typical, ok)
+	if median, ok := runtimes.Median(4); !ok || median != time.Second {
+		t.Errorf("median run time %v, %v", median, ok)
 	}
 	for range constants.MaxRuntimeSamples {
 		runtimes.Add(10 * time.Second)
 	}
-	if typical, ok := runtimes.Typical(1000); !ok || typical != 10*time.Second || runtimes.Samples() != constants.MaxRuntimeSamples {
-		t.Errorf("typical run time %v, %v from %d samples", typical, ok, runtimes.Samples())
+	if median, ok := runtimes.Median(1000); !ok || median != 10*time.Second || runtimes.Samples() != constants.MaxRuntimeSamples {
+		t.Errorf("median run time %v, %v from %d samples", median, ok, runtimes.Samples())
 	}
 	for ratio, want := range map[float64]int{1: 0, constants.StragglerLikelyRatio: 0, 2: 1, constants.StragglerCertainRatio: 1, 2.5: 2} {
 		if got := runtimes.SlowSignals(time.Duration(ratio*10*float64(time.Second)), 1000); got != want {
-			t.Errorf("%v times the typical run time: %d signals, want %d", ratio, got, want)
+			t.Errorf("%v times the median run time: %d signals, want %d", ratio, got, want)
 		}
 	}
 }
--- a/internal/leader/health/runtimes.go
+++ b/internal/leader/health/runtimes.go
@@ -32,9 +32,9 @@
 // Samples returns the number of run times.
 func (r *Runtimes) Samples() int { return len(r.samples) }
 
-// Typical returns the median run time. It reports false until enough of the job's tasks are
+// Median returns the median run time. It reports false until enough of the job's tasks are
 // done, because the first tasks to finish are the shortest ones.
-func (r *Runtimes) Typical(tasks int) (time.Duration, bool) {
+func (r *Runtimes) Median(tasks int) (time.Duration, bool) {
 	if len(r.samples) < constants.MinRuntimeSamples || 2*len(r.samples) < min(tasks, constants.MaxRuntimeSamples) {
 		return 0, false
 	}
@@ -47,13 +47,14 @@
 }
 
 // SlowSignals rates how strongly the run time of one of the job's tasks suggests that its
-// machine is slow: 0 if it is ordinary, 1 if slowness is likely, 2 if it is nearly certain.
+// machine is slow: 0 if the run time is ordinary, 1 if slowness is likely, 2 if it is nearly
+// certain.
 func (r *Runtimes) SlowSignals(ran time.Duration, tasks int) int {
-	typical, ok := r.Typical(tasks)
-	if !ok || typical <= 0 {
+	median, ok := r.Median(tasks)
+	if !ok || median <= 0 {
 		return 0
 	}
-	switch ratio := float64(ran) / float64(typical); {
+	switch ratio := float64(ran) / float64(median); {
 	case ratio > constants.StragglerCertainRatio:
 		return 2
 	case ratio > constants.StragglerLikelyRatio:
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -26,15 +26,14 @@
 	return Reply{}, false
 }
 
-// heartbeat applies a worker's heartbeat, and either refuses it or holds its reply. The
+// handleHeartbeat applies a worker's heartbeat, and either refuses it or holds its reply. The
 // order of the checks matters: a heartbeat refused before applyHeartbeat does not count as
 // contact with the worker.
-func (l *Leader) heartbeat(heartbeat *workers.Heartbeat, arrived time.Time, reply chan<- Reply) {
+func (l *Leader) handleHeartbeat(heartbeat *workers.Heartbeat, arrived time.Time, reply chan<- Reply) {
 	now := time.Now()
-	if !l.certainty.Holds(now) {
-		// Another node may have accepted a cancellation that this leader has not
-		// seen. Workers' leases must expire before the deadline for carrying out
-		// that cancellation.
+	if !l.certainty.MayAcknowledge(now) {
+		// Another node may have accepted a cancellation that this leader has not seen.
+		// Workers' leases must expire before the time promised for that cancellation.
 		reply <- refusal
 		return
 	}
@@ -48,8 +47,8 @@
 	l.counts.Heartbeats++
 	if machine.agent.IsDuplicate(heartbeat) {
 		l.counts.DuplicateHeartbeats++
-		// A late duplicate holds no news, and its sender no longer waits for the
-		// reply. It must not count as contact with the worker.
+		// A late duplicate contains nothing new, and its sender no longer waits for the reply.
+		// It must not count as contact with the worker.
 		reply <- refusal
 		return
 	}
@@ -69,10 +68,10 @@
 	l.holdReply(machine, &heldReply{epoch: heartbeat.Epoch, arrived: arrived, reply: reply})
 }
 
-// leaseMustExpire reports whether a heartbeat must be refused, although it is not a
-// duplicate, so that the worker's lease expires. This holds for a worker that does not
-// receive our replies, because any reply of 200 might still arrive and renew the lease. It
-// also holds for an epoch that is proven to have ended, because its tasks may already run
+// leaseMustExpire reports whether a heartbeat must be refused, although it is not a duplicate,
+// so that the worker's lease expires. This holds for a worker that does not receive the
+// leader's replies, because any reply of 200 might still arrive and renew the lease. It also
+// holds for an epoch that is proven to have ended, because its tasks may already run
 // elsewhere.
 //
 // The epoch check never applies with the present order of calls: IsDuplicate refuses epochs
@@ -104,7 +103,7 @@
 	})
 }
 
-// replyTo returns the reply to a held heartbeat, and whether it is to be sent now.
+// replyTo returns the reply to a held heartbeat, and whether it must be sent now.
 func (l *Leader) replyTo(machine *machineState, held *heldReply, now time.Time) (reply Reply, ready bool) {
 	if held.epoch != machine.agent.Epoch || machine.agent.RepliesLost {
 		return refusal, true
@@ -124,12 +123,12 @@
 // only waits for its record to be written. The `run` command can then go out with this
 // reply instead of the reply to the worker's next heartbeat.
 func (m *machineState) waitsForStartRecord(held *heldReply, now time.Time) bool {
-	return now.Before(held.arrived.Add(constants.PendingStartReplyHold)) && m.hasUnrecordedStart()
+	return now.Before(held.arrived.Add(constants.PendingStartReplyHold)) && m.hasUnsentRun()
 }
 
-// hasUnrecordedStart reports whether an attempt of the current epoch has not been sent its
-// `run` command yet and is not being stopped.
-func (m *machineState) hasUnrecordedStart() bool {
+// hasUnsentRun reports whether an attempt of the current epoch has not been sent its `run`
+// command yet and is not being stopped.
+func (m *machineState) hasUnsentRun() bool {
 	for _, attempt := range m.agent.Attempts {
 		if !attempt.RunSent && !attempt.StopRequested && attempt.Epoch == m.agent.Epoch {
 			return true
@@ -163,7 +162,7 @@
 		if before.Epoch != 0 && len(events) > 0 {
 			l.deps.Log.Info("machine began a new epoch", "machine", agent.Name, "epoch", agent.Epoch, "events", len(events))
 		}
-		machine.images.dropFetches()
+		machine.images.removeUnfetched()
 		machine.markStale()
 		l.passes.request()
 	}
@@ -173,8 +172,9 @@
 	}
 }
 
-// updateReachability acts on a change in whether the worker receives our replies, after a
-// heartbeat was applied. The arguments are the agent's values from before that heartbeat.
+// updateReachability handles a change in whether the worker receives the leader's replies,
+// after a heartbeat was applied. The arguments are the agent's values from before that
+// heartbeat.
 func (l *Leader) updateReachability(machine *machineState, repliesWereLost, epochWasUnconfirmed bool, now time.Time) {
 	agent := machine.agent
 	if agent.RepliesLost != repliesWereLost {
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -17,13 +17,13 @@
 func TestStaleHeartbeats(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	l.certainty.Watched(now)
+	l.certainty.RecordWatch(now)
 	machine := addMachine(l, "m-1", "east", now)
 	lastAcknowledged := machine.agent.LastAcknowledged
 	duplicate := nextHeartbeat(l, machine, "", "")
 	duplicate.Sequence = 1
 	replyCh := make(chan Reply, 1)
-	l.heartbeat(duplicate, now.Add(time.Second), replyCh)
+	l.handleHeartbeat(duplicate, now.Add(time.Second), replyCh)
 	select {
 	case reply := <-replyCh:
 		if reply.Status != 503 || !machine.agent.LastAcknowledged.Equal(lastAcknowledged) || l.replies.byMachine[machine] != nil {
@@ -33,39 +33,39 @@
 		t.Errorf("the reply to a duplicate heartbeat is held")
 	}
 	l.scaling.terminated["m-9"] = now
-	l.heartbeat(&workers.Heartbeat{Machine: "m-9", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: 1, Token: 3}, now, replyCh)
+	l.handleHeartbeat(&workers.Heartbeat{Machine: "m-9", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: 1, Token: 3}, now, replyCh)
 	if reply := <-replyCh; reply.Status != 503 || l.fleet.get("m-9") != nil {
 		t.Errorf("a late heartbeat added a returned machine again: status %d", reply.Status)
 	}
 	l.fleet.remove(machine)
 	job := addJob(t, l, arraySpec("j-1", 1), now)
 	stale := &workers.Heartbeat{Machine: "m-2", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: 400, Token: l.term.number() - 1}
-	l.heartbeat(stale, now, replyCh)
+	l.handleHeartbeat(stale, now, replyCh)
 	l.runSchedulingPass(now)
 	if len(job.attempts) != 0 {
 		t.Fatalf("a task was placed on a machine that may no longer exist")
 	}
 	stale.Sequence, stale.Token = 401, l.term.number()
-	l.heartbeat(stale, now, replyCh)
+	l.handleHeartbeat(stale, now, replyCh)
 	l.runSchedulingPass(now)
 	if len(job.attempts) != 1 {
 		t.Errorf("no task was placed on a machine that reported this term's token")
 	}
 }
 
-// TestMachineWithLostRepliesGetsNothing checks that a machine that does not receive our
+// TestLostRepliesPreventTasksAndLeaseRenewal checks that a machine that does not receive
 // replies gets neither tasks nor a 200, and that its lease counts from the last 200 that it
-// got before.
-func TestMachineWithLostRepliesGetsNothing(t *testing.T) {
+// did receive.
+func TestLostRepliesPreventTasksAndLeaseRenewal(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	l.certainty.Watched(now)
+	l.certainty.RecordWatch(now)
 	machine := addMachine(l, "m-1", "east", now)
 	lastAcknowledged := machine.agent.LastAcknowledged
 	machine.agent.RepliesLost = true
 	machine.markStale()
 	replyCh := make(chan Reply, 1)
-	l.heartbeat(nextHeartbeat(l, machine, "", ""), now.Add(time.Second), replyCh)
+	l.handleHeartbeat(nextHeartbeat(l, machine, "", ""), now.Add(time.Second), replyCh)
 	l.flushReplies(now.Add(3 * time.Second))
 	if reply := <-replyCh; reply.Status != 503 || !machine.agent.LastAcknowledged.Equal(lastAcknowledged) {
 		t.Errorf("status %d; lease start moved by %v", reply.Status, machine.agent.LastAcknowledged.Sub(lastAcknowledged))
@@ -80,31 +80,31 @@
 	}
 }
 
-// TestReturnedMachineGetsOneReply guards against a second reply to one heartbeat, which
-// would block the event loop: the receiver reads only one. It could come about when a
-// machine is returned to the cloud while its reply is held, and the end of its tasks creates
-// commands for that same machine.
+// TestReturnedMachineGetsOneReply guards against a second reply to one heartbeat, which would
+// block the event loop: the receiver reads only one. It could happen when a machine was
+// returned to the cloud while its reply was held, because the end of its tasks created
+// commands for the same machine.
 func TestReturnedMachineGetsOneReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
 		l := testLeader(t)
-		offline(t, l)
+		useUnavailableStore(t, l)
 		l.deps.Cloud = &cloudCalls{}
-		l.certainty.Watched(now)
+		l.certainty.RecordWatch(now)
 		machine := addMachine(l, "m-1", "east", now)
 		spec := arraySpec("j-1", 2)
 		spec.Kind, spec.SameZone = jobs.KindGang, true
 		addJob(t, l, spec, now)
 		l.runSchedulingPass(now)
-		commitAll(l, 100)
+		commitPending(l, 100)
 		machine.agent.Commands(true, now)
 		replies := make(chan Reply, 2)
-		l.heartbeat(nextHeartbeat(l, machine, workers.StatusRunning, ""), now, replies)
+		l.handleHeartbeat(nextHeartbeat(l, machine, workers.StatusRunning, ""), now, replies)
 		if len(machine.agent.Attempts) != 2 || len(replies) != 0 {
 			t.Fatalf("%d attempts on the machine, %d replies before it was returned", len(machine.agent.Attempts), len(replies))
 		}
 		l.returnMachines([]string{"m-1"})
-		runUntilQuiet(t, l)
+		runUntilIdle(t, l)
 		l.flushReplies(time.Now().Add(constants.ReplyHold)) // the same round of the loop, after the hold time
 		if n := len(replies); n != 1 {
 			t.Fatalf("%d replies to one heartbeat", n)
--- a/internal/leader/held_replies_test.go
+++ b/internal/leader/held_replies_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// TestLeaseMustExpire checks that a worker that does not receive our replies gets no 200, and
+// TestLeaseMustExpire checks that a worker that does not receive replies gets no 200, and
 // neither does an epoch that is proven to have ended, whether or not the heartbeat is a
 // duplicate.
 func TestLeaseMustExpire(t *testing.T) {
--- a/internal/leader/image_cache.go
+++ b/internal/leader/image_cache.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// dropFetches removes the images that are still being fetched: fetches end with the agent's
-// epoch.
-func (c *imageCache) dropFetches() {
+// removeUnfetched removes the images that are still being fetched, because fetches end with
+// the agent's epoch.
+func (c *imageCache) removeUnfetched() {
 	var kept imageCache
 	for _, image := range *c {
 		if image.fetched {
--- a/internal/leader/image_cache_test.go
+++ b/internal/leader/image_cache_test.go
@@ -23,7 +23,7 @@
 			model = modelUse(model, cachedImage{name, gb, fetched}, capacity)
 			checkImages(rt, cache, model)
 		}
-		cache.dropFetches()
+		cache.removeUnfetched()
 		for _, image := range cache {
 			if !image.fetched {
 				rt.Fatalf("%v is still listed as being fetched", image)
--- a/internal/leader/job_admission.go
+++ b/internal/leader/job_admission.go
@@ -13,7 +13,7 @@
 // addJob adds a job from its open record.
 func (l *Leader) addJob(key string, value json.RawMessage, revision uint64, now time.Time) {
 	id := key[len(jobs.OpenPrefix):]
-	if l.jobs.knows(id) {
+	if l.jobs.openOrRemoved(id) {
 		return
 	}
 	var record jobs.Record
@@ -38,7 +38,7 @@
 }
 
 // submittedAt returns the submission time in a job's record, or now if the record has none or
-// the clock of the node that wrote it was ahead of ours.
+// the clock of the node that wrote it was ahead of this leader's.
 func submittedAt(record *jobs.Record, now time.Time) time.Time {
 	if at := time.UnixMilli(record.AcceptedAtMS); record.AcceptedAtMS > 0 && at.Before(now) {
 		return at
@@ -49,7 +49,7 @@
 // recordArrival counts a job that has become eligible to start among the recent arrivals.
 func (l *Leader) recordArrival(job *jobState, now time.Time) {
 	l.scaling.recentArrivals.add(arrival{
-		at: job.view.Submitted, demand: demandOf(job, job.spec.Tasks), reservesMachines: l.qualifiesForGangReserve(job.spec),
+		at: job.view.Submitted, demand: demandOf(job, job.spec.Tasks), forGangReserve: l.qualifiesForGangReserve(job.spec),
 	}, now)
 }
 
--- a/internal/leader/job_attempts.go
+++ b/internal/leader/job_attempts.go
@@ -50,7 +50,7 @@
 // removeAttempt removes an attempt from its job once it is gone or has exited.
 func (l *Leader) removeAttempt(machine *machineState, attempt *workers.Attempt) {
 	machine.markStale()
-	l.wal.AttemptGone(machine.agent.Name, recordAttempt(attempt))
+	l.wal.AttemptGone(machine.agent.Name, attemptToRecord(attempt))
 	job := l.jobs.get(attempt.ID.Task.Job)
 	if job == nil {
 		l.jobs.removeAttemptOfEndedJob(attempt.ID.Task.Job)
@@ -58,5 +58,5 @@
 	}
 	job.markStale()
 	job.attempts.remove(attempt)
-	job.progress.mayWaitFrom(attempt.ID.Task.Index)
+	job.progress.lowerFirstWaiting(attempt.ID.Task.Index)
 }
--- a/internal/leader/job_final_writes.go
+++ b/internal/leader/job_final_writes.go
@@ -9,9 +9,9 @@
 	"thornnotch/internal/statestore"
 )
 
-// recordCompletion queues the write of a completed job's final record.
-func (l *Leader) recordCompletion(job *jobState) {
-	l.commits.recordCompleted(finalRecord{
+// queueCompletionWrite queues the write of a completed job's final record.
+func (l *Leader) queueCompletionWrite(job *jobState) {
+	l.commits.queueCompleted(finalRecord{
 		obsolete: func() bool { return job.removed || job.finalizing },
 		write: func() wal.JobWrite {
 			job.finalizing = true
@@ -35,22 +35,22 @@
 	write.Conflicted = func() { l.removeJob(job, time.Now()) }
 	write.Retry = func() {
 		job.finalizing = false
-		l.recordCompletion(job)
+		l.queueCompletionWrite(job)
 	}
 	return write
 }
 
-// recordCancellation queues the write of the final record of a job that is cancelled because
-// an upstream job was.
-func (l *Leader) recordCancellation(job *jobState) {
-	l.commits.recordCancelled(func() wal.JobWrite { return l.cancellationWrite(job) })
+// queueCancellationWrite queues the write of the final record of a job that is cancelled
+// because an upstream job was.
+func (l *Leader) queueCancellationWrite(job *jobState) {
+	l.commits.queueCancelled(func() wal.JobWrite { return l.cancellationWrite(job) })
 }
 
 // cancellationWrite returns the write that replaces the open record of a job with a final one,
 // for a job that is cancelled because an upstream job was.
 func (l *Leader) cancellationWrite(job *jobState) wal.JobWrite {
 	write := finalWrite(job, jobs.FinalRecord{Status: jobs.StatusCancelled})
-	write.Retry = func() { l.recordCancellation(job) }
+	write.Retry = func() { l.queueCancellationWrite(job) }
 	return write
 }
 
--- a/internal/leader/job_state.go
+++ b/internal/leader/job_state.go
@@ -29,10 +29,10 @@
 	attempts taskAttempts
 	// placed is set once any task has been placed: the job no longer waits to start.
 	placed bool
-	// servedAt is when a task of the job was last placed; until then, when the job was added
-	// or became eligible to start.
-	servedAt time.Time
-	started  time.Time // when a task was first reported running
+	// lastPlacedAt is when a task of the job was last placed. Until then, it is when the job
+	// was added or became eligible to start.
+	lastPlacedAt time.Time
+	started      time.Time // when a task was first reported running
 
 	gang      gangState
 	retry     retryState
@@ -40,18 +40,18 @@
 	// downstreamDemand is the demand inherited from the jobs that depend on this one.
 	downstreamDemand demand
 
-	// failures and runtimes are the evidence from its tasks on the health of machines and of
+	// failures and runtimes hold what the job's tasks show about the health of machines and of
 	// the job itself.
 	failures health.FailureHistory
 	runtimes health.Runtimes
 	// restartedTasks are tasks that have run in part before. The run time of their last
 	// attempt is not that of the whole task.
 	restartedTasks map[int]bool
-	// fromEarlierTerm is set if the job was open when this term began. It is not known how
-	// long its tasks had run by then, so their run times are no evidence on machines.
+	// fromEarlierTerm is set if the job was open when this term began. How long its tasks had
+	// run by then is unknown, so their run times are not used to judge machines.
 	fromEarlierTerm bool
 
-	complete   bool // all tasks are done; the final record is to be written
+	complete   bool // all tasks are done; the final record must be written
 	finalizing bool // a transaction with the final record is in progress
 	removed    bool // cancelled or ended
 }
@@ -92,17 +92,17 @@
 	return distinct
 }
 
-// done removes an upstream job that is done.
-func (u *upstreamState) done(name string) { delete(u.pending, name) }
+// markDone removes an upstream job that is done.
+func (u *upstreamState) markDone(name string) { delete(u.pending, name) }
 
 // blocked reports whether any upstream job is not known to be done.
 func (u *upstreamState) blocked() bool { return u.unlinked || len(u.pending) > 0 }
 
 func newJobState(spec *jobs.Spec, revision uint64, submitted, now time.Time) *jobState {
 	return &jobState{
-		spec: spec, revision: revision, acceptedAt: submitted, servedAt: now,
+		spec: spec, revision: revision, acceptedAt: submitted, lastPlacedAt: now,
 		view: placement.Job{
-			Spec: spec, Priority: jobs.Priority(spec.PriorityClass), Order: revision, Submitted: submitted,
+			Spec: spec, Priority: jobs.Priority(spec.PriorityClass), SubmissionRevision: revision, Submitted: submitted,
 		},
 		stale:           true,
 		progress:        newTaskProgress(spec.Tasks),
--- a/internal/leader/job_table.go
+++ b/internal/leader/job_table.go
@@ -8,20 +8,21 @@
 	"thornnotch/internal/workers"
 )
 
-// jobTable holds the open jobs of a term, and what has to be kept of those that have ended.
+// jobTable holds the open jobs of a term, and the data that is still needed about jobs that
+// have ended.
 type jobTable struct {
 	open map[string]*jobState
 	// removed are the IDs of jobs that were removed here before the watch reported the
-	// deletion of their records. Submissions that the watch still reports of them are
+	// deletion of their records. Submissions that the watch still reports for them are
 	// outdated.
 	removed map[string]bool
-	// ended are the jobs that have ended while attempts of theirs may still be running.
+	// ended are the jobs that have ended but may still have attempts running.
 	ended map[string]*endedJob
 	// pipelines are the jobs of each team and class, in the order in which they were added.
 	pipelines map[placement.Pipeline][]*jobState
 }
 
-// endedJob is what is kept of a job that has ended while attempts of it may still be on
+// endedJob is the data that is kept about a job that has ended but may still have attempts on
 // machines.
 type endedJob struct {
 	team      string
@@ -47,9 +48,9 @@
 // all iterates over the open jobs in no particular order.
 func (t *jobTable) all() iter.Seq[*jobState] { return maps.Values(t.open) }
 
-// knows reports whether a job is open, or was removed before the watch reported the deletion
-// of its record.
-func (t *jobTable) knows(id string) bool { return t.open[id] != nil || t.removed[id] }
+// openOrRemoved reports whether a job is open, or was removed while the watch has not yet
+// reported the deletion of its record.
+func (t *jobTable) openOrRemoved(id string) bool { return t.open[id] != nil || t.removed[id] }
 
 // add adds an open job.
 func (t *jobTable) add(job *jobState) {
@@ -74,16 +75,17 @@
 // watch delivers changes in order, so no older change of that record can follow.
 func (t *jobTable) recordDeleted(id string) { delete(t.removed, id) }
 
-// restoreEnded counts an attempt of an ended job that was restored from the records.
-func (t *jobTable) restoreEnded(id, team string, resources placement.Resources) {
+// restoreAttemptOfEndedJob counts an attempt of an ended job that was restored from the
+// records.
+func (t *jobTable) restoreAttemptOfEndedJob(id, team string, resources placement.Resources) {
 	if t.ended[id] == nil {
 		t.ended[id] = &endedJob{team: team, resources: resources}
 	}
 	t.ended[id].attempts++
 }
 
-// endedAttemptFound counts an attempt of an ended job that a machine has reported.
-func (t *jobTable) endedAttemptFound(id string) {
+// addAttemptOfEndedJob counts an attempt of an ended job that a machine has reported.
+func (t *jobTable) addAttemptOfEndedJob(id string) {
 	if ended := t.ended[id]; ended != nil {
 		ended.attempts++
 	}
--- a/internal/leader/job_table_test.go
+++ b/internal/leader/job_table_test.go
@@ -7,8 +7,8 @@
 	"thornnotch/internal/workers"
 )
 
-// TestEndedJobsAreKeptUntilAttemptsAreGone: the team and resources of an ended job are kept
-// until the last of its attempts is gone, and no longer.
+// TestEndedJobsAreKeptUntilAttemptsAreGone checks that the team and resources of an ended job
+// are kept until the last of its attempts is gone, and no longer.
 func TestEndedJobsAreKeptUntilAttemptsAreGone(t *testing.T) {
 	now := time.Unix(1000, 0)
 	spec := arraySpec("j-1", 3)
@@ -17,7 +17,7 @@
 	table.add(job)
 	table.remove(job, 2)
 	attempt := &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Job: "j-1"}}}
-	table.endedAttemptFound("j-1")
+	table.addAttemptOfEndedJob("j-1")
 	for range 3 {
 		if table.teamOf(attempt) != spec.Team || table.resourcesOf(attempt).GPUs != spec.GPUs {
 			t.Fatalf("ended job dropped while attempts may run: team %q, resources %+v", table.teamOf(attempt), table.resourcesOf(attempt))
@@ -29,23 +29,24 @@
 	}
 }
 
-// TestRemovedJobsAreKnownUntilWatchReportsDeletion: a job that was removed here must not be
-// added again by an outdated submission event.
-func TestRemovedJobsAreKnownUntilWatchReportsDeletion(t *testing.T) {
+// TestRemovedJobsAreKeptUntilDeletionIsReported checks that the table remembers a removed job
+// until the watch reports the deletion of its record. Otherwise, an outdated submission event
+// could add the job again.
+func TestRemovedJobsAreKeptUntilDeletionIsReported(t *testing.T) {
 	now := time.Unix(1000, 0)
 	spec := arraySpec("j-1", 1)
 	table := newJobTable()
-	if table.knows("j-1") {
-		t.Fatal("known before it was added")
+	if table.openOrRemoved("j-1") {
+		t.Fatal("reported as open or removed before it was added")
 	}
 	job := newJobState(&spec, 1, now, now)
 	table.add(job)
 	table.remove(job, 0)
-	if table.get("j-1") != nil || !table.knows("j-1") || len(table.ended) != 0 {
-		t.Errorf("after the removal: open %v, known %v, ended jobs %v", table.get("j-1") != nil, table.knows("j-1"), table.ended)
+	if table.get("j-1") != nil || !table.openOrRemoved("j-1") || len(table.ended) != 0 {
+		t.Errorf("after the removal: open %v, open or removed %v, ended jobs %v", table.get("j-1") != nil, table.openOrRemoved("j-1"), table.ended)
 	}
 	table.recordDeleted("j-1")
-	if table.knows("j-1") {
-		t.Error("still known after the deletion was reported")
+	if table.openOrRemoved("j-1") {
+		t.Error("still remembered after the deletion was reported")
 	}
 }
--- a/internal/leader/job_test.go
+++ b/internal/leader/job_test.go
@@ -7,9 +7,9 @@
 	"thornnotch/internal/workers"
 )
 
-// TestCommandsWaitForTheirRecord follows a job through placement, record, start, exit and
+// TestCommandsWaitForCommit follows a job through placement, record, start, exit and
 // completion: no command is sent before the record that it depends on is committed.
-func TestCommandsWaitForTheirRecord(t *testing.T) {
+func TestCommandsWaitForCommit(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
 	machine := addMachine(l, "m-1", "east", now)
@@ -20,7 +20,7 @@
 	if got := commands(); len(job.attempts) != 2 || len(got) != 0 {
 		t.Fatalf("%d tasks placed, commands before the attempts are recorded: %v", len(job.attempts), got)
 	}
-	revision := commitAll(l, 100)
+	revision := commitPending(l, 100)
 	if got := commands(); len(got) != 2 || got[0].Verb != workers.VerbRun {
 		t.Fatalf("commands after the attempts are recorded: %v", got)
 	}
@@ -34,7 +34,7 @@
 	if got := commands(); !job.complete || len(got) != 0 {
 		t.Fatalf("complete %v, commands before the completion is recorded: %v", job.complete, got)
 	}
-	commitAll(l, revision)
+	commitPending(l, revision)
 	if got := commands(); len(got) != 2 || got[0].Verb != workers.VerbForget {
 		t.Fatalf("commands after the completion is recorded: %v", got)
 	}
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestCancelledTasksCountUntilGone: tasks of a cancelled job count towards their team's use
-// until they are proven gone, and are recorded for the next leader.
+// TestCancelledTasksCountUntilGone checks that tasks of a cancelled job count toward their
+// team's usage until they are proven gone, and are recorded for the next leader.
 func TestCancelledTasksCountUntilGone(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
--- a/internal/leader/job_view.go
+++ b/internal/leader/job_view.go
@@ -7,13 +7,13 @@
 	"thornnotch/internal/jobs"
 )
 
-// refreshView updates the job's view for placement. classShare is the number of jobs of its
-// class relative to that of the most frequent class.
-func (j *jobState) refreshView(classShare float64, now time.Time) {
+// refreshView updates the job's view for placement. relativeClassCount is the number of jobs
+// of its class relative to that of the most frequent class.
+func (j *jobState) refreshView(relativeClassCount float64, now time.Time) {
 	view := &j.view
-	view.UpdateSlack(now, classShare)
+	view.UpdateSlack(now, relativeClassCount)
 	view.Blocked = j.retry.backingOff(now)
-	view.SinceLastStart = now.Sub(j.servedAt)
+	view.SinceLastStart = now.Sub(j.lastPlacedAt)
 	if !j.stale && !j.retry.changesWithTime() {
 		return
 	}
@@ -65,7 +65,7 @@
 		if len(j.view.WaitingTasks) >= limit {
 			break
 		}
-		if !j.retry.delays.Waiting(task, now) {
+		if !j.retry.delays.IsDelayed(task, now) {
 			j.view.WaitingTasks = append(j.view.WaitingTasks, task)
 		}
 	}
--- a/internal/leader/job_view_test.go
+++ b/internal/leader/job_view_test.go
@@ -12,9 +12,9 @@
 	"thornnotch/internal/workers"
 )
 
-// TestArrayWaitingTasks: after any sequence of placed, lost, completed and delayed tasks,
-// placement is shown the first waiting tasks in order: those that are not done, have no
-// attempt and are not delayed by a retry.
+// TestArrayWaitingTasks checks that after any sequence of placed, lost, completed and delayed
+// tasks, the job's view lists the first waiting tasks in order: those that are not done, have
+// no attempt and are not delayed by a retry.
 func TestArrayWaitingTasks(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -31,7 +31,7 @@
 				for _, placed := range slices.Clone(job.attempts[task]) {
 					job.attempts.remove(placed.attempt)
 				}
-				job.progress.mayWaitFrom(task)
+				job.progress.lowerFirstWaiting(task)
 			case "complete":
 				job.progress.complete(task)
 			case "delay":
@@ -59,8 +59,8 @@
 	return waiting[:min(len(waiting), constants.MaxWaitingTasks)]
 }
 
-// TestGangWaitingTasks: all tasks of a gang wait while it has no attempts, none while some
-// attempts are not gone, and only the lost one while it may be replaced.
+// TestGangWaitingTasks checks that all tasks of a gang wait while it has no attempts, none
+// while some attempts are not gone, and only the lost one while it may be replaced.
 func TestGangWaitingTasks(t *testing.T) {
 	now := time.Unix(1000, 0)
 	spec := twoTaskGang("j-1")
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestStopCost: stopping a task that can't save its progress loses all its work, and stopping
-// a gang costs more than stopping single tasks.
+// TestStopCost checks that stopping a task that can't save its progress loses all its work,
+// and stopping a gang costs more than stopping single tasks.
 func TestStopCost(t *testing.T) {
 	now := time.Unix(1000, 0)
 	running := &workers.Attempt{RunningSince: now.Add(-time.Minute)}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -92,7 +92,7 @@
 	// Machines and the commands sent to them.
 	fleet    fleet
 	replies  heldReplies
-	commands commandDispatcher
+	commands commandLimiter
 	scaling  scalingState
 
 	// Statistics for operators.
--- a/internal/leader/legacy_test.go
+++ b/internal/leader/legacy_test.go
@@ -8,8 +8,8 @@
 	"thornnotch/internal/statestore"
 )
 
-// TestLegacyRecordsAreRestored: state is restored from records in the 0.1.0 format, which are
-// deleted once a checkpoint contains their data.
+// TestLegacyRecordsAreRestored checks that state is restored from records in the 0.1.0 format,
+// which are deleted once a checkpoint contains their data.
 func TestLegacyRecordsAreRestored(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -26,8 +26,8 @@
 	Commits           uint64  `json:"commits"`
 	CommitSeconds     float64 `json:"commitS"`
 	Events            uint64  `json:"calls"` // events received by the loop
-	// MetadataBytes is the size of the logged holds and images; Log counts everything written
-	// to the log.
+	// MetadataBytes is the size of the logged reservations and images; Log counts everything
+	// written to the log.
 	MetadataBytes uint64    `json:"hintBytes"`
 	Log           wal.Stats `json:"log"`
 	BusySeconds   float64   `json:"busyS"` // time the loop spent processing
@@ -55,34 +55,34 @@
 	backlog int
 }
 
-func (g *loadLog) due(now time.Time) bool { return now.Sub(g.loggedAt) >= constants.LoadLogInterval }
+func (l *loadLog) due(now time.Time) bool { return now.Sub(l.loggedAt) >= constants.LoadLogInterval }
 
 // log logs the load since the previous call. The first call only stores the totals, as there
 // are none to compare them with.
-func (g *loadLog) log(logger *slog.Logger, current WorkCounts, gauges loadGauges, now time.Time) {
-	first, period := g.loggedAt.IsZero(), now.Sub(g.loggedAt).Seconds()
+func (l *loadLog) log(logger *slog.Logger, current WorkCounts, gauges loadGauges, now time.Time) {
+	first, period := l.loggedAt.IsZero(), now.Sub(l.loggedAt).Seconds()
 	if !first {
-		logger.Info("load", g.attributes(current, gauges, period)...)
+		logger.Info("load", l.attributes(current, gauges, period)...)
 	}
-	if usage := g.usageAttributes(period); usage != nil && !first {
+	if usage := l.usageAttributes(period); usage != nil && !first {
 		logger.Debug("state service load", usage...)
 	}
-	g.loggedAt, g.lastCounts = now, current
+	l.loggedAt, l.lastCounts = now, current
 }
 
 // attributes returns the log attributes of the load line. The period is in seconds.
-func (g *loadLog) attributes(current WorkCounts, gauges loadGauges, period float64) []any {
-	previous := g.lastCounts
+func (l *loadLog) attributes(current WorkCounts, gauges loadGauges, period float64) []any {
+	previous := l.lastCounts
 	return []any{
 		"jobs", gauges.jobs, "machines", gauges.machines,
 		"heartbeats_per_s", perSecond(current.Heartbeats, previous.Heartbeats, period),
 		"replied_commands_per_s", perSecond(current.RepliedCommands, previous.RepliedCommands, period),
 		"direct_commands_per_s", perSecond(current.DirectCommands, previous.DirectCommands, period),
 		"passes_per_s", perSecond(current.Passes, previous.Passes, period),
-		"pass_share", share(current.PassSeconds, previous.PassSeconds, period),
+		"pass_share", fractionOfPeriod(current.PassSeconds, previous.PassSeconds, period),
 		"commits_per_s", perSecond(current.Commits, previous.Commits, period),
-		"commit_share", share(current.CommitSeconds, previous.CommitSeconds, period),
-		"busy_share", share(current.BusySeconds, previous.BusySeconds, period),
+		"commit_share", fractionOfPeriod(current.CommitSeconds, previous.CommitSeconds, period),
+		"busy_share", fractionOfPeriod(current.BusySeconds, previous.BusySeconds, period),
 		"entries_kb_per_s", kilobytesPerSecond(current.Log.EntryBytes, previous.Log.EntryBytes, period),
 		"metadata_kb_per_s", kilobytesPerSecond(current.MetadataBytes, previous.MetadataBytes, period),
 		"checkpoint_kb_per_s", kilobytesPerSecond(current.Log.PartBytes, previous.Log.PartBytes, period),
@@ -92,18 +92,18 @@
 
 // usageAttributes returns log attributes with each class's use of the state service since the
 // previous call, or nil if the usage is unknown.
-func (g *loadLog) usageAttributes(period float64) (attributes []any) {
-	if g.usage == nil {
+func (l *loadLog) usageAttributes(period float64) (attributes []any) {
+	if l.usage == nil {
 		return nil
 	}
 	usageTotals := make(map[statestore.Class]statestore.Usage)
 	for _, class := range statestore.Classes {
-		current, previous := g.usage(class), g.usageTotals[class]
+		current, previous := l.usage(class), l.usageTotals[class]
 		usageTotals[class] = current
 		attributes = append(attributes, class.String(), fmt.Sprintf("%.1f requests/s, %.1f writes/s, %.2f waiting",
-			perSecond(current.Requests, previous.Requests, period), perSecond(current.Writes, previous.Writes, period), share(current.WaitSeconds, previous.WaitSeconds, period)))
+			perSecond(current.Requests, previous.Requests, period), perSecond(current.Writes, previous.Writes, period), fractionOfPeriod(current.WaitSeconds, previous.WaitSeconds, period)))
 	}
-	g.usageTotals = usageTotals
+	l.usageTotals = usageTotals
 	return attributes
 }
 
@@ -117,9 +117,9 @@
 	return math.Round(float64(current-previous)/period/102.4) / 10
 }
 
-// share returns the fraction of the period by which a total of seconds has grown, rounded to a
-// thousandth.
-func share(current, previous, period float64) float64 {
+// fractionOfPeriod returns the fraction of the period by which a total of seconds has grown,
+// rounded to a thousandth.
+func fractionOfPeriod(current, previous, period float64) float64 {
 	return math.Round((current-previous)/period*1000) / 1000
 }
 
--- a/internal/leader/loop.go
+++ b/internal/leader/loop.go
@@ -20,7 +20,7 @@
 //     added to the write-ahead log immediately (logAttempt, logDone, logMetadata). A
 //     scheduling pass is requested if it might now decide differently.
 //  3. If a pass is due, runSchedulingPass passes a snapshot of the state to placement and
-//     turns the resulting plan into attempts (startPlanned) and preemptions (preempt). The
+//     turns the resulting plan into attempts (startPlannedTasks) and preemptions (preempt). The
 //     attempts are logged.
 //  4. commit sends the pending log changes as one transaction, unless another one is in
 //     flight. Once it is committed, applyCommitResult has the log call its callbacks:
@@ -38,7 +38,7 @@
 	if err != nil {
 		return fmt.Errorf("load records of earlier terms: %w", err)
 	}
-	// If the process was frozen while loading, another node may have deposed it.
+	// If the process was frozen while loading, another node may have taken over.
 	l.term.markResumed(time.Now())
 	l.verifyTerm()
 	group.Go(func() error { return l.watchJobs(ctx, revision) })
--- a/internal/leader/loop_test.go
+++ b/internal/leader/loop_test.go
@@ -102,9 +102,9 @@
 	return nil
 }
 
-// TestSubmissionReachesMachine: a submission reported by the watch passes through the loop, a
-// scheduling pass and a transaction, and reaches a machine in the reply to its heartbeat. When
-// its context ends, Run waits for everything that it has started.
+// TestSubmissionReachesMachine checks that a submission reported by the watch passes through
+// the loop, a scheduling pass and a transaction, and reaches a machine in the reply to its
+// heartbeat. When its context ends, Run waits for everything that it has started.
 func TestSubmissionReachesMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newLoopStore()
@@ -137,8 +137,8 @@
 	})
 }
 
-// TestRunEndsIfDeposedDuringLoad: a leader that finds, after loading its records, that another
-// node has raised the term ends with ErrDeposed and decides nothing.
+// TestRunEndsIfDeposedDuringLoad checks that Run ends with ErrDeposed, without writing
+// anything, if another node raised the term while the records were loaded.
 func TestRunEndsIfDeposedDuringLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newLoopStore()
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -39,7 +39,7 @@
 	countedUsage []teamUse
 }
 
-// newMachineState returns the state of a machine of which only the name is known.
+// newMachineState returns the initial state of a machine. Only its name is known.
 func newMachineState(name string, now time.Time) *machineState {
 	return &machineState{
 		agent: workers.NewAgent(name), addedAt: now, stale: true,
--- a/internal/leader/machine_lifecycle.go
+++ b/internal/leader/machine_lifecycle.go
@@ -13,25 +13,25 @@
 	idleSince time.Time
 }
 
-// restore sets the state from the machine's record.
-func (c *machineLifecycle) restore(leaving bool) { c.leaving, c.leavingRecorded = leaving, leaving }
+// restore sets the leaving mark from the machine's record.
+func (m *machineLifecycle) restore(leaving bool) { m.leaving, m.leavingRecorded = leaving, leaving }
 
 // isLeaving reports whether the machine is being returned. It then gets no more tasks.
-func (c *machineLifecycle) isLeaving() bool { return c.leaving }
+func (m *machineLifecycle) isLeaving() bool { return m.leaving }
 
 // beginLeaving marks the machine as leaving. markLeavingRecorded must be called once the
 // mark is recorded.
-func (c *machineLifecycle) beginLeaving() { c.leaving, c.leavingRecorded = true, false }
+func (m *machineLifecycle) beginLeaving() { m.leaving, m.leavingRecorded = true, false }
 
 // markLeavingRecorded records that the machine's record has been written with its present
 // leaving mark.
-func (c *machineLifecycle) markLeavingRecorded() { c.leavingRecorded = c.leaving }
+func (m *machineLifecycle) markLeavingRecorded() { m.leavingRecorded = m.leaving }
 
 // readyToReturn reports whether the cloud may be asked to take the machine back.
-func (c *machineLifecycle) readyToReturn() bool { return c.leaving && c.leavingRecorded }
+func (m *machineLifecycle) readyToReturn() bool { return m.leaving && m.leavingRecorded }
 
 // markBusy restarts the idle time of a machine that is in use or has just registered.
-func (c *machineLifecycle) markBusy(now time.Time) { c.idleSince = now }
+func (m *machineLifecycle) markBusy(now time.Time) { m.idleSince = now }
 
 // idleFor returns for how long the machine has been idle.
-func (c *machineLifecycle) idleFor(now time.Time) time.Duration { return now.Sub(c.idleSince) }
+func (m *machineLifecycle) idleFor(now time.Time) time.Duration { return now.Sub(m.idleSince) }
--- a/internal/leader/machine_view.go
+++ b/internal/leader/machine_view.go
@@ -34,9 +34,9 @@
 		uses = append(uses, teamUse{l.jobs.teamOf(attempt), task.Resources})
 		view.RunningTasks = append(view.RunningTasks, task)
 	}
-	for _, hold := range l.reservations.OnMachine(machine.agent.Name) {
-		view.Reserved = append(view.Reserved, placement.ReservedSlot{Pipeline: hold.Pipeline, Priority: hold.Priority, Resources: hold.Resources})
-		uses = append(uses, teamUse{hold.Pipeline.Team, hold.Resources})
+	for _, reservation := range l.reservations.OnMachine(machine.agent.Name) {
+		view.Reserved = append(view.Reserved, placement.ReservedSlot{Pipeline: reservation.Pipeline, Priority: reservation.Priority, Resources: reservation.Resources})
+		uses = append(uses, teamUse{reservation.Pipeline.Team, reservation.Resources})
 	}
 	l.setTeamUsage(machine, uses)
 	machine.view = view
@@ -46,7 +46,7 @@
 // still fetches its image, the expected wait is added to the view.
 func (l *Leader) runningTask(view *placement.Machine, attempt *workers.Attempt, now time.Time) placement.RunningTask {
 	task := placement.RunningTask{
-		Index: attempt.ID.Task.Index, Attempt: attempt.ID.Number,
+		TaskIndex: attempt.ID.Task.Index, Attempt: attempt.ID.Number,
 		Resources: l.jobs.resourcesOf(attempt), Stopping: attempt.StopRequested,
 	}
 	job := l.jobs.get(attempt.ID.Task.Job)
--- a/internal/leader/metadata.go
+++ b/internal/leader/metadata.go
@@ -51,7 +51,7 @@
 // remove drops a machine from the queue.
 func (q *metadataQueue) remove(machine *machineState) { delete(q.due, machine) }
 
-// takeDue passes each due machine and its record to take, as far as the budget allows.
+// takeDue passes each due machine and its record to take, until the budget is exhausted.
 // changed returns a machine's current record and reports whether it differs from the last
 // recorded one.
 func (q *metadataQueue) takeDue(
@@ -84,7 +84,7 @@
 	l.metadata.add(machine, now)
 }
 
-// logDueMetadata records the due machines as far as the budget allows. It records nothing
+// logDueMetadata records the due machines until the budget is exhausted. It records nothing
 // while the commits of starts and exits are behind.
 func (l *Leader) logDueMetadata(now time.Time) {
 	if l.commits.behind(now) {
--- a/internal/leader/metadata_test.go
+++ b/internal/leader/metadata_test.go
@@ -10,8 +10,8 @@
 )
 
 // TestMetadataWriteBudget checks that metadata records stay within their share of the state
-// service's write rate however many machines change, and that every machine is recorded in the
-// end. In a simulated day with 4,000 machines they used up the writes that the records of
+// service's write rate however many machines change, and that every machine is eventually
+// recorded. In a simulated day with 4,000 machines they used up the writes that the records of
 // starts and exits needed, and starts were delayed by a minute.
 func TestMetadataWriteBudget(t *testing.T) {
 	for _, c := range []struct {
@@ -27,13 +27,13 @@
 		if l.metadata.bytes != 0 {
 			t.Errorf("recorded before the delay has passed")
 		}
-		l.commits.setMore(true, now.Add(-constants.CommitBehindAfter))
+		l.commits.setLastTxnFull(true, now.Add(-constants.CommitBehindAfter))
 		l.logDueMetadata(now.Add(constants.MetadataDelay))
 		if l.metadata.bytes != 0 {
 			t.Errorf("recorded while commits of starts and exits are behind")
 		}
 
-		l.commits.setMore(false, now)
+		l.commits.setLastTxnFull(false, now)
 		for tick := range int(seconds * time.Second / constants.TickInterval) {
 			l.logDueMetadata(now.Add(constants.MetadataDelay + time.Duration(tick)*constants.TickInterval))
 		}
--- a/internal/leader/placement_snapshot.go
+++ b/internal/leader/placement_snapshot.go
@@ -15,10 +15,10 @@
 	// Refreshing the machine views updates the teams' usage, which teamViews reads.
 	snapshot.Machines = l.machineViews(now)
 	snapshot.Teams = l.teamViews()
-	l.addReservationEdges(snapshot)
-	snapshot.ReservedMachines = l.reservedMachines(snapshot.Machines, now)
+	l.markDependencyReservations(snapshot)
+	snapshot.GangReserve = l.gangReserve(snapshot.Machines, now)
 	placement.MarkGuaranteed(startable, snapshot.Teams)
-	placement.MarkStarving(startable, l.classes.gangWaits.boostedClasses(), now)
+	placement.BoostStarvingGangs(startable, l.classes.gangWaits.boostedClasses(), now)
 	for _, view := range startable {
 		if len(view.WaitingTasks) > 0 {
 			snapshot.Jobs = append(snapshot.Jobs, view)
@@ -35,7 +35,7 @@
 		if job.complete || job.upstreams.blocked() {
 			continue
 		}
-		job.refreshView(l.classes.arrivals.share(job.spec.Class), now)
+		job.refreshView(l.classes.arrivals.relativeCount(job.spec.Class), now)
 		views = append(views, &job.view)
 	}
 	return views
--- a/internal/leader/placement_snapshot_test.go
+++ b/internal/leader/placement_snapshot_test.go
@@ -7,20 +7,20 @@
 	"thornnotch/internal/constants"
 )
 
-// TestSilentMachineGetsNoWork guards against placing tasks on machines behind a network
-// partition, which went on until their leases expired.
-func TestSilentMachineGetsNoWork(t *testing.T) {
+// TestSilentMachineGetsNoTasks guards against placing tasks on machines behind a network
+// partition, which used to continue until their leases expired.
+func TestSilentMachineGetsNoTasks(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := testLeader(t)
-	silent, heard := addMachine(l, "m-1", "east", now), addMachine(l, "m-2", "east", now)
+	silent, reporting := addMachine(l, "m-1", "east", now), addMachine(l, "m-2", "east", now)
 	now = now.Add(l.silenceTolerance() + constants.IdleReplyHold + time.Second)
 	if now.Sub(silent.agent.LastHeartbeat) >= l.lease {
 		t.Fatal("the lease has expired, so the test shows nothing")
 	}
-	heard.agent.LastHeartbeat = now
+	reporting.agent.LastHeartbeat = now
 	addJob(t, l, arraySpec("j-1", 3), now)
 	l.runSchedulingPass(now)
-	if len(silent.agent.Attempts) != 0 || len(heard.agent.Attempts) != 3 {
-		t.Errorf("%d tasks placed on the silent machine, %d on the other; want 0 and 3", len(silent.agent.Attempts), len(heard.agent.Attempts))
+	if len(silent.agent.Attempts) != 0 || len(reporting.agent.Attempts) != 3 {
+		t.Errorf("%d tasks placed on the silent machine, %d on the other; want 0 and 3", len(silent.agent.Attempts), len(reporting.agent.Attempts))
 	}
 }
--- a/internal/leader/plan_execution.go
+++ b/internal/leader/plan_execution.go
@@ -33,13 +33,13 @@
 	if job == nil {
 		return
 	}
-	l.deps.Log.Debug("task preempted", "task", workers.TaskID{Job: job.spec.ID, Index: victim.Index}, "attempt", victim.Attempt,
-		"machine", machine.agent.Name, "for_job", preemption.For.Spec.ID)
+	l.deps.Log.Debug("task preempted", "task", workers.TaskID{Job: job.spec.ID, Index: victim.TaskIndex}, "attempt", victim.Attempt,
+		"machine", machine.agent.Name, "for_job", preemption.Preemptor.Spec.ID)
 	if job.spec.Kind == jobs.KindGang {
 		l.stopGang(job, job.stopGrace(), now)
 		return
 	}
-	for _, placed := range job.attempts[victim.Index] {
+	for _, placed := range job.attempts[victim.TaskIndex] {
 		if placed.machine == machine && placed.attempt.ID.Number == victim.Attempt {
 			l.stopAttempt(machine, placed.attempt, job.stopGrace(), now)
 		}
@@ -47,9 +47,9 @@
 	l.sendStops(machine, now)
 }
 
-// startPlanned creates an attempt for each start of a plan. The run command of an attempt is
-// sent only once the record of the attempt is committed.
-func (l *Leader) startPlanned(starts []placement.Start, now time.Time) {
+// startPlannedTasks creates an attempt for each start of a plan. The run command of an attempt
+// is sent only once the record of the attempt is committed.
+func (l *Leader) startPlannedTasks(starts []placement.Start, now time.Time) {
 	gangNumbers := make(map[string]uint64)
 	for _, start := range starts {
 		job := l.jobs.get(start.Job.Spec.ID)
@@ -90,17 +90,17 @@
 }
 
 // startTask creates an attempt on a machine and records it. The attempt consumes a reservation
-// on the machine that it is entitled to; reservations that no longer fit beside it are
+// on the machine that it is entitled to; reservations that no longer fit on the machine are
 // released.
 func (l *Leader) startTask(machine *machineState, job *jobState, start placement.Start, number uint64, now time.Time) {
-	id := workers.AttemptID{Task: workers.TaskID{Job: job.spec.ID, Index: start.Index}, Number: number}
+	id := workers.AttemptID{Task: workers.TaskID{Job: job.spec.ID, Index: start.TaskIndex}, Number: number}
 	attempt := &workers.Attempt{ID: id, Epoch: machine.agent.Epoch, PlacedAt: now}
 	machine.agent.Attempts[id] = attempt
-	job.servedAt = now
+	job.lastPlacedAt = now
 	l.classes.placementRates.add(job.spec.Class)
 	l.addAttempt(machine, attempt)
 	l.logAttempt(machine, attempt)
-	if l.reservations.Consume(machine.agent.Name, job.view.Owns) {
+	if l.reservations.Consume(machine.agent.Name, job.view.BelongsTo) {
 		l.deps.Log.Debug("reservation consumed", "machine", machine.agent.Name, "job", job.spec.ID)
 		l.metadataChanged(machine, now)
 	}
--- a/internal/leader/recent_arrivals.go
+++ b/internal/leader/recent_arrivals.go
@@ -17,8 +17,8 @@
 type arrival struct {
 	at     time.Time
 	demand autoscaling.Demand
-	// reservesMachines is set for a gang for which whole on-demand machines are reserved.
-	reservesMachines bool
+	// forGangReserve is set for a gang that qualifies for the gang reserve.
+	forGangReserve bool
 }
 
 // add appends an arrival unless it is older than the window.
@@ -28,8 +28,8 @@
 	}
 }
 
-// forget removes the arrivals that are older than the window.
-func (r *recentArrivals) forget(now time.Time) {
+// prune removes the arrivals that are older than the window.
+func (r *recentArrivals) prune(now time.Time) {
 	for len(*r) > 0 && now.Sub((*r)[0].at) > constants.ArrivalRateWindow {
 		*r = (*r)[1:]
 	}
@@ -40,7 +40,7 @@
 func (r recentArrivals) expectedGangMachines(catalog *autoscaling.Catalog, now time.Time) int {
 	machines := 0.0
 	for _, a := range r {
-		if a.reservesMachines && now.Sub(a.at) <= constants.ArrivalRateWindow {
+		if a.forGangReserve && now.Sub(a.at) <= constants.ArrivalRateWindow {
 			machines += machinesNeeded(catalog, a.demand)
 		}
 	}
--- a/internal/leader/recent_arrivals_test.go
+++ b/internal/leader/recent_arrivals_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestRecentArrivals checks that arrivals count only within the window, and that only gangs
-// that reserve whole machines add to the expected machines.
+// that qualify for the gang reserve add to the expected machines.
 func TestRecentArrivals(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	catalog := &autoscaling.Catalog{MachineTypes: []autoscaling.MachineType{
@@ -19,17 +19,17 @@
 	}}
 	gang := autoscaling.Demand{Tasks: 6, TaskResources: placement.Resources{CPUs: 1, GPUs: 2, MemoryGB: 1}} // fills 3 machines
 	var recent recentArrivals
-	recent.add(arrival{at: now.Add(-constants.ArrivalRateWindow - 1), demand: gang, reservesMachines: true}, now)
+	recent.add(arrival{at: now.Add(-constants.ArrivalRateWindow - 1), demand: gang, forGangReserve: true}, now)
 	if len(recent) != 0 {
 		t.Fatal("an arrival before the window was added")
 	}
 	recent.add(arrival{at: now, demand: gang}, now)
 	if got := recent.expectedGangMachines(catalog, now); got != 0 {
-		t.Errorf("%d machines expected for a job that reserves none", got)
+		t.Errorf("%d machines expected for a job that does not qualify for the gang reserve", got)
 	}
 	gangs := int(constants.ArrivalRateWindow / constants.GangReserveHorizon)
 	for range gangs {
-		recent.add(arrival{at: now, demand: gang, reservesMachines: true}, now)
+		recent.add(arrival{at: now, demand: gang, forGangReserve: true}, now)
 	}
 	want := int((time.Duration(3*gangs)*constants.GangReserveHorizon + constants.ArrivalRateWindow - 1) / constants.ArrivalRateWindow)
 	if got := recent.expectedGangMachines(catalog, now); got != want {
@@ -39,7 +39,7 @@
 	if got := recent.expectedGangMachines(catalog, now); got != 0 {
 		t.Errorf("%d machines expected after the window", got)
 	}
-	if recent.forget(now); len(recent) != 0 {
+	if recent.prune(now); len(recent) != 0 {
 		t.Errorf("%d arrivals left after the window", len(recent))
 	}
 }
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -21,26 +21,26 @@
 	return wal.Resources{r.CPUs, r.GPUs, r.MemoryGB}
 }
 
-func reservationFromRecord(h wal.Hold, machine string) reservations.Reservation {
-	pipeline := placement.Pipeline{Team: h.Team, Class: h.Class}
-	if h.Edge {
-		pipeline.Downstream = h.Downstream
+func reservationFromRecord(hold wal.Hold, machine string) reservations.Reservation {
+	pipeline := placement.Pipeline{Team: hold.Team, Class: hold.Class}
+	if hold.Edge {
+		pipeline.Downstream = hold.Downstream
 	}
 	return reservations.Reservation{
 		Machine: machine, Pipeline: pipeline,
-		Upstream: h.Upstream, Downstream: h.Downstream, Priority: h.Priority,
-		Resources: resourcesFromRecord(h.Resources), ExpiresAt: time.UnixMilli(h.Expires),
+		Upstream: hold.Upstream, Downstream: hold.Downstream, Priority: hold.Priority,
+		Resources: resourcesFromRecord(hold.Resources), ExpiresAt: time.UnixMilli(hold.Expires),
 	}
 }
 
-func reservationToRecord(h reservations.Reservation) wal.Hold {
+func reservationToRecord(r reservations.Reservation) wal.Hold {
 	return wal.Hold{
-		Team: h.Pipeline.Team, Class: h.Pipeline.Class, Upstream: h.Upstream, Downstream: h.Downstream, Edge: h.Pipeline.Downstream != "",
-		Priority: h.Priority, Resources: resourcesToRecord(h.Resources), Expires: h.ExpiresAt.UnixMilli(),
+		Team: r.Pipeline.Team, Class: r.Pipeline.Class, Upstream: r.Upstream, Downstream: r.Downstream, Edge: r.Pipeline.Downstream != "",
+		Priority: r.Priority, Resources: resourcesToRecord(r.Resources), Expires: r.ExpiresAt.UnixMilli(),
 	}
 }
 
-func recordAttempt(a *workers.Attempt) wal.Attempt {
+func attemptToRecord(a *workers.Attempt) wal.Attempt {
 	return wal.Attempt{Task: a.ID.Task.String(), Number: a.ID.Number, Epoch: a.Epoch}
 }
 
@@ -64,8 +64,8 @@
 		Type: agent.MachineType, Zone: agent.Zone, Spot: agent.Spot,
 		Endpoint: agent.Endpoint, Epoch: agent.Epoch, Leaving: machine.lifecycle.isLeaving(),
 	}
-	for _, h := range l.reservations.OnMachine(agent.Name) {
-		record.Holds = append(record.Holds, reservationToRecord(h))
+	for _, reservation := range l.reservations.OnMachine(agent.Name) {
+		record.Holds = append(record.Holds, reservationToRecord(reservation))
 	}
 	for _, image := range machine.images {
 		if image.fetched {
@@ -84,17 +84,17 @@
 		if !a.Live() {
 			continue
 		}
-		record.Attempts = append(record.Attempts, recordAttempt(a))
+		record.Attempts = append(record.Attempts, attemptToRecord(a))
 		if record.Jobs == nil {
 			record.Jobs = make(map[string]wal.JobUse)
 		}
-		record.Jobs[a.ID.Task.Job] = l.recordUse(a)
+		record.Jobs[a.ID.Task.Job] = l.jobUseToRecord(a)
 	}
 	return record
 }
 
-// recordUse returns the team and resources of an attempt. They are recorded so that the
+// jobUseToRecord returns the team and resources of an attempt. They are recorded so that the
 // attempt can still be accounted for after its job has ended.
-func (l *Leader) recordUse(a *workers.Attempt) wal.JobUse {
+func (l *Leader) jobUseToRecord(a *workers.Attempt) wal.JobUse {
 	return wal.JobUse{Team: l.jobs.teamOf(a), Resources: resourcesToRecord(l.jobs.resourcesOf(a))}
 }
--- a/internal/leader/reservation_edges.go
+++ b/internal/leader/reservation_edges.go
@@ -10,15 +10,15 @@
 	"thornnotch/internal/reservations"
 )
 
-// For jobs with declared dependencies, the dependency edges define the pipelines of the
-// reservation rule: the job depended on is upstream, the dependent job downstream. The jobs
-// of a pipeline may differ in team and size, and a job may have several upstreams and
-// downstreams. A reservation is made for one downstream job and charged to its team; all
-// direct and indirect upstreams of that job may use it too.
+// For jobs with declared dependencies, the dependencies define the pipelines of the
+// reservation rule: a job is downstream of the jobs that it depends on, and these are upstream
+// of it. The jobs of a pipeline may differ in team and size, and a job may have several
+// upstreams and downstreams. A reservation is made for one downstream job and charged to its
+// team; all direct and indirect upstreams of that job may use it too.
 
-// downstreamEdges returns the jobs that depend on upstream and have not started, at most
+// dependentDownstreams returns the jobs that depend on upstream and have not started, at most
 // MaxDownstreams of them, ordered by priority, then latest start, then submission.
-func (l *Leader) downstreamEdges(upstream *jobState) (edges []reservations.Downstream) {
+func (l *Leader) dependentDownstreams(upstream *jobState) (downstreams []reservations.Downstream) {
 	var waiting []*jobState
 	for _, job := range l.dependencies.downstreamsOf(upstream.spec.ID) {
 		if len(waiting) == constants.MaxDownstreams {
@@ -36,9 +36,9 @@
 		)
 	})
 	for _, job := range waiting {
-		edges = append(edges, newDownstream(job, job.view.EdgePipeline()))
+		downstreams = append(downstreams, newDownstream(job, job.view.DependencyPipeline()))
 	}
-	return edges
+	return downstreams
 }
 
 // compareLatestStarts compares two latest starts. A zero time, which means no latest start,
@@ -53,9 +53,9 @@
 	return 1
 }
 
-// addReservationEdges marks in the snapshot the reservations whose downstream job is still
-// blocked, and marks the jobs upstream of each job that has reservations.
-func (l *Leader) addReservationEdges(snapshot *placement.Snapshot) {
+// markDependencyReservations marks in the snapshot the reservations whose downstream job is
+// still blocked, and marks the jobs upstream of each job that has reservations.
+func (l *Leader) markDependencyReservations(snapshot *placement.Snapshot) {
 	l.dependencies.clearReservedUpstreams()
 	marked := make(map[string]bool)
 	for _, machine := range snapshot.Machines {
--- a/internal/leader/reservation_edges_test.go
+++ b/internal/leader/reservation_edges_test.go
@@ -14,23 +14,23 @@
 	"thornnotch/internal/workers"
 )
 
-// edgeFixture is a leader with one machine for four tasks that runs the tasks of an upstream
-// job. A downstream job of another team depends on the upstream job. A third job, of the same
-// team, class and priority as the upstream job, waits for resources.
-type edgeFixture struct {
+// dependencyFixture is a leader with one machine for four tasks that runs the tasks of an
+// upstream job. A downstream job of another team depends on the upstream job. A third job, of
+// the same team, class and priority as the upstream job, waits for resources.
+type dependencyFixture struct {
 	leader                      *Leader
 	machine                     *machineState
 	upstream, downstream, other *jobState
 }
 
-// newEdgeFixture returns a fixture in which each job has the given number of tasks.
-func newEdgeFixture(t *testing.T, tasks int, now time.Time) edgeFixture {
+// newDependencyFixture returns a fixture in which each job has the given number of tasks.
+func newDependencyFixture(t *testing.T, tasks int, now time.Time) dependencyFixture {
 	t.Helper()
 	l := testLeader(t)
-	l.certainty.Watched(now)
+	l.certainty.RecordWatch(now)
 	l.teams = append(l.teams, config.Team{Name: "b", GuaranteedGPUs: 0, MaxGPUs: 12})
 	l.teams[0].GuaranteedGPUs = 0 // guarantees would take precedence over reservations
-	s := edgeFixture{leader: l, machine: addMachine(l, "m-1", "east", now)}
+	s := dependencyFixture{leader: l, machine: addMachine(l, "m-1", "east", now)}
 	s.machine.agent.Endpoint = ""
 	s.upstream = addJob(t, l, arraySpec("j-1", tasks), now)
 	startAndReport(l, s.machine, now)
@@ -44,7 +44,7 @@
 // startAndReport runs a scheduling pass and lets the machine report its tasks as running.
 func startAndReport(l *Leader, machine *machineState, now time.Time) {
 	l.runSchedulingPass(now)
-	commitAll(l, 100)
+	commitPending(l, 100)
 	machine.agent.Commands(true, now)
 	l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusRunning, ""), false, now)
 }
@@ -55,14 +55,14 @@
 }
 
 // reserved returns the number of reservations.
-func (s edgeFixture) reserved() int { return len(s.leader.reservations.All()) }
+func (s dependencyFixture) reserved() int { return len(s.leader.reservations.All()) }
 
 // TestReservationsFollowDependencies checks that the resources of a finished task are reserved
 // for the job that depends on it, even one of another team. Other jobs of the same priority
 // can't use them; the downstream job consumes them as soon as it may start.
 func TestReservationsFollowDependencies(t *testing.T) {
 	now := time.Now()
-	s := newEdgeFixture(t, 4, now)
+	s := newDependencyFixture(t, 4, now)
 	now = now.Add(10 * time.Second)
 	finishAll(s.leader, s.machine, now)
 	onMachine := s.leader.reservations.OnMachine("m-1")
@@ -80,19 +80,19 @@
 		t.Fatalf("before the completion is recorded: %d tasks of the other and %d of the downstream job placed, want none", len(s.other.attempts), len(s.downstream.attempts))
 	}
 
-	commitAll(s.leader, 200)
+	commitPending(s.leader, 200)
 	s.leader.runSchedulingPass(now)
 	if len(s.downstream.attempts) != 4 || len(s.other.attempts) != 0 || s.reserved() != 0 {
 		t.Errorf("%d tasks of the downstream and %d of the other job placed, %d reservations left; want 4, 0 and 0", len(s.downstream.attempts), len(s.other.attempts), s.reserved())
 	}
 }
 
-// TestEdgeReservationsAreConsumed checks that the downstream job consumes its reservation even
-// if the machine has free resources beside it, and that the snapshot shows the reservation as
-// blocked until that job may start.
-func TestEdgeReservationsAreConsumed(t *testing.T) {
+// TestDependencyReservationsAreConsumed checks that the downstream job consumes its
+// reservation even if the machine has other free resources, and that the snapshot shows the
+// reservation as blocked until that job may start.
+func TestDependencyReservationsAreConsumed(t *testing.T) {
 	now := time.Now()
-	s := newEdgeFixture(t, 1, now)
+	s := newDependencyFixture(t, 1, now)
 	finishAll(s.leader, s.machine, now.Add(10*time.Second))
 	blocked := func() (blocked []bool) {
 		for _, slot := range s.leader.snapshotForPlacement(now).Machines[0].Reserved {
@@ -103,7 +103,7 @@
 	if got := blocked(); !slices.Equal(got, []bool{true}) {
 		t.Errorf("blocked before the job may start: %v, want true", got)
 	}
-	commitAll(s.leader, 200)
+	commitPending(s.leader, 200)
 	if got := blocked(); !slices.Equal(got, []bool{false}) {
 		t.Errorf("blocked once the job may start: %v, want false", got)
 	}
@@ -113,22 +113,22 @@
 	}
 }
 
-// TestUnblockedJobIsNotNextOfTeam checks that a job with dependencies keeps its own pipeline
-// even when it is no longer blocked: it gets no reservation as the next job of its team and
-// class.
-func TestUnblockedJobIsNotNextOfTeam(t *testing.T) {
+// TestJobWithDependenciesKeepsItsPipeline checks that a job with dependencies keeps its own
+// pipeline even when it is no longer blocked: it gets no reservation as the next job of its
+// team and class.
+func TestJobWithDependenciesKeepsItsPipeline(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
 	first := addJob(t, l, arraySpec("j-1", 1), now)
 	upstream := addJob(t, l, arraySpec("j-2", 1), now)
 	spec := arraySpec("j-3", 1)
 	spec.DependsOn = []string{"j-2"}
-	waited := addJob(t, l, spec, now)
+	dependent := addJob(t, l, spec, now)
 	next := addJob(t, l, arraySpec("j-4", 1), now)
 
 	l.removeJob(upstream, now)
 	l.upstreamEnded("j-2", jobs.FinalRecord{Status: jobs.StatusDone}, now)
-	if waited.upstreams.blocked() {
+	if dependent.upstreams.blocked() {
 		t.Fatal("the job is still blocked")
 	}
 	if got := l.downstreams(first); len(got) != 1 || got[0].Job != next.spec.ID {
@@ -136,32 +136,32 @@
 	}
 }
 
-// TestEdgeReservationsEnd checks that reservations along dependency edges end when their job is
-// cancelled and, like all reservations, at the deadline computed from the upstream job's first
-// finished task.
-func TestEdgeReservationsEnd(t *testing.T) {
+// TestDependencyReservationsEnd checks that reservations for a dependent job end when that job
+// is cancelled and, like all reservations, at the deadline computed from the upstream job's
+// first finished task.
+func TestDependencyReservationsEnd(t *testing.T) {
 	start := time.Now()
 	finished := start.Add(10 * time.Second)
-	checkOtherStarts := func(t *testing.T, s edgeFixture, now time.Time) {
+	checkOtherStarts := func(t *testing.T, s dependencyFixture, now time.Time) {
 		t.Helper()
 		for _, name := range s.leader.reservations.Expire(now, s.leader.hasWaitingTasks) {
 			s.leader.metadataChanged(s.leader.fleet.get(name), now)
 		}
 		s.machine.agent.LastHeartbeat, s.machine.agent.LastAcknowledged = now, now
-		s.leader.certainty.Watched(now)
+		s.leader.certainty.RecordWatch(now)
 		s.leader.runSchedulingPass(now)
 		if s.reserved() != 0 || len(s.other.attempts) != 4 {
 			t.Errorf("%d reservations left, %d tasks of the other job placed; want 0 and 4", s.reserved(), len(s.other.attempts))
 		}
 	}
 	t.Run("cancelled", func(t *testing.T) {
-		s := newEdgeFixture(t, 4, start)
+		s := newDependencyFixture(t, 4, start)
 		finishAll(s.leader, s.machine, finished)
 		s.leader.jobRecordDeleted("j-2", finished)
 		checkOtherStarts(t, s, finished)
 	})
 	t.Run("expired", func(t *testing.T) {
-		s := newEdgeFixture(t, 4, start)
+		s := newDependencyFixture(t, 4, start)
 		finishAll(s.leader, s.machine, finished)
 		settings := s.leader.deps.Operator.Holds
 		expiry := start.Add(reservations.Options{Alpha: settings.Alpha, P: settings.P}.Deadline(10*time.Second, 4))
@@ -173,11 +173,11 @@
 	})
 }
 
-// TestEdgeReservationsSurviveFailover checks that the next leader restores a reservation along
-// a dependency edge for the downstream job, and not for the next job of its team.
-func TestEdgeReservationsSurviveFailover(t *testing.T) {
+// TestDependencyReservationsSurviveFailover checks that the next leader restores a reservation
+// for a dependent job as one for that job, not for the next job of its team.
+func TestDependencyReservationsSurviveFailover(t *testing.T) {
 	now := time.Now()
-	s := newEdgeFixture(t, 4, now)
+	s := newDependencyFixture(t, 4, now)
 	finishAll(s.leader, s.machine, now.Add(10*time.Second))
 	raw, err := json.Marshal(s.leader.machineRecord(s.machine))
 	if err != nil {
@@ -203,12 +203,12 @@
 	}
 }
 
-// TestDownstreamOrder checks that among several downstream jobs reservations go to the one with
-// the highest priority first, which it may have inherited, then to the one with the earliest
-// latest start. Only upstream jobs of a job may use its reservations.
+// TestDownstreamOrder checks the order in which several downstream jobs get reservations: by
+// priority, own or inherited, then by latest start. Only upstream jobs of a job may use its
+// reservations.
 func TestDownstreamOrder(t *testing.T) {
 	now := time.Now()
-	s := newEdgeFixture(t, 4, now)
+	s := newDependencyFixture(t, 4, now)
 	l := s.leader
 	addDependent := func(id, priorityClass string, dueS float64, upstreams ...string) *jobState {
 		spec := arraySpec(id, 2)
@@ -234,13 +234,13 @@
 
 	finishAll(l, s.machine, now.Add(5*time.Second)) // reserves two slots for j-7 and two for j-6
 	l.snapshotForPlacement(now)
-	if !side.view.Owns(soon.view.EdgePipeline()) {
+	if !side.view.BelongsTo(soon.view.DependencyPipeline()) {
 		t.Errorf("an upstream job may not use the reservations: %v", side.view.ReservedDownstreams)
 	}
-	if side.view.Owns(late.view.EdgePipeline()) {
+	if side.view.BelongsTo(late.view.DependencyPipeline()) {
 		t.Errorf("a job that is not upstream may use the reservations: %v", side.view.ReservedDownstreams)
 	}
-	if last.view.Owns(urgent.view.EdgePipeline()) {
+	if last.view.BelongsTo(urgent.view.DependencyPipeline()) {
 		t.Errorf("a downstream job may use the reservations: %v", last.view.ReservedDownstreams)
 	}
 
@@ -252,8 +252,8 @@
 }
 
 // TestSubmissionOrderReservationsAreOptional checks that with the setting off a finished task
-// of a job without dependencies leaves no reservation, while reservations along dependency
-// edges are not affected.
+// of a job without dependencies leaves no reservation, while reservations for dependent jobs
+// are not affected.
 func TestSubmissionOrderReservationsAreOptional(t *testing.T) {
 	for _, submissionOrder := range []bool{true, false} {
 		now := time.Now()
@@ -269,11 +269,11 @@
 			t.Errorf("submission order %v: %d reservations, want %d", submissionOrder, got, want)
 		}
 
-		s := newEdgeFixture(t, 4, now)
+		s := newDependencyFixture(t, 4, now)
 		s.leader.deps.Operator.Holds.SubmissionOrder = submissionOrder
 		finishAll(s.leader, s.machine, now.Add(10*time.Second))
 		if got := s.reserved(); got != 4 {
-			t.Errorf("submission order %v: %d reservations along edges, want 4", submissionOrder, got)
+			t.Errorf("submission order %v: %d reservations for the dependent job, want 4", submissionOrder, got)
 		}
 	}
 }
--- a/internal/leader/restore.go
+++ b/internal/leader/restore.go
@@ -31,7 +31,7 @@
 }
 
 // restoreAttempt restores an attempt that may be running on a machine. If its job has ended,
-// it is accounted for with the resources recorded in uses, and stopped.
+// it is counted with the team and resources recorded in uses, and stopped.
 func (l *Leader) restoreAttempt(machine *machineState, record wal.Attempt, uses map[string]wal.JobUse, now time.Time) error {
 	attempt, err := attemptFromRecord(record, now)
 	if err != nil {
@@ -40,7 +40,7 @@
 	machine.agent.Attempts[attempt.ID] = attempt
 	if id := attempt.ID.Task.Job; l.jobs.get(id) == nil {
 		use := uses[id]
-		l.jobs.restoreEnded(id, use.Team, resourcesFromRecord(use.Resources))
+		l.jobs.restoreAttemptOfEndedJob(id, use.Team, resourcesFromRecord(use.Resources))
 		machine.agent.RequestStop(attempt, 0, now)
 	}
 	l.addAttempt(machine, attempt)
--- a/internal/leader/retry_state.go
+++ b/internal/leader/retry_state.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// resume clears an elapsed backoff and reports whether there was one.
-func (r *retryState) resume(now time.Time) bool {
+// clearElapsedBackoff clears an elapsed backoff and reports whether there was one.
+func (r *retryState) clearElapsedBackoff(now time.Time) bool {
 	if r.notBefore.IsZero() || !now.After(r.notBefore) {
 		return false
 	}
--- a/internal/leader/retry_state_test.go
+++ b/internal/leader/retry_state_test.go
@@ -9,15 +9,15 @@
 func TestRetryBackoff(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var retry retryState
-	if retry.backingOff(now) || retry.resume(now) {
+	if retry.backingOff(now) || retry.clearElapsedBackoff(now) {
 		t.Fatal("new state is in backoff")
 	}
 	retry.waitUntil(now.Add(10 * time.Second))
 	retry.waitUntil(now.Add(2 * time.Second))
-	if now = now.Add(9 * time.Second); !retry.backingOff(now) || retry.resume(now) {
+	if now = now.Add(9 * time.Second); !retry.backingOff(now) || retry.clearElapsedBackoff(now) {
 		t.Error("a shorter backoff replaced a longer one")
 	}
-	if now = now.Add(2 * time.Second); retry.backingOff(now) || !retry.resume(now) || retry.resume(now) {
+	if now = now.Add(2 * time.Second); retry.backingOff(now) || !retry.clearElapsedBackoff(now) || retry.clearElapsedBackoff(now) {
 		t.Error("the end of the backoff is not reported exactly once")
 	}
 }
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -35,10 +35,10 @@
 	}
 }
 
-// forget removes expired entries.
-func (s *scalingState) forget(now time.Time) {
-	s.terminated.forget(now)
-	s.recentArrivals.forget(now)
+// prune removes expired entries.
+func (s *scalingState) prune(now time.Time) {
+	s.terminated.prune(now)
+	s.recentArrivals.prune(now)
 }
 
 // reviewDue reports whether the next review of the fleet is due. If so, it records that the
@@ -58,7 +58,7 @@
 			machine.lifecycle.markBusy(now)
 		}
 	}
-	l.scaling.forget(now)
+	l.scaling.prune(now)
 	l.retireMachines(now)
 	if l.deps.Catalog() != nil && l.failover.recordsLoaded() && l.scaling.reviewDue(now) {
 		l.detectStragglers(now)
--- a/internal/leader/scaling_booting.go
+++ b/internal/leader/scaling_booting.go
@@ -10,9 +10,9 @@
 
 // bootingMachine is a rented machine that has not reported in this term.
 type bootingMachine struct {
-	pool     autoscaling.InstancePool
-	rentedAt time.Time
-	learntAt time.Time // when this term's leader first saw it
+	pool        autoscaling.InstancePool
+	rentedAt    time.Time
+	firstSeenAt time.Time // when this term's leader first saw it
 }
 
 // bootingMachines holds the booting machines by name.
@@ -33,7 +33,7 @@
 // to a lease to find the new leader. Workers get the same time after the leader's own loop
 // has stalled.
 func (b bootingMachine) overdue(boot, lease time.Duration, resumedAt, now time.Time) bool {
-	return now.Sub(b.rentedAt) > boot && now.Sub(b.learntAt) > lease && now.Sub(resumedAt) > lease
+	return now.Sub(b.rentedAt) > boot && now.Sub(b.firstSeenAt) > lease && now.Sub(resumedAt) > lease
 }
 
 // bootTimeout returns how long a machine of the given type may take to boot and register.
@@ -43,12 +43,12 @@
 }
 
 // terminatedMachines maps the names of machines whose termination the cloud has confirmed to
-// the time of that confirmation. The cloud's list may still show them, and delayed
-// heartbeats of theirs may still arrive.
+// the time of that confirmation. The cloud's list may still show them, and delayed heartbeats
+// from them may still arrive.
 type terminatedMachines map[string]time.Time
 
-// forget removes machines that the cloud's list can no longer show.
-func (t terminatedMachines) forget(now time.Time) {
+// prune removes machines that the cloud's list can no longer show.
+func (t terminatedMachines) prune(now time.Time) {
 	for name, at := range t {
 		if now.Sub(at) > constants.TerminatedRetention {
 			delete(t, name)
--- a/internal/leader/scaling_list.go
+++ b/internal/leader/scaling_list.go
@@ -18,7 +18,7 @@
 	lastCallWasPage bool
 }
 
-// due reports whether a page is to be read: the next page of a list that is being read, or
+// due reports whether a page must be read now: the next page of a list that is being read, or
 // the first page of a new list.
 func (i *instanceList) due(interval time.Duration, now time.Time) bool {
 	return i.nextPage != "" || now.Sub(i.completedAt) > interval
@@ -34,7 +34,7 @@
 }
 
 // listInterval returns the pause between two complete reads of the list. It is at least the
-// lag of the list, as reading it more often brings nothing new.
+// lag of the list, because reading it more often returns nothing new.
 func (l *Leader) listInterval() time.Duration {
 	return max(config.Seconds(l.deps.Settings.Params.Cloud.ListLagS), constants.MinListInterval)
 }
--- a/internal/leader/scaling_return.go
+++ b/internal/leader/scaling_return.go
@@ -11,7 +11,7 @@
 // retireMachines marks machines as leaving that have been silent for too long, and faulty
 // ones without attempts.
 func (l *Leader) retireMachines(now time.Time) {
-	unreachable := l.unreachableZones(now)
+	unreachable := l.updateUnreachableZones(now)
 	for machine := range l.fleet.all() {
 		if machine.lifecycle.isLeaving() {
 			continue
--- a/internal/leader/scaling_snapshot.go
+++ b/internal/leader/scaling_snapshot.go
@@ -53,7 +53,7 @@
 // unreachable zones, where a rented machine could not be reached.
 func (l *Leader) unavailablePools(catalog *autoscaling.Catalog, now time.Time) map[autoscaling.InstancePool]bool {
 	unavailable := make(map[autoscaling.InstancePool]bool)
-	for zone, unreachable := range l.unreachableZones(now) {
+	for zone, unreachable := range l.updateUnreachableZones(now) {
 		if !unreachable {
 			continue
 		}
--- a/internal/leader/scaling_state_test.go
+++ b/internal/leader/scaling_state_test.go
@@ -56,15 +56,15 @@
 }
 
 // TestBootingMachineOverdue checks that a machine is overdue only after its boot timeout, and
-// only if the leader has known of it, and run without a stall, for longer than a lease.
+// only if the leader has known it, and has run without a stall, for longer than a lease.
 func TestBootingMachineOverdue(t *testing.T) {
 	const boot, lease = 75 * time.Second, 12 * time.Second
 	now := time.Unix(1000, 0)
 	longAgo := now.Add(-time.Hour)
 	tests := []struct {
-		name                        string
-		rentedAt, learntAt, resumed time.Time
-		want                        bool
+		name                           string
+		rentedAt, firstSeenAt, resumed time.Time
+		want                           bool
 	}{
 		{"rented just now", now, now, longAgo, false},
 		{"exactly at the boot timeout", now.Add(-boot), longAgo, longAgo, false},
@@ -74,7 +74,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			machine := bootingMachine{rentedAt: test.rentedAt, learntAt: test.learntAt}
+			machine := bootingMachine{rentedAt: test.rentedAt, firstSeenAt: test.firstSeenAt}
 			if got := machine.overdue(boot, lease, test.resumed, now); got != test.want {
 				t.Errorf("overdue: %v, want %v", got, test.want)
 			}
@@ -90,7 +90,7 @@
 	instance := autoscaling.Instance{Name: "m-1", MachineType: "g4", Zone: "east", AgeS: 40}
 	booting.addListed(instance, now)
 	first := booting["m-1"]
-	if !first.rentedAt.Equal(now.Add(-40*time.Second)) || !first.learntAt.Equal(now) {
+	if !first.rentedAt.Equal(now.Add(-40*time.Second)) || !first.firstSeenAt.Equal(now) {
 		t.Errorf("listed once: %+v", first)
 	}
 	instance.AgeS = 1
@@ -140,11 +140,11 @@
 	now := time.Unix(1000, 0)
 	scaling := newScalingState()
 	scaling.terminated["m-1"] = now
-	scaling.forget(now.Add(constants.TerminatedRetention))
+	scaling.prune(now.Add(constants.TerminatedRetention))
 	if !scaling.isTerminated("m-1") {
 		t.Error("removed before the end of the retention time")
 	}
-	scaling.forget(now.Add(constants.TerminatedRetention + 1))
+	scaling.prune(now.Add(constants.TerminatedRetention + 1))
 	if scaling.isTerminated("m-1") {
 		t.Error("kept after the end of the retention time")
 	}
--- a/internal/leader/scaling_test.go
+++ b/internal/leader/scaling_test.go
@@ -70,7 +70,7 @@
 func TestRentingContinuesBetweenPages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := testLeader(t)
-		offline(t, l)
+		useUnavailableStore(t, l)
 		cloud := &pagedCloud{machines: 4000}
 		l.deps.Cloud = cloud
 		l.teams[0].MaxGPUs = 100000
@@ -80,7 +80,7 @@
 		for step := range 40 {
 			cloud.failing = step == 5
 			l.scale(time.Now())
-			runUntilQuiet(t, l)
+			runUntilIdle(t, l)
 			time.Sleep(time.Second)
 			clear(l.scaling.unavailable)
 			if !l.scaling.list.completedAt.IsZero() {
@@ -100,9 +100,9 @@
 	})
 }
 
-// TestUnreachableZoneIsWaitedFor guards against a past failure: a zone was unreachable for
-// 45 s, and all its machines were returned after 37 s.
-func TestUnreachableZoneIsWaitedFor(t *testing.T) {
+// TestReturnOfUnreachableZoneIsDelayed guards against a past failure: a zone was unreachable
+// for 45 s, and all its machines were returned after 37 s.
+func TestReturnOfUnreachableZoneIsDelayed(t *testing.T) {
 	start := time.Unix(1000, 0)
 	l := testLeader(t)
 	for i := range 4 {
@@ -127,7 +127,7 @@
 	if n := snapshot.Machines[autoscaling.InstancePool{Type: "g4", Zone: "east"}]; n != 0 {
 		t.Errorf("%d silent machines are counted as usable", n)
 	}
-	// The network cut ends: three of the four machines report before the last one does.
+	// The network partition ends: three of the four machines report before the last one does.
 	healed := now.Add(20 * time.Second)
 	for i := range 3 {
 		l.fleet.get(fmt.Sprint("m-e", i)).agent.LastHeartbeat = healed
@@ -150,10 +150,10 @@
 	}
 }
 
-// TestIdleMachinesSurviveLeaderChange guards against a past failure: a new leader knew idle
-// machines only from the cloud's list, took their age for the time that they had been
+// TestIdleMachinesAreKeptAfterFailover guards against a past failure: a new leader knew idle
+// machines only from the cloud's list, mistook their age for the time that they had been
 // booting, and returned 19 of them at once.
-func TestIdleMachinesSurviveLeaderChange(t *testing.T) {
+func TestIdleMachinesAreKeptAfterFailover(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
 	l.applyInstancePage([]autoscaling.Instance{
--- a/internal/leader/scheduling_pass.go
+++ b/internal/leader/scheduling_pass.go
@@ -19,7 +19,7 @@
 	for _, preemption := range plan.Preemptions {
 		l.preempt(preemption, now)
 	}
-	l.startPlanned(plan.Starts, now)
+	l.startPlannedTasks(plan.Starts, now)
 	setDrainClaims(snapshot.Jobs, plan)
 	l.logSummary(snapshot, now)
 	took := time.Since(now)
--- a/internal/leader/start_targets.go
+++ b/internal/leader/start_targets.go
@@ -10,7 +10,7 @@
 
 // startTargets returns, in ascending order, the latest starts at which a job still meets the
 // service-level objectives of its class. They are relative to the time when the job became
-// startable and allow for fetching its image. A wait or completion objective is a fixed time;
+// startable and leave time to fetch its image. A wait or completion objective is a fixed time;
 // a deadline objective is a multiple of the job's due time, which counts from submission, so
 // the time already waited is subtracted. Without any objective the due time itself is the
 // target.
@@ -56,7 +56,7 @@
 // depend on it finish by their due times. It is zero if none of them has a due time.
 func (l *Leader) latestStart(job *jobState) (at time.Time) {
 	if job.spec.DueS != nil {
-		at = job.acceptedAt.Add(config.Seconds(*job.spec.DueS) - l.classes.runtimeRatios.expected(job.spec))
+		at = job.acceptedAt.Add(config.Seconds(*job.spec.DueS) - l.classes.runtimeRatios.expectedRuntime(job.spec))
 	}
 	return earlier(at, job.downstreamDemand.latestStart)
 }
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -51,7 +51,7 @@
 	Done    int `json:"tasksDone"`
 }
 
-// TeamStatus shows a team's resource usage, including its holds, and its quotas.
+// TeamStatus shows a team's resource usage, including its reservations, and its quotas.
 type TeamStatus struct {
 	Team           string  `json:"team"`
 	CPUs           float64 `json:"cpus"`
@@ -64,7 +64,7 @@
 	MaxGPUs        float64 `json:"gpusLimit"`
 }
 
-// HoldStatus shows a hold and the time until it expires.
+// HoldStatus shows a reservation and the time until it expires.
 type HoldStatus struct {
 	Machine    string  `json:"rig"`
 	Team       string  `json:"team"`
--- a/internal/leader/status_view.go
+++ b/internal/leader/status_view.go
@@ -17,7 +17,7 @@
 		Machines:      machines,
 		Queue:         l.queueStatus(),
 		Teams:         l.teamStatus(),
-		Holds:         l.holdStatus(now),
+		Holds:         l.reservationStatus(now),
 		Booting:       len(l.scaling.booting),
 		Leaving:       leaving,
 		Recording:     l.recordingStatus(now),
@@ -134,9 +134,9 @@
 	return n
 }
 
-// teamStatus returns each team's resource usage, including its holds, and its quotas.
+// teamStatus returns each team's resource usage, including its reservations, and its quotas.
 func (l *Leader) teamStatus() (teams []TeamStatus) {
-	used, held := make(map[string]placement.Resources), make(map[string]placement.Resources)
+	used, reserved := make(map[string]placement.Resources), make(map[string]placement.Resources)
 	for machine := range l.fleet.all() {
 		for _, attempt := range machine.agent.Attempts {
 			if attempt.Live() {
@@ -145,16 +145,16 @@
 			}
 		}
 	}
-	for _, hold := range l.reservations.All() {
-		team := hold.Pipeline.Team
-		held[team] = held[team].Add(hold.Resources)
+	for _, reservation := range l.reservations.All() {
+		team := reservation.Pipeline.Team
+		reserved[team] = reserved[team].Add(reservation.Resources)
 	}
 	for _, team := range l.teams {
-		u, h := used[team.Name], held[team.Name]
+		u, r := used[team.Name], reserved[team.Name]
 		teams = append(teams, TeamStatus{
 			Team: team.Name,
-			CPUs: u.CPUs + h.CPUs, GPUs: u.GPUs + h.GPUs,
-			ReservedCPUs: h.CPUs, ReservedGPUs: h.GPUs,
+			CPUs: u.CPUs + r.CPUs, GPUs: u.GPUs + r.GPUs,
+			ReservedCPUs: r.CPUs, ReservedGPUs: r.GPUs,
 			GuaranteedCPUs: team.GuaranteedCPUs, GuaranteedGPUs: team.GuaranteedGPUs,
 			MaxCPUs: team.MaxCPUs, MaxGPUs: team.MaxGPUs,
 		})
@@ -162,13 +162,13 @@
 	return teams
 }
 
-func (l *Leader) holdStatus(now time.Time) (holds []HoldStatus) {
-	for _, hold := range l.reservations.All() {
-		holds = append(holds, HoldStatus{
-			Machine: hold.Machine, Team: hold.Pipeline.Team, Class: hold.Pipeline.Class, Job: hold.Downstream,
-			CPUs: hold.Resources.CPUs, GPUs: hold.Resources.GPUs,
-			ExpiresInS: hold.ExpiresAt.Sub(now).Seconds(),
+func (l *Leader) reservationStatus(now time.Time) (list []HoldStatus) {
+	for _, reservation := range l.reservations.All() {
+		list = append(list, HoldStatus{
+			Machine: reservation.Machine, Team: reservation.Pipeline.Team, Class: reservation.Pipeline.Class, Job: reservation.Downstream,
+			CPUs: reservation.Resources.CPUs, GPUs: reservation.Resources.GPUs,
+			ExpiresInS: reservation.ExpiresAt.Sub(now).Seconds(),
 		})
 	}
-	return holds
+	return list
 }
--- a/internal/leader/stragglers_test.go
+++ b/internal/leader/stragglers_test.go
@@ -9,10 +9,10 @@
 	"thornnotch/internal/workers"
 )
 
-// TestSlowMachineLosesTasks checks that a machine whose tasks take much longer than the other
-// tasks of their job is marked slow and its tasks are moved away, and that ordinary
+// TestTasksOfSlowMachineAreMoved checks that a machine whose tasks take much longer than the
+// other tasks of their job is marked slow and its tasks are moved away, and that ordinary
 // differences have no effect.
-func TestSlowMachineLosesTasks(t *testing.T) {
+func TestTasksOfSlowMachineAreMoved(t *testing.T) {
 	start := time.Now()
 	l := testLeader(t)
 	slow := addMachine(l, "m-bad", "east", start)
@@ -31,7 +31,7 @@
 	slow.agent.LastHeartbeat = start.Add(45 * time.Second)
 	l.detectStragglers(start.Add(45 * time.Second))
 	if slow.health.Slow(start.Add(45 * time.Second)) {
-		t.Fatalf("a machine is marked slow at 1.5 times the typical run time")
+		t.Fatalf("a machine is marked slow at 1.5 times the median run time")
 	}
 	now := start.Add(55 * time.Second)
 	slow.agent.LastHeartbeat = now
@@ -49,9 +49,9 @@
 	}
 }
 
-// TestPartialRunsAreNotSampled guards against an incident: after a failover, tasks that had
-// been running for long seemed to finish early, which made all other tasks of their jobs seem
-// slow.
+// TestPartialRunsAreNotSampled guards against an incident: after a failover, the run times of
+// tasks that had been running before it were measured too short, which made all other tasks of
+// their jobs seem slow.
 func TestPartialRunsAreNotSampled(t *testing.T) {
 	start := time.Now()
 	l := testLeader(t)
@@ -68,20 +68,20 @@
 	}
 }
 
-// TestSilentMachinesAreNotSlow guards against false stragglers after a zone partition, found
-// with 2,100 machines: tasks behind the partition seemed to run on, so their machines were
-// marked slow and got no tasks for 45 s after it had healed. Tasks that had ended meanwhile
-// seemed to have run all that time.
+// TestSilentMachinesAreNotSlow guards against machines that are wrongly marked slow after a
+// zone partition, as found with 2,100 machines: tasks behind the partition seemed to keep
+// running, so their machines were marked slow and got no tasks for 45 s after it had healed.
+// Tasks that had ended meanwhile seemed to have run all that time.
 func TestSilentMachinesAreNotSlow(t *testing.T) {
-	for _, cut := range []bool{false, true} {
-		t.Run(fmt.Sprint("cut ", cut), func(t *testing.T) {
+	for _, partitioned := range []bool{false, true} {
+		t.Run(fmt.Sprint("partitioned ", partitioned), func(t *testing.T) {
 			now := time.Now()
 			l := testLeader(t)
-			offline(t, l)
+			useUnavailableStore(t, l)
 			a, b := addMachine(l, "m-a", "east", now), addMachine(l, "m-b", "west", now)
 			job := addJob(t, l, arraySpec("j-1", 8), now)
 			l.runSchedulingPass(now)
-			commitAll(l, 100)
+			commitPending(l, 100)
 			for _, machine := range []*machineState{a, b} {
 				machine.agent.Commands(true, now)
 				l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusRunning, ""), false, now)
@@ -93,19 +93,19 @@
 				l.applyHeartbeat(b, nextHeartbeat(l, b, workers.StatusRunning, ""), false, now)
 			}
 			l.applyHeartbeat(a, nextHeartbeat(l, a, workers.StatusExited, workers.CauseDone), false, now)
-			if _, ok := job.runtimes.Typical(8); !ok {
-				t.Fatal("no typical run time")
+			if _, ok := job.runtimes.Median(8); !ok {
+				t.Fatal("no median run time")
 			}
 			for range 50 {
 				now = now.Add(time.Second)
-				if !cut {
+				if !partitioned {
 					l.applyHeartbeat(b, nextHeartbeat(l, b, workers.StatusRunning, ""), false, now)
 				}
 				l.detectStragglers(now)
 			}
 			l.applyHeartbeat(b, nextHeartbeat(l, b, workers.StatusExited, workers.CauseDone), false, now)
 			l.detectStragglers(now)
-			if slow := b.health.Slow(now); slow == cut {
+			if slow := b.health.Slow(now); slow == partitioned {
 				t.Errorf("machine marked slow: %v", slow)
 			}
 		})
--- a/internal/leader/task_attempts.go
+++ b/internal/leader/task_attempts.go
@@ -54,10 +54,10 @@
 	return list
 }
 
-// runningTasks counts the tasks that have a started attempt.
+// runningTasks counts the tasks that have an attempt running or saving.
 func (t taskAttempts) runningTasks() (n int) {
 	for _, placed := range t {
-		if slices.ContainsFunc(placed, func(p placedAttempt) bool { return hasStarted(p.attempt) }) {
+		if slices.ContainsFunc(placed, func(p placedAttempt) bool { return isRunningOrSaving(p.attempt) }) {
 			n++
 		}
 	}
--- a/internal/leader/task_attempts_test.go
+++ b/internal/leader/task_attempts_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestRemoveAttemptsWhileIterating checks that a loop over a task's attempts visits each one
-// even if it removes them, as stopping an attempt may remove it immediately.
+// even if the loop removes them, because stopping an attempt may remove it immediately.
 func TestRemoveAttemptsWhileIterating(t *testing.T) {
 	machine := &machineState{agent: workers.NewAgent("m-1")}
 	attempts := make(taskAttempts)
--- a/internal/leader/task_events.go
+++ b/internal/leader/task_events.go
@@ -9,8 +9,8 @@
 	"thornnotch/internal/workers"
 )
 
-// applyEvents handles the events of a machine's attempts that a heartbeat or the passing of
-// time has produced.
+// applyEvents handles events of a machine's attempts, which a heartbeat, an expired lease or
+// the machine's termination has produced.
 func (l *Leader) applyEvents(machine *machineState, events []workers.Event, now time.Time) {
 	if len(events) == 0 {
 		return
@@ -48,7 +48,7 @@
 	l.deps.Log.Warn("task without record reported", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.agent.Name)
 	l.addAttempt(machine, attempt)
 	if job == nil {
-		l.jobs.endedAttemptFound(attempt.ID.Task.Job)
+		l.jobs.addAttemptOfEndedJob(attempt.ID.Task.Job)
 	}
 	grace := 0.0
 	if job != nil && attempt.ID.Task.Index < job.spec.Tasks {
@@ -114,7 +114,7 @@
 	machine.health.RecordSuccess()
 	l.releaseRecordedExits(job)
 	if first || isGang {
-		l.reserveFreed(machine, job, attempt, now)
+		l.reserveFreedResources(machine, job, attempt, now)
 	}
 	if !isGang {
 		// Other attempts of a completed task are redundant.
@@ -141,6 +141,6 @@
 func (l *Leader) checkComplete(job *jobState) {
 	if job.progress.remaining() == 0 && !job.complete && !job.removed {
 		job.complete = true
-		l.recordCompletion(job)
+		l.queueCompletionWrite(job)
 	}
 }
--- a/internal/leader/task_progress.go
+++ b/internal/leader/task_progress.go
@@ -105,5 +105,5 @@
 	return chunks
 }
 
-// mayWaitFrom lowers firstWaiting to a task that may wait again.
-func (p *taskProgress) mayWaitFrom(task int) { p.firstWaiting = min(p.firstWaiting, task) }
+// lowerFirstWaiting lowers firstWaiting to a task that may wait again.
+func (p *taskProgress) lowerFirstWaiting(task int) { p.firstWaiting = min(p.firstWaiting, task) }
--- a/internal/leader/task_progress_test.go
+++ b/internal/leader/task_progress_test.go
@@ -8,8 +8,9 @@
 	"thornnotch/internal/leader/wal"
 )
 
-// TestTaskProgress checks that each task counts once, however often and in whatever order
-// tasks complete and are restored, and that the checkpoint chunks hold exactly the done tasks.
+// TestTaskProgress checks that each task counts once, regardless of how often and in which
+// order tasks complete and are restored, and that the checkpoint chunks hold exactly the done
+// tasks.
 func TestTaskProgress(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		tasks := rapid.IntRange(1, 40).Draw(rt, "tasks")
--- a/internal/leader/team_usage_test.go
+++ b/internal/leader/team_usage_test.go
@@ -23,12 +23,12 @@
 func newUsageModel(t *testing.T) *usageModel {
 	t.Helper()
 	m := &usageModel{leader: testLeader(t), now: time.Now(), revision: 100}
-	m.leader.certainty.Watched(m.now)
+	m.leader.certainty.RecordWatch(m.now)
 	m.leader.teams = append(m.leader.teams, config.Team{Name: "b", GuaranteedGPUs: 4, MaxGPUs: 12})
 	return m
 }
 
-// drawMachine picks a random machine, or skips the action if there is none.
+// drawMachine returns a random machine, or skips the action if there is none.
 func (m *usageModel) drawMachine(rt *rapid.T) *machineState {
 	machines := m.leader.fleet.sortedByName()
 	if len(machines) == 0 {
@@ -113,8 +113,8 @@
 				gpus[m.leader.jobs.teamOf(attempt)] += m.leader.jobs.resourcesOf(attempt).GPUs
 			}
 		}
-		for _, hold := range m.leader.reservations.OnMachine(machine.agent.Name) {
-			gpus[hold.Pipeline.Team] += hold.Resources.GPUs
+		for _, reservation := range m.leader.reservations.OnMachine(machine.agent.Name) {
+			gpus[reservation.Pipeline.Team] += reservation.Resources.GPUs
 		}
 	}
 	return gpus
@@ -140,7 +140,7 @@
 			"machine":  m.addMachine,
 			"job":      func(rt *rapid.T) { m.addJob(t, rt) },
 			"pass":     func(*rapid.T) { m.leader.runSchedulingPass(m.now) },
-			"commit":   func(*rapid.T) { m.revision = commitAll(m.leader, m.revision) },
+			"commit":   func(*rapid.T) { m.revision = commitPending(m.leader, m.revision) },
 			"report":   m.report,
 			"cancel":   m.cancelJob,
 			"epoch":    m.beginEpoch,
--- a/internal/leader/term_test.go
+++ b/internal/leader/term_test.go
@@ -43,8 +43,8 @@
 	return nil, "", nil
 }
 
-// TestFirstEndReasonWins: a term ends with the first reason given, which callers can match
-// with errors.Is.
+// TestFirstEndReasonWins checks that a term ends with the first reason given, which callers
+// can match with errors.Is.
 func TestFirstEndReasonWins(t *testing.T) {
 	current := newTerm(election.Grant{Term: 3, Revision: 7})
 	if current.ended() || current.err() != nil {
@@ -57,7 +57,8 @@
 	}
 }
 
-// TestTermEndsWhenAttemptNumbersRunOut: a term ends when it has no attempt numbers left.
+// TestTermEndsWhenAttemptNumbersRunOut checks that a term ends when it has no attempt numbers
+// left.
 func TestTermEndsWhenAttemptNumbersRunOut(t *testing.T) {
 	current := newTerm(election.Grant{Term: 1 << constants.TermBits})
 	current.attempts.used = 1<<constants.AttemptCounterBits - 2
@@ -69,8 +70,8 @@
 	}
 }
 
-// TestTermIsVerifiedAfterEachStall: an answer verifies the term only if it was requested after
-// the last stall. One with another revision ends the term.
+// TestTermIsVerifiedAfterEachStall checks that an answer verifies the term only if it was
+// requested after the last stall. One with another revision ends the term.
 func TestTermIsVerifiedAfterEachStall(t *testing.T) {
 	start := time.Now()
 	current := newTerm(election.Grant{Term: 3, Revision: 7})
@@ -111,9 +112,9 @@
 	}
 }
 
-// TestStalledLeaderWaitsForVerification: a leader whose process stalled for longer than a
-// lease does not take the machines for silent, and does not call the cloud until the term
-// record has shown that it still leads. If it was deposed, its term ends.
+// TestStalledLeaderWaitsForVerification checks that a leader whose process stalled for longer
+// than a lease does not treat the machines as silent, and does not call the cloud until the
+// term record has shown that it still leads. If it was deposed, its term ends.
 func TestStalledLeaderWaitsForVerification(t *testing.T) {
 	for _, deposed := range []bool{false, true} {
 		t.Run(fmt.Sprint("deposed ", deposed), func(t *testing.T) {
@@ -138,7 +139,7 @@
 	l.tick(now)
 	l.passes.request()
 	l.runSchedulingPass(now)
-	runUntilQuiet(t, l)
+	runUntilIdle(t, l)
 	checkNothingDecided(t, l, cloud, now)
 
 	store.err, store.revision = nil, l.term.grant.Revision
@@ -146,7 +147,7 @@
 		store.revision++
 	}
 	l.scale(now)
-	runUntilQuiet(t, l)
+	runUntilIdle(t, l)
 	if l.term.ended() != deposed {
 		t.Fatalf("term ended: %v", l.term.err())
 	}
@@ -160,7 +161,7 @@
 		return
 	}
 	l.scale(now)
-	runUntilQuiet(t, l)
+	runUntilIdle(t, l)
 	if cloud.lists+cloud.rents == 0 {
 		t.Errorf("the cloud is not called after verification")
 	}
@@ -175,7 +176,7 @@
 		machine.agent.LastHeartbeat = machine.agent.LastHeartbeat.Add(-stall)
 	}
 	for name, b := range l.scaling.booting {
-		b.rentedAt, b.learntAt = b.rentedAt.Add(-stall), b.learntAt.Add(-stall)
+		b.rentedAt, b.firstSeenAt = b.rentedAt.Add(-stall), b.firstSeenAt.Add(-stall)
 		l.scaling.booting[name] = b
 	}
 	now = l.beginIteration()
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -8,7 +8,7 @@
 
 // tick runs the periodic work of the loop.
 func (l *Leader) tick(now time.Time) {
-	l.classes.fade(constants.TickInterval)
+	l.classes.decay(constants.TickInterval)
 	l.updateFailover(now)
 	l.publish()
 	l.superviseMachines(now)
@@ -19,7 +19,7 @@
 	l.checkLargeRingSupport(now)
 	l.scale(now)
 	if l.passes.sinceLast(now) > time.Second {
-		l.passes.request() // estimates and free resources change over time even without events
+		l.passes.request() // estimates and free resources change with time even without events
 	}
 }
 
@@ -47,7 +47,7 @@
 			// A few per tick, because sending to all machines at once would take too many
 			// sockets and too long.
 			tokensPushed++
-			l.sendCommand(machine, nil, now)
+			l.sendDirectCommand(machine, nil, now)
 		}
 	}
 }
@@ -73,7 +73,7 @@
 func (l *Leader) updateJobWaits(now time.Time) {
 	for job := range l.jobs.all() {
 		l.classes.gangWaits.observe(job, now)
-		if job.retry.resume(now) {
+		if job.retry.clearElapsedBackoff(now) {
 			l.passes.request()
 		}
 	}
--- a/internal/leader/unreachable_zones.go
+++ b/internal/leader/unreachable_zones.go
@@ -6,7 +6,7 @@
 	"thornnotch/internal/constants"
 )
 
-// unreachableZones holds until when each zone counts as unreachable.
+// unreachableZones holds the time until which each zone counts as unreachable.
 //
 // Machines fail one at a time. If most of a zone falls silent at once, a network partition is
 // the likely cause, and the zone's machines will come back with their cached images. Returning
@@ -15,8 +15,8 @@
 type unreachableZones map[string]time.Time
 
 // update marks a zone as unreachable for UnreachableHold if most of its machines are silent,
-// given the number of machines and of silent machines in each zone. For each zone that was
-// ever marked it returns whether it is unreachable now.
+// given the number of machines and of silent machines in each zone. It returns, for each zone
+// that was ever marked, whether it is unreachable now.
 func (u unreachableZones) update(machines, silent map[string]int, now time.Time) map[string]bool {
 	for zone, n := range silent {
 		if n >= constants.UnreachableMinMachines && 2*n > machines[zone] {
@@ -32,9 +32,9 @@
 	return unreachable
 }
 
-// unreachableZones updates the reachability of all zones and returns whether each is
+// updateUnreachableZones updates the reachability of all zones and returns whether each is
 // unreachable: most of its machines are silent, or were until recently.
-func (l *Leader) unreachableZones(now time.Time) map[string]bool {
+func (l *Leader) updateUnreachableZones(now time.Time) map[string]bool {
 	machines, silent := make(map[string]int), make(map[string]int)
 	for machine := range l.fleet.all() {
 		if machine.lifecycle.isLeaving() {
--- a/internal/leader/watch.go
+++ b/internal/leader/watch.go
@@ -18,8 +18,8 @@
 	for ctx.Err() == nil {
 		askedAt := time.Now()
 		next, changes, err := l.deps.Store.Watch(ctx, jobs.OpenPrefix, revision, block)
-		// After an outage, proof that all cancellations are known must return before workers'
-		// leases have to expire, so the first request does not wait for a change.
+		// After an outage, the leader needs proof that it knows all cancellations before
+		// workers' leases have to expire, so the first request does not wait for a change.
 		block = constants.WatchBlock
 		if err != nil {
 			block = 0
--- a/internal/placement/array.go
+++ b/internal/placement/array.go
@@ -2,9 +2,9 @@
 
 import "container/heap"
 
-// placeArray places the job's waiting tasks, starting at index from of WaitingTasks, on
-// machines where the wait for the image is at most maxImageWaitS seconds. It returns the
-// number of waiting tasks that are placed, including those before from.
+// placeArray places the job's waiting tasks, beginning with WaitingTasks[from], on machines
+// where the wait for the image is at most maxImageWaitS seconds. It returns the number of
+// waiting tasks that are placed, including those before from.
 func (p *pass) placeArray(job *Job, from int, maxImageWaitS float64) int {
 	request := TaskResources(job.Spec)
 	if !p.limitAllows(job, request) {
@@ -56,11 +56,11 @@
 // canPlaceArrayTask reports whether one more task of a job array can be placed on the machine.
 // It does not check the team's limit.
 func (p *pass) canPlaceArrayTask(job *Job, machine *Machine, request Resources) bool {
-	if job.Spec.AllowSpot && machine.emptyOnDemand() && p.emptyOnDemand <= p.ReservedMachines {
+	if job.Spec.AllowSpot && machine.emptyOnDemand() && p.emptyOnDemand <= p.GangReserve {
 		// The last empty on-demand machines are kept for gangs that can't use spot machines.
 		return false
 	}
-	return eligible(job, machine) && zoneAllowed(job, machine.Zone) && machine.freeResourcesFor(job).Fits(request)
+	return eligible(job, machine) && zoneAllowed(job, machine.Zone) && machine.freeResourcesFor(job).Covers(request)
 }
 
 // arrayCandidate is a machine that can run the next task of a job array, and its score.
--- a/internal/placement/binpacking.go
+++ b/internal/placement/binpacking.go
@@ -18,7 +18,7 @@
 	return job.Spec.ImageGB / m.FetchGBPerS * float64(1+m.ActiveFetches)
 }
 
-// score returns the cost of placing a task of the job on the machine, in seconds of delay.
+// score returns the cost of placing a task of the job on the machine, as seconds of delay.
 // Lower is better.
 func (p *pass) score(machine *Machine, job *Job) float64 {
 	score := machine.imageDelayS(job)
@@ -61,7 +61,7 @@
 	machine.AttemptCapacity--
 	team.Used = team.Used.Add(request)
 	for _, slot := range machine.Reserved {
-		if job.Owns(slot.Pipeline) {
+		if job.BelongsTo(slot.Pipeline) {
 			// The task replaces its reservation, which already counted as used.
 			p.removeReservation(machineReservation{machine, slot})
 			break
--- a/internal/placement/roomsearch.go
+++ b/internal/placement/capacitysearch.go
@@ -42,8 +42,9 @@
 
 // preemptOrDrain frees resources for a job with tasks that could not be placed. It claims
 // machines that are about to have free capacity, so that later jobs don't use it, and preempts
-// tasks of other jobs where the rules allow it. It does this only for the first jobs in the
-// queue: they leave little to the others, and the search is slow.
+// tasks of other jobs where the rules allow it. It does this only for the first
+// MaxPreemptionAttempts jobs in the queue: they leave little to the others, and the search is
+// slow.
 func (p *pass) preemptOrDrain(job *Job, tasks int) {
 	clear(p.aboveGuaranteeCache) // invalidated by placements and preemptions since the last call
 	anyPreemptible := p.mayPreemptAny(job)
@@ -92,7 +93,7 @@
 	return search
 }
 
-// addIfCheapest adds the machine to the cheapest options if it is one of them.
+// addIfCheapest adds the machine to the cheapest options if its own cost is low enough.
 func (s *capacitySearch) addIfCheapest(machine *Machine) {
 	if !s.canYieldCapacity(machine) || !s.canUseWhenEmpty(machine) {
 		return
@@ -108,8 +109,8 @@
 	}
 	option, cheaper := s.evaluate(machine, maxCostS)
 	if !cheaper || option.tasks == 0 && !s.job.isGang() {
-		// Tasks of job arrays use whatever becomes free; only gangs need whole machines kept
-		// for them.
+		// Tasks of job arrays use any capacity that becomes free; only gangs need whole
+		// machines kept for them.
 		return
 	}
 	if options == nil {
@@ -141,7 +142,7 @@
 	if claimedBy != nil && claimedBy != s.job && s.job.Boost == NoBoost {
 		return false
 	}
-	return eligible(s.job, machine) && zoneAllowed(s.job, machine.Zone) && machine.Total.Fits(s.request)
+	return eligible(s.job, machine) && zoneAllowed(s.job, machine.Zone) && machine.Total.Covers(s.request)
 }
 
 // evaluate returns the machine's option and reports whether it costs less than maxCostS, the
--- a/internal/placement/drain.go
+++ b/internal/placement/drain.go
@@ -7,8 +7,8 @@
 )
 
 // renewClaims renews the machine claims of gangs that still wait. Without a claim, small tasks
-// of whichever job currently has less time left would refill a draining machine, and it would
-// never become empty.
+// of jobs with less time left would refill a draining machine, and it would never become
+// empty.
 func (p *pass) renewClaims() {
 	p.renewedClaims = make(map[*Job][]*Machine)
 	for _, job := range p.Jobs {
@@ -33,16 +33,17 @@
 	}
 }
 
-// exceedsDrainLimit reports whether draining that many additional machines would exceed
+// exceedsDrainLimit reports whether draining this many more machines would exceed
 // MaxDrainingShare. The first gang may always drain the machines that it needs.
 func (p *pass) exceedsDrainLimit(additional int) bool {
 	return p.drainingMachines > 0 &&
 		float64(p.drainingMachines+additional) > constants.MaxDrainingShare*float64(len(p.Machines))
 }
 
-// admitDrains reports whether the options that must drain are within the drain limit, and
-// counts them if so. Otherwise, resources that become free go to other jobs: with many gangs
-// waiting, all machines would stand half empty.
+// admitDrains reports whether the drain limit allows draining the machines that the options
+// require, and if so counts them as draining. If not, resources that become free on these
+// machines go to other jobs. Without the limit, all machines would be half empty while many
+// gangs wait.
 func (p *pass) admitDrains(options []capacityOption) bool {
 	drains := 0
 	for _, option := range options {
@@ -59,8 +60,9 @@
 
 // drainOption returns the option of keeping the machine for the gang until all its tasks have
 // ended, and reports whether it costs less than maxCostS. It costs more than any option
-// without a drain, and the less the sooner the machine will be empty. A gang prefers the
-// machines that it has already claimed; otherwise it would start over in each pass.
+// without a drain, and its cost increases with the expected time until the machine is empty.
+// Machines that the gang has already claimed cost less; otherwise, the gang would choose other
+// machines in each pass.
 func (s *capacitySearch) drainOption(machine *Machine, maxCostS float64) (option capacityOption, cheaper bool) {
 	option.machine = machine
 	emptyAfterS := constants.DrainPenaltyS + machine.usage.maxRemaining.Seconds()
@@ -89,7 +91,7 @@
 	machine.state.claimedBy = job
 	// Lower jobs can no longer use the slots that are reserved for them here.
 	for _, slot := range slices.Clone(machine.Reserved) {
-		if !job.Owns(slot.Pipeline) && !slot.unavailableTo(job) {
+		if !job.BelongsTo(slot.Pipeline) && !slot.unavailableTo(job) {
 			p.releaseReservation(machineReservation{machine, slot})
 		}
 	}
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -29,7 +29,7 @@
 	return p.limitAllows(gang, gang.waitingResources())
 }
 
-// gangSlot is free capacity for one task of a gang.
+// gangSlot is free capacity on a machine for one task of a gang.
 type gangSlot struct {
 	machine *Machine
 	score   float64
--- a/internal/placement/gangorder.go
+++ b/internal/placement/gangorder.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// orderSmallGangsFirst reorders the gangs of one rank whose team has more waiting than its
-// limit allows. Each team's gangs are permuted among their own positions: first those that can
-// still meet a target, then those that use the smaller share of the limit. Objectives count
-// jobs regardless of their size, and a large gang takes the place of several small ones.
-// Boosting ensures that the largest gangs still start in time.
+// orderSmallGangsFirst reorders the gangs of one rank whose team's limit is too small for all
+// its waiting tasks. Each team's gangs are permuted among their own positions: gangs that can
+// still meet a target come first, then gangs that need a smaller share of the limit.
+// Objectives count jobs regardless of their size, and a large gang takes the place of several
+// small ones. Boosting ensures that the largest gangs still start in time.
 func (p *pass) orderSmallGangsFirst(rank []*Job) {
 	positionsByTeam := make(map[string][]int)
 	for i, job := range rank {
--- a/internal/placement/gangorder_test.go
+++ b/internal/placement/gangorder_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestSmallGangsFirstAtLimit checks that a team's small gangs go first if its limit can't hold
-// all that waits, regardless of the time left. Otherwise the time left decides, and a boosted
-// gang goes before all others.
+// TestSmallGangsFirstAtLimit checks that a team's small gangs go first if its limit is too
+// small for all its waiting tasks, regardless of the time left. Otherwise the time left
+// decides, and a boosted gang goes before all others.
 func TestSmallGangsFirstAtLimit(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -26,7 +26,7 @@
 			Teams: map[string]*Team{"a": {Limit: Resources{GPUs: c.limit}}},
 		}
 		for i, job := range snapshot.Jobs {
-			job.Order, job.Slack = uint64(i), time.Duration(i)*time.Second
+			job.SubmissionRevision, job.Slack = uint64(i), time.Duration(i)*time.Second
 		}
 		if started := startedJobs(Schedule(snapshot)); started != c.want {
 			t.Errorf("%s: started %v, want %s", c.name, started, c.want)
--- a/internal/placement/generator_test.go
+++ b/internal/placement/generator_test.go
@@ -88,7 +88,7 @@
 		Priority:  rapid.IntRange(0, 3).Draw(g.T, "reserved priority"),
 		Resources: Resources{CPUs: 1, GPUs: 1, MemoryGB: 1},
 	}
-	if rapid.Bool().Draw(g.T, "edge") {
+	if rapid.Bool().Draw(g.T, "dependency") {
 		slot.Pipeline.Downstream = fmt.Sprint("j-", rapid.IntRange(1, 9).Draw(g.T, "downstream"))
 		slot.Blocked = rapid.Bool().Draw(g.T, "blocked")
 	}
@@ -121,7 +121,7 @@
 	}
 	return &Job{
 		Spec: spec, Priority: rapid.IntRange(0, 3).Draw(g.T, "priority"),
-		Order: uint64(id), TasksByZone: map[string]int{},
+		SubmissionRevision: uint64(id), TasksByZone: map[string]int{},
 	}
 }
 
--- a/internal/placement/limitpromise_test.go
+++ b/internal/placement/limitearmark_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestBoostedGangPreemptsWithinTeam checks that a boosted gang preempts lower-priority tasks
-// of its team as far as the team's limit requires, but none of equal priority or of another
+// TestBoostedGangPreemptsWithinTeam checks that a boosted gang preempts as many lower-priority
+// tasks of its team as the team's limit requires, but no tasks of equal priority or of another
 // team. A gang that is not boosted waits while smaller jobs start.
 func TestBoostedGangPreemptsWithinTeam(t *testing.T) {
 	for _, c := range []struct {
@@ -21,10 +21,10 @@
 		{"not boosted", 0, NoBoost, 0, true},
 	} {
 		gang := gangJob("j-1", 1, 2)
-		gang.Order, gang.Boost = 1, c.boost
+		gang.SubmissionRevision, gang.Boost = 1, c.boost
 		running, lower, otherTeam := arrayJob("j-2", "a", c.runningPriority), arrayJob("j-3", "a", 0), arrayJob("j-4", "b", 0)
 		for i, job := range []*Job{running, lower, otherTeam} {
-			job.Spec.GPUs, job.Order = 1, uint64(2+i)
+			job.Spec.GPUs, job.SubmissionRevision = 1, uint64(2+i)
 		}
 		running.WaitingTasks = nil
 		snapshot := &Snapshot{
@@ -37,7 +37,7 @@
 		for i, machine := range snapshot.Machines[:3] {
 			for k := range 4 {
 				machine.RunningTasks = append(machine.RunningTasks, RunningTask{
-					Job: running, Index: 4*i + k, Attempt: 1, Resources: Resources{1, 1, 1}, StopCost: time.Duration(1+k) * time.Second,
+					Job: running, TaskIndex: 4*i + k, Attempt: 1, Resources: Resources{1, 1, 1}, StopCost: time.Duration(1+k) * time.Second,
 				})
 			}
 		}
@@ -68,12 +68,12 @@
 		gangKeeps     bool
 	}{{"lower", 0, true}, {"equal", 1, true}, {"higher", 2, false}} {
 		gang := gangJob("j-1", 1, 2)
-		gang.Order = 1
+		gang.SubmissionRevision = 1
 		lower := arrayJob("j-2", "b", 0)
 		lower.WaitingTasks = nil
 		machines := testMachines(3)
 		for i, machine := range machines[:2] {
-			machine.RunningTasks = []RunningTask{{Job: lower, Index: i, Attempt: 1, Resources: TaskResources(lower.Spec), StopCost: time.Second}}
+			machine.RunningTasks = []RunningTask{{Job: lower, TaskIndex: i, Attempt: 1, Resources: TaskResources(lower.Spec), StopCost: time.Second}}
 		}
 		machines[2].Spot = true
 		teams := func() map[string]*Team {
@@ -92,7 +92,7 @@
 		gang.Late, gang.Targets = true, []time.Duration{time.Second}
 		// A small job of the team arrives. It fits on a machine that the gang does not need.
 		small := arrayJob("j-3", "a", c.smallPriority)
-		small.Spec.GPUs, small.Spec.AllowSpot, small.Order = 1, true, 3
+		small.Spec.GPUs, small.Spec.AllowSpot, small.SubmissionRevision = 1, true, 3
 		plan = Schedule(&Snapshot{Machines: machines, Jobs: []*Job{gang, small}, Teams: teams()})
 		if (len(plan.Starts) == 0) != c.gangKeeps {
 			t.Errorf("%s: small job started: %v", c.name, len(plan.Starts) > 0)
@@ -105,14 +105,14 @@
 
 // TestLimitEarmarkedForBoostedGang guards against starving gangs: a team at its limit gave
 // each GPU that became free to its job arrays, and its gangs waited for eight minutes. Once a
-// gang is boosted, what becomes free within the limit is kept for it, except from jobs that
-// precede it and from other teams.
+// gang is boosted, the part of the limit that becomes free is kept for it. Jobs that precede
+// it and other teams are not affected.
 func TestLimitEarmarkedForBoostedGang(t *testing.T) {
 	for _, boost := range []Boost{NoBoost, BoostWithinPriority, BoostAboveAll} {
 		before, gang, behind, otherTeam := arrayJob("j-1", "a", 2), gangJob("j-2", 1, 2), arrayJob("j-3", "a", 1), arrayJob("j-4", "b", 1)
 		gang.Boost = boost
 		for i, job := range []*Job{before, gang, behind, otherTeam} {
-			job.Order = uint64(1 + i)
+			job.SubmissionRevision = uint64(1 + i)
 		}
 		for _, job := range []*Job{before, behind, otherTeam} {
 			job.Spec.GPUs = 1
--- a/internal/placement/overload.go
+++ b/internal/placement/overload.go
@@ -11,8 +11,8 @@
 // Objectives count the jobs that are on time, so it is better to defer a few large jobs.
 
 // deferArraysUnderOverload reorders the job arrays of one rank that can still be on time. Each
-// class's arrays are permuted among their own positions, and those to be deferred go last. If
-// all of them can be on time, the order is left unchanged.
+// class's arrays are permuted among their own positions, and deferred arrays go last. If all
+// of them can be on time, the order is left unchanged.
 func (p *pass) deferArraysUnderOverload(rank []*Job) {
 	positionsByClass := make(map[string][]int)
 	for i, job := range rank {
--- a/internal/placement/overload_test.go
+++ b/internal/placement/overload_test.go
@@ -80,7 +80,7 @@
 		Teams:     map[string]*Team{"a": {Limit: Resources{GPUs: 100}}},
 	}
 	for i, job := range snapshot.Jobs {
-		job.Order = uint64(i)
+		job.SubmissionRevision = uint64(i)
 		job.Slack = time.Duration(4+i) * time.Second
 		job.TimeToTarget = job.Slack
 	}
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -38,8 +38,8 @@
 
 	// emptyOnDemand is the number of schedulable on-demand machines without tasks.
 	emptyOnDemand int
-	// withFreeCapacity lists the machines with room for the smallest tasks: when most machines
-	// are full, jobs need not examine all of them. sizeClasses divides these machines by task
+	// withFreeCapacity lists the machines with room for the smallest tasks, so that jobs need
+	// not examine all machines when most are full. sizeClasses divides these machines by task
 	// size. maxTotal is the elementwise maximum of the machines' totals.
 	withFreeCapacity []*Machine
 	sizeClasses      map[sizeClass]*sizeClassMachines
@@ -60,7 +60,7 @@
 	onTimeDemandCache map[teamBelowPriority]Resources
 	// stopping is the usage of each team's stopping tasks.
 	stopping map[string]Resources
-	// aboveGuaranteeCache caches the results of aboveGuarantee, by team, for the present call
+	// aboveGuaranteeCache caches the results of aboveGuarantee, by team, for the current call
 	// of preemptOrDrain. If it is nil, nothing is cached.
 	aboveGuaranteeCache map[string]bool
 
@@ -97,9 +97,9 @@
 }
 
 // placeRank places the jobs of one rank. If a machine has the image of a later job but would
-// have to fetch that of an earlier one, the later job goes first there, unless the earlier job
-// has been without a start for longer than the fetch takes. Tasks that are left over are then
-// placed in queue order, regardless of images.
+// have to fetch that of an earlier one, the later job goes first there, unless the last start
+// of a task of the earlier job is longer ago than the fetch takes. The remaining tasks are
+// then placed in queue order, regardless of images.
 func (p *pass) placeRank(rank []*Job) {
 	type partlyPlacedArray struct {
 		job    *Job
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -21,11 +21,11 @@
 }
 
 // mayPreemptClass reports whether the job may preempt tasks of a class. The protocol allows
-// preempting lower priorities and, to give a team its guarantee, whatever another team runs
-// above its own guarantee. Taken together, these two rules permit cycles: an urgent job above
-// its guarantee and a standard job within it would preempt each other forever. Preemption
-// therefore follows the queue order, priority first and guarantee second: a preempted job also
-// stands behind the preemptor in the queue and can't take the resources back.
+// preempting tasks of lower priority and, to give the job's team its guarantee, tasks of
+// another team that uses more than its own guarantee. Together, these two rules permit cycles:
+// an urgent job above its guarantee and a standard job within it would preempt each other
+// forever. Preemption therefore follows the queue order, priority first and guarantee second:
+// a preempted job is also behind the preemptor in the queue and can't take the resources back.
 func (p *pass) mayPreemptClass(job *Job, class preemptionClass) bool {
 	if class.priority != job.Priority {
 		return class.priority < job.Priority
@@ -70,8 +70,8 @@
 	return bit
 }
 
-// preemptibleClassBits returns the set of classes that the job may preempt, some of them only
-// while their team uses more than its guarantee.
+// preemptibleClassBits returns the set of classes that the job may preempt. It includes
+// classes that the job may preempt only while their team uses more than its guarantee.
 func (p *pass) preemptibleClassBits(job *Job) (bits uint64) {
 	for class, bit := range p.classBits {
 		if class.priority < job.Priority || class.priority == job.Priority && mayReclaimFrom(job, class) {
@@ -86,7 +86,7 @@
 	p.plan.Preemptions = append(p.plan.Preemptions, Preemption{machine, victim, job})
 	for i := range machine.RunningTasks {
 		task := &machine.RunningTasks[i]
-		if task.Attempt == victim.Attempt && task.Index == victim.Index && task.Job == victim.Job {
+		if task.Attempt == victim.Attempt && task.TaskIndex == victim.TaskIndex && task.Job == victim.Job {
 			task.Stopping = true
 		}
 	}
@@ -120,7 +120,7 @@
 		}
 	}
 	s.pass.victimBuffer = victims[:0]
-	if !freed.Fits(s.request) {
+	if !freed.Covers(s.request) {
 		return option, false
 	}
 	slices.SortStableFunc(victims, func(a, b RunningTask) int {
@@ -130,7 +130,7 @@
 	count := 0
 	var lost time.Duration
 	for i := range victims {
-		if freed.Fits(s.request) || lost.Seconds() >= maxCostS {
+		if freed.Covers(s.request) || lost.Seconds() >= maxCostS {
 			break
 		}
 		freed = freed.Add(victims[i].Resources)
