--- a/internal/placement/preemption_test.go
+++ b/internal/placement/preemption_test.go
@@ -90,8 +90,8 @@
 		for _, preemption := range plan.Preemptions {
 			for _, start := range plan.Starts {
 				takesFreedCapacity := start.Machine == preemption.Machine && preemptionClassOf(start.Job) == preemptionClassOf(preemption.Victim.Job)
-				if takesFreedCapacity && !Before(start.Job, preemption.For) {
-					t.Fatalf("%s starts on a machine where a task of its preemption class is preempted for %s", start.Job.Spec.ID, preemption.For.Spec.ID)
+				if takesFreedCapacity && !Before(start.Job, preemption.Preemptor) {
+					t.Fatalf("%s starts on a machine where a task of its preemption class is preempted for %s", start.Job.Spec.ID, preemption.Preemptor.Spec.ID)
 				}
 			}
 		}
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -17,19 +17,19 @@
 		return a.Priority > b.Priority
 	case a.Boost != b.Boost:
 		return a.Boost > b.Boost
-	case a.Boost != NoBoost && a.Order != b.Order:
-		return a.Order < b.Order
+	case a.Boost != NoBoost && a.SubmissionRevision != b.SubmissionRevision:
+		return a.SubmissionRevision < b.SubmissionRevision
 	case a.Guaranteed != b.Guaranteed:
 		return a.Guaranteed
 	case a.Slack != b.Slack:
 		return a.Slack < b.Slack
-	case a.Order != b.Order:
-		return a.Order < b.Order
+	case a.SubmissionRevision != b.SubmissionRevision:
+		return a.SubmissionRevision < b.SubmissionRevision
 	}
 	return a.Spec.ID < b.Spec.ID
 }
 
-// precedesByRank reports whether a precedes b regardless of how their slack changes.
+// precedesByRank reports whether a precedes b by rank alone, regardless of their slack.
 func precedesByRank(a, b *Job) bool {
 	if a.Boost == BoostAboveAll || b.Boost == BoostAboveAll {
 		return a.Boost > b.Boost
@@ -77,15 +77,15 @@
 // only make others miss theirs, so it is placed behind them, but its slack shrinks with age so
 // that it is not postponed forever.
 //
-// Objectives are measured as shares of each class's jobs, so a missed target has the more
-// weight the fewer jobs its class has. classShare is the class's number of jobs relative to
-// that of the most frequent class, and scales the time left.
-func (j *Job) UpdateSlack(now time.Time, classShare float64) {
+// Objectives are measured as shares of each class's jobs, so a missed target counts for more
+// in a class with few jobs. relativeClassCount is the class's number of jobs relative to that
+// of the most frequent class, and scales the time left.
+func (j *Job) UpdateSlack(now time.Time, relativeClassCount float64) {
 	age := now.Sub(j.Submitted)
 	for _, target := range j.Targets {
 		if target > age {
 			j.Late, j.TimeToTarget = false, target-age
-			j.Slack = time.Duration(float64(target-age) * classShare)
+			j.Slack = time.Duration(float64(target-age) * relativeClassCount)
 			return
 		}
 	}
@@ -98,5 +98,5 @@
 }
 
 // missedAllTargets reports whether the job had targets and can't meet any of them any more. It
-// is false for a boosted job, which is not postponed for late targets.
+// is false for a boosted job, which is not postponed after missing its targets.
 func (j *Job) missedAllTargets() bool { return j.Late && len(j.Targets) > 0 && j.Boost == NoBoost }
--- a/internal/placement/queue_test.go
+++ b/internal/placement/queue_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestSlackOrderWithinRank checks that the job that must start soonest goes first, and that a
-// job that can't meet any target goes behind, but not forever.
+// job that can't meet any target is placed behind the others, but not forever.
 func TestSlackOrderWithinRank(t *testing.T) {
 	now := time.Unix(100000, 0)
 	jobOfAge := func(id string, age time.Duration, targets ...time.Duration) *Job {
--- a/internal/placement/quota.go
+++ b/internal/placement/quota.go
@@ -27,7 +27,7 @@
 // MarkGuaranteed sets Guaranteed on all unfinished jobs. A job is within its team's guarantee
 // if it fits into it together with the team's earlier jobs.
 func MarkGuaranteed(unfinished []*Job, teams map[string]*Team) {
-	sort.Slice(unfinished, func(i, j int) bool { return unfinished[i].Order < unfinished[j].Order })
+	sort.Slice(unfinished, func(i, j int) bool { return unfinished[i].SubmissionRevision < unfinished[j].SubmissionRevision })
 	requested := make(map[string]Resources)
 	for _, job := range unfinished {
 		team := teams[job.Spec.Team]
@@ -55,8 +55,9 @@
 }
 
 // limitAllows reports whether the job's team may use extra after the reservations that the job
-// overrides have been released. What is earmarked for a boosted gang, or for one that machines
-// are being vacated for, is not available to other jobs, except to those of higher priority.
+// overrides have been released. Unless it is boosted, the job can't use the parts of the limit
+// that are earmarked for a boosted gang (see Team.EarmarkMinPriority) or for draining gangs of
+// equal or higher priority, nor the part that lowerPriorityOnTimeDemand returns.
 func (p *pass) limitAllows(job *Job, extra Resources) bool {
 	team := p.Teams[job.Spec.Team]
 	if job.Boost == NoBoost {
@@ -105,11 +106,12 @@
 // part itself would not help any job to meet a target.
 //
 // The job's position in the queue does not change: a job that may preempt another's tasks must
-// precede it. Otherwise, the resources return to the preempted job, pass after pass.
+// precede it. Otherwise, the preempted job would take the resources back in the next pass, and
+// again in each pass after it.
 func (p *pass) lowerPriorityOnTimeDemand(job *Job) Resources {
 	if !job.missedAllTargets() || job.Draining || !p.demandExceedsLimit(job.Spec.Team) {
-		// A draining gang keeps its earmark. Otherwise, it would give up its place to a lower
-		// job, preempt that job's tasks and start over, pass after pass.
+		// A draining gang keeps its earmark. Otherwise, it would leave the limit to a
+		// lower-priority job, preempt that job's tasks and start over, pass after pass.
 		return Resources{}
 	}
 	key := teamBelowPriority{job.Spec.Team, job.Priority}
--- a/internal/placement/quota_test.go
+++ b/internal/placement/quota_test.go
@@ -6,8 +6,8 @@
 )
 
 // TestLateGangYieldsLimitToOnTimeJobs guards against large gangs that had long missed their
-// targets: they took the limit from their team's job arrays, which then missed theirs, too. If
-// the limit is sufficient, or the arrays are late as well, priority decides.
+// targets using up the limit of their team, whose job arrays then missed their targets, too.
+// If the limit is sufficient, or the arrays are late as well, priority decides.
 func TestLateGangYieldsLimitToOnTimeJobs(t *testing.T) {
 	for _, c := range []struct {
 		name                string
@@ -26,7 +26,7 @@
 			Teams: map[string]*Team{"a": {Limit: Resources{GPUs: c.limit}}, "b": {Limit: Resources{GPUs: 8}}},
 		}
 		for i, job := range snapshot.Jobs {
-			job.Order, job.Targets = uint64(i), []time.Duration{time.Minute}
+			job.SubmissionRevision, job.Targets = uint64(i), []time.Duration{time.Minute}
 		}
 		gang.Late, array.Late = c.gangLate, c.arrayLate
 		if started := startedJobs(Schedule(snapshot)); started != c.want {
--- a/internal/placement/reserved.go
+++ b/internal/placement/reserved.go
@@ -6,8 +6,8 @@
 )
 
 // A reserved slot keeps resources of a machine for a pipeline and counts toward its team's
-// limit. In both it gives way to jobs that may override it: the order of a team's own jobs has
-// to hold for its limit as it does for machines.
+// limit. A job that may override it can use both the resources and the part of the limit,
+// because a team's jobs must have the same order of precedence for its limit as for machines.
 
 // machineReservation is a reserved slot and its machine.
 type machineReservation struct {
@@ -15,17 +15,17 @@
 	slot    ReservedSlot
 }
 
-// overriddenBy reports whether the job may use the reserved slot. Its own pipeline and jobs of
-// higher priority may (paper, III-B, "Support of priority scheduling"). A gang boosted within
-// its priority also overrides reservations of equal priority, and one boosted above all
-// overrides every reservation. The same rule applies to the team's limit.
+// overriddenBy reports whether the job may use the reserved slot. Jobs of the slot's own
+// pipeline and jobs of higher priority may (paper, III-B, "Support of priority scheduling"). A
+// gang boosted within its priority also overrides reservations of equal priority, and one
+// boosted above all overrides every reservation. The same rule applies to the team's limit.
 //
 // Without it, slots reserved for jobs that may not start, because the team's limit is kept for
 // a boosted gang, would remain until they expire, while the gang waits for the part of the
 // limit that they use: a deadlock for a quarter of an hour.
 func (s ReservedSlot) overriddenBy(job *Job) bool {
 	switch {
-	case job.Owns(s.Pipeline), job.Boost == BoostAboveAll:
+	case job.BelongsTo(s.Pipeline), job.Boost == BoostAboveAll:
 		return true
 	case job.Boost == BoostWithinPriority:
 		return s.Priority <= job.Priority
@@ -35,7 +35,8 @@
 
 // overriddenInLimitBy reports whether the job may use the part of their team's limit that the
 // reserved slot counts for. A job that waits for other jobs must not use up any of the limit,
-// so a slot reserved for a job that may not start gives way to any job of the team that may.
+// so a slot that is reserved for a job that may not start yet is overridden by any job of the
+// team that may.
 func (s ReservedSlot) overriddenInLimitBy(job *Job) bool {
 	return s.Blocked || s.overriddenBy(job)
 }
@@ -52,7 +53,7 @@
 // hasReservedSlotFor reports whether a slot on the machine is reserved for the job's pipeline.
 func (m *Machine) hasReservedSlotFor(job *Job) bool {
 	for _, slot := range m.Reserved {
-		if job.Owns(slot.Pipeline) {
+		if job.BelongsTo(slot.Pipeline) {
 			return true
 		}
 	}
@@ -62,7 +63,7 @@
 // overridableResources returns the resources reserved within the limit of the job's team that
 // the job may override. They include the slots of the job's own pipeline: however large these
 // are, they must never keep that job from starting. The sum is needed for one machine after
-// the other, so it is cached for the last job until a reservation ends.
+// another, so it is cached for the last job until a reservation is removed.
 func (p *pass) overridableResources(job *Job) Resources {
 	if p.overridableFor == job {
 		return p.overridable
@@ -109,7 +110,7 @@
 		}
 	}
 	slices.SortStableFunc(overridable, func(a, b machineReservation) int {
-		if aOwn, bOwn := job.Owns(a.slot.Pipeline), job.Owns(b.slot.Pipeline); aOwn != bOwn {
+		if aOwn, bOwn := job.BelongsTo(a.slot.Pipeline), job.BelongsTo(b.slot.Pipeline); aOwn != bOwn {
 			return falseFirst(aOwn)
 		}
 		return cmp.Compare(a.slot.Priority, b.slot.Priority)
@@ -162,7 +163,7 @@
 			usageWithoutReservations[name] = usage
 		}
 		fits := !job.isGang() || team.withinLimit(usage.Add(job.waitingResources()))
-		for _, pipeline := range [2]Pipeline{job.Pipeline(), job.EdgePipeline()} {
+		for _, pipeline := range [2]Pipeline{job.Pipeline(), job.DependencyPipeline()} {
 			usable[pipeline] = usable[pipeline] || fits
 		}
 	}
--- a/internal/placement/reserved_test.go
+++ b/internal/placement/reserved_test.go
@@ -47,9 +47,8 @@
 }
 
 // TestDependencyReservedSlotAccess checks a slot that is reserved along a declared dependency.
-// It is for the downstream job and for the jobs that this depends on, whichever team they
-// belong to, but not for other jobs of the same team and class. Otherwise it is overridden
-// like any other reservation.
+// The downstream job and the jobs that it depends on, of any team, may use it, but not other
+// jobs of the same team and class. It can be overridden like any other reservation.
 func TestDependencyReservedSlotAccess(t *testing.T) {
 	upstream := arrayJob("j-7", "b", 0)
 	upstream.ReservedDownstreams = map[string]bool{"j-1": true}
@@ -66,8 +65,8 @@
 
 // TestBlockedReservationsYieldLimit checks that a job that waits for other jobs does not use
 // up its team's limit, although reserved slots count toward it. At the limit, and only there,
-// its reservations give way to any job of the team. Once the job may start, they count like
-// others.
+// its reservations are overridden by any job of the team. Once the job may start, they count
+// like others.
 func TestBlockedReservationsYieldLimit(t *testing.T) {
 	for _, c := range []struct {
 		limit            float64
@@ -93,7 +92,7 @@
 // TestReservationsYieldToBoostedGang guards against a deadlock: reservations for a team's job
 // arrays filled its limit. Once its gang was boosted, what was left of the limit was kept for
 // the gang, so the arrays could not use even their own slots, which stayed reserved as long as
-// the arrays waited. Nothing of the team ran for the rest of the day.
+// the arrays waited. None of the team's tasks ran for the rest of the day.
 func TestReservationsYieldToBoostedGang(t *testing.T) {
 	for _, c := range []struct {
 		name                        string
@@ -108,9 +107,9 @@
 		{"lower", 0, 1, NoBoost, false, true},
 	} {
 		gang := gangJob("j-1", c.gangPriority, 2)
-		gang.Spec.Class, gang.Order, gang.Boost = "big", 1, c.boost
+		gang.Spec.Class, gang.SubmissionRevision, gang.Boost = "big", 1, c.boost
 		array := arrayJob("j-2", "a", c.arrayPriority)
-		array.Order, array.Spec.GPUs = 2, 1
+		array.SubmissionRevision, array.Spec.GPUs = 2, 1
 		setWaitingTasks(array, 8)
 		team := &Team{Limit: Resources{GPUs: 8}, Used: Resources{GPUs: 8}}
 		snapshot := &Snapshot{Machines: testMachines(4), Jobs: []*Job{gang, array}, Teams: map[string]*Team{"a": team}}
@@ -151,15 +150,16 @@
 	}
 }
 
-// TestUnusableReservationsReleased guards against reservations for a large gang that its
-// team's limit had no room for: they held what small gangs left, and the team's job arrays,
-// which could have used it, were late. A reservation that a waiting job can use stays.
+// TestUnusableReservationsReleased guards against reservations for a large gang that did not
+// fit into its team's limit: they kept resources that small gangs had freed, and the team's
+// job arrays, which could have used them, were late. A reservation that a waiting job can use
+// must stay.
 func TestUnusableReservationsReleased(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		limit     float64
 		otherKind string // of the second job of the pipeline, if any
-		edges     bool   // slots are reserved along the gang's declared dependencies, so not for the second job
+		declared  bool   // slots are reserved along the gang's declared dependencies, so not for the second job
 		released  int
 	}{
 		{"no room in the limit", 16, "", false, 2},
@@ -183,8 +183,8 @@
 			job.AvoidMachines = map[string]bool{"m-0": true, "m-1": true} // keeps the jobs waiting
 		}
 		pipeline := gang.Pipeline()
-		if c.edges {
-			pipeline = gang.EdgePipeline()
+		if c.declared {
+			pipeline = gang.DependencyPipeline()
 		}
 		for _, machine := range snapshot.Machines {
 			machine.Reserved = []ReservedSlot{{Pipeline: pipeline, Priority: 1, Resources: TaskResources(gang.Spec)}}
--- a/internal/placement/resources.go
+++ b/internal/placement/resources.go
@@ -31,8 +31,8 @@
 	return Resources{r.CPUs * factor, r.GPUs * factor, r.MemoryGB * factor}
 }
 
-// Fits reports whether the request fits into r.
-func (r Resources) Fits(request Resources) bool {
+// Covers reports whether r is at least the request, in each resource.
+func (r Resources) Covers(request Resources) bool {
 	return request.CPUs <= r.CPUs+constants.ResourceTolerance &&
 		request.GPUs <= r.GPUs+constants.ResourceTolerance &&
 		request.MemoryGB <= r.MemoryGB+constants.ResourceTolerance
@@ -50,9 +50,9 @@
 	return max(0, int(count))
 }
 
-// DominantShare returns the largest of r's shares of the total's CPUs, GPUs and memory. What a
-// machine has left of the other resources is of no use to more tasks of the same shape.
-// Resources that the total has none of are ignored.
+// DominantShare returns the largest of r's shares of the total's CPUs, GPUs and memory. Once a
+// machine has run out of one resource, more tasks of the same shape can't use what is left of
+// the others. Resources of which the total has none are ignored.
 func (r Resources) DominantShare(total Resources) float64 {
 	share := 0.0
 	for _, dimension := range [][2]float64{{r.CPUs, total.CPUs}, {r.GPUs, total.GPUs}, {r.MemoryGB, total.MemoryGB}} {
--- a/internal/placement/rules_test.go
+++ b/internal/placement/rules_test.go
@@ -60,7 +60,7 @@
 func (m *clusterModel) start(t *rapid.T, start Start) {
 	t.Helper()
 	job, machine, team := start.Job, start.Machine, start.Job.Spec.Team
-	task := fmt.Sprint(job.Spec.ID, "/", start.Index)
+	task := fmt.Sprint(job.Spec.ID, "/", start.TaskIndex)
 	if m.started[task] {
 		t.Fatalf("%s starts twice", task)
 	}
@@ -74,7 +74,7 @@
 	if machine.AttemptCapacity < 0 {
 		t.Fatalf("%s exceeds its machine's attempt capacity", task)
 	}
-	if !machine.Total.Fits(m.usedOnMachine[machine.Name]) {
+	if !machine.Total.Covers(m.usedOnMachine[machine.Name]) {
 		t.Fatalf("%s does not fit on its machine", task)
 	}
 	if limit := m.snapshot.Teams[team].Limit.GPUs; limit > 0 && m.used[team].GPUs > limit && !m.overLimit[team] {
@@ -102,7 +102,7 @@
 // another team its guarantee, and only for a job that precedes its own.
 func checkPreemption(t *rapid.T, preemption Preemption) {
 	t.Helper()
-	victim, preemptor := preemption.Victim.Job, preemption.For
+	victim, preemptor := preemption.Victim.Job, preemption.Preemptor
 	lower := victim.Priority < preemptor.Priority
 	reclaim := preemptor.Guaranteed && victim.Spec.Team != preemptor.Spec.Team && !victim.Guaranteed
 	if !lower && !reclaim {
--- a/internal/placement/simulation_test.go
+++ b/internal/placement/simulation_test.go
@@ -21,13 +21,13 @@
 // pass runs every second. Tasks that it starts run at once and for the duration given by
 // runtime.
 type simulation struct {
-	machines   int
-	teams      []Team // their quotas
-	classShare map[string]float64
-	starving   map[string]StarvingClass
-	runtime    func(*Job) time.Duration
-	// preempts makes tasks that the plan preempts end at once and wait again. Without it they
-	// keep running.
+	machines           int
+	teams              []Team // their quotas
+	relativeClassCount map[string]float64
+	starving           map[string]StarvingClass
+	runtime            func(*Job) time.Duration
+	// preempts makes preempted tasks end at once and wait again. If it is not set, they keep
+	// running.
 	preempts bool
 
 	start, now time.Time
@@ -53,11 +53,11 @@
 		s.removeFinishedTasks()
 		s.queue = slices.DeleteFunc(s.queue, func(job *Job) bool { return len(job.WaitingTasks) == 0 })
 		for _, job := range s.queue {
-			job.UpdateSlack(s.now, s.classShare[job.Spec.Kind])
+			job.UpdateSlack(s.now, s.relativeClassCount[job.Spec.Kind])
 		}
 		snapshot := s.snapshot()
 		MarkGuaranteed(slices.Clone(s.queue), snapshot.Teams)
-		MarkStarving(s.queue, s.starving, s.now)
+		BoostStarvingGangs(s.queue, s.starving, s.now)
 		s.applyPlan(Schedule(snapshot))
 	}
 }
@@ -68,7 +68,7 @@
 	spec.CPUs, spec.MemoryGB, spec.Image = 1, 1, "img"
 	spec.SameZone, spec.AllowSpot = gang, !gang
 	job := &Job{
-		Spec: &spec, Priority: jobs.Priority(spec.PriorityClass), Order: uint64(len(s.submitted) + 1),
+		Spec: &spec, Priority: jobs.Priority(spec.PriorityClass), SubmissionRevision: uint64(len(s.submitted) + 1),
 		Submitted: s.now, Targets: targets,
 	}
 	setWaitingTasks(job, spec.Tasks)
@@ -134,7 +134,7 @@
 func (s *simulation) startTask(start Start) {
 	job := start.Job
 	s.running = append(s.running, simulatedTask{job, machineIndex(start.Machine), s.now.Add(s.runtime(job))})
-	job.WaitingTasks = slices.DeleteFunc(slices.Clone(job.WaitingTasks), func(index int) bool { return index == start.Index })
+	job.WaitingTasks = slices.DeleteFunc(slices.Clone(job.WaitingTasks), func(index int) bool { return index == start.TaskIndex })
 	if _, started := s.startDelay[job]; !started {
 		s.startDelay[job] = s.now.Sub(job.Submitted)
 	}
--- a/internal/placement/sizeclass.go
+++ b/internal/placement/sizeclass.go
@@ -21,9 +21,9 @@
 	return sizeClass{request.GPUs > 0, exponent}
 }
 
-// initSizeClasses groups the waiting jobs by size class. If both small and large tasks wait,
-// nearly every machine has room for some task, but few have room for a large one. Each job
-// examines only the machines with room for the smallest tasks of its class.
+// initSizeClasses groups the waiting jobs by size class. If both small and large tasks are
+// waiting, nearly every machine has room for a small task, but few have room for a large one.
+// Each job examines only the machines with room for the smallest tasks of its class.
 func (p *pass) initSizeClasses() {
 	for _, machine := range p.Machines {
 		p.maxTotal = elementwiseMax(p.maxTotal, machine.Total)
@@ -59,17 +59,17 @@
 func (p *pass) candidateMachines(job *Job) []*Machine {
 	class := p.sizeClasses[p.sizeClassOf(TaskResources(job.Spec))]
 	if p.exhaustive || class == nil {
-		p.plan.Examined += len(p.withFreeCapacity)
+		p.plan.MachinesExamined += len(p.withFreeCapacity)
 		return p.withFreeCapacity
 	}
 	if !class.listed {
 		class.listed = true
 		for _, machine := range p.withFreeCapacity {
-			if machine.unusedResources().Fits(class.minRequest) {
+			if machine.unusedResources().Covers(class.minRequest) {
 				class.machines = append(class.machines, machine)
 			}
 		}
 	}
-	p.plan.Examined += len(class.machines)
+	p.plan.MachinesExamined += len(class.machines)
 	return class.machines
 }
--- a/internal/placement/sizeclass_test.go
+++ b/internal/placement/sizeclass_test.go
@@ -16,14 +16,14 @@
 		snapshot := nearlyFullCluster(machines, empty)
 		addLargeGangs(snapshot, gangs)
 		small := arrayJob("j-2000", "a", 1)
-		small.Spec.GPUs, small.Order = 0, 1000
+		small.Spec.GPUs, small.SubmissionRevision = 0, 1000
 		snapshot.Jobs = append(snapshot.Jobs, small)
 
 		plan := Schedule(snapshot)
 		if len(plan.Starts) != 1 {
 			t.Errorf("%d machines: %d starts", machines, len(plan.Starts))
 		}
-		examined[machines] = plan.Examined - machines // the small job examines all machines
+		examined[machines] = plan.MachinesExamined - machines // the small job examines all machines
 	}
 	if examined[500] != examined[6000] || examined[6000] != gangs*empty {
 		t.Errorf("%d gangs examined %d machines of 500 and %d of 6,000, want %d", gangs, examined[500], examined[6000], gangs*empty)
@@ -50,7 +50,7 @@
 func addLargeGangs(snapshot *Snapshot, gangs int) {
 	for i := range gangs {
 		gang := gangJob(fmt.Sprintf("j-1%03d", i), 1, 20)
-		gang.Spec.GPUs, gang.Order = snapshot.Machines[0].Total.GPUs, uint64(i)
+		gang.Spec.GPUs, gang.SubmissionRevision = snapshot.Machines[0].Total.GPUs, uint64(i)
 		snapshot.Jobs = append(snapshot.Jobs, gang)
 	}
 }
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -14,10 +14,10 @@
 	Machines []*Machine
 	Jobs     []*Job
 	Teams    map[string]*Team
-	// ReservedMachines is the number of empty on-demand machines that tasks of job arrays
-	// leave to gangs that can't use spot machines. It applies to arrays that may use spot
-	// machines themselves.
-	ReservedMachines int
+	// GangReserve is the number of empty on-demand machines that job arrays must leave to
+	// gangs that can't use spot machines. It applies only to arrays that may use spot
+	// machines.
+	GangReserve int
 	// StartRate is the recent number of placed tasks per second, by class. Classes without any
 	// are absent.
 	StartRate map[string]float64
@@ -42,8 +42,9 @@
 type Machine struct {
 	Name, Type, Zone string
 	Spot             bool
-	// Schedulable is set if new tasks may be placed on the machine. AttemptCapacity is how
-	// many at most, as the machine's stored record must hold all its attempts.
+	// Schedulable is set if new tasks may be placed on the machine. AttemptCapacity is the
+	// maximum number of such tasks. It is limited because the machine's stored record must
+	// hold all its attempts.
 	Schedulable     bool
 	AttemptCapacity int
 	Total           Resources
@@ -64,10 +65,10 @@
 // RunningTask is a task that uses resources of a machine.
 type RunningTask struct {
 	Job       *Job
-	Index     int
+	TaskIndex int
 	Attempt   uint64
 	Resources Resources
-	Stopping  bool // has been told to stop
+	Stopping  bool // a stop was requested
 	// Remaining is the expected time until the task ends, StopCost the work that stopping it
 	// would lose.
 	Remaining, StopCost time.Duration
@@ -92,21 +93,21 @@
 
 // Job is a job as a pass sees it.
 type Job struct {
-	Spec         *jobs.Spec
-	Priority     int
-	Order        uint64 // revision of the job's submission
-	Submitted    time.Time
-	Guaranteed   bool // fits into its team's guarantee together with the team's earlier jobs
-	WaitingTasks []int
-	TasksByZone  map[string]int // tasks that may be on machines, by zone
+	Spec               *jobs.Spec
+	Priority           int
+	SubmissionRevision uint64 // revision of the job's record
+	Submitted          time.Time
+	Guaranteed         bool // fits into its team's guarantee together with the team's earlier jobs
+	WaitingTasks       []int
+	TasksByZone        map[string]int // tasks that may be on machines, by zone
 	// AvoidMachines names the machines that the job must not use.
 	AvoidMachines map[string]bool
 	// ReservedDownstreams names the jobs with reserved slots that depend on this one, directly
 	// or indirectly.
 	ReservedDownstreams map[string]bool
-	// SinceLastStart is the time since any of the job's tasks was placed.
+	// SinceLastStart is the time since a task of the job was last placed.
 	SinceLastStart time.Duration
-	Blocked        bool // must not start now: in backoff, or an earlier attempt is not proven to have ended
+	Blocked        bool // must not start now because it is in backoff
 	// ClaimedMachines names the machines that the previous pass claimed for the job. Draining
 	// is set if they will have room for all of its waiting tasks.
 	ClaimedMachines map[string]bool
@@ -131,13 +132,13 @@
 	return Pipeline{Team: j.Spec.Team, Class: j.Spec.Class}
 }
 
-// EdgePipeline returns the pipeline of the job and the jobs that it depends on.
-func (j *Job) EdgePipeline() Pipeline {
+// DependencyPipeline returns the pipeline of the job and the jobs that it depends on.
+func (j *Job) DependencyPipeline() Pipeline {
 	return Pipeline{j.Spec.Team, j.Spec.Class, j.Spec.ID}
 }
 
-// Owns reports whether the job belongs to the pipeline.
-func (j *Job) Owns(pipeline Pipeline) bool {
+// BelongsTo reports whether the job belongs to the pipeline.
+func (j *Job) BelongsTo(pipeline Pipeline) bool {
 	if pipeline.Downstream == "" {
 		return pipeline == j.Pipeline()
 	}
--- a/internal/placement/starvation.go
+++ b/internal/placement/starvation.go
@@ -22,26 +22,26 @@
 
 // StarvingClass specifies which gangs of a class are boosted and how far.
 type StarvingClass struct {
-	Size  int // minimum number of tasks
-	Boost Boost
+	MinTasks int // smaller gangs are not boosted
+	Boost    Boost
 }
 
-// MarkStarving boosts a few gangs of the given classes with at least the given sizes, the
-// longest waiting first, and clears the boost of all other jobs. Users expect most of the
-// largest jobs of a class to start within a few minutes, whatever else is queued. Boosting is
-// costly for other jobs, because machines stand empty until the last one for a large gang
-// becomes free, so only a few gangs are boosted, and only where it is needed.
-func MarkStarving(unfinished []*Job, starving map[string]StarvingClass, now time.Time) {
+// BoostStarvingGangs boosts a few gangs of the given classes that have at least MinTasks
+// tasks, the longest waiting first, and clears the boost of all other jobs. Users expect most
+// of the largest jobs of a class to start within a few minutes, regardless of the rest of the
+// queue. Boosting is costly for other jobs, because machines stand empty until the last one
+// for a large gang becomes free, so only a few gangs are boosted, and only where it is needed.
+func BoostStarvingGangs(unfinished []*Job, starving map[string]StarvingClass, now time.Time) {
 	var overdue []*Job
 	for _, job := range unfinished {
 		job.Boost = NoBoost
 		class := starving[job.Spec.Class]
-		if class.Size > 0 && job.Spec.Tasks >= class.Size && job.Spec.Kind == jobs.KindGang &&
+		if class.MinTasks > 0 && job.Spec.Tasks >= class.MinTasks && job.Spec.Kind == jobs.KindGang &&
 			len(job.WaitingTasks) > 0 && now.Sub(job.Submitted) > constants.BoostAfter {
 			overdue = append(overdue, job)
 		}
 	}
-	slices.SortFunc(overdue, func(a, b *Job) int { return cmp.Compare(a.Order, b.Order) })
+	slices.SortFunc(overdue, func(a, b *Job) int { return cmp.Compare(a.SubmissionRevision, b.SubmissionRevision) })
 	for _, job := range overdue[:min(len(overdue), constants.MaxBoosted)] {
 		job.Boost = starving[job.Spec.Class].Boost
 	}
--- a/internal/placement/starvation_test.go
+++ b/internal/placement/starvation_test.go
@@ -23,8 +23,8 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	cluster := &simulation{
 		machines: 40, teams: []Team{{Name: "a"}},
-		classShare: map[string]float64{jobs.KindArray: 1, jobs.KindGang: 1},
-		starving:   map[string]StarvingClass{"gang8": {largeTasks, BoostAboveAll}},
+		relativeClassCount: map[string]float64{jobs.KindArray: 1, jobs.KindGang: 1},
+		starving:           map[string]StarvingClass{"gang8": {largeTasks, BoostAboveAll}},
 		runtime: func(job *Job) time.Duration {
 			runtime := randomSeconds(random, 30, 70) // always drawn, so that gangs don't change the random sequence
 			if job.isGang() {
@@ -85,10 +85,10 @@
 
 	random := rand.New(rand.NewPCG(3, 4))
 	cluster := &simulation{
-		machines:   24,
-		classShare: map[string]float64{jobs.KindArray: 1, jobs.KindGang: 0.25},
-		runtime:    func(*Job) time.Duration { return randomSeconds(random, 30, 90) },
-		preempts:   true,
+		machines:           24,
+		relativeClassCount: map[string]float64{jobs.KindArray: 1, jobs.KindGang: 0.25},
+		runtime:            func(*Job) time.Duration { return randomSeconds(random, 30, 90) },
+		preempts:           true,
 	}
 	for _, c := range chances {
 		cluster.teams = append(cluster.teams, Team{Name: c.team, Guarantee: Resources{GPUs: 16}, Limit: Resources{GPUs: 96}})
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -14,7 +14,7 @@
 	stopping       Resources     // part of used, by tasks that were told to stop
 	maxRemaining   time.Duration // until the last task is expected to end
 	lowestPriority int           // of the tasks not told to stop
-	preemptible    bool          // whether there are any such tasks
+	preemptible    bool          // whether there are tasks not told to stop
 }
 
 // machineState is the state that a pass keeps for a machine.
@@ -28,7 +28,7 @@
 
 // jobState is the state that a pass keeps for a job with running tasks.
 type jobState struct {
-	runningTasks int    // not told to stop; only set while a pass counts them
+	runningTasks int    // tasks not told to stop; only set while initMachines counts them
 	classBit     uint64 // bit of the job's preemption class
 }
 
@@ -101,7 +101,7 @@
 		if machine.Schedulable && !machine.Spot && len(machine.RunningTasks) == 0 {
 			p.emptyOnDemand++
 		}
-		if machine.Schedulable && machine.AttemptCapacity > 0 && machine.unusedResources().Fits(minimum) {
+		if machine.Schedulable && machine.AttemptCapacity > 0 && machine.unusedResources().Covers(minimum) {
 			p.withFreeCapacity = append(p.withFreeCapacity, machine)
 			machine.state.hadFreeCapacity = true
 		}
--- a/internal/reservations/manager.go
+++ b/internal/reservations/manager.go
@@ -71,7 +71,7 @@
 				lowest = i
 			}
 		}
-		if room.Fits(reserved) {
+		if room.Covers(reserved) {
 			break
 		}
 		m.remove(machine, lowest)
