--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
-# One target for each step of .ci/run, which holds the commands; `make` alone runs all of
-# them, as CI does.
+# Each step of .ci/run, which holds the commands, is a target. `make` without a target runs
+# all steps, as CI does.
 STEPS := prerequisites format vet staticcheck lint build cli versions race test
 
 .PHONY: all fix $(STEPS)
@@ -10,9 +10,9 @@
 $(STEPS):
 	bash .ci/run $@
 
-# Rewrites the code into the format that `make format` checks.
+# Reformats the code as `make format` requires.
 fix:
 	go tool -modfile=tools/go.mod golangci-lint fmt cmd docs internal
 
-# These run the program that `build` makes.
+# These steps run the binary that `build` produces.
 cli versions: build
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -12,7 +12,7 @@
 	"thornnotch/internal/autoscaling"
 )
 
-// Statuses of machines in the cloud's list (protocol).
+// Statuses of machines in the cloud's machine list (protocol).
 const (
 	statusStarting = "starting"
 	statusRunning  = "running"
@@ -20,70 +20,73 @@
 )
 
 const (
-	// maxRentCount is the largest number of machines in one request (protocol).
+	// maxRentCount is the maximum number of machines in one rent request (protocol).
 	maxRentCount = 50
-	// failureListedAfter is how long a machine that died stays listed as running (protocol).
-	failureListedAfter = 30 * time.Second
-	// firstWorkerPort is the port of the first machine's worker; the others follow.
+	// failureListDelay is how long a failed machine is still listed as running (protocol).
+	failureListDelay = 30 * time.Second
+	// firstWorkerPort is the port of the first machine's worker. Each further machine uses
+	// the next port.
 	firstWorkerPort = 21000
 )
 
-// BootWorker starts a machine's worker once it is up, and returns when ctx has ended and
-// nothing of the worker runs any more.
-type BootWorker func(ctx context.Context, instance autoscaling.Instance)
+// WorkerRunner runs the worker of a machine that has booted. It returns after ctx is done,
+// once none of the worker's goroutines are running.
+type WorkerRunner func(ctx context.Context, instance autoscaling.Instance)
 
-// Cloud is a cloud that boots machines in their catalog time.
+// Cloud simulates the cloud API. A rented machine takes the boot time that the catalog states
+// for its type.
 type Cloud struct {
-	ctx     context.Context //nolint:containedctx // machines outlive the request that rents them, and end with the cloud
-	catalog autoscaling.Catalog
-	boot    BootWorker
-	room    int // machines that it has, rented or not
-
-	mu       sync.Mutex // guards all below
-	next     int        // number of the next machine
-	machines map[string]*rentedMachine
-	rented   map[string][]string // names by rent request, for repeated ones
-	outage   bool
+	ctx       context.Context //nolint:containedctx // machines outlive the request that rents them and stop with the cloud
+	catalog   autoscaling.Catalog
+	runWorker WorkerRunner
+	capacity  int // maximum number of machines rented at once
+
+	mu             sync.Mutex // guards the fields below
+	nextNumber     int        // used in the next machine's name and port
+	machines       map[string]*rentedMachine
+	namesByRequest map[string][]string // machines rented per request ID, for repeated requests
+	outage         bool
 }
 
 type rentedMachine struct {
 	autoscaling.Instance
 	rentedAt time.Time
 	stop     context.CancelFunc
-	ended    chan struct{} // closed once nothing of it runs
+	stopped  chan struct{} // closed once the machine's worker has stopped
 }
 
-// NewCloud makes a cloud with room for so many machines. They end with ctx.
-func NewCloud(ctx context.Context, catalog autoscaling.Catalog, room int, boot BootWorker) *Cloud {
+// NewCloud returns a cloud that rents out up to capacity machines at once. All machines stop
+// when ctx is done.
+func NewCloud(ctx context.Context, catalog autoscaling.Catalog, capacity int, runWorker WorkerRunner) *Cloud {
 	return &Cloud{
-		ctx: ctx, catalog: catalog, boot: boot, room: room,
-		machines: make(map[string]*rentedMachine), rented: make(map[string][]string),
+		ctx: ctx, catalog: catalog, runWorker: runWorker, capacity: capacity,
+		machines: make(map[string]*rentedMachine), namesByRequest: make(map[string][]string),
 	}
 }
 
-// SetOutage begins or ends an outage.
+// SetOutage starts or ends an outage, during which every request fails with 503.
 func (c *Cloud) SetOutage(outage bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.outage = outage
 }
 
-// RentedCount counts the machines rented now.
+// RentedCount returns the number of machines that are currently rented.
 func (c *Cloud) RentedCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.machines)
 }
 
-// IsRented tells whether a machine is rented.
+// IsRented reports whether the machine is currently rented.
 func (c *Cloud) IsRented(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machines[name] != nil
 }
 
-// Fail ends a machine with all that is on it. It is listed as running for a while yet, and
-// then as failed.
+// Fail stops a machine and everything that runs on it. The cloud still lists the machine as
+// running for failureListDelay, and then as failed.
 func (c *Cloud) Fail(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,8 +96,8 @@
 	}
 	machine.stop()
 	go func() {
-		<-machine.ended
-		timer := time.NewTimer(failureListedAfter)
+		<-machine.stopped
+		timer := time.NewTimer(failureListDelay)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
@@ -104,7 +107,8 @@
 	}()
 }
 
-// setStatus changes a machine's status in the list, and returns the machine as listed.
+// setStatus sets the status under which the cloud lists the machine, and returns the machine
+// as listed.
 func (c *Cloud) setStatus(machine *rentedMachine, status string) autoscaling.Instance {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,127 +116,129 @@
 	return machine.Instance
 }
 
-// AddRunning adds so many machines that are up at once, in the catalog's zones by turns;
-// every third is a spot machine.
+// AddRunning adds count machines that boot immediately. They are spread round-robin over the
+// zones of the catalog's first machine type, and every third one is a spot machine.
 func (c *Cloud) AddRunning(count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	machineType := c.catalog.MachineTypes[0]
 	for i := range count {
-		c.add(machineType, machineType.Zones[i%len(machineType.Zones)], i%3 == 0, 0)
+		c.addMachine(machineType, machineType.Zones[i%len(machineType.Zones)], i%3 == 0, 0)
 	}
 }
 
-// ServeHTTP answers the cloud's interface.
+// ServeHTTP implements http.Handler with the cloud's API.
 func (c *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.outage {
-		refuse(w, http.StatusServiceUnavailable, errorOutage)
+		writeError(w, http.StatusServiceUnavailable, outageReason)
 		return
 	}
 	switch r.Method + " " + r.URL.Path {
 	case "GET /catalog":
-		reply(w, http.StatusOK, c.catalog)
+		writeReply(w, http.StatusOK, c.catalog)
 	case "POST /hosts":
-		c.rent(w, r)
+		c.rentMachines(w, r)
 	case "POST /hosts/return":
-		c.takeBack(w, r)
+		c.returnMachines(w, r)
 	case "GET /hosts":
-		c.list(w)
+		c.listMachines(w)
 	default:
 		http.NotFound(w, r)
 	}
 }
 
-func (c *Cloud) rent(w http.ResponseWriter, r *http.Request) {
+func (c *Cloud) rentMachines(w http.ResponseWriter, r *http.Request) {
 	var request autoscaling.RentRequest
 	if json.NewDecoder(r.Body).Decode(&request) != nil || request.ID == "" || request.Count < 1 || request.Count > maxRentCount {
-		refuse(w, http.StatusBadRequest, "malformed")
+		writeError(w, http.StatusBadRequest, "malformed")
 		return
 	}
 	machineType, ok := c.catalog.Type(request.MachineType)
 	if !ok {
-		refuse(w, http.StatusBadRequest, "rigType")
+		writeError(w, http.StatusBadRequest, "rigType")
 		return
 	}
-	if names, ok := c.rented[request.ID]; ok {
-		reply(w, http.StatusOK, namesMessage{names})
+	if names, ok := c.namesByRequest[request.ID]; ok {
+		writeReply(w, http.StatusOK, machineNames{names})
 		return
 	}
-	count := min(request.Count, c.room-len(c.machines))
+	count := min(request.Count, c.capacity-len(c.machines))
 	if count <= 0 {
-		refuse(w, http.StatusServiceUnavailable, "no capacity")
+		writeError(w, http.StatusServiceUnavailable, "no capacity")
 		return
 	}
 	bootTime := time.Duration(machineType.BootS * float64(time.Second))
 	var names []string
 	for range count {
-		names = append(names, c.add(machineType, request.Zone, request.Spot, bootTime)) //nolint:contextcheck // the machine outlives the request
+		names = append(names, c.addMachine(machineType, request.Zone, request.Spot, bootTime)) //nolint:contextcheck // the machine outlives the request
 	}
-	c.rented[request.ID] = names
-	reply(w, http.StatusOK, namesMessage{names})
+	c.namesByRequest[request.ID] = names
+	writeReply(w, http.StatusOK, machineNames{names})
 }
 
-// takeBack ends machines. The answer means that they and all that was on them are gone.
-func (c *Cloud) takeBack(w http.ResponseWriter, r *http.Request) {
-	var request namesMessage
+// returnMachines stops the machines named in the request. It replies only after the machines
+// and everything on them have stopped, as the protocol promises.
+func (c *Cloud) returnMachines(w http.ResponseWriter, r *http.Request) {
+	var request machineNames
 	if json.NewDecoder(r.Body).Decode(&request) != nil {
-		refuse(w, http.StatusBadRequest, "malformed")
+		writeError(w, http.StatusBadRequest, "malformed")
 		return
 	}
-	var ending []*rentedMachine
+	var returned []*rentedMachine
 	for _, name := range request.Machines {
 		if machine := c.machines[name]; machine != nil {
 			machine.stop()
-			ending = append(ending, machine)
+			returned = append(returned, machine)
 			delete(c.machines, name)
 		}
 	}
 	c.mu.Unlock()
-	for _, machine := range ending {
-		<-machine.ended
+	for _, machine := range returned {
+		<-machine.stopped
 	}
 	c.mu.Lock()
-	reply(w, http.StatusOK, emptyReply{})
+	writeReply(w, http.StatusOK, emptyReply{})
 }
 
-func (c *Cloud) list(w http.ResponseWriter) {
-	page := machinesReply{Machines: []autoscaling.Instance{}}
+func (c *Cloud) listMachines(w http.ResponseWriter) {
+	page := machineListReply{Machines: []autoscaling.Instance{}}
 	for _, machine := range c.machines {
 		machine.AgeS = time.Since(machine.rentedAt).Seconds()
 		page.Machines = append(page.Machines, machine.Instance)
 	}
 	sort.Slice(page.Machines, func(i, j int) bool { return page.Machines[i].Name < page.Machines[j].Name })
-	reply(w, http.StatusOK, page)
+	writeReply(w, http.StatusOK, page)
 }
 
-// add makes a machine that is up after its boot time, and returns its name; c.mu is held.
-func (c *Cloud) add(machineType autoscaling.MachineType, zone string, spot bool, bootTime time.Duration) string {
+// addMachine adds a machine that runs after its boot time and returns its name. The caller
+// must hold c.mu.
+func (c *Cloud) addMachine(machineType autoscaling.MachineType, zone string, spot bool, bootTime time.Duration) string {
 	ctx, stop := context.WithCancel(c.ctx)
 	machine := &rentedMachine{
 		Instance: autoscaling.Instance{
-			Name: fmt.Sprintf("m-%06d", c.next), Endpoint: fmt.Sprintf("127.0.0.1:%d", firstWorkerPort+c.next),
+			Name: fmt.Sprintf("m-%06d", c.nextNumber), Endpoint: fmt.Sprintf("127.0.0.1:%d", firstWorkerPort+c.nextNumber),
 			MachineType: machineType.Name, Zone: zone, Spot: spot, Status: statusStarting,
 		},
-		rentedAt: time.Now(), stop: stop, ended: make(chan struct{}),
+		rentedAt: time.Now(), stop: stop, stopped: make(chan struct{}),
 	}
-	c.next++
+	c.nextNumber++
 	c.machines[machine.Name] = machine
 	go func() {
-		defer close(machine.ended)
-		c.run(ctx, machine, bootTime)
+		defer close(machine.stopped)
+		c.runMachine(ctx, machine, bootTime)
 	}()
 	return machine.Name
 }
 
-// run boots a machine and runs its worker until ctx ends.
-func (c *Cloud) run(ctx context.Context, machine *rentedMachine, bootTime time.Duration) {
+// runMachine waits for the boot time and then runs the machine's worker until ctx is done.
+func (c *Cloud) runMachine(ctx context.Context, machine *rentedMachine, bootTime time.Duration) {
 	timer := time.NewTimer(bootTime)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-		c.boot(ctx, c.setStatus(machine, statusRunning))
+		c.runWorker(ctx, c.setStatus(machine, statusRunning))
 	}
 }
--- a/internal/simulator/doc.go
+++ b/internal/simulator/doc.go
@@ -1,14 +1,14 @@
-// Package simulator holds small servers that stand in for the outside systems, written from
-// their protocol. Tests of a controller node use them, as does `thornnotch demo`; each works
-// alone too, to test a client of that system:
+// Package simulator implements in-process fakes of the external systems that a controller
+// node talks to, written from their protocol. The tests of a node and `thornnotch demo` use
+// them together; each can also be used alone to test a client of its system:
 //
-//   - StateService, the consensus-backed key-value store, an http.Handler;
-//   - Cloud, which rents machines, an http.Handler;
-//   - Worker, a machine that runs tasks, with heartbeats out and commands in;
-//   - Network, which connects hosts within one process, and cuts and delays them;
-//   - ServeSite, all of a site on loopback.
+//   - StateService is the consensus-backed key-value store, an http.Handler;
+//   - Cloud rents and returns machines, an http.Handler;
+//   - Worker is a machine that runs tasks, sends heartbeats and receives commands;
+//   - Network connects hosts within one process, and can cut and delay their connections;
+//   - ServeSite serves a whole site on loopback.
 //
-// They run in one process, write nothing to disk, and have rate limits only where a test
-// sets them. Faults are part of their interface: outages, lost answers, cuts, hanging and
-// faulty machines.
+// The fakes keep all state in memory and enforce rate limits only if a test sets them. Their
+// interface includes fault injection: outages, lost replies, network partitions, and hanging
+// and faulty machines.
 package simulator
--- a/internal/simulator/gang_registry.go
+++ b/internal/simulator/gang_registry.go
@@ -2,48 +2,49 @@
 
 import "sync"
 
-// GangRegistry lets the tasks of a gang, on whichever machines, find one another.
+// GangRegistry lets the tasks of a gang discover each other across machines.
 type GangRegistry struct {
-	mu      sync.Mutex // guards all below
-	present map[gangAttempt]map[int]bool
-	done    map[gangAttempt]bool
+	mu        sync.Mutex // guards the fields below
+	members   map[gangAttempt]map[int]bool
+	completed map[gangAttempt]bool
 }
 
-// gangAttempt is one attempt of a gang: its tasks find one another by the attempt's number.
+// gangAttempt identifies one attempt of a gang. Tasks belong together if they have the same
+// job and attempt number.
 type gangAttempt struct {
-	job    string
-	number uint64
+	job     string
+	attempt uint64
 }
 
-// NewGangRegistry makes an empty registry.
+// NewGangRegistry returns an empty registry.
 func NewGangRegistry() *GangRegistry {
-	return &GangRegistry{present: make(map[gangAttempt]map[int]bool), done: make(map[gangAttempt]bool)}
+	return &GangRegistry{members: make(map[gangAttempt]map[int]bool), completed: make(map[gangAttempt]bool)}
 }
 
-// join notes that a task waits for the others.
+// join adds a task that waits for the rest of its gang.
 func (g *GangRegistry) join(t *task) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	gang := t.gang()
-	if g.present[gang] == nil {
-		g.present[gang] = make(map[int]bool)
+	gangKey := t.gangKey()
+	if g.members[gangKey] == nil {
+		g.members[gangKey] = make(map[int]bool)
 	}
-	g.present[gang][t.id.Task.Index] = true
+	g.members[gangKey][t.id.Task.Index] = true
 }
 
-// leave notes that a task has ended; done: the gang has completed.
-func (g *GangRegistry) leave(t *task, done bool) {
+// leave removes a task that has ended; completed means that its gang has completed.
+func (g *GangRegistry) leave(t *task, completed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.present[t.gang()], t.id.Task.Index)
-	if done {
-		g.done[t.gang()] = true
+	delete(g.members[t.gangKey()], t.id.Task.Index)
+	if completed {
+		g.completed[t.gangKey()] = true
 	}
 }
 
-// state tells whether all tasks of a task's gang are present, and whether the gang has completed.
-func (g *GangRegistry) state(t *task) (complete, done bool) {
+// state reports whether all tasks of t's gang have joined, and whether the gang has completed.
+func (g *GangRegistry) state(t *task) (allPresent, completed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.present[t.gang()]) == t.job.Tasks, g.done[t.gang()]
+	return len(g.members[t.gangKey()]) == t.job.Tasks, g.completed[t.gangKey()]
 }
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -8,42 +8,43 @@
 	"time"
 )
 
-// Network connects hosts within one process over pipes, so that a test's fake time governs
-// everything. Hosts are named by the address they listen on.
+// Network connects hosts within one process over in-memory pipes, so that a test's fake clock
+// controls all network timing. A host is identified by the address that it listens on.
 type Network struct {
-	mu        sync.Mutex // guards listeners; taken before a host's lock
+	mu        sync.Mutex // guards listeners; lock order: before Host.mu
 	listeners map[string]*listener
 }
 
-// NewNetwork makes an empty network.
+// NewNetwork returns a network without hosts.
 func NewNetwork() *Network { return &Network{listeners: make(map[string]*listener)} }
 
-// Host is one host's end of the network. Killing it ends everything it has open, as when a
+// Host is a host on a Network. Kill closes all its listeners and connections, as when a
 // process is killed.
 type Host struct {
 	network *Network
 	name    string
 
-	mu        sync.Mutex       // guards all below
-	conns     map[*conn]string // by the address dialled; empty for accepted ones
-	listeners []*listener
-	cut       map[string]bool // addresses that it can't reach
-	killed    bool
-	connLimit int           // most connections open at once; 0: any number
-	mostConns int           // the most that were open
-	frozen    chan struct{} // closed when the host goes on; nil while it does
-	// delay draws how long a packet that the host sends is on its way.
-	delay func() time.Duration
+	mu           sync.Mutex       // guards the fields below
+	conns        map[*conn]string // open connections and the address dialled; empty if accepted
+	listeners    []*listener
+	cut          map[string]bool // addresses that the host can't reach
+	killed       bool
+	connLimit    int           // maximum number of open connections; 0 means no limit
+	maxOpenConns int           // highest number of open connections so far
+	frozen       chan struct{} // closed when the host resumes; nil if it is not frozen
+	// packetDelay returns the delay of the next packet that the host sends; nil means no
+	// delay.
+	packetDelay func() time.Duration
 }
 
-// Host adds a host. Those that it calls see its name as the caller's address.
+// Host returns a new host. Peers that it connects to see name as its remote address.
 func (n *Network) Host(name string) *Host {
 	return &Host{network: n, name: name, conns: make(map[*conn]string), cut: make(map[string]bool)}
 }
 
 var errRefused = errors.New("connection refused")
 
-// Listen opens a listener.
+// Listen announces on addr.
 func (h *Host) Listen(_, addr string) (net.Listener, error) {
 	l := &listener{host: h, addr: addr, queue: make(chan net.Conn), closed: make(chan struct{})}
 	h.network.mu.Lock()
@@ -58,7 +59,7 @@
 	return l, nil
 }
 
-// DialContext connects to a listener.
+// DialContext connects to the listener at addr.
 func (h *Host) DialContext(ctx context.Context, _, addr string) (net.Conn, error) {
 	h.network.mu.Lock()
 	l := h.network.listeners[addr]
@@ -66,8 +67,8 @@
 	if l == nil || h.isCut(addr) {
 		return nil, errRefused
 	}
-	dialled, accepted := h.pipeTo(l)
-	if h.keep(dialled, addr) && l.host.keep(accepted, "") {
+	dialled, accepted := h.newConnPair(l)
+	if h.addConn(dialled, addr) && l.host.addConn(accepted, "") {
 		select {
 		case l.queue <- accepted:
 			return dialled, nil
@@ -80,11 +81,11 @@
 	return nil, errRefused
 }
 
-// pipeTo makes both ends of a connection to a listener.
-func (h *Host) pipeTo(l *listener) (dialled, accepted *conn) {
-	near, far := net.Pipe()
-	return &conn{Conn: near, host: h, peer: l.host.name, sender: l.host},
-		&conn{Conn: far, host: l.host, peer: h.name, accepted: true}
+// newConnPair returns both ends of a new connection to a listener.
+func (h *Host) newConnPair(l *listener) (dialled, accepted *conn) {
+	dialledEnd, acceptedEnd := net.Pipe()
+	return &conn{Conn: dialledEnd, host: h, peer: l.host.name, sender: l.host},
+		&conn{Conn: acceptedEnd, host: l.host, peer: h.name, accepted: true}
 }
 
 func (h *Host) isCut(addr string) bool {
@@ -93,33 +94,34 @@
 	return h.cut[addr]
 }
 
-// keep counts a connection as open, unless the host may have no more.
-func (h *Host) keep(c *conn, addr string) bool {
+// addConn registers an open connection. It reports false if the host was killed or has reached
+// its connection limit.
+func (h *Host) addConn(c *conn, addr string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.killed || h.connLimit > 0 && len(h.conns) >= h.connLimit {
 		return false
 	}
 	h.conns[c] = addr
-	h.mostConns = max(h.mostConns, len(h.conns))
+	h.maxOpenConns = max(h.maxOpenConns, len(h.conns))
 	return true
 }
 
-// LimitConns bounds the connections that the host may have open.
-func (h *Host) LimitConns(most int) {
+// LimitConns limits the number of connections that the host may have open at once.
+func (h *Host) LimitConns(limit int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.connLimit = most
+	h.connLimit = limit
 }
 
-// MaxOpenConns is the greatest number of connections that were open at once.
+// MaxOpenConns returns the highest number of connections that were open at once.
 func (h *Host) MaxOpenConns() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.mostConns
+	return h.maxOpenConns
 }
 
-// listener accepts connections to one address.
+// listener implements net.Listener for one address.
 type listener struct {
 	host   *Host
 	addr   string
@@ -128,7 +130,7 @@
 	once   sync.Once // closes closed
 }
 
-// Accept waits for a connection.
+// Accept waits for the next connection.
 func (l *listener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.queue:
@@ -138,7 +140,7 @@
 	}
 }
 
-// Close frees the address.
+// Close closes the listener and frees its address.
 func (l *listener) Close() error {
 	l.once.Do(func() {
 		close(l.closed)
@@ -151,7 +153,7 @@
 	return nil
 }
 
-// Addr is the address that it listens on.
+// Addr returns the address that the listener listens on.
 func (l *listener) Addr() net.Addr { return address(l.addr) }
 
 type address string
@@ -164,37 +166,41 @@
 	net.Conn
 	host *Host
 	peer string
-	// sender is whose packets arrive late here: what a listener's host sends is waited for
-	// where it is read. net/rpc writes its answers under a lock, and whoever waits for that
-	// while its holder sleeps keeps a synctest bubble's time from going on, for ever.
+	// sender is the peer whose packet delay is applied when this end reads; it is set on the
+	// dialling end only. The delay of packets from the accepting host can't be applied when
+	// that host writes: net/rpc writes its responses under a mutex, and goroutines blocked on
+	// a mutex whose holder sleeps keep the clock of a synctest bubble from advancing, so the
+	// test would hang.
 	sender *Host
-	// accepted is set on the listener's end.
+	// accepted is true on the listener's end.
 	accepted bool
 }
 
-// RemoteAddr names the host at the other end.
+// RemoteAddr returns the name of the host at the other end.
 func (c *conn) RemoteAddr() net.Addr { return address(c.peer) }
 
-// Read reads what has come in.
+// Read reads from the connection. It returns after the sender's packet delay, and not while
+// the host is frozen.
 func (c *conn) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer)
 	if c.sender != nil {
-		c.sender.waitForPacket()
+		c.sender.sleepPacketDelay()
 	}
-	c.host.waitWhileFrozen()
+	c.host.waitUntilResumed()
 	return n, err
 }
 
-// Write sends.
+// Write writes to the connection. It blocks while the host is frozen; on the dialling end it
+// also takes the host's packet delay.
 func (c *conn) Write(data []byte) (int, error) {
-	c.host.waitWhileFrozen()
+	c.host.waitUntilResumed()
 	if !c.accepted {
-		c.host.waitForPacket()
+		c.host.sleepPacketDelay()
 	}
 	return c.Conn.Write(data)
 }
 
-// Close ends the connection.
+// Close closes the connection and removes it from the host's open connections.
 func (c *conn) Close() error {
 	c.host.mu.Lock()
 	delete(c.host.conns, c)
@@ -202,8 +208,9 @@
 	return c.Conn.Close()
 }
 
-// discard ends a connection that nobody uses any more.
+// discard closes a connection that could not be established.
 func (c *conn) discard() { _ = c.Close() } // closing a pipe can't fail
 
-// reset ends the connection and leaves it to the caller to forget it.
+// reset closes the connection without removing it from the host's open connections. Unlike
+// Close, it can be called with the host's lock held.
 func (c *conn) reset() { _ = c.Conn.Close() } // closing a pipe can't fail
--- a/internal/simulator/network_faults.go
+++ b/internal/simulator/network_faults.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Freeze keeps all that the host sends and receives until it goes on, as when its process
-// stands still while its clocks run.
-func (h *Host) Freeze() (goOn func()) {
+// Freeze blocks all sending and receiving of the host until resume is called, as when its
+// process is suspended while the clock advances.
+func (h *Host) Freeze() (resume func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	frozen := make(chan struct{})
@@ -19,7 +19,7 @@
 	}
 }
 
-func (h *Host) waitWhileFrozen() {
+func (h *Host) waitUntilResumed() {
 	h.mu.Lock()
 	frozen := h.frozen
 	h.mu.Unlock()
@@ -28,25 +28,25 @@
 	}
 }
 
-// DelayPackets has each packet that the host sends take as long as is drawn; nil: no time at
-// all.
+// DelayPackets delays each packet that the host sends by a duration obtained from draw; nil
+// removes the delay.
 func (h *Host) DelayPackets(draw func() time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.delay = draw
+	h.packetDelay = draw
 }
 
-// waitForPacket takes as long as a packet of the host does.
-func (h *Host) waitForPacket() {
+// sleepPacketDelay sleeps for the delay of one packet sent by the host.
+func (h *Host) sleepPacketDelay() {
 	h.mu.Lock()
-	delay := h.delay
+	packetDelay := h.packetDelay
 	h.mu.Unlock()
-	if delay != nil {
-		time.Sleep(delay())
+	if packetDelay != nil {
+		time.Sleep(packetDelay())
 	}
 }
 
-// Cut resets the host's connections to these addresses and refuses new ones.
+// Cut resets the host's connections to the given addresses and refuses new ones.
 func (h *Host) Cut(addrs ...string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -61,21 +61,21 @@
 	}
 }
 
-// Heal ends all cuts.
+// Heal makes all addresses reachable again.
 func (h *Host) Heal() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.cut = make(map[string]bool)
 }
 
-// Side is one side of a partition: hosts, and the addresses that they listen on.
+// Side is one side of a network partition: its hosts and the addresses that they listen on.
 type Side struct {
 	Hosts []*Host
 	Addrs []string
 }
 
-// Partition cuts two sides off from each other, in both directions, as when two zones can't
-// reach each other; both reach everybody else as before.
+// Partition cuts all connections between two sides, in both directions, as when two zones
+// can't reach each other. Connections of either side to other hosts are not affected.
 func Partition(a, b Side) {
 	for _, host := range a.Hosts {
 		host.Cut(b.Addrs...)
@@ -85,7 +85,7 @@
 	}
 }
 
-// Kill ends all that the host has open.
+// Kill closes all listeners and connections of the host and refuses new connections.
 func (h *Host) Kill() {
 	h.mu.Lock()
 	h.killed = true
@@ -99,6 +99,6 @@
 	}
 	h.mu.Unlock()
 	for _, l := range listeners {
-		_ = l.Close() // it can't fail
+		_ = l.Close() // never returns an error
 	}
 }
--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -18,49 +18,50 @@
 )
 
 const (
-	siteMachines          = 12          // that the site's cloud has
-	siteFetchTime         = time.Second // of any image
+	siteMachineCount      = 12          // machines that the simulated cloud can rent out
+	siteFetchTime         = time.Second // time to fetch any image
 	siteReadHeaderTimeout = 10 * time.Second
 
-	// lossSeed has the same transactions lost in each run.
+	// lossSeed is fixed, so that every run draws the same sequence of lost replies.
 	lossSeed = 7
-	// lateShare is the part of the lost transactions that is carried out late, at least
-	// lateAfterS and less than lateAfterS+lateSpreadS seconds after.
-	lateShare   = 0.5
-	lateAfterS  = 1.0
-	lateSpreadS = 3.0
+	// lateShare is the fraction of transactions with a lost reply that are applied late. The
+	// delay is uniform in [minLateDelayS, minLateDelayS+lateDelaySpreadS) seconds.
+	lateShare        = 0.5
+	minLateDelayS    = 1.0
+	lateDelaySpreadS = 3.0
 )
 
-// ServeSite runs a state service, a cloud and its machines on this computer, for the nodes
-// that the settings describe, until ctx ends. The nodes' own addresses for users are given by
-// label, for the workers. Of the transactions to the state service that write, the part lost
-// gets no answer.
-func ServeSite(ctx context.Context, settings *config.Settings, nodes map[string]string, lost float64, log *slog.Logger) error {
+// ServeSite serves a simulated site on loopback until ctx is done: a state service and a cloud
+// at the addresses in settings, and the workers of the cloud's machines. The workers connect
+// to nodes, which maps node labels to user API addresses. lossShare is the fraction of write
+// transactions whose reply the state service drops.
+func ServeSite(ctx context.Context, settings *config.Settings, nodes map[string]string, lossShare float64, log *slog.Logger) error {
 	state := NewStateService()
 	defer state.Close()
-	if lost > 0 {
-		state.SetFate(losses(lost, log))
+	if lossShare > 0 {
+		state.SetFate(drawLostReplies(lossShare, log))
 	}
-	cloud := NewCloud(ctx, siteCatalog(settings.Params.Zones), siteMachines, bootSiteWorker(settings, nodes, state, log))
-	failed := make(chan error, 2)
+	cloud := NewCloud(ctx, siteCatalog(settings.Params.Zones), siteMachineCount, siteWorkerRunner(settings, nodes, state, log))
+	serveErrors := make(chan error, 2)
 	for addr, handler := range map[string]http.Handler{settings.Services.State: state, settings.Services.Cloud: cloud} {
-		if err := serveLoopback(ctx, addr, handler, failed); err != nil {
+		if err := serveLoopback(ctx, addr, handler, serveErrors); err != nil {
 			return err
 		}
 	}
-	log.Info("stand-ins serve", "state", settings.Services.State, "cloud", settings.Services.Cloud)
+	log.Info("simulator listening", "state", settings.Services.State, "cloud", settings.Services.Cloud)
 	select {
 	case <-ctx.Done():
 		return nil
-	case err := <-failed:
+	case err := <-serveErrors:
 		return err
 	}
 }
 
-// serveLoopback serves until ctx ends; how that ends goes to failed.
-func serveLoopback(ctx context.Context, addr string, handler http.Handler, failed chan<- error) error {
+// serveLoopback starts serving on a loopback address until ctx is done, and sends the server's
+// final error to serveErrors.
+func serveLoopback(ctx context.Context, addr string, handler http.Handler, serveErrors chan<- error) error {
 	if !strings.HasPrefix(addr, "127.") {
-		return fmt.Errorf("stand-ins serve on loopback only, not on %s", addr)
+		return fmt.Errorf("simulator address %s is not a loopback address", addr)
 	}
 	var listen net.ListenConfig
 	listener, err := listen.Listen(ctx, "tcp", addr)
@@ -69,7 +70,7 @@
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: siteReadHeaderTimeout}
 	context.AfterFunc(ctx, func() { _ = server.Close() })
-	go func() { failed <- server.Serve(listener) }()
+	go func() { serveErrors <- server.Serve(listener) }()
 	return nil
 }
 
@@ -80,8 +81,8 @@
 	}}}
 }
 
-// bootSiteWorker runs the workers of the site's machines.
-func bootSiteWorker(settings *config.Settings, nodes map[string]string, state *StateService, log *slog.Logger) BootWorker {
+// siteWorkerRunner returns a function that runs the worker of one of the site's machines.
+func siteWorkerRunner(settings *config.Settings, nodes map[string]string, state *StateService, log *slog.Logger) WorkerRunner {
 	timings := settings.Params.Workers
 	gangs := NewGangRegistry()
 	var addrs []string
@@ -97,32 +98,33 @@
 			FetchTime: siteFetchTime, GangWait: config.Seconds(timings.GangWaitS),
 		}, systemNetwork{}, submittedJobs{state}, logObserver{log}, gangs)
 		if err := worker.Run(ctx); err != nil && ctx.Err() == nil {
-			log.Error("machine ended", "machine", instance.Name, "error", err)
+			log.Error("simulated worker failed", "machine", instance.Name, "error", err)
 		}
 	}
 }
 
-// losses has a part of the transactions that write get no answer. Half of these are carried
-// out at once, the others some seconds late, if their conditions still hold.
-func losses(part float64, log *slog.Logger) func(caller string, writes int) Fate {
+// drawLostReplies returns a function that drops the reply to the given share of write
+// transactions, chosen at random. Of these, lateShare are applied some seconds late if their
+// conditions hold then; the others are applied immediately.
+func drawLostReplies(share float64, log *slog.Logger) func(caller string, writes int) Fate {
 	draw := rand.New(rand.NewPCG(lossSeed, lossSeed))
 	return func(_ string, writes int) Fate {
-		if writes == 0 || draw.Float64() >= part {
+		if writes == 0 || draw.Float64() >= share {
 			return Fate{}
 		}
 		late := draw.Float64() < lateShare
-		log.Info("answer lost", "late", late)
+		log.Info("reply dropped", "late", late)
 		if !late {
 			return Fate{Lost: true}
 		}
-		return Fate{Lost: true, After: config.Seconds(lateAfterS + draw.Float64()*lateSpreadS)}
+		return Fate{Lost: true, After: config.Seconds(minLateDelayS + draw.Float64()*lateDelaySpreadS)}
 	}
 }
 
-// systemNetwork is the computer's own network.
+// systemNetwork implements Transport with the operating system's network.
 type systemNetwork struct{}
 
-// Listen opens a listener.
+// Listen announces on a local address.
 func (systemNetwork) Listen(network, addr string) (net.Listener, error) {
 	var listen net.ListenConfig
 	return listen.Listen(context.Background(), network, addr)
@@ -134,10 +136,11 @@
 	return dialer.DialContext(ctx, network, addr)
 }
 
-// submittedJobs lets workers find a job's specification where the nodes keep it.
+// submittedJobs implements JobSource with the records of open jobs that the nodes keep in the
+// state service.
 type submittedJobs struct{ state *StateService }
 
-// Job is the job's specification; false if no such job is open.
+// Job returns the specification of an open job, and false if no such job is open.
 func (s submittedJobs) Job(id string) (*jobs.Spec, bool) {
 	record := s.state.Get(jobs.OpenPrefix + id)
 	if record == nil {
@@ -150,15 +153,15 @@
 	return &spec, true
 }
 
-// logObserver logs what runs where.
+// logObserver implements Observer and logs each start and end of a task.
 type logObserver struct{ log *slog.Logger }
 
-// TaskStarted logs that a task is on a machine.
+// TaskStarted logs the start of a task.
 func (l logObserver) TaskStarted(machine, zone string, _ bool, task workers.TaskID, attempt uint64, _ *jobs.Spec) {
-	l.log.Info("task on machine", "task", task, "attempt", attempt, "machine", machine, "zone", zone)
+	l.log.Info("task started", "task", task, "attempt", attempt, "machine", machine, "zone", zone)
 }
 
-// TaskEnded logs that a task is off a machine.
+// TaskEnded logs the end of a task.
 func (l logObserver) TaskEnded(machine string, task workers.TaskID, attempt uint64, done bool) {
-	l.log.Info("task off machine", "task", task, "attempt", attempt, "machine", machine, "done", done)
+	l.log.Info("task ended", "task", task, "attempt", attempt, "machine", machine, "done", done)
 }
--- a/internal/simulator/state_faults.go
+++ b/internal/simulator/state_faults.go
@@ -5,37 +5,42 @@
 	"time"
 )
 
-// Fate is what becomes of a transaction that would be answered in time.
+// Fate is the fault injected into one transaction. The zero value injects none.
 type Fate struct {
-	// Lost: it gets no answer. It is carried out After that time, if its conditions hold then.
+	// Lost drops the reply. The transaction is applied after the delay After, if its conditions
+	// hold then.
 	Lost  bool
 	After time.Duration
-	// Slow is how long its answer takes, if it gets one.
+	// Slow delays the transaction and its reply, unless the reply is lost.
 	Slow time.Duration
 }
 
-// FaultCounts tells what the service has failed to do, so that a test can tell whether the
-// fault that it wants took place.
-type FaultCounts struct{ Refused, Lost, LateDone, LateFailed, TooLarge, TooMany int }
+// FaultCounts counts the faults that took place, so that a test can check that the one it
+// injects did: requests refused with 503, lost replies, transactions that were due late and
+// were applied (LateDone) or not (LateFailed), and transactions over a size limit or the rate
+// limit.
+type FaultCounts struct{ Refused, Lost, LateDone, LateFailed, TooLarge, RateLimited int }
 
-// RequestLimits are what the service takes; 0: anything.
+// RequestLimits holds the limits that the service enforces; 0 means no limit.
 type RequestLimits struct {
 	ValueBytes, WritesPerTxn int
-	WritesPerSecond          float64 // with a burst of one second's worth
+	WritesPerSecond          float64 // with a burst of one second's writes
 }
 
-// conditionsPerWrite times the writes is how many conditions a transaction may have (protocol).
+// conditionsPerWrite is the ratio of the limit on a transaction's conditions to the limit on its
+// writes (protocol).
 const conditionsPerWrite = 4
 
-// SetLimits has the service refuse larger requests with 400, and writes beyond the rate
-// with 429. What is stored stays readable.
+// SetLimits makes the service reject transactions over the size limits with 400, and writes
+// over the rate limit with 429. Values that are already stored stay readable.
 func (s *StateService) SetLimits(limits RequestLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits, s.writeTokens, s.refilledAt = limits, limits.WritesPerSecond, time.Now()
 }
 
-// SetOutage begins or ends an outage. Afterwards every lease has its full time.
+// SetOutage starts or ends an outage. No lease expires during an outage, and when it ends every
+// lease restarts with its full TTL.
 func (s *StateService) SetOutage(outage bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,52 +55,52 @@
 	s.wakeWatches()
 }
 
-// RefuseHost has the service answer one host with 503, and leave its open watches waiting,
-// while the others are served.
+// RefuseHost makes the service fail one host's requests with 503 and hold its pending watches,
+// or ends that. Other hosts are not affected.
 func (s *StateService) RefuseHost(host string, refuse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.refused == nil {
-		s.refused = make(map[string]bool)
+	if s.refusedHosts == nil {
+		s.refusedHosts = make(map[string]bool)
 	}
-	s.refused[host] = refuse
+	s.refusedHosts[host] = refuse
 	s.wakeWatches()
 }
 
-// SetFate has each transaction's fate drawn; nil: all are answered at once.
+// SetFate sets the function that chooses the fault of each transaction; nil injects none.
 func (s *StateService) SetFate(draw func(caller string, writes int) Fate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fate = draw
+	s.fault = draw
 }
 
-// Counts tells what the service has failed to do so far.
+// Counts returns the faults counted so far.
 func (s *StateService) Counts() FaultCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// fails tells whether requests of a host are answered with 503.
-func (s *StateService) fails(host string) bool { return s.outage || s.refused[host] }
+// isUnavailable reports whether requests of the host fail with 503.
+func (s *StateService) isUnavailable(host string) bool { return s.outage || s.refusedHosts[host] }
 
-// overLimit is the status that a transaction is refused with for its size or the rate; 0 if
-// it is not refused.
-func (s *StateService) overLimit(txn storeTransaction) int {
-	if s.tooLarge(txn) {
+// limitStatus returns the HTTP status with which the limits reject a transaction, or 0 if they
+// allow it.
+func (s *StateService) limitStatus(txn storeTransaction) int {
+	if s.exceedsSizeLimits(txn) {
 		s.counts.TooLarge++
 		return http.StatusBadRequest
 	}
 	if s.limits.WritesPerSecond > 0 && !s.takeWriteTokens(float64(len(txn.Writes))) {
-		s.counts.TooMany++
+		s.counts.RateLimited++
 		return http.StatusTooManyRequests
 	}
 	return 0
 }
 
-func (s *StateService) tooLarge(txn storeTransaction) bool {
-	most := s.limits.WritesPerTxn
-	if most > 0 && (len(txn.Writes) > most || len(txn.Conditions) > conditionsPerWrite*most) {
+func (s *StateService) exceedsSizeLimits(txn storeTransaction) bool {
+	maxWrites := s.limits.WritesPerTxn
+	if maxWrites > 0 && (len(txn.Writes) > maxWrites || len(txn.Conditions) > conditionsPerWrite*maxWrites) {
 		return true
 	}
 	for _, write := range txn.Writes {
@@ -106,7 +111,8 @@
 	return false
 }
 
-// takeWriteTokens takes so many tokens from the bucket, if it holds as many.
+// takeWriteTokens takes one token per write from the rate limiter's bucket. It reports false and
+// takes none if the bucket holds too few.
 func (s *StateService) takeWriteTokens(writes float64) bool {
 	now := time.Now()
 	perSecond := s.limits.WritesPerSecond
--- a/internal/simulator/state_http.go
+++ b/internal/simulator/state_http.go
@@ -11,15 +11,15 @@
 	"thornnotch/internal/statestore"
 )
 
-// Bounds of the protocol.
+// Limits of the protocol.
 const (
 	maxListRows = 1000
 	minLeaseMs  = 100
 	maxLeaseMs  = 600000
 )
 
-// ServeHTTP answers the state service's interface. Handlers run with s.mu held, but for
-// those that wait.
+// ServeHTTP implements http.Handler with the state service's API. Handlers run with s.mu held
+// and release it only while they wait; watch locks it itself.
 func (s *StateService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/follow" {
 		s.watch(w, r)
@@ -27,18 +27,18 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.fails(r.RemoteAddr) {
+	if s.isUnavailable(r.RemoteAddr) {
 		s.counts.Refused++
-		refuse(w, http.StatusServiceUnavailable, errorOutage)
+		writeError(w, http.StatusServiceUnavailable, outageReason)
 		return
 	}
 	switch path := r.URL.Path; {
 	case path == "/store":
-		s.list(w, r)
+		s.listKeys(w, r)
 	case strings.HasPrefix(path, "/store/"):
-		s.read(w, strings.TrimPrefix(path, "/store/"))
+		s.readKey(w, strings.TrimPrefix(path, "/store/"))
 	case path == "/multi":
-		s.transact(w, r)
+		s.handleTransaction(w, r)
 	case path == "/holds":
 		s.grantLease(w, r)
 	case strings.HasPrefix(path, "/holds/"):
@@ -48,16 +48,16 @@
 	}
 }
 
-func (s *StateService) read(w http.ResponseWriter, key string) {
+func (s *StateService) readKey(w http.ResponseWriter, key string) {
 	item, ok := s.items[key]
 	if !ok {
-		reply(w, http.StatusNotFound, revisionReply{s.revision})
+		writeReply(w, http.StatusNotFound, revisionReply{s.revision})
 		return
 	}
-	reply(w, http.StatusOK, statestore.KeyValue{Key: key, Value: item.value, Revision: item.revision})
+	writeReply(w, http.StatusOK, statestore.KeyValue{Key: key, Value: item.value, Revision: item.revision})
 }
 
-func (s *StateService) list(w http.ResponseWriter, r *http.Request) {
+func (s *StateService) listKeys(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	limit, err := strconv.Atoi(query.Get("limit"))
 	if err != nil || limit < 1 || limit > maxListRows {
@@ -75,94 +75,95 @@
 		item := s.items[key]
 		page.Rows = append(page.Rows, statestore.KeyValue{Key: key, Value: item.value, Revision: item.revision})
 	}
-	reply(w, http.StatusOK, page)
+	writeReply(w, http.StatusOK, page)
 }
 
 func (s *StateService) grantLease(w http.ResponseWriter, r *http.Request) {
 	var request leaseRequest
 	if json.NewDecoder(r.Body).Decode(&request) != nil || request.TTLMs < minLeaseMs || request.TTLMs > maxLeaseMs {
-		refuse(w, http.StatusBadRequest, "ttlMs")
+		writeError(w, http.StatusBadRequest, "ttlMs")
 		return
 	}
-	reply(w, http.StatusOK, leaseReply{s.addLease(time.Duration(request.TTLMs) * time.Millisecond)})
+	writeReply(w, http.StatusOK, leaseReply{s.addLease(time.Duration(request.TTLMs) * time.Millisecond)})
 }
 
 func (s *StateService) renewOrEndLease(w http.ResponseWriter, path string) {
-	name, renews := strings.CutSuffix(path, "/touch")
-	id, _ := strconv.ParseUint(name, 10, 64) // 0, which is no lease, if it is not a number
+	name, renew := strings.CutSuffix(path, "/touch")
+	id, _ := strconv.ParseUint(name, 10, 64) // 0 if malformed, which is never a lease ID
 	l, ok := s.leases[id]
 	switch {
 	case !ok:
-		refuse(w, http.StatusNotFound, "no such lease")
-	case renews:
+		writeError(w, http.StatusNotFound, "no such lease")
+	case renew:
 		l.timer.Reset(l.ttl)
-		reply(w, http.StatusOK, leaseReply{id})
+		writeReply(w, http.StatusOK, leaseReply{id})
 	default:
 		s.endLease(id)
-		reply(w, http.StatusOK, emptyReply{})
+		writeReply(w, http.StatusOK, emptyReply{})
 	}
 }
 
-// transact answers a transaction, unless its fate is to be lost.
-func (s *StateService) transact(w http.ResponseWriter, r *http.Request) {
+// handleTransaction checks a transaction against the limits, injects its fault, and applies it.
+func (s *StateService) handleTransaction(w http.ResponseWriter, r *http.Request) {
 	var txn storeTransaction
 	if json.NewDecoder(r.Body).Decode(&txn) != nil {
-		refuse(w, http.StatusBadRequest, "malformed")
+		writeError(w, http.StatusBadRequest, "malformed")
 		return
 	}
-	if status := s.overLimit(txn); status != 0 {
-		refuse(w, status, "limit")
+	if status := s.limitStatus(txn); status != 0 {
+		writeError(w, status, "limit")
 		return
 	}
-	var fate Fate
-	if s.fate != nil {
-		fate = s.fate(r.RemoteAddr, len(txn.Writes))
+	var fault Fate
+	if s.fault != nil {
+		fault = s.fault(r.RemoteAddr, len(txn.Writes))
 	}
-	if fate.Lost {
-		s.loseAnswer(r, txn, fate.After)
+	if fault.Lost {
+		s.loseReply(r, txn, fault.After)
 		return
 	}
-	if fate.Slow > 0 {
+	if fault.Slow > 0 {
 		s.mu.Unlock()
-		time.Sleep(fate.Slow)
+		time.Sleep(fault.Slow)
 		s.mu.Lock()
-		if s.fails(r.RemoteAddr) {
-			refuse(w, http.StatusServiceUnavailable, errorOutage)
+		if s.isUnavailable(r.RemoteAddr) {
+			writeError(w, http.StatusServiceUnavailable, outageReason)
 			return
 		}
 	}
-	status, body := s.carryOut(txn)
-	reply(w, status, body)
+	status, body := s.apply(txn)
+	writeReply(w, status, body)
 }
 
-// loseAnswer carries a transaction out, at once or late, and waits until whoever asked gives up.
-func (s *StateService) loseAnswer(r *http.Request, txn storeTransaction, after time.Duration) {
+// loseReply applies a transaction immediately or after a delay, and sends no reply: it blocks
+// until the client gives up.
+func (s *StateService) loseReply(r *http.Request, txn storeTransaction, after time.Duration) {
 	s.counts.Lost++
 	if after == 0 {
-		s.carryOut(txn)
+		s.apply(txn)
 	} else {
-		time.AfterFunc(after, func() { s.carryOutLate(txn) })
+		time.AfterFunc(after, func() { s.applyLate(txn) })
 	}
 	s.mu.Unlock()
 	<-r.Context().Done()
 	s.mu.Lock()
 }
 
-func (s *StateService) carryOutLate(txn storeTransaction) {
+func (s *StateService) applyLate(txn storeTransaction) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return
 	}
-	if status, _ := s.carryOut(txn); status == http.StatusOK {
+	if status, _ := s.apply(txn); status == http.StatusOK {
 		s.counts.LateDone++
 	} else {
 		s.counts.LateFailed++
 	}
 }
 
-// carryOut does what a transaction asks for if its conditions hold.
-func (s *StateService) carryOut(txn storeTransaction) (status int, body any) {
+// apply applies a transaction if its conditions hold, and returns the response.
+func (s *StateService) apply(txn storeTransaction) (status int, body any) {
 	failed := []string{}
 	for _, condition := range txn.Conditions {
 		if s.items[condition.Key].revision != condition.Revision {
@@ -198,25 +199,25 @@
 	}
 }
 
-// watch answers once a key with the prefix has changed after a revision, or the time is over.
-// While the service fails for the host the watch goes on waiting, also beyond its time.
+// watch replies once a key with the prefix has changed after the given revision, or on timeout.
+// While the service is unavailable to the host, the watch keeps waiting, even past its timeout.
 func (s *StateService) watch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	from, _ := strconv.ParseUint(query.Get("from"), 10, 64)    // from the start if it is missing
-	block, _ := strconv.ParseInt(query.Get("blockMs"), 10, 64) // no wait if it is missing
-	timer := time.NewTimer(time.Duration(block) * time.Millisecond)
+	from, _ := strconv.ParseUint(query.Get("from"), 10, 64)      // 0 if missing: all changes
+	blockMs, _ := strconv.ParseInt(query.Get("blockMs"), 10, 64) // 0 if missing: no wait
+	timer := time.NewTimer(time.Duration(blockMs) * time.Millisecond)
 	defer timer.Stop()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.fails(r.RemoteAddr) {
+	if s.isUnavailable(r.RemoteAddr) {
 		s.counts.Refused++
-		refuse(w, http.StatusServiceUnavailable, errorOutage)
+		writeError(w, http.StatusServiceUnavailable, outageReason)
 		return
 	}
-	for timeOver := false; ; {
+	for timedOut := false; ; {
 		changes := s.changesAfter(from, query.Get("prefix"))
-		if !s.fails(r.RemoteAddr) && (len(changes) > 0 || timeOver) {
-			reply(w, http.StatusOK, watchReply{s.revision, changes})
+		if !s.isUnavailable(r.RemoteAddr) && (len(changes) > 0 || timedOut) {
+			writeReply(w, http.StatusOK, watchReply{s.revision, changes})
 			return
 		}
 		changed := s.changed
@@ -224,7 +225,7 @@
 		select {
 		case <-changed:
 		case <-timer.C:
-			timeOver = true
+			timedOut = true
 		case <-r.Context().Done():
 			s.mu.Lock()
 			return
@@ -233,17 +234,18 @@
 	}
 }
 
-// changesAfter lists the changes of keys with the prefix after a revision; never nil.
+// changesAfter returns the changes of keys with the prefix after a revision. The result is never
+// nil, so that it is encoded as a JSON array.
 func (s *StateService) changesAfter(revision uint64, prefix string) []storeChange {
 	changes := []storeChange{}
-	for _, change := range s.log {
-		if change.Revision > revision && change.concerns(prefix) {
+	for _, change := range s.changeLog {
+		if change.Revision > revision && change.matchesPrefix(prefix) {
 			changes = append(changes, change)
 		}
 	}
 	return changes
 }
 
-func (c storeChange) concerns(prefix string) bool {
+func (c storeChange) matchesPrefix(prefix string) bool {
 	return c.Put != "" && strings.HasPrefix(c.Put, prefix) || c.Delete != "" && strings.HasPrefix(c.Delete, prefix)
 }
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// StateService is a state service: keys with revisions, transactions on conditions, leases
-// and watches.
+// StateService simulates the state service: a key-value store with revisions, conditional
+// transactions, leases and watches.
 type StateService struct {
-	mu       sync.Mutex // guards all below
-	revision uint64
-	items    map[string]storeItem
-	log      []storeChange // all changes since the start
-	changed  chan struct{} // closed and renewed with every change
-	closed   bool
+	mu        sync.Mutex // guards the fields below
+	revision  uint64
+	items     map[string]storeItem
+	changeLog []storeChange // all changes since the start, oldest first
+	changed   chan struct{} // closed and replaced to wake the watches
+	closed    bool
 
 	leases      map[uint64]*lease
 	lastLeaseID uint64
 
-	// Faults.
-	outage  bool
-	refused map[string]bool // by host
-	fate    func(caller string, writes int) Fate
-	counts  FaultCounts
+	// Fault injection.
+	outage       bool
+	refusedHosts map[string]bool // hosts whose requests fail
+	fault        func(caller string, writes int) Fate
+	counts       FaultCounts
 
 	limits      RequestLimits
-	writeTokens float64 // writes that may be done at once
+	writeTokens float64 // tokens in the rate limiter's bucket, one per write
 	refilledAt  time.Time
 }
 
@@ -38,12 +38,12 @@
 	lease    uint64
 }
 
-// NewStateService makes an empty state service.
+// NewStateService returns an empty state service.
 func NewStateService() *StateService {
 	return &StateService{items: make(map[string]storeItem), leases: make(map[uint64]*lease), changed: make(chan struct{})}
 }
 
-// Close stops all leases' timers. Transactions that are to be carried out late are dropped.
+// Close stops the timers of all leases and drops the transactions that wait to be applied late.
 func (s *StateService) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,7 +53,8 @@
 	}
 }
 
-// Put stores a value, as if it had been written before.
+// Put stores a value without reporting a change to watches, as if it had been written before
+// the service started.
 func (s *StateService) Put(key string, value json.RawMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,14 +62,14 @@
 	s.items[key] = storeItem{value: value, revision: s.revision}
 }
 
-// Get is what is stored under a key; nil if nothing is.
+// Get returns the value of a key, or nil if the key does not exist.
 func (s *StateService) Get(key string) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.items[key].value
 }
 
-// Keys lists all keys with a prefix.
+// Keys returns all keys with a prefix, sorted.
 func (s *StateService) Keys(prefix string) (keys []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,10 +82,10 @@
 	return keys
 }
 
-// recordChange adds a change of the present revision to the log and wakes the watches.
+// recordChange appends a change at the current revision to the log and wakes the watches.
 func (s *StateService) recordChange(change storeChange) {
 	change.Revision = s.revision
-	s.log = append(s.log, change)
+	s.changeLog = append(s.changeLog, change)
 	s.wakeWatches()
 }
 
@@ -93,13 +94,13 @@
 	s.changed = make(chan struct{})
 }
 
-// lease is a lease that keys may be attached to.
+// lease is a lease that keys can be attached to; they are deleted when it ends.
 type lease struct {
 	ttl   time.Duration
-	timer *time.Timer // ends it
+	timer *time.Timer // ends the lease after ttl
 }
 
-// addLease starts a lease; s.mu is held.
+// addLease grants a lease and returns its ID. The caller must hold s.mu.
 func (s *StateService) addLease(ttl time.Duration) (id uint64) {
 	s.lastLeaseID++
 	id = s.lastLeaseID
@@ -107,7 +108,8 @@
 	return id
 }
 
-// expireLease ends a lease whose time is over, unless it has ended or an outage has begun.
+// expireLease ends a lease whose TTL has elapsed, unless it has already ended or there is an
+// outage.
 func (s *StateService) expireLease(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +119,7 @@
 	s.endLease(id)
 }
 
-// endLease ends a lease and removes its keys; s.mu is held.
+// endLease removes a lease and deletes the keys attached to it. The caller must hold s.mu.
 func (s *StateService) endLease(id uint64) {
 	s.leases[id].timer.Stop()
 	delete(s.leases, id)
--- a/internal/simulator/wire.go
+++ b/internal/simulator/wire.go
@@ -8,18 +8,19 @@
 	"thornnotch/internal/statestore"
 )
 
-// The messages of the simulated systems that the clients' packages do not declare, or
-// declare for the other direction only. The protocol's own names stand in the tags here alone.
+// The protocol messages below are not declared by the client packages, or are declared there
+// only for the opposite direction. The JSON tags hold the protocol's names; the Go code uses
+// the project's terms.
 
-// errorReply is the body of a refusal.
+// errorReply is the body of an error response.
 type errorReply struct {
 	Error string `json:"error"`
 }
 
-// emptyReply is the body of an answer that says nothing more.
+// emptyReply is the body of a successful response without data.
 type emptyReply struct{}
 
-// storeChange is one change of the state service, as a watch reports it.
+// storeChange is a change of one key, as reported by a watch: either Put or Delete is set.
 type storeChange struct {
 	Put      string          `json:"set,omitempty"`
 	Value    json.RawMessage `json:"v,omitempty"`
@@ -27,71 +28,72 @@
 	Revision uint64          `json:"stamp"`
 }
 
-// storeTransaction is a request to change keys if conditions hold.
+// storeTransaction requests writes that are applied if all conditions hold.
 type storeTransaction struct {
 	Conditions []statestore.Condition `json:"when"`
 	Writes     []statestore.Write     `json:"writes"`
 }
 
-// revisionReply tells the store's revision.
+// revisionReply carries the store's current revision.
 type revisionReply struct {
 	Revision uint64 `json:"epoch"`
 }
 
-// conflictReply tells which conditions do not hold.
+// conflictReply lists the keys whose conditions do not hold.
 type conflictReply struct {
 	Failed   []string `json:"failed"`
 	Revision uint64   `json:"epoch"`
 }
 
-// listReply is one page of keys.
+// listReply is one page of keys with their values.
 type listReply struct {
 	Rows     []statestore.KeyValue `json:"rows"`
 	HasNext  bool                  `json:"hasNext"`
 	Revision uint64                `json:"epoch"`
 }
 
-// watchReply is what has changed since the revision that was asked about.
+// watchReply lists the changes after the requested revision.
 type watchReply struct {
 	Revision uint64        `json:"epoch"`
 	Log      []storeChange `json:"log"`
 }
 
-// leaseRequest asks for a lease.
+// leaseRequest requests a new lease.
 type leaseRequest struct {
 	TTLMs int64 `json:"ttlMs"`
 }
 
-// leaseReply names a lease.
+// leaseReply carries the ID of a lease that was granted or renewed.
 type leaseReply struct {
 	ID uint64 `json:"tenure"`
 }
 
-// namesMessage names the machines that were rented, or are to be returned.
-type namesMessage struct {
+// machineNames lists machines by name: in a reply the rented ones, in a request the ones to
+// return.
+type machineNames struct {
 	Machines []string `json:"rigs"`
 }
 
-// machinesReply is the list of rented machines, in one page.
-type machinesReply struct {
+// machineListReply lists all rented machines in a single page.
+type machineListReply struct {
 	Machines []autoscaling.Instance `json:"rigs"`
 	HasNext  bool                   `json:"hasNext"`
 }
 
-// redirect tells a worker which node leads.
-type redirect struct {
+// redirectReply tells a worker the label of the leading node.
+type redirectReply struct {
 	Leader string `json:"foreman"`
 }
 
-func reply(w http.ResponseWriter, status int, body any) {
+func writeReply(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the client may be gone
+	_ = json.NewEncoder(w).Encode(body) // fails only if the client has disconnected
 }
 
-func refuse(w http.ResponseWriter, status int, reason string) {
-	reply(w, status, errorReply{reason})
+func writeError(w http.ResponseWriter, status int, reason string) {
+	writeReply(w, status, errorReply{reason})
 }
 
-// errorOutage is what a system that fails for a while answers, with 503.
-const errorOutage = "trouble"
+// outageReason is the error text of the 503 response during an outage.
+const outageReason = "trouble"
--- a/internal/simulator/worker_faults.go
+++ b/internal/simulator/worker_faults.go
@@ -5,27 +5,27 @@
 	"slices"
 )
 
-// CutIncoming begins or ends a cut of one direction: heartbeats go out, replies and direct
-// commands do not arrive.
+// CutIncoming starts or ends a cut of incoming traffic: the machine's heartbeats reach the
+// nodes, but it receives no replies and no direct commands.
 func (w *Worker) CutIncoming(cut bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.incomingCut = cut
 }
 
-// CutOutgoing begins or ends a cut of the other direction: no heartbeat leaves, while direct
-// commands arrive.
+// CutOutgoing starts or ends a cut of outgoing heartbeats: the machine sends none, but still
+// receives direct commands.
 func (w *Worker) CutOutgoing(cut bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.outgoingCut = cut
 }
 
-// SetHanging makes the machine stand still, or go on: meanwhile it runs nothing, says nothing
-// and hears nothing. Its lease runs on.
+// SetHanging makes the machine hang or resume. A hanging machine makes no progress on its tasks
+// and sends and receives nothing, but its lease keeps running.
 //
-// Direct commands that arrive meanwhile are carried out when it goes on, whether or not the
-// sender still waits.
+// Direct commands that arrive during the hang are executed when the machine resumes, even if
+// the sender has given up.
 func (w *Worker) SetHanging(hanging bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -44,21 +44,21 @@
 	return w.hanging
 }
 
-// SetFaulty makes the machine fail every task that it starts from now on, or mends it.
+// SetFaulty makes every task that the machine starts from now on fail, or ends that.
 func (w *Worker) SetFaulty(faulty bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faulty = faulty
 }
 
-// ResendHeartbeats sends copies of the heartbeats that the machine has kept to a node, as when
-// the network delivers them once more.
+// ResendHeartbeats sends copies of the last WorkerOptions.KeepHeartbeats heartbeats to a node,
+// as when the network delivers duplicates. It returns the number of copies.
 func (w *Worker) ResendHeartbeats(ctx context.Context, addr string) (sent int) {
 	w.mu.Lock()
-	kept := slices.Clone(w.kept)
+	keptHeartbeats := slices.Clone(w.keptHeartbeats)
 	w.mu.Unlock()
-	for i := range kept {
-		w.postWithin(ctx, addr, &kept[i])
+	for i := range keptHeartbeats {
+		w.postWithTimeout(ctx, addr, &keptHeartbeats[i])
 	}
-	return len(kept)
+	return len(keptHeartbeats)
 }
--- a/internal/simulator/worker_heartbeats.go
+++ b/internal/simulator/worker_heartbeats.go
@@ -11,8 +11,9 @@
 	"thornnotch/internal/workers"
 )
 
-// report is the worker's next message; w.mu is held.
-func (w *Worker) report() workers.Heartbeat {
+// newHeartbeat returns the worker's next status message, with a new sequence number. The caller
+// must hold w.mu.
+func (w *Worker) newHeartbeat() workers.Heartbeat {
 	w.sequence++
 	heartbeat := workers.Heartbeat{
 		Machine: w.options.Name, Endpoint: w.options.Addr, MachineType: w.options.MachineType,
@@ -28,40 +29,41 @@
 	return heartbeat
 }
 
-// sendHeartbeat sends one heartbeat and takes the reply.
+// sendHeartbeat sends one heartbeat and handles the reply. Without a reply it blocks until the
+// timeout and switches to the next node.
 func (w *Worker) sendHeartbeat(ctx context.Context) {
 	w.mu.Lock()
-	heartbeat := w.report()
-	addr := w.options.Nodes[w.node%len(w.options.Nodes)]
+	heartbeat := w.newHeartbeat()
+	addr := w.options.Nodes[w.nodeIndex%len(w.options.Nodes)]
 	w.mu.Unlock()
 	sentAt := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, replyTimeout)
 	defer cancel()
 	w.sendDuplicates(ctx, addr, heartbeat)
-	w.keep(heartbeat)
-	if w.outgoingIsCut() {
-		<-ctx.Done() // given up without a reply
+	w.keepHeartbeat(heartbeat)
+	if w.isOutgoingCut() {
+		<-ctx.Done() // no reply: wait for the timeout
 		w.tryNextNode()
 		return
 	}
 	status, body := w.post(ctx, addr, &heartbeat)
-	if !w.takeAnswer(status, body, addr, heartbeat.Epoch, sentAt) {
-		<-ctx.Done() // given up without a reply
+	if !w.handleReply(status, body, addr, heartbeat.Epoch, sentAt) {
+		<-ctx.Done() // no reply: wait for the timeout
 		w.tryNextNode()
 	}
 }
 
-// keep keeps a heartbeat for ResendHeartbeats.
-func (w *Worker) keep(heartbeat workers.Heartbeat) {
+// keepHeartbeat stores a heartbeat for ResendHeartbeats.
+func (w *Worker) keepHeartbeat(heartbeat workers.Heartbeat) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if most := w.options.KeepHeartbeats; most > 0 {
-		w.kept = append(w.kept, heartbeat)
-		w.kept = w.kept[max(0, len(w.kept)-most):]
+	if limit := w.options.KeepHeartbeats; limit > 0 {
+		w.keptHeartbeats = append(w.keptHeartbeats, heartbeat)
+		w.keptHeartbeats = w.keptHeartbeats[max(0, len(w.keptHeartbeats)-limit):]
 	}
 }
 
-func (w *Worker) outgoingIsCut() bool {
+func (w *Worker) isOutgoingCut() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.outgoingCut
@@ -70,12 +72,12 @@
 func (w *Worker) tryNextNode() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.node++
+	w.nodeIndex++
 }
 
-// takeAnswer takes the node's answer to a heartbeat of this epoch; false: a cut or a hang
-// keeps it from arriving.
-func (w *Worker) takeAnswer(status int, body []byte, from string, epoch uint64, sentAt time.Time) (arrived bool) {
+// handleReply handles a node's reply to a heartbeat that was sent in the given epoch. It reports
+// false if a cut or a hang keeps the worker from receiving the reply.
+func (w *Worker) handleReply(status int, body []byte, from string, epoch uint64, sentAt time.Time) (received bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.incomingCut || w.hanging {
@@ -83,16 +85,16 @@
 	}
 	switch status {
 	case http.StatusOK:
-		w.takeReply(body, epoch, sentAt)
+		w.applyCommandBatch(body, epoch, sentAt)
 	case http.StatusMisdirectedRequest:
 		w.followRedirect(body, from)
 	default:
-		w.node++
+		w.nodeIndex++
 	}
 	return true
 }
 
-// sendDuplicates has copies of a heartbeat arrive later.
+// sendDuplicates sends copies of a heartbeat after the delays in options.DuplicateAfter.
 func (w *Worker) sendDuplicates(ctx context.Context, addr string, heartbeat workers.Heartbeat) {
 	for _, delay := range w.options.DuplicateAfter {
 		go func() {
@@ -100,46 +102,49 @@
 			defer timer.Stop()
 			select {
 			case <-timer.C:
-				// The copy is on its way however soon the original is answered.
-				w.postWithin(context.WithoutCancel(ctx), addr, &heartbeat)
-			case <-w.ended:
+				// The copy must be sent even if the original heartbeat's context has ended.
+				w.postWithTimeout(context.WithoutCancel(ctx), addr, &heartbeat)
+			case <-w.stopped:
 			}
 		}()
 	}
 }
 
-// takeReply applies the protocol's rules for tokens and leases; w.mu is held.
-func (w *Worker) takeReply(body []byte, epoch uint64, sentAt time.Time) {
+// applyCommandBatch renews the lease and executes the commands of a reply, unless its token is
+// outdated or the worker's epoch has changed (protocol). The caller must hold w.mu.
+func (w *Worker) applyCommandBatch(body []byte, epoch uint64, sentAt time.Time) {
 	var batch workers.CommandBatch
 	if json.Unmarshal(body, &batch) != nil || batch.Token < w.token || epoch != w.epoch {
 		return
 	}
-	w.token, w.leaseFrom = batch.Token, sentAt
-	w.execute(batch.Commands, time.Now())
+	w.token, w.leaseStart = batch.Token, sentAt
+	w.executeCommands(batch.Commands, time.Now())
 }
 
-// followRedirect goes to the node that a reply names, or to the next one; w.mu is held.
+// followRedirect switches to the leader named in a redirect, or else to the next node. The
+// caller must hold w.mu.
 func (w *Worker) followRedirect(body []byte, from string) {
-	var target redirect
-	_ = json.Unmarshal(body, &target) // a reply without a target names none
+	var target redirectReply
+	_ = json.Unmarshal(body, &target) // a malformed redirect names no leader
 	for i, addr := range w.options.Nodes {
 		if target.Leader != "" && addr == w.options.NodeByLabel[target.Leader] && addr != from {
-			w.node = i
-			w.noteChange()
+			w.nodeIndex = i
+			w.requestHeartbeat()
 			return
 		}
 	}
-	w.node++
+	w.nodeIndex++
 }
 
-// postWithin posts a heartbeat whose reply nobody waits for.
-func (w *Worker) postWithin(ctx context.Context, addr string, heartbeat *workers.Heartbeat) {
+// postWithTimeout posts a heartbeat and ignores the reply.
+func (w *Worker) postWithTimeout(ctx context.Context, addr string, heartbeat *workers.Heartbeat) {
 	ctx, cancel := context.WithTimeout(ctx, replyTimeout)
 	defer cancel()
 	w.post(ctx, addr, heartbeat)
 }
 
-// post sends a heartbeat to a node; the status is 0 if there is no reply.
+// post sends a heartbeat to a node and returns the response. The status is 0 if the request
+// fails.
 func (w *Worker) post(ctx context.Context, addr string, heartbeat *workers.Heartbeat) (status int, body []byte) {
 	raw, err := json.Marshal(heartbeat)
 	if err != nil {
@@ -153,7 +158,7 @@
 	if err != nil {
 		return 0, nil
 	}
-	defer func() { _ = response.Body.Close() }() // it has been read by then
+	defer func() { _ = response.Body.Close() }() // the body has been read by then
 	body, err = io.ReadAll(response.Body)
 	if err != nil {
 		return 0, nil
--- a/internal/simulator/worker_tasks.go
+++ b/internal/simulator/worker_tasks.go
@@ -10,29 +10,30 @@
 	"thornnotch/internal/workers"
 )
 
-// task is one attempt on the machine.
+// task is an attempt of a task on the machine.
 type task struct {
-	id        workers.AttemptID
-	job       *jobs.Spec // nil if the job is unknown
-	status    workers.TaskStatus
-	cause     workers.ExitCause
-	saved     bool
-	since     time.Time // of the present status
-	stoppedAt time.Time
-	began     bool // it has its image, and the observer was told
-	fails     bool // it was started on a faulty machine
+	id          workers.AttemptID
+	job         *jobs.Spec // nil if the job is unknown
+	status      workers.TaskStatus
+	cause       workers.ExitCause
+	saved       bool      // a checkpoint was saved at exit
+	statusSince time.Time // when status last changed; shifted during a hang
+	stoppedAt   time.Time // when it began to save a checkpoint because of a stop
+	started     bool      // the observer was notified of its start, but not yet of its end
+	willFail    bool      // it started while the machine was faulty
 }
 
 func (t *task) isGang() bool { return t.job != nil && t.job.Kind == jobs.KindGang }
 
-func (t *task) gang() gangAttempt { return gangAttempt{t.id.Task.Job, t.id.Number} }
+func (t *task) gangKey() gangAttempt { return gangAttempt{t.id.Task.Job, t.id.Number} }
 
-// advance moves the tasks on to the present; w.mu is held.
-func (w *Worker) advance(now time.Time) {
+// advanceTasks expires the lease and updates the status of all tasks to the given time. The
+// caller must hold w.mu.
+func (w *Worker) advanceTasks(now time.Time) {
 	w.expireLease(now)
 	if w.hanging {
 		for _, t := range w.tasks {
-			t.since = t.since.Add(w.options.Step) // nothing moves on
+			t.statusSince = t.statusSince.Add(w.options.Step) // no progress while the machine hangs
 		}
 		return
 	}
@@ -50,31 +51,31 @@
 			w.advanceRunning(t, now)
 		case workers.StatusSaving:
 			if now.Sub(t.stoppedAt).Seconds() >= t.job.SaveS {
-				w.exit(t, workers.CauseStopped, true, now)
+				w.exitTask(t, workers.CauseStopped, true, now)
 			}
 		case workers.StatusExited:
 		}
 	}
 }
 
-// expireLease applies the protocol's rule for leases: the worker kills and forgets every
-// task and proceeds with the next epoch.
+// expireLease applies the protocol's rule for an expired lease: the worker kills and forgets
+// all tasks and starts a new epoch.
 func (w *Worker) expireLease(now time.Time) {
-	if now.Sub(w.leaseFrom) <= w.options.Lease {
+	if now.Sub(w.leaseStart) <= w.options.Lease {
 		return
 	}
-	w.killAll()
+	w.killAllTasks()
 	w.epoch++
-	w.leaseFrom = now
-	w.noteChange()
+	w.leaseStart = now
+	w.requestHeartbeat()
 }
 
 func (w *Worker) advanceFetching(t *task, now time.Time) {
-	if !w.images[t.job.Image] && now.Sub(t.since) < w.options.FetchTime {
+	if !w.cachedImages[t.job.Image] && now.Sub(t.statusSince) < w.options.FetchTime {
 		return
 	}
-	w.images[t.job.Image] = true
-	t.began, t.fails = true, w.faulty
+	w.cachedImages[t.job.Image] = true
+	t.started, t.willFail = true, w.faulty
 	w.observer.TaskStarted(w.options.Name, w.options.Zone, w.options.Spot, t.id.Task, t.id.Number, t.job)
 	if !t.isGang() {
 		w.setStatus(t, workers.StatusRunning, now)
@@ -85,33 +86,33 @@
 }
 
 func (w *Worker) advanceWaiting(t *task, now time.Time) {
-	complete, _ := w.gangs.state(t)
+	allPresent, _ := w.gangs.state(t)
 	switch {
-	case complete:
+	case allPresent:
 		w.setStatus(t, workers.StatusRunning, now)
-	case now.Sub(t.since) > w.options.GangWait:
-		w.exit(t, workers.CauseGangIncomplete, false, now)
+	case now.Sub(t.statusSince) > w.options.GangWait:
+		w.exitTask(t, workers.CauseGangIncomplete, false, now)
 	}
 }
 
 func (w *Worker) advanceRunning(t *task, now time.Time) {
-	if t.fails && now.Sub(t.since) >= FaultyRunTime {
-		w.exit(t, workers.CauseError, false, now)
+	if t.willFail && now.Sub(t.statusSince) >= FaultyRunTime {
+		w.exitTask(t, workers.CauseError, false, now)
 		return
 	}
 	if t.isGang() {
-		complete, done := w.gangs.state(t)
+		allPresent, done := w.gangs.state(t)
 		switch {
 		case done:
-			w.exit(t, workers.CauseDone, false, now)
+			w.exitTask(t, workers.CauseDone, false, now)
 			return
-		case !complete:
-			w.exit(t, workers.CauseGangLost, false, now)
+		case !allPresent:
+			w.exitTask(t, workers.CauseGangLost, false, now)
 			return
 		}
 	}
-	if now.Sub(t.since) >= w.runTime(t) {
-		w.exit(t, workers.CauseDone, false, now)
+	if now.Sub(t.statusSince) >= w.runTime(t) {
+		w.exitTask(t, workers.CauseDone, false, now)
 	}
 }
 
@@ -123,25 +124,25 @@
 }
 
 func (w *Worker) setStatus(t *task, status workers.TaskStatus, now time.Time) {
-	t.status, t.since = status, now
-	w.noteChange()
+	t.status, t.statusSince = status, now
+	w.requestHeartbeat()
 }
 
-func (w *Worker) exit(t *task, cause workers.ExitCause, saved bool, now time.Time) {
-	w.end(t, cause == workers.CauseDone)
+func (w *Worker) exitTask(t *task, cause workers.ExitCause, saved bool, now time.Time) {
+	w.endTask(t, cause == workers.CauseDone)
 	t.cause, t.saved = cause, saved
 	w.setStatus(t, workers.StatusExited, now)
 }
 
-// end takes a task off the machine.
-func (w *Worker) end(t *task, done bool) {
-	if t.began && t.isGang() {
-		// A gang completes together, whatever each machine gets to say of it.
+// endTask notifies the observer and the gang registry that a task has ended.
+func (w *Worker) endTask(t *task, done bool) {
+	if t.started && t.isGang() {
+		// A gang completes as a whole, even if this machine's task did not report it.
 		_, gangDone := w.gangs.state(t)
 		done = done || gangDone
 	}
-	if t.began {
-		t.began = false
+	if t.started {
+		t.started = false
 		w.observer.TaskEnded(w.options.Name, t.id.Task, t.id.Number, done)
 	}
 	if t.isGang() {
@@ -149,15 +150,15 @@
 	}
 }
 
-// killAll kills and forgets every task.
-func (w *Worker) killAll() {
+// killAllTasks kills and forgets all tasks.
+func (w *Worker) killAllTasks() {
 	for id, t := range w.tasks {
-		w.end(t, false)
+		w.endTask(t, false)
 		delete(w.tasks, id)
 	}
 }
 
-// sortedAttempts lists the attempts in a fixed order.
+// sortedAttempts returns the IDs of all attempts in a deterministic order.
 func (w *Worker) sortedAttempts() []workers.AttemptID {
 	ids := make([]workers.AttemptID, 0, len(w.tasks))
 	for id := range w.tasks {
@@ -172,8 +173,8 @@
 	return ids
 }
 
-// execute carries out commands in order; w.mu is held.
-func (w *Worker) execute(commands []workers.Command, now time.Time) {
+// executeCommands executes commands in order. The caller must hold w.mu.
+func (w *Worker) executeCommands(commands []workers.Command, now time.Time) {
 	for _, command := range commands {
 		taskID, err := workers.ParseTaskID(command.Task)
 		if err != nil {
@@ -184,11 +185,11 @@
 		switch command.Verb {
 		case workers.VerbRun:
 			if t == nil {
-				w.start(id, now)
+				w.startTask(id, now)
 			}
 		case workers.VerbStop:
 			if t != nil {
-				w.stop(t, command.GraceS, now)
+				w.stopTask(t, command.GraceS, now)
 			}
 		case workers.VerbForget:
 			if t != nil && t.status == workers.StatusExited {
@@ -198,20 +199,21 @@
 	}
 }
 
-func (w *Worker) start(id workers.AttemptID, now time.Time) {
-	t := &task{id: id, status: workers.StatusFetching, since: now}
+func (w *Worker) startTask(id workers.AttemptID, now time.Time) {
+	t := &task{id: id, status: workers.StatusFetching, statusSince: now}
 	w.tasks[id] = t
 	job, ok := w.jobs.Job(id.Task.Job)
 	if !ok {
 		t.status, t.cause = workers.StatusExited, workers.CauseUnknownJob
 	}
 	t.job = job
-	w.noteChange()
+	w.requestHeartbeat()
 }
 
-// stop applies the protocol's rules for `stop`: a running task with checkpoints saves if it
-// gets the time, every other task exits at once, also one that saves and gets no more time.
-func (w *Worker) stop(t *task, graceS *float64, now time.Time) {
+// stopTask applies the protocol's rules for `stop`: a running task that takes checkpoints saves
+// one if the grace period is long enough. Any other task exits immediately, including one that
+// is already saving if the new grace period is zero.
+func (w *Worker) stopTask(t *task, graceS *float64, now time.Time) {
 	grace := 0.0
 	if graceS != nil {
 		grace = *graceS
@@ -223,15 +225,15 @@
 		w.setStatus(t, workers.StatusSaving, now)
 	case t.status == workers.StatusSaving && grace > 0:
 	default:
-		w.exit(t, workers.CauseStopped, false, now)
+		w.exitTask(t, workers.CauseStopped, false, now)
 	}
 }
 
-// takeDirectCommands answers POST /commands.
-func (w *Worker) takeDirectCommands(rw http.ResponseWriter, r *http.Request) {
+// handleDirectCommands handles POST /commands.
+func (w *Worker) handleDirectCommands(rw http.ResponseWriter, r *http.Request) {
 	var batch workers.CommandBatch
 	if json.NewDecoder(r.Body).Decode(&batch) != nil || batch.Token == 0 || batch.Epoch == 0 {
-		refuse(rw, http.StatusBadRequest, "malformed")
+		writeError(rw, http.StatusBadRequest, "malformed")
 		return
 	}
 	w.mu.Lock()
@@ -249,23 +251,24 @@
 	if batch.Token >= w.token && batch.Epoch == w.epoch {
 		status = http.StatusOK
 		w.token = batch.Token
-		w.execute(batch.Commands, time.Now())
+		w.executeCommands(batch.Commands, time.Now())
 	}
-	reply(rw, status, w.report())
+	writeReply(rw, status, w.newHeartbeat())
 }
 
-// waitWhileHanging waits, without w.mu, until the machine goes on; false: it has ended.
-func (w *Worker) waitWhileHanging() (goesOn bool) {
+// waitWhileHanging waits until the machine resumes, and releases w.mu meanwhile. It reports
+// false if the worker has stopped.
+func (w *Worker) waitWhileHanging() (alive bool) {
 	for w.hanging {
 		resumed := w.resumed
 		w.mu.Unlock()
 		select {
 		case <-resumed:
-		case <-w.ended:
+		case <-w.stopped:
 		}
 		w.mu.Lock()
 		select {
-		case <-w.ended:
+		case <-w.stopped:
 			return false
 		default:
 		}
