--- a/cmd/thornnotch/check.go
+++ b/cmd/thornnotch/check.go
@@ -6,13 +6,13 @@
 	"thornnotch/internal/constants"
 )
 
-// checkCmd checks the settings.
+// checkCmd checks the settings files.
 type checkCmd struct {
 	settingsFiles
-	Machines int `default:"0" placeholder:"N" help:"How many machines are to be expected; without it only what no site could do with is named."`
+	Machines int `default:"0" placeholder:"N" help:"Expected number of machines to check the limits for, if above the minimum."`
 }
 
-// Run carries the command out.
+// Run executes the command.
 func (c *checkCmd) Run() error {
 	settings, _, err := c.load()
 	if err != nil {
--- a/cmd/thornnotch/client.go
+++ b/cmd/thornnotch/client.go
@@ -13,66 +13,66 @@
 	"thornnotch/internal/constants"
 )
 
-// client is what the commands that talk to a running node share.
+// client contains the flags and methods shared by the commands that send requests to a node.
 type client struct {
-	Node string `default:"127.0.0.1:8080" env:"THORNNOTCH_NODE" placeholder:"HOST:PORT" help:"The users' address of any controller node (${default})."`
-	JSON bool   `name:"json" help:"Print JSON."`
+	Node string `default:"127.0.0.1:8080" env:"THORNNOTCH_NODE" placeholder:"HOST:PORT" help:"Address of any controller node (${default})."`
+	JSON bool   `name:"json" help:"Print the response as JSON."`
 }
 
-// response is a node's response to a request.
+// response is the HTTP response of a node.
 type response struct {
 	status     int
 	retryAfter string
 	body       []byte
 }
 
-// request sends a request about a subject, a job's ID or "status", and returns the
-// body of a response with one of the accepted statuses. Any other is an error.
+// request sends a request to the node and returns the body of the response. A response whose
+// status is not one of accepted is an error, which names the subject: a job's ID or "status".
 func (c client) request(subject, method, path string, body []byte, accepted ...int) ([]byte, error) {
-	answer, err := c.send(method, path, body)
+	resp, err := c.send(method, path, body)
 	if err != nil {
 		return nil, err
 	}
 	for _, status := range accepted {
-		if answer.status == status {
-			return answer.body, nil
+		if resp.status == status {
+			return resp.body, nil
 		}
 	}
-	return nil, answer.refusal(subject)
+	return nil, resp.toError(subject)
 }
 
-// send sends a request to the node.
+// send sends a request to the node and reads its response.
 func (c client) send(method, path string, body []byte) (response, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), constants.ClientTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+c.Node+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.Node+path, bytes.NewReader(body))
 	if err != nil {
 		return response{}, fmt.Errorf("--node %s: %w", c.Node, err)
 	}
-	answer, err := http.DefaultClient.Do(request)
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		// The url.Error around it repeats method and address.
+		// The wrapping url.Error would repeat the method and the address.
 		return response{}, fmt.Errorf("node %s can't be reached: %w", c.Node, errors.Unwrap(err))
 	}
-	defer answer.Body.Close() //nolint:errcheck // nothing was written
-	raw, err := io.ReadAll(io.LimitReader(answer.Body, constants.MaxClientResponseBytes))
+	defer resp.Body.Close() //nolint:errcheck // the body has been read by then
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, constants.MaxClientResponseBytes))
 	if err != nil {
-		return response{}, fmt.Errorf("node %s: %w", c.Node, err)
+		return response{}, fmt.Errorf("read response of node %s: %w", c.Node, err)
 	}
-	return response{answer.StatusCode, answer.Header.Get("Retry-After"), raw}, nil
+	return response{resp.StatusCode, resp.Header.Get("Retry-After"), raw}, nil
 }
 
-// refusal turns a response that refuses the request into an error of one line.
-func (r response) refusal(subject string) error {
-	var problem struct {
+// toError returns a one-line error for a response with a status that was not accepted.
+func (r response) toError(subject string) error {
+	var errorBody struct {
 		Error string `json:"error"`
 		Field string `json:"field"`
 	}
-	// A body that is no JSON leaves the reason empty: the status says enough.
-	_ = json.Unmarshal(r.body, &problem)
-	reason := problem.Error
-	if problem.Field != "" {
-		reason = problem.Field + ": " + reason
+	// If the body is not JSON, the reason stays empty and the status has to suffice.
+	_ = json.Unmarshal(r.body, &errorBody)
+	reason := errorBody.Error
+	if errorBody.Field != "" {
+		reason = errorBody.Field + ": " + reason
 	}
 	switch r.status {
 	case http.StatusNotFound:
@@ -82,21 +82,21 @@
 	case http.StatusUnprocessableEntity:
 		return fmt.Errorf("%s: can never run: %s", subject, reason)
 	case http.StatusServiceUnavailable:
-		return fmt.Errorf("%s: not now (%s), try again in %s s", subject, reason, r.retryAfter)
+		return fmt.Errorf("%s: temporarily unavailable (%s), retry in %s s", subject, reason, r.retryAfter)
 	}
-	return fmt.Errorf("%s: the node answered %d", subject, r.status)
+	return fmt.Errorf("%s: unexpected response status %d", subject, r.status)
 }
 
-// printJSON prints a response's body as it came.
+// printJSON prints the body of a response unchanged.
 func printJSON(body []byte) error {
 	_, err := os.Stdout.Write(body)
 	return err
 }
 
-// decodeResponse decodes a response's body.
+// decodeResponse decodes the JSON body of a response.
 func decodeResponse[T any](body []byte) (decoded T, err error) {
 	if err := json.Unmarshal(body, &decoded); err != nil {
-		return decoded, fmt.Errorf("unreadable answer: %w", err)
+		return decoded, fmt.Errorf("decode response: %w", err)
 	}
 	return decoded, nil
 }
--- a/cmd/thornnotch/job.go
+++ b/cmd/thornnotch/job.go
@@ -11,23 +11,23 @@
 	"thornnotch/internal/userapi"
 )
 
-// jobsPath is the users' interface for jobs.
+// jobsPath is the path of the HTTP API for jobs.
 const jobsPath = "/work"
 
-// jobCmd groups the commands on jobs.
+// jobCmd groups the commands for jobs.
 type jobCmd struct {
 	Submit submitCmd `cmd:"" help:"Submit a job."`
-	Get    getCmd    `cmd:"" help:"Show how far a job is."`
+	Get    getCmd    `cmd:"" help:"Show a job's status."`
 	Cancel cancelCmd `cmd:"" help:"Cancel a job."`
 }
 
 // submitCmd submits a job.
 type submitCmd struct {
 	client
-	File string `arg:"" help:"The job as JSON; - for standard input."`
+	File string `arg:"" help:"File with the job as JSON; - for standard input."`
 }
 
-// Run carries the command out.
+// Run executes the command.
 func (c *submitCmd) Run() error {
 	raw, err := c.read()
 	if err != nil {
@@ -44,36 +44,36 @@
 	return c.printJob(body)
 }
 
-// read reads the job's JSON.
+// read reads the job's JSON from the file or from standard input.
 func (c *submitCmd) read() ([]byte, error) {
 	if c.File == "-" {
-		// One byte more than a node takes: it says so of a longer one.
+		// Read one byte more than a node accepts, so that the node rejects a longer body.
 		return io.ReadAll(io.LimitReader(os.Stdin, constants.MaxBodyBytes+1))
 	}
 	return os.ReadFile(c.File)
 }
 
-// getCmd shows a job.
+// getCmd shows a job's status.
 type getCmd struct {
 	client
-	ID string `arg:"" help:"The job's name."`
+	ID string `arg:"" help:"ID of the job."`
 }
 
-// Run carries the command out.
+// Run executes the command.
 func (c *getCmd) Run() error { return c.requestJob(c.ID, http.MethodGet, jobsPath+"/"+c.ID) }
 
 // cancelCmd cancels a job.
 type cancelCmd struct {
 	client
-	ID string `arg:"" help:"The job's name."`
+	ID string `arg:"" help:"ID of the job."`
 }
 
-// Run carries the command out.
+// Run executes the command.
 func (c *cancelCmd) Run() error {
 	return c.requestJob(c.ID, http.MethodPost, jobsPath+"/"+c.ID+"/cancel")
 }
 
-// requestJob sends a request about one job, and prints the job's status.
+// requestJob sends a request for one job and prints the job's status from the response.
 func (c client) requestJob(id, method, path string) error {
 	body, err := c.request(id, method, path, nil, http.StatusOK)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return c.printJob(body)
 }
 
-// printJob prints a job's status.
+// printJob prints the job's status in a response body.
 func (c client) printJob(body []byte) error {
 	if c.JSON {
 		return printJSON(body)
--- a/cmd/thornnotch/logging.go
+++ b/cmd/thornnotch/logging.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// logLevelVariable is the environment variable with the least level that is logged.
-const logLevelVariable = "LOG_LEVEL"
+// logLevelEnv is the environment variable that sets the minimum log level.
+const logLevelEnv = "LOG_LEVEL"
 
-// newLogger makes a logger to standard error at the level that the environment asks
-// for: info without one.
+// newLogger returns a logger that writes to standard error, at the level that the environment
+// sets or else at info.
 func newLogger() (*slog.Logger, error) {
-	name := os.Getenv(logLevelVariable)
+	name := os.Getenv(logLevelEnv)
 	var level slog.Level
 	switch strings.ToLower(name) {
 	case "debug":
@@ -23,7 +23,7 @@
 	case "error":
 		level = slog.LevelError
 	default:
-		return nil, settingsError{fmt.Errorf("%s: must be error, info or debug, is %q", logLevelVariable, name)}
+		return nil, usageError{fmt.Errorf("%s: must be error, info or debug, is %q", logLevelEnv, name)}
 	}
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})), nil
 }
--- a/cmd/thornnotch/main.go
+++ b/cmd/thornnotch/main.go
@@ -1,4 +1,5 @@
-// Command thornnotch is a cluster scheduler: every controller node runs it.
+// Command thornnotch is a cluster scheduler. It runs a controller node, and contains the
+// commands to check settings, manage jobs and show the status of the cluster.
 package main
 
 import (
@@ -9,22 +10,22 @@
 	"github.com/alecthomas/kong"
 )
 
-// version is set at release with -ldflags.
+// version is set with -ldflags for a release.
 var version = "0.1.0-dev"
 
 // Exit codes.
 const (
 	exitFailure = 1
-	exitUsage   = 2 // faults in arguments, settings or environment
+	exitUsage   = 2 // invalid arguments, settings or environment
 )
 
-// commandLine is the program's commands and flags; kong reads the tags.
+// commandLine defines the commands and flags in kong's struct tags.
 type commandLine struct {
 	Serve   serveCmd         `cmd:"" default:"withargs" help:"Run a controller node."`
-	Check   checkCmd         `cmd:"" help:"Check the settings and report every problem."`
+	Check   checkCmd         `cmd:"" help:"Check the settings files and report all problems."`
 	Job     jobCmd           `cmd:"" help:"Submit, show and cancel jobs."`
-	Status  statusCmd        `cmd:"" help:"Show nodes, machines, queue, teams and holds."`
-	Demo    demoCmd          `cmd:"" help:"Run stand-ins of the state service, the cloud and its machines on this computer."`
+	Status  statusCmd        `cmd:"" help:"Show nodes, machines, queue, teams and reservations."`
+	Demo    demoCmd          `cmd:"" help:"Run a simulated state service, cloud and workers on this machine."`
 	Version kong.VersionFlag `help:"Print the version."`
 }
 
@@ -35,24 +36,24 @@
 	}
 }
 
-// run parses the arguments and carries the command out.
+// run parses the arguments and executes the command.
 func run(args []string) error {
 	var commands commandLine
 	parser, err := kong.New(&commands, kong.Name("thornnotch"),
 		kong.Description("A cluster scheduler with speculative slot reservation."),
 		kong.UsageOnError(), kong.Vars{"version": version})
 	if err != nil {
-		panic(err) // a mistake in the tags above
+		panic(err) // a struct tag is invalid
 	}
 	command, err := parser.Parse(args)
 	if err != nil {
-		return settingsError{err}
+		return usageError{err}
 	}
 	return command.Run()
 }
 
 func exitCode(err error) int {
-	if errors.As(err, new(settingsError)) {
+	if errors.As(err, new(usageError)) {
 		return exitUsage
 	}
 	return exitFailure
--- a/cmd/thornnotch/overview.go
+++ b/cmd/thornnotch/overview.go
@@ -11,31 +11,31 @@
 	"thornnotch/internal/node"
 )
 
-// printOverview prints a site's nodes, machines, queue, teams and holds as tables with
-// common columns.
+// printOverview prints the nodes, machines, queue, teams and reservations of a cluster as
+// tables with aligned columns.
 func printOverview(out io.Writer, overview node.Overview) error {
 	table := overviewTable{tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)}
 	table.nodes(overview.Nodes)
 	if overview.Cluster == nil {
-		table.line("\nno leader answers")
+		table.line("\nno leader responds")
 	} else {
 		table.cluster(overview.Cluster)
 	}
 	return table.writer.Flush()
 }
 
-// overviewTable prints one table after the other. The writer keeps all until it is
-// flushed, which reports the first error.
+// overviewTable writes the tables of an overview. The writer buffers all output until Flush,
+// which reports the first error.
 type overviewTable struct{ writer *tabwriter.Writer }
 
-// line prints one line; a tab ends a cell.
+// line writes one line. Tabs separate cells.
 func (t overviewTable) line(format string, args ...any) {
 	_, _ = fmt.Fprintf(t.writer, format+"\n", args...)
 }
 
-// nodes prints a line for each node, and below what operators should know of them.
+// nodes writes a line for each node, followed by their problems and failovers.
 func (t overviewTable) nodes(nodes []node.Status) {
-	t.line("NODE\tVERSION\tLEADS\tLEADER SEEN\tTERM\tSTATE REQUESTS LEFT\tSTATE CHANGES LEFT\tCLOUD CALLS LEFT\tSOCKETS\tMEMORY\tTHREADS\tSCARCE")
+	t.line("NODE\tVERSION\tLEADING\tLEADER SEEN\tTERM\tSTATE REQUESTS LEFT\tSTATE WRITES LEFT\tCLOUD REQUESTS LEFT\tSOCKETS\tMEMORY\tTHREADS\tSCARCE")
 	for _, n := range nodes {
 		t.node(n)
 	}
@@ -46,7 +46,7 @@
 	}
 	for _, n := range nodes {
 		if n.Failover != "" {
-			t.line("\n%s takes over: %s", n.Label, n.Failover)
+			t.line("\n%s: failover in progress: %s", n.Label, n.Failover)
 		}
 	}
 }
@@ -64,14 +64,14 @@
 		n.RequestTokens, n.WriteTokens, n.CloudTokens, sockets, n.MemoryMB, n.Threads, strings.Join(n.Scarce, ", "))
 }
 
-// cluster prints what the leader knows.
+// cluster writes the leader's view of the cluster.
 func (t overviewTable) cluster(cluster *leader.Status) {
 	t.line("\nterm %d, %d machines booting, %d leaving, records written: %v", cluster.Term, cluster.Booting, cluster.Leaving, cluster.Recording.Healthy)
 	t.machines(cluster.Machines)
 	t.queue(cluster.Queue)
 	t.teams(cluster.Teams)
 	if len(cluster.Holds) > 0 {
-		t.holds(cluster.Holds)
+		t.reservations(cluster.Holds)
 	}
 }
 
@@ -87,25 +87,25 @@
 }
 
 func (t overviewTable) queue(queues []leader.QueueStatus) {
-	t.line("\nCLASS\tTEAM\tJOBS\tOF THEM AFTER OTHERS\tWAITING\tRUNNING\tDONE")
+	t.line("\nCLASS\tTEAM\tJOBS\tBLOCKED\tWAITING\tRUNNING\tDONE")
 	for _, queue := range queues {
 		t.line("%s\t%s\t%d\t%d\t%d\t%d\t%d", queue.Class, queue.Team, queue.Jobs, queue.Blocked, queue.Waiting, queue.Running, queue.Done)
 	}
 }
 
 func (t overviewTable) teams(teams []leader.TeamStatus) {
-	t.line("\nTEAM\tOF\tUSED\tHELD\tGUARANTEED\tLIMIT")
+	t.line("\nTEAM\tRESOURCE\tUSED\tRESERVED\tGUARANTEED\tLIMIT")
 	for _, team := range teams {
 		t.quota(team.Team, "GPUs", quota{team.GPUs, team.ReservedGPUs, team.GuaranteedGPUs, team.MaxGPUs})
 		t.quota(team.Team, "CPUs", quota{team.CPUs, team.ReservedCPUs, team.GuaranteedCPUs, team.MaxCPUs})
 	}
 }
 
-// quota is what a team uses and may use of one resource; a limit of 0 means none.
-type quota struct{ used, held, guaranteed, limit float64 }
+// quota is a team's use and quota of one resource. A limit of 0 means no limit.
+type quota struct{ used, reserved, guaranteed, limit float64 }
 
-// quota prints what the team has a quota of, or uses: platforms without GPUs have no
-// such rows.
+// quota writes a line for a resource that the team uses or has a quota of, so that clusters
+// without GPUs have no lines for them.
 func (t overviewTable) quota(team, resource string, q quota) {
 	if q.used <= 0 && q.guaranteed <= 0 && q.limit <= 0 {
 		return
@@ -114,13 +114,13 @@
 	if q.limit > 0 {
 		limit = fmt.Sprintf("%.0f", q.limit)
 	}
-	t.line("%s\t%s\t%.0f\t%.0f\t%.0f\t%s", team, resource, q.used, q.held, q.guaranteed, limit)
+	t.line("%s\t%s\t%.0f\t%.0f\t%.0f\t%s", team, resource, q.used, q.reserved, q.guaranteed, limit)
 }
 
-func (t overviewTable) holds(holds []leader.HoldStatus) {
-	t.line("\nHELD ON\tTEAM\tCLASS\tFOR JOB\tCPUS\tGPUS\tLAPSES IN")
-	for _, hold := range holds {
-		lapsesIn := time.Duration(hold.ExpiresInS * float64(time.Second)).Round(time.Second)
-		t.line("%s\t%s\t%s\t%s\t%.0f\t%.0f\t%v", hold.Machine, hold.Team, hold.Class, hold.Job, hold.CPUs, hold.GPUs, lapsesIn)
+func (t overviewTable) reservations(reservations []leader.HoldStatus) {
+	t.line("\nRESERVED ON\tTEAM\tCLASS\tFOR JOB\tCPUS\tGPUS\tEXPIRES IN")
+	for _, reservation := range reservations {
+		expiresIn := time.Duration(reservation.ExpiresInS * float64(time.Second)).Round(time.Second)
+		t.line("%s\t%s\t%s\t%s\t%.0f\t%.0f\t%v", reservation.Machine, reservation.Team, reservation.Class, reservation.Job, reservation.CPUs, reservation.GPUs, expiresIn)
 	}
 }
--- a/cmd/thornnotch/serve.go
+++ b/cmd/thornnotch/serve.go
@@ -11,12 +11,12 @@
 	"thornnotch/internal/node"
 )
 
-// serveCmd runs a controller node until a signal ends it.
+// serveCmd runs a controller node until it receives a signal.
 type serveCmd struct {
 	settingsFiles
 }
 
-// Run carries the command out.
+// Run executes the command.
 func (c *serveCmd) Run() error {
 	settings, operator, err := c.load()
 	if err != nil {
@@ -26,14 +26,14 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	node.LimitRuntime(settings.Params.MachineLimits)
 	network := node.System{Dialer: &net.Dialer{Timeout: constants.DialTimeout}}
 	return node.New(settings, operator, network, log).Run(ctx)
 }
 
-// untilSignal returns a context that ends when the process is told to end.
-func untilSignal() (ctx context.Context, stop context.CancelFunc) {
+// signalContext returns a context that is cancelled by SIGINT or SIGTERM.
+func signalContext() (ctx context.Context, stop context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
--- a/cmd/thornnotch/settings.go
+++ b/cmd/thornnotch/settings.go
@@ -4,28 +4,28 @@
 	"thornnotch/internal/config"
 )
 
-// settingsFiles names the files that the settings are read from.
+// settingsFiles contains the flags for the settings files.
 type settingsFiles struct {
-	Config   string `required:"" placeholder:"FILE" help:"The platform's settings (TOML)."`
-	Operator string `placeholder:"FILE" env:"THORNNOTCH_OPERATOR" help:"The operators' own settings (YAML)."`
+	Config   string `required:"" placeholder:"FILE" help:"Platform settings file (TOML)."`
+	Operator string `placeholder:"FILE" env:"THORNNOTCH_OPERATOR" help:"Operator settings file (YAML)."`
 }
 
-// settingsError is a fault in settings or environment: it ends the program with
-// exitUsage.
-type settingsError struct{ error }
+// usageError is an error in arguments, settings or environment, for which the program exits
+// with exitUsage.
+type usageError struct{ error }
 
-// Unwrap returns the fault itself.
-func (e settingsError) Unwrap() error { return e.error }
+// Unwrap returns the underlying error.
+func (e usageError) Unwrap() error { return e.error }
 
-// load reads and checks both files.
+// load reads and checks both settings files.
 func (f settingsFiles) load() (*config.Settings, config.Operator, error) {
 	settings, err := config.Load(f.Config)
 	if err != nil {
-		return nil, config.Operator{}, settingsError{err}
+		return nil, config.Operator{}, usageError{err}
 	}
 	operator, err := config.LoadOperator(f.Operator)
 	if err != nil {
-		return nil, config.Operator{}, settingsError{err}
+		return nil, config.Operator{}, usageError{err}
 	}
 	return settings, operator, nil
 }
--- a/cmd/thornnotch/status.go
+++ b/cmd/thornnotch/status.go
@@ -7,12 +7,12 @@
 	"thornnotch/internal/node"
 )
 
-// statusCmd shows the site.
+// statusCmd shows the status of the cluster.
 type statusCmd struct {
 	client
 }
 
-// Run carries the command out.
+// Run executes the command.
 func (c *statusCmd) Run() error {
 	body, err := c.request("status", http.MethodGet, "/cluster", nil, http.StatusOK)
 	if err != nil {
--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -1,4 +1,5 @@
-// Package docs_test checks that what the pages name exists.
+// Package docs_test checks that the tests, Go names, packages and files that the documentation
+// mentions exist.
 package docs_test
 
 import (
@@ -13,11 +14,11 @@
 	"testing"
 )
 
-// declarations are the names that the module's Go files declare: "Name", "pkg.Name",
+// declarations is the set of names declared in the module's Go files, as "Name", "pkg.Name",
 // "Type.Member" and "pkg.Type.Member".
 type declarations struct{ names map[string]bool }
 
-// parseModule reads all Go files of the module, tests included.
+// parseModule returns the declarations of all Go files of the module, including tests.
 func parseModule(t *testing.T, root string) declarations {
 	t.Helper()
 	found := declarations{names: make(map[string]bool)}
@@ -44,7 +45,7 @@
 	return found
 }
 
-// add takes in the top-level declarations of one file.
+// add adds the top-level declarations of one file.
 func (d declarations) add(file *ast.File) {
 	pkg := file.Name.Name
 	for _, decl := range file.Decls {
@@ -99,22 +100,22 @@
 
 var (
 	testName = regexp.MustCompile(`\bTest[A-Z]\w+`)
-	// codeName is a backquoted Go name with a package or type before it, or an exported
-	// one with more than one hump.
+	// codeName matches a Go name in backquotes that is qualified by a package or type, or
+	// exported and in mixed case, such as `MixedCase`.
 	codeName = regexp.MustCompile("`((?:[a-zA-Z]\\w*\\.)+[a-zA-Z]\\w*|[A-Z][a-z]+[A-Z]\\w*)`")
 	codePath = regexp.MustCompile("`((?:internal|cmd|docs|examples|deploy|\\.ci)/[\\w./-]+)`")
 )
 
-// packageRow is a row of the architecture page's table of packages.
+// packageRow matches a row of the package table in architecture.md.
 var packageRow = regexp.MustCompile("(?m)^\\| `([a-z/]+)`(?:, `([a-z/]+)`)? \\|")
 
-// settingsName are backquoted names of settings, files and metrics, which look like Go names.
+// settingsName matches names of settings, files and metrics, which look like Go names.
 var settingsName = regexp.MustCompile(`^(params|holds|budgets|log|renting|state|cloud|txn|THORNNOTCH|LOG)\b|\.(go|md|toml|yaml|json|mod)$`)
 
 const moduleRoot = ".."
 
-// TestPagesNameWhatExists: each test and each qualified or many-humped Go name that a page
-// names exists, and each package and file that the architecture page names.
+// TestPagesNameWhatExists checks that each test and each qualified or mixed-case Go name in the
+// documentation exists, as well as each package and file in architecture.md.
 func TestPagesNameWhatExists(t *testing.T) {
 	declared := parseModule(t, moduleRoot)
 	for _, page := range []string{"architecture.md", "design.md", "operations.md", "../CONTRIBUTING.md"} {
@@ -140,7 +141,7 @@
 	t.Helper()
 	for _, name := range testName.FindAllString(text, -1) {
 		if !declared.names[name] {
-			t.Errorf("%s names %s, which no file declares", page, name)
+			t.Errorf("%s: %s is not declared in any Go file", page, name)
 		}
 	}
 }
@@ -149,7 +150,7 @@
 	t.Helper()
 	for _, match := range codeName.FindAllStringSubmatch(text, -1) {
 		if name := match[1]; !settingsName.MatchString(name) && !declared.names[name] {
-			t.Errorf("%s names %s, which no file declares", page, name)
+			t.Errorf("%s: %s is not declared in any Go file", page, name)
 		}
 	}
 }
@@ -160,12 +161,12 @@
 	packages, _, _ = strings.Cut(packages, "\n##")
 	rows := packageRow.FindAllStringSubmatch(packages, -1)
 	if len(rows) == 0 {
-		t.Error("architecture.md has no table of packages")
+		t.Error("architecture.md: no table of packages")
 	}
 	for _, row := range rows {
 		for _, dir := range row[1:] {
 			if _, err := os.Stat(filepath.Join(moduleRoot, "internal", dir)); err != nil && !strings.HasPrefix(dir, "cmd/") {
-				t.Errorf("architecture.md names a package that is not there: %v", err)
+				t.Errorf("architecture.md: package does not exist: %v", err)
 			}
 		}
 	}
@@ -175,7 +176,7 @@
 	t.Helper()
 	for _, match := range codePath.FindAllStringSubmatch(text, -1) {
 		if _, err := os.Stat(filepath.Join(moduleRoot, match[1])); err != nil {
-			t.Errorf("architecture.md names a file that is not there: %v", err)
+			t.Errorf("architecture.md: file does not exist: %v", err)
 		}
 	}
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -9,16 +9,16 @@
 	"thornnotch/internal/constants"
 )
 
-// SettingError is one problem of a settings file.
+// SettingError describes an invalid value in the platform's settings file.
 type SettingError struct {
-	// Key is the setting's, such as "params.workers.lease_s".
+	// Key is the path of the setting, such as "params.workers.lease_s".
 	Key     string
 	Problem string
 }
 
 func (e *SettingError) Error() string { return e.Key + ": " + e.Problem }
 
-// checker collects the problems of a settings file, each a *SettingError.
+// checker collects the problems of a settings file as *SettingError values.
 type checker struct {
 	problems []error
 }
@@ -27,6 +27,7 @@
 	c.problems = append(c.problems, &SettingError{key, fmt.Sprintf(format, args...)})
 }
 
+// address checks that an address has the form HOST:PORT.
 func (c *checker) address(key, value string) {
 	if value == "" {
 		c.fail(key, "is missing")
@@ -37,46 +38,47 @@
 	}
 }
 
-func (c *checker) text(key, value string) {
+// nonEmpty checks that a string does not consist of white space only.
+func (c *checker) nonEmpty(key, value string) {
 	if strings.TrimSpace(value) == "" {
 		c.fail(key, "is missing")
 	}
 }
 
-// unique checks that a name has not been seen before, and takes it for seen.
+// unique checks that name is not in seen, and adds it.
 func (c *checker) unique(key, name string, seen map[string]bool) {
 	if seen[name] {
-		c.fail(key, "%q stands twice", name)
+		c.fail(key, "duplicate name %q", name)
 	}
 	seen[name] = true
 }
 
-// positive checks a rate or a time; what is not a number is refused too.
+// positive checks that a rate or duration is greater than 0 and below MaxAmount. It rejects NaN.
 func (c *checker) positive(key string, value float64) {
 	if !(value > 0 && value < constants.MaxAmount) {
-		c.fail(key, "must be above 0, is %v", value)
+		c.fail(key, "must be greater than 0, is %v", value)
 	}
 }
 
-// amount checks a quantity that may be 0; what is not a number is refused too.
+// amount checks that a quantity is at least 0 and below MaxAmount. It rejects NaN.
 func (c *checker) amount(key string, value float64) {
 	if !(value >= 0 && value < constants.MaxAmount) {
-		c.fail(key, "must be 0 or more, is %v", value)
+		c.fail(key, "must be at least 0, is %v", value)
 	}
 }
 
-// atLeast checks a count.
-func (c *checker) atLeast(key string, least, value int) {
-	if value < least {
-		c.fail(key, "must be %d or more, is %d", least, value)
+// atLeast checks the lower limit of a count.
+func (c *checker) atLeast(key string, minimum, value int) {
+	if value < minimum {
+		c.fail(key, "must be at least %d, is %d", minimum, value)
 	}
 }
 
-// check names every problem of the settings, in the order of the file.
+// check returns all problems of the settings as one joined error, in the order of the file.
 func (s *Settings) check() error {
 	var c checker
-	c.text("label", s.NodeName)
-	c.text("site", s.Site)
+	c.nonEmpty("label", s.NodeName)
+	c.nonEmpty("site", s.Site)
 	c.address("listen", s.Listen)
 	c.address("mesh_addr", s.PeerListen)
 	c.address("services.cloud", s.Services.Cloud)
@@ -101,7 +103,7 @@
 	seen := map[string]bool{ownName: true}
 	for i, peer := range peers {
 		key := fmt.Sprintf("known[%d]", i)
-		c.text(key+".label", peer.Name)
+		c.nonEmpty(key+".label", peer.Name)
 		c.address(key+".addr", peer.Addr)
 		c.unique(key+".label", peer.Name, seen)
 	}
@@ -114,22 +116,22 @@
 	seen := map[string]bool{}
 	for i, team := range teams {
 		key := fmt.Sprintf("params.teams[%d]", i)
-		c.text(key+".name", team.Name)
+		c.nonEmpty(key+".name", team.Name)
 		c.unique(key+".name", team.Name, seen)
 		c.amount(key+".cpus", team.GuaranteedCPUs)
 		c.amount(key+".cpus_max", team.MaxCPUs)
 		c.amount(key+".gpus", team.GuaranteedGPUs)
 		c.amount(key+".gpus_max", team.MaxGPUs)
 		if team.MaxCPUs > 0 && team.GuaranteedCPUs > team.MaxCPUs {
-			c.fail(key+".cpus", "is above cpus_max")
+			c.fail(key+".cpus", "must not be greater than cpus_max")
 		}
 		if team.MaxGPUs > 0 && team.GuaranteedGPUs > team.MaxGPUs {
-			c.fail(key+".gpus", "is above gpus_max")
+			c.fail(key+".gpus", "must not be greater than gpus_max")
 		}
 	}
 }
 
-// slo checks an objective of a known kind.
+// slo checks an objective. Objectives of unknown kinds are ignored.
 func (c *checker) slo(key string, objective SLO) {
 	switch objective.Kind {
 	case SLOWait, SLOCompletion, SLOGuarantee:
@@ -142,13 +144,13 @@
 		return
 	}
 	if objective.Kind != SLOGuarantee {
-		c.text(key+".class", objective.Class)
+		c.nonEmpty(key+".class", objective.Class)
 	}
 	switch {
 	case objective.Share == nil:
 		c.fail(key+".share", "is missing")
 	case !(*objective.Share > 0 && *objective.Share <= 1):
-		c.fail(key+".share", "must be above 0 and at most 1, is %v", *objective.Share)
+		c.fail(key+".share", "must be greater than 0 and at most 1, is %v", *objective.Share)
 	}
 }
 
@@ -158,9 +160,9 @@
 	c.positive("params.workers.gang_wait_s", timings.GangWaitS)
 	c.positive("params.workers.gang_peer_s", timings.GangPeerS)
 	c.positive("params.workers.cancel_s", timings.CancelWithinS)
-	// A worker that is cut off keeps its tasks until its lease expires.
+	// A worker that can't be reached keeps running its tasks until its lease expires.
 	if timings.CancelWithinS > 0 && timings.CancelWithinS <= timings.LeaseS {
-		c.fail("params.workers.cancel_s", "must be above lease_s, or no cancellation can be kept")
+		c.fail("params.workers.cancel_s", "must be greater than lease_s: an unreachable worker runs cancelled tasks until its lease expires")
 	}
 }
 
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,4 +1,4 @@
-// Package config decodes and checks the two settings files: the platform's (TOML), which is
-// the same for all nodes but for the node's own names and addresses, and the operators'
-// (YAML), which is optional. It also derives from the settings how much a node can serve.
+// Package config decodes and checks the two settings files. The platform's file (TOML) is the
+// same for all nodes except for the node's own names and addresses. The operators' file (YAML)
+// is optional. The package also derives the capacity of a node from the settings.
 package config
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -8,7 +8,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// SyntaxError is a place of the settings file that can't be decoded.
+// SyntaxError describes a line of the settings file that can't be decoded.
 type SyntaxError struct {
 	Line    int
 	Problem string
@@ -16,8 +16,8 @@
 
 func (e *SyntaxError) Error() string { return fmt.Sprintf("settings: line %d: %s", e.Line, e.Problem) }
 
-// Load reads and checks a settings file. The error names every problem with its key: it
-// joins a *SettingError for each.
+// Load reads and checks a settings file. If values are invalid, the error joins a
+// *SettingError for each of them.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -2,8 +2,8 @@
 
 import "thornnotch/internal/constants"
 
-// Operator holds the operators' own settings. Every field has a default, so the file may be
-// absent or name only what differs.
+// Operator contains the operators' settings. Every field has a default, so the file is
+// optional and may set only some of them.
 type Operator struct {
 	Holds   HoldSettings    `yaml:"holds"`
 	Budgets BudgetSettings  `yaml:"budgets"`
@@ -11,50 +11,51 @@
 	Log     LogSettings     `yaml:"log"`
 }
 
-// HoldSettings steer speculative slot reservation (paper, III-B and IV-B).
+// HoldSettings configure speculative slot reservation (paper, III-B and IV-B).
 type HoldSettings struct {
-	// Enabled turns holds off for comparison.
+	// Enabled turns slot reservation on; off allows a comparison without it.
 	Enabled bool `yaml:"enabled"`
-	// SubmissionOrder makes holds also where no edges are named: for the next job of the
-	// same team and class in the order of submission.
+	// SubmissionOrder reserves slots even if jobs declare no dependencies: for the next job
+	// of the same team and class in the order of submission.
 	SubmissionOrder bool `yaml:"submission_order"`
-	// Alpha is the Pareto shape of task run times, above 1.
+	// Alpha is the shape of the Pareto distribution of task run times, greater than 1.
 	Alpha float64 `yaml:"alpha"`
-	// P is the wished chance that a stage ends before its holds lapse.
+	// P is the desired probability that a phase ends before its reservations expire.
 	P float64 `yaml:"p"`
-	// Threshold is the finished part of a stage, from 0 to 1, past which more room is held.
+	// Threshold is the fraction of a phase's tasks, from 0 to 1, that must have finished
+	// before further slots are pre-reserved.
 	Threshold float64 `yaml:"threshold"`
 }
 
-// BudgetSettings are the parts, from 0 to 1, of the allowed rates that are used.
+// BudgetSettings are the fractions, from 0 to 1, of the allowed call rates that nodes use.
 type BudgetSettings struct {
-	// LeaderShare is the leader's part of the calls to the state service,
-	// LeaderWriteShare its part of the changes.
+	// LeaderShare is the leader's fraction of the requests to the state service;
+	// LeaderWriteShare is its fraction of the writes.
 	LeaderShare      float64 `yaml:"leader_share"`
 	LeaderWriteShare float64 `yaml:"leader_write_share"`
-	// Use is the part of every allowed rate that is planned for.
+	// Use is the fraction of each allowed rate that all nodes together use.
 	Use float64 `yaml:"use"`
 }
 
-// ScalingSettings steer how many machines are rented.
+// ScalingSettings configure how many machines are rented.
 type ScalingSettings struct {
-	// Spare is how many machines more than the present demand fills are rented, in units
-	// of the square root of that number.
+	// Spare is the number of machines rented beyond the present demand, in units of the
+	// square root of the demand that is expected to arrive while a machine boots.
 	Spare float64 `yaml:"spare"`
-	// Keep is the same for how many idle machines are kept, with the greatest demand of
-	// the last while.
+	// Keep is the number of idle machines kept beyond the highest recent demand, in the
+	// same units.
 	Keep float64 `yaml:"keep"`
 }
 
-// LogSettings steer the leader's write-ahead log.
+// LogSettings configure the leader's write-ahead log.
 type LogSettings struct {
-	// LargeRing lets a large fleet's entries stand in a ring that versions before it
-	// do not read, once all nodes do. Off, the log is brought back to the first ring,
-	// as before a return to such a version.
+	// LargeRing allows the log of a large fleet to use the large ring once all nodes can
+	// read it. Turning it off moves the log back to the small ring, which is necessary before
+	// a downgrade to a version that can't read the large one.
 	LargeRing bool `yaml:"large_ring"`
 }
 
-// DefaultOperator is what holds without a file.
+// DefaultOperator returns the settings that apply without a file.
 func DefaultOperator() Operator {
 	return Operator{
 		Holds: HoldSettings{
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestOperatorProblems: unknown keys and values out of range are named with
-// key and line.
-func TestOperatorProblems(t *testing.T) {
+// TestOperatorErrorsNameKeyAndLine checks that errors for unknown keys and invalid values
+// contain the key and its line.
+func TestOperatorErrorsNameKeyAndLine(t *testing.T) {
 	operator, err := ParseOperator([]byte("holds:\n  p: 0.5\n"))
 	if err != nil || operator.Holds.P != 0.5 || operator.Holds.Alpha != DefaultOperator().Holds.Alpha {
 		t.Fatalf("%+v, %v", operator, err)
@@ -15,7 +15,7 @@
 	if operator, err := ParseOperator(nil); err != nil || operator != DefaultOperator() {
 		t.Fatalf("empty file: %+v, %v", operator, err)
 	}
-	for text, named := range map[string][]string{
+	for text, wantParts := range map[string][]string{
 		"holds:\n  q: 1\n":            {"q", "2"},
 		"holds:\n  p: 1.5\n":          {"holds.p", "line 2"},
 		"holds:\n  alpha: 0.9\n":      {"holds.alpha", "line 2"},
@@ -25,9 +25,9 @@
 		"holds:\n  threshold: lots\n": {"2"},
 	} {
 		_, err := ParseOperator([]byte(text))
-		for _, part := range named {
-			if err == nil || !strings.Contains(err.Error(), part) {
-				t.Errorf("%q: want %q in: %v", text, part, err)
+		for _, want := range wantParts {
+			if err == nil || !strings.Contains(err.Error(), want) {
+				t.Errorf("%q: want %q in: %v", text, want, err)
 			}
 		}
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Settings is the file that the platform hands over. Unknown fields are ignored: new ones
-// may be added at any time. All checks have been passed by what Load and Parse return.
+// Settings is the content of the platform's settings file. Unknown fields are ignored, since
+// the platform may add new ones at any time. Load and Parse return only valid settings.
 type Settings struct {
 	// NodeName is this node's name.
 	NodeName string `toml:"label"`
-	// Site is the zone that the node stands in.
+	// Site is the zone of this node.
 	Site string `toml:"site"`
-	// Listen is the HOST:PORT for users, workers and health checks.
+	// Listen is the HOST:PORT on which the node serves users, workers and health checks.
 	Listen string `toml:"listen"`
-	// PeerListen is the HOST:PORT for the other nodes.
+	// PeerListen is the HOST:PORT on which the node serves its peers.
 	PeerListen string `toml:"mesh_addr"`
 	// Peers are the other nodes.
 	Peers    []Peer   `toml:"known"`
@@ -22,25 +22,24 @@
 // Peer is another controller node.
 type Peer struct {
 	Name string `toml:"label"`
-	// Site is the zone that it stands in.
+	// Site is the zone of the peer.
 	Site string `toml:"site"`
-	// Addr is its PeerListen address.
+	// Addr is the HOST:PORT of its PeerListen.
 	Addr string `toml:"addr"`
 }
 
-// Services are the addresses (HOST:PORT) of the outside systems.
+// Services contains the addresses (HOST:PORT) of the external services.
 type Services struct {
 	Cloud string `toml:"cloud"`
 	State string `toml:"state"`
 }
 
-// Params are the settings that all nodes share.
+// Params contains the settings that are the same for all nodes.
 type Params struct {
 	// Count is the number of nodes.
 	Count int      `toml:"count"`
 	Zones []string `toml:"zones"`
-	// ClockOffMS bounds how far a node's time of day is off, in milliseconds. It is decoded
-	// with the rest and used nowhere.
+	// ClockOffMS is the maximum error of a node's wall clock in milliseconds. It is not used.
 	ClockOffMS    float64       `toml:"clock_off_ms"`
 	Teams         []Team        `toml:"teams"`
 	SLOs          []SLO         `toml:"objectives"`
@@ -50,48 +49,50 @@
 	MachineLimits MachineLimits `toml:"machine_limits"`
 }
 
-// Team is a team and its quota; a level of 0 means none.
+// Team is a team and its quota. A guarantee of 0 guarantees nothing, a maximum of 0 means no
+// limit.
 type Team struct {
 	Name string `toml:"name"`
-	// GuaranteedCPUs and GuaranteedGPUs are the team's to use at any time.
+	// GuaranteedCPUs and GuaranteedGPUs are always available to the team.
 	GuaranteedCPUs float64 `toml:"cpus"`
 	GuaranteedGPUs float64 `toml:"gpus"`
-	// MaxCPUs and MaxGPUs limit what it uses together with what it borrows.
+	// MaxCPUs and MaxGPUs limit its total use, including borrowed resources.
 	MaxCPUs float64 `toml:"cpus_max"`
 	MaxGPUs float64 `toml:"gpus_max"`
 }
 
-// WorkerTimings are the workers' timings, in seconds (protocol, "Workers").
+// WorkerTimings contains the timings of workers in seconds (protocol, "Workers").
 type WorkerTimings struct {
-	// HeartbeatS is the interval of a worker's heartbeats.
+	// HeartbeatS is the interval between a worker's heartbeats.
 	HeartbeatS float64 `toml:"report_s"`
-	// LeaseS is how long after its last answered heartbeat a worker kills its tasks.
+	// LeaseS is how long after its last acknowledged heartbeat a worker kills its tasks.
 	LeaseS float64 `toml:"lease_s"`
-	// GangWaitS is how long a gang's task waits for the others to start.
+	// GangWaitS is how long a task of a gang waits for the others to start.
 	GangWaitS float64 `toml:"gang_wait_s"`
-	// GangPeerS is within which time a gang's task notices that another one is gone, and
-	// how long it waits for the others in an orderly stop.
+	// GangPeerS is the time within which a task of a gang detects that another one is gone,
+	// and how long it waits for the others in an orderly stop.
 	GangPeerS float64 `toml:"gang_peer_s"`
-	// CancelWithinS is how long after its user was told that a job is cancelled a task
-	// of it may still be on a machine.
+	// CancelWithinS is the maximum time between the confirmation of a job's cancellation to
+	// its user and the end of its last task.
 	CancelWithinS float64 `toml:"cancel_s"`
 }
 
-// StateLimits limit the calls to the state service.
+// StateLimits contains the limits of the state service.
 type StateLimits struct {
-	// RPS is how many calls a second all nodes together may make, WriteRPS how many of
-	// them may change anything.
+	// RPS is the number of requests per second that all nodes together may send; WriteRPS is
+	// the number of writes among them.
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
-	// ValueKB is the size of the largest value, in KiB.
+	// ValueKB is the maximum size of a value in KiB.
 	ValueKB float64 `toml:"value_kb"`
-	// TxnOps is how many writes a transaction may have.
+	// TxnOps is the maximum number of writes in a transaction.
 	TxnOps int `toml:"txn_ops"`
-	// Next are limits that hold from some moment on, without notice; nil: none.
+	// Next contains lower limits that take effect at some time without notice; nil if none.
 	Next *UpcomingStateLimits `toml:"next"`
 }
 
-// UpcomingStateLimits are limits to come. What is not named stays.
+// UpcomingStateLimits contains limits that will replace the present ones. Those that are nil do
+// not change.
 type UpcomingStateLimits struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
@@ -99,8 +100,8 @@
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// withUpcomingSizes has values and transactions keep within the smaller of both limits from
-// the start: a larger one may be under way when the limits fall.
+// withUpcomingSizes returns the limits with each size reduced to the smaller of the present and
+// the upcoming limit. A larger value or transaction could be in flight when the limits change.
 func (l StateLimits) withUpcomingSizes() StateLimits {
 	if l.Next != nil && l.Next.ValueKB != nil {
 		l.ValueKB = min(l.ValueKB, *l.Next.ValueKB)
@@ -111,8 +112,8 @@
 	return l
 }
 
-// Rates are the rates (calls and changes a second) allowed now, or those to come once they
-// have fallen.
+// Rates returns the allowed requests and writes per second: the present ones, or the upcoming
+// ones if fallen is set.
 func (l StateLimits) Rates(fallen bool) (rps, writeRPS float64) {
 	rps, writeRPS = l.RPS, l.WriteRPS
 	if fallen && l.Next != nil && l.Next.RPS != nil {
@@ -124,23 +125,23 @@
 	return rps, writeRPS
 }
 
-// CloudLimits limit the calls to the cloud.
+// CloudLimits contains the limits of the cloud.
 type CloudLimits struct {
-	// RPS is how many calls a second all nodes together may make.
+	// RPS is the number of requests per second that all nodes together may send.
 	RPS float64 `toml:"rps"`
-	// ListLagS is by how many seconds the list of machines lags.
+	// ListLagS is the maximum age, in seconds, of the data in the cloud's machine list.
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// MachineLimits are those of the machine that the node itself runs on; 0 means none.
+// MachineLimits contains the limits of the machine that the node runs on; 0 means no limit.
 type MachineLimits struct {
-	// Cores is the share of the processor.
+	// Cores is the number of CPU cores available to the process, which may be a fraction.
 	Cores float64 `toml:"cores"`
-	// MemMB is the memory, in MiB; beyond it the process is killed.
+	// MemMB is the memory limit in MiB. The process is killed if it exceeds it.
 	MemMB float64 `toml:"mem_mb"`
-	// Sockets is how many connections may be open.
+	// Sockets is the maximum number of open sockets.
 	Sockets int `toml:"sockets"`
 }
 
-// Seconds turns a setting in seconds into a duration.
+// Seconds converts a setting in seconds to a time.Duration.
 func Seconds(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const goodSettings = `label = "rig-0"
+const validSettings = `label = "rig-0"
 site = "east"
 listen = "10.0.0.1:8080"
 mesh_addr = "10.0.0.1:8081"
@@ -53,12 +53,12 @@
 list_lag_s = 10.0
 `
 
-// TestSettingsProblems: every problem is named with its key, all at once.
-func TestSettingsProblems(t *testing.T) {
-	if _, err := Parse(goodSettings); err != nil {
-		t.Fatalf("good settings: %v", err)
+// TestSettingsErrorsNameKey checks that the error contains the key of every invalid setting.
+func TestSettingsErrorsNameKey(t *testing.T) {
+	if _, err := Parse(validSettings); err != nil {
+		t.Fatalf("valid settings: %v", err)
 	}
-	for _, test := range []struct{ replaced, by, named string }{
+	for _, test := range []struct{ old, replacement, wantKey string }{
 		{`label = "rig-0"`, ``, "label"},
 		{`"10.0.0.1:8080"`, `"10.0.0.1"`, "listen"},
 		{`label = "rig-1"`, `label = "rig-0"`, "known[0].label"},
@@ -77,25 +77,25 @@
 		{`count = 2`, `count = "two"`, "count"},
 		{`[params]`, `[params`, "line"},
 	} {
-		_, err := Parse(strings.Replace(goodSettings, test.replaced, test.by, 1))
-		if err == nil || !strings.Contains(err.Error(), test.named) {
-			t.Errorf("%s: %v", test.by, err)
+		_, err := Parse(strings.Replace(validSettings, test.old, test.replacement, 1))
+		if err == nil || !strings.Contains(err.Error(), test.wantKey) {
+			t.Errorf("%s: %v", test.replacement, err)
 		}
 	}
 	_, err := Parse("label = \"x\"\n")
 	if err == nil || strings.Count(err.Error(), "\n") < 8 {
-		t.Errorf("not all problems are named: %v", err)
+		t.Errorf("error does not list all problems: %v", err)
 	}
 	var problem *SettingError
 	if !errors.As(err, &problem) || problem.Key != "site" {
-		t.Errorf("the first problem is not that of site: %v", err)
+		t.Errorf("first problem is not that of site: %v", err)
 	}
 }
 
-// TestLargeSite: five nodes, thousands of GPUs, small values and large
-// transactions are as good as the small site.
-func TestLargeSite(t *testing.T) {
-	text := strings.Replace(goodSettings, "[services]", `[[known]]
+// TestLargeSiteAccepted checks that the settings of a large cluster are accepted: five nodes,
+// thousands of GPUs, small values and large transactions.
+func TestLargeSiteAccepted(t *testing.T) {
+	text := strings.Replace(validSettings, "[services]", `[[known]]
 label = "rig-2"
 addr = "10.0.0.3:8081"
 [[known]]
@@ -116,22 +116,22 @@
 		t.Fatalf("%+v: %v", settings, err)
 	}
 	if _, err := Parse(strings.Replace(text, `"rig-4"`, `"rig-3"`, 1)); err == nil || !strings.Contains(err.Error(), "known[3].label") {
-		t.Errorf("a node named twice: %v", err)
+		t.Errorf("duplicate peer name: %v", err)
 	}
 }
 
-// TestLimitsToCome: values and transactions keep within the smaller of both limits
-// from the start, rates fall only once they are found to have fallen, what is not
-// named stays, and senseless ones are named.
-func TestLimitsToCome(t *testing.T) {
+// TestUpcomingLimits checks that upcoming size limits apply from the start if they are smaller,
+// that upcoming rates apply only after the rates have fallen, that absent limits do not change
+// anything, and that invalid ones are reported.
+func TestUpcomingLimits(t *testing.T) {
 	withNext := func(next string) string {
-		return strings.Replace(goodSettings, "[params.cloud]", "[params.state.next]\n"+next+"\n[params.cloud]", 1)
+		return strings.Replace(validSettings, "[params.cloud]", "[params.state.next]\n"+next+"\n[params.cloud]", 1)
 	}
 	for _, test := range []struct {
-		next                 string
-		valueKB              float64
-		txnOps               int
-		fallenRPS, fallenWPS float64
+		next                          string
+		valueKB                       float64
+		txnOps                        int
+		upcomingRPS, upcomingWriteRPS float64
 	}{
 		{"", 16, 12, 150, 50},
 		{"value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 35.0", 2, 4, 150, 35},
@@ -144,13 +144,13 @@
 		}
 		limits := settings.Params.State
 		if limits.ValueKB != test.valueKB || limits.TxnOps != test.txnOps {
-			t.Errorf("%q: %v KB, %d changes", test.next, limits.ValueKB, limits.TxnOps)
+			t.Errorf("%q: %v KiB, %d writes", test.next, limits.ValueKB, limits.TxnOps)
 		}
 		if rps, writeRPS := limits.Rates(false); rps != 150 || writeRPS != 50 {
-			t.Errorf("%q: now %v, %v", test.next, rps, writeRPS)
+			t.Errorf("%q: present rates %v, %v", test.next, rps, writeRPS)
 		}
-		if rps, writeRPS := limits.Rates(true); rps != test.fallenRPS || writeRPS != test.fallenWPS {
-			t.Errorf("%q: fallen %v, %v", test.next, rps, writeRPS)
+		if rps, writeRPS := limits.Rates(true); rps != test.upcomingRPS || writeRPS != test.upcomingWriteRPS {
+			t.Errorf("%q: upcoming rates %v, %v", test.next, rps, writeRPS)
 		}
 	}
 	for next, key := range map[string]string{
--- a/internal/config/sizing.go
+++ b/internal/config/sizing.go
@@ -7,27 +7,27 @@
 	"thornnotch/internal/constants"
 )
 
-// ownSockets is how many sockets the calls of a node with so many peers take.
-func ownSockets(peers int) int {
+// internalSockets returns the number of sockets that a node needs for its own calls and those of
+// its peers.
+func internalSockets(peers int) int {
 	const direct = constants.StateConns + constants.StateLeaseConns + constants.CloudConns +
 		constants.MaxCommandsInFlight + constants.MaxIdleCommandConns
 	return direct + peers*(1+constants.MeshConnsPerNode) + constants.SocketMargin
 }
 
-// SocketLimit is how many connections users and workers may have together: all
-// sockets but those that our own calls need, which are bounded in number. 0
-// means that there is no limit.
+// SocketLimit returns the maximum number of connections of users and workers together: all
+// sockets except those reserved for the node's own calls. It returns 0 if there is no limit.
 func (s *Settings) SocketLimit() int {
-	all := s.Params.MachineLimits.Sockets
-	if all <= 0 {
+	total := s.Params.MachineLimits.Sockets
+	if total <= 0 {
 		return 0
 	}
-	reserved := min(ownSockets(len(s.Peers)), int(float64(all)*constants.MaxReservedSocketShare))
-	return max(constants.MinSockets, all-reserved)
+	reserved := min(internalSockets(len(s.Peers)), int(float64(total)*constants.MaxReservedSocketShare))
+	return max(constants.MinSockets, total-reserved)
 }
 
-// WorkerCapacity is how many workers one node can serve by its sockets and by its memory,
-// with some users beside them. Infinite where there is no limit.
+// WorkerCapacity returns how many workers one node can serve, in addition to some users, with
+// its sockets and with its memory. It returns infinity where there is no limit.
 func (s *Settings) WorkerCapacity() (bySockets, byMemory float64) {
 	bySockets, byMemory = math.Inf(1), math.Inf(1)
 	if sockets := s.SocketLimit(); sockets > 0 {
@@ -39,9 +39,9 @@
 	return bySockets, byMemory
 }
 
-// SizingWarnings name the settings under which a node can't serve so many workers, each with
-// what it is and what it would have to be. They are no reason not to start: the node
-// serves those it can.
+// SizingWarnings returns a warning for each setting that is too small for a node to serve the
+// given number of workers. A warning contains the setting's value and the value needed. The node
+// can still start, and serves as many workers as it can.
 func (s *Settings) SizingWarnings(workers int) []string {
 	var warnings []string
 	for _, warning := range []string{s.socketWarning(workers), s.memoryWarning(workers), s.cloudRateWarning(workers)} {
@@ -52,17 +52,17 @@
 	return warnings
 }
 
-// socketWarning is empty if the sockets are enough for so many workers.
+// socketWarning returns a warning if there are too few sockets for the workers, else "".
 func (s *Settings) socketWarning(workers int) string {
 	bySockets, _ := s.WorkerCapacity()
 	if bySockets >= float64(workers) {
 		return ""
 	}
 	return fmt.Sprintf("params.machine_limits.sockets: %d leave room for %.0f workers beside %d users and our own calls; %d are to be expected: all of them would take %d",
-		s.Params.MachineLimits.Sockets, bySockets, constants.MinUsers, workers, workers+constants.MinUsers+ownSockets(len(s.Peers)))
+		s.Params.MachineLimits.Sockets, bySockets, constants.MinUsers, workers, workers+constants.MinUsers+internalSockets(len(s.Peers)))
 }
 
-// memoryWarning is empty if the memory is enough for so many workers.
+// memoryWarning returns a warning if there is too little memory for the workers, else "".
 func (s *Settings) memoryWarning(workers int) string {
 	_, byMemory := s.WorkerCapacity()
 	if byMemory >= float64(workers) {
@@ -73,18 +73,19 @@
 		s.Params.MachineLimits.MemMB, byMemory, workers, neededMB)
 }
 
-// cloudRateWarning is empty if reading the list of so many machines leaves enough of the
-// cloud's rate for renting and returning.
+// cloudRateWarning returns a warning if reading the list of machines leaves too little of the
+// cloud's request rate for renting and returning, else "".
 func (s *Settings) cloudRateWarning(machines int) string {
 	rps, listRPS := s.Params.Cloud.RPS, s.listRPS(machines)
-	if rps <= 0 || listRPS <= rps*constants.MaxListShare { // 0: no limit is set
+	if rps <= 0 || listRPS <= rps*constants.MaxListShare { // 0: no limit
 		return ""
 	}
 	return fmt.Sprintf("params.cloud.rps: %g leave too little for renting and returning; %d machines are to be expected: their list alone takes %.1f, so it should be %.1f",
 		rps, machines, listRPS, listRPS/constants.MaxListShare)
 }
 
-// listRPS is how many calls a second the cloud's list of so many machines takes.
+// listRPS returns the requests per second needed to read a list of that many machines from the
+// cloud.
 func (s *Settings) listRPS(machines int) float64 {
 	pages := math.Ceil(float64(machines) / constants.InstanceListPage)
 	return pages / max(s.Params.Cloud.ListLagS, constants.MinListInterval.Seconds())
--- a/internal/config/slo.go
+++ b/internal/config/slo.go
@@ -1,29 +1,31 @@
 package config
 
-// Kinds of service-level objectives. Others are ignored: new ones may come.
+// Kinds of service-level objectives. Unknown kinds are ignored, since the platform may add new
+// ones.
 const (
-	SLOWait       = "wait"      // a job's tasks started within a time
-	SLOCompletion = "finished"  // a job done within a time
-	SLODeadline   = "deadline"  // a job done by so many times its due time
-	SLOGuarantee  = "guarantee" // what fits its team's guarantee started within a time
+	SLOWait       = "wait"      // the tasks of a job start within a time
+	SLOCompletion = "finished"  // a job completes within a time
+	SLODeadline   = "deadline"  // a job completes within a multiple of its due time
+	SLOGuarantee  = "guarantee" // tasks within the team's guarantee start within a time
 )
 
-// SLO is one service-level objective of the users.
+// SLO is a service-level objective.
 type SLO struct {
-	// Kind is one of the SLO constants, or unknown here.
+	// Kind is one of the SLO constants or an unknown kind.
 	Kind string `toml:"kind"`
-	// Class is the class of jobs that it is about; SLOGuarantee has none.
+	// Class is the class of the jobs that it applies to; not used by SLOGuarantee.
 	Class string `toml:"class"`
-	// WithinS is the time, in seconds, of all kinds but SLODeadline.
+	// WithinS is the time in seconds; not used by SLODeadline.
 	WithinS float64 `toml:"within_s"`
-	// Share is the part of the jobs, or of the tasks, for which it is to be met, above 0
-	// and at most 1.
+	// Share is the fraction of jobs or tasks that must meet the objective, greater than 0 and
+	// at most 1.
 	Share *float64 `toml:"share"`
-	// DueTimeFactor is SLODeadline's; see DueFactor.
+	// DueTimeFactor is the multiple of the due time for SLODeadline; 1 if nil.
 	DueTimeFactor *float64 `toml:"times"`
 }
 
-// DueFactor is by how many times its due time a job is to be done, for SLODeadline.
+// DueFactor returns the multiple of its due time within which a job must complete, for
+// SLODeadline.
 func (o SLO) DueFactor() float64 {
 	if o.DueTimeFactor == nil {
 		return 1
--- a/internal/constants/attestation.go
+++ b/internal/constants/attestation.go
@@ -2,25 +2,27 @@
 
 import "time"
 
-// Attestation: other nodes confirm to a leader which cancellations they told users of.
+// Cancellation attestation: all nodes name to the leader the cancellations that they have
+// confirmed to users.
 const (
-	// AttestationInterval is the time between two rounds in which a leader whose watch is
-	// not answered asks the other nodes which cancellations they know of. It is short
-	// compared with the least time for which a leader is certain without an answer.
+	// AttestationInterval is the time between two attestation rounds. It must be short
+	// compared with certainty.Window, the time for which the leader may acknowledge workers
+	// without new proof that it knows all cancellations.
 	AttestationInterval = 1000 * time.Millisecond
-	// AttestationAfter is how old the watch's last proof must be before the leader asks.
-	// It is short for the same reason.
+	// AttestationAfter is how long ago the leader's watch must have been answered last for a
+	// round to start. It must be short for the same reason as AttestationInterval.
 	AttestationAfter = 3 * time.Second
-	// AttestationMargin is how much further back than the watch's last proof the nodes must
-	// attest.
+	// AttestationMargin is added to the age of the watch's last answer to get the period
+	// that the nodes attest to.
 	AttestationMargin = 2 * time.Second
-	// AttestationMaxAge is how old the question may be when its answer is taken in: the
-	// answer counts back from when it was given, which is later than it was asked for.
+	// AttestationMaxAge is the largest age of a question at which its answers are accepted.
+	// A node counts the period back from the time of its answer, so the period of a late
+	// answer might not reach back to the watch's last answer.
 	AttestationMaxAge = 1500 * time.Millisecond
-	// CancellationLogWindow is for how long a node remembers the cancellations that it can
-	// attest to, even if every change that the state service allows were a cancellation.
+	// CancellationLogWindow is the period for which a node remembers the cancellations that
+	// it has confirmed, even if every write that the state service allows is a cancellation.
 	CancellationLogWindow = 5 * time.Minute
-	// CancellationLogMinEntries is the least number of cancellations remembered (entries of
-	// some 64 bytes each).
+	// CancellationLogMinEntries is the minimum capacity of the cancellation log, in entries
+	// of about 64 bytes.
 	CancellationLogMinEntries = 8192
 )
--- a/internal/constants/cloud.go
+++ b/internal/constants/cloud.go
@@ -4,75 +4,78 @@
 
 // Requests to the cloud.
 const (
-	// CloudTimeout bounds one request to the cloud.
+	// CloudTimeout is the timeout of one request to the cloud.
 	CloudTimeout = 4 * time.Second
-	// MinCloudBackoff and MaxCloudBackoff bound the pause after a call that the cloud did
-	// not carry out.
+	// MinCloudBackoff and MaxCloudBackoff bound the exponential backoff after a failed request.
 	MinCloudBackoff = 500 * time.Millisecond
 	MaxCloudBackoff = 4 * time.Second
-	// CloudConns and CloudIdleConns are the connections opened and kept to the cloud: there
-	// are few calls a second.
+	// CloudConns and CloudIdleConns are the maximum numbers of open and of idle connections
+	// to the cloud. There are only a few requests per second.
 	CloudConns     = 4
 	CloudIdleConns = 2
-	// CloudErrorExcerpt is how much of an unexpected answer an error quotes (characters).
+	// CloudErrorExcerpt is the number of characters of an unexpected response that an error
+	// quotes.
 	CloudErrorExcerpt = 120
-	// CatalogInterval is the time between two reads of the catalog, for the prices.
+	// CatalogInterval is the time between two reads of the catalog, which update the prices.
 	CatalogInterval = 60 * time.Second
-	// CatalogRetry is the pause before asking again while no catalog is known.
+	// CatalogRetry is the delay before the next attempt while no catalog is known.
 	CatalogRetry = 1 * time.Second
-	// MinListInterval is the least time between two reads of the cloud's machine list.
+	// MinListInterval is the minimum time between two reads of the cloud's machine list.
 	MinListInterval = 3 * time.Second
-	// MaxListShare is the largest part of the cloud's allowed calls that these should take (ratio).
+	// MaxListShare is the largest fraction of the cloud's request rate that reading the
+	// machine list should use. The rest is for renting and returning machines.
 	MaxListShare = 0.5
-	// InstanceListPage is the number of machines in one page of that list (protocol: 500 at most).
+	// InstanceListPage is the number of machines per page of the list (protocol: at most 500).
 	InstanceListPage = 500
-	// RentBatch is the largest number of machines in one rent request (protocol).
+	// RentBatch is the maximum number of machines in one rent request (protocol).
 	RentBatch = 50
-	// ReturnBatch is the largest number of names in one return request (protocol).
+	// ReturnBatch is the maximum number of machines in one return request (protocol).
 	ReturnBatch = 100
 )
 
 // Scale out.
 const (
-	// NoCapacityPause is the pause before asking again for a machine type, zone and kind
-	// that was refused.
+	// NoCapacityPause is the time for which a pool (machine type, zone, spot or on-demand)
+	// is not requested again after the cloud had no capacity for it.
 	NoCapacityPause = 10 * time.Second
-	// ArrivalRateWindow is how far back jobs are counted to predict what may come.
+	// ArrivalRateWindow is the period over which arriving jobs are counted to predict demand.
 	ArrivalRateWindow = 60 * time.Second
-	// ScaleOutSpare is the default of the operator setting spare: machines beside those that
-	// the demand fills, in units of the square root of what comes while a machine boots.
+	// ScaleOutSpare is the default of the operator setting renting.spare: the number of
+	// machines beyond the present demand, in units of the square root of the demand that is
+	// expected to arrive while a machine boots.
 	ScaleOutSpare = 4.0
-	// OverflowPriceFactor times the spot price, divided by the on-demand price, is the part
-	// of the work without spot machines to be had for which on-demand ones are rented.
+	// OverflowPriceFactor times the spot price, divided by the on-demand price, is the
+	// fraction of unavailable spot machines that is replaced by on-demand ones.
 	OverflowPriceFactor = 2
 )
 
 // Scale in.
 const (
-	// ScaleInSpare is the default of the operator setting keep, in the units of ScaleOutSpare.
+	// ScaleInSpare is the default of the operator setting renting.keep, in the same units
+	// as ScaleOutSpare.
 	ScaleInSpare = 4.0
-	// TerminatedRetention is how long a machine that was given back is remembered: lists
-	// lag, and a heartbeat may still be under way.
+	// TerminatedRetention is how long a terminated machine is remembered, since the cloud's
+	// list may still name it and a delayed heartbeat may still arrive from it.
 	TerminatedRetention = 10 * time.Minute
-	// FleetReviewInterval is the pause between two searches for slow, faulty and unneeded
-	// machines.
+	// FleetReviewInterval is the time between two checks for slow, faulty and surplus machines.
 	FleetReviewInterval = time.Second
-	// IdleReturnAfter is how long an unneeded machine is kept where price counts.
+	// IdleReturnAfter is how long a surplus machine must be idle before it is returned.
 	IdleReturnAfter = 10 * time.Second
-	// DemandWindow is how far back demand is remembered before machines are returned.
+	// DemandWindow is the period whose highest demand determines which machines are surplus.
 	DemandWindow = 20 * time.Second
-	// BootTimeoutFactor times the catalog's boot time is how long a machine may take to send
-	// its first heartbeat before it is returned.
+	// BootTimeoutFactor times the boot time in the catalog is the time after which a machine
+	// without a heartbeat is returned.
 	BootTimeoutFactor = 3.0
-	// SilentReturnAfter is how long past its lease a machine may stay silent before it is
-	// returned: long enough for a short network cut to heal.
+	// SilentReturnAfter is how long after its lease a silent machine is returned. It leaves a
+	// short network partition time to heal.
 	SilentReturnAfter = 25 * time.Second
-	// UnreachableReturnAfter is the same when most of a zone is silent, which is a network
-	// cut and not the end of its machines.
+	// UnreachableReturnAfter replaces SilentReturnAfter while most machines of a zone are
+	// silent, which indicates a network partition rather than machine failures.
 	UnreachableReturnAfter = 90 * time.Second
-	// UnreachableMinMachines is the number of silent machines needed for that.
+	// UnreachableMinMachines is the minimum number of silent machines in an unreachable zone.
 	UnreachableMinMachines = 3
-	// UnreachableHold is how long a zone still counts as cut off once most of its machines
-	// are back: a worker without an answer tries all nodes, a few seconds at each.
+	// UnreachableHold is how long a zone still counts as unreachable after most of its
+	// machines are back. The others may need longer, because a worker without a reply tries
+	// all nodes in turn for a few seconds each.
 	UnreachableHold = 40 * time.Second
 )
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -1,7 +1,7 @@
-// Package constants holds every constant of thornnotch, each with its unit and the reason
-// for its value. What differs between deployments is not here: it comes from the settings
-// file, the catalog or measurement.
+// Package constants defines the constants that tune thornnotch, each with its unit and, where
+// it is not obvious, the reason for its value. Values that differ between deployments come
+// from the settings files or the catalog instead.
 //
-// A file holds the constants of one duty. Constants of type time.Duration carry their unit;
-// all others name it in their comment, or are plain counts or ratios.
+// Each file covers one subsystem. Constants of type time.Duration carry their unit; the
+// comment of any other constant names it, unless the constant is a plain count or ratio.
 package constants
--- a/internal/constants/leadership.go
+++ b/internal/constants/leadership.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// Election and the leader's lease.
+// Leader election and the leader's lease.
 const (
-	// LeaseTTL is the lifetime of the leader's lease in the state service. It bounds how
-	// long a dead leader goes unnoticed, and must stay far below the workers' lease so that
-	// workers are answered again before their own lease expires.
+	// LeaseTTL is the lifetime of the leader's lease in the state service, and so the longest
+	// time for which a dead leader goes unnoticed. It must be much shorter than the workers'
+	// lease, so that a new leader answers workers before their lease expires.
 	LeaseTTL = 2500 * time.Millisecond
-	// LeaseRenewInterval is the time between two renewals: three attempts fit into LeaseTTL.
+	// LeaseRenewInterval is the time between two renewals. Three attempts fit into LeaseTTL.
 	LeaseRenewInterval = 700 * time.Millisecond
-	// WatchBlock is how long one watch request waits for a change. Every answer, even an
-	// empty one, renews the leader's proof that it knows all cancellations, so the time
-	// must be short compared with the setting cancel_s; one request a second is cheap.
+	// WatchBlock is the maximum wait of one watch request of the leader. Every response, even
+	// an empty one, renews the proof that the leader knows all cancellations, so the wait must
+	// be short compared with the setting cancel_s. One request per second is cheap.
 	WatchBlock = 1000 * time.Millisecond
-	// ElectionWatchBlock is how long one watch request of a node that does not lead waits
-	// for a change of the election. Nothing rests on its answers coming often.
+	// ElectionWatchBlock is the maximum wait of one watch request for changes of the election
+	// on a node that does not lead. Nothing depends on frequent responses to it.
 	ElectionWatchBlock = 10 * time.Second
-	// ClockDrift is the largest relative difference assumed between two steady clocks
-	// (ratio). The protocol allows 0.05 % on each side; the value leaves a safety margin.
+	// ClockDrift is the maximum relative difference in rate between two monotonic clocks. The
+	// protocol allows 0.05 % for each clock; the rest is a safety margin.
 	ClockDrift = 0.002
 )
 
 // The leader's event loop.
 const (
-	// EventQueueSize is how many events may wait for the loop before those that hand them over
-	// wait too, so that they rarely do while a scheduling pass runs.
+	// EventQueueSize is the capacity of the event queue. Senders block while it is full; it
+	// should absorb the events that arrive during a scheduling pass.
 	EventQueueSize = 256
 	// TickInterval is the period of the tick that drives timeouts, lease expiry and scaling.
 	TickInterval = 250 * time.Millisecond
-	// StallAfter is how long the event loop, which wakes with every tick, must have stood
-	// still before the leader attributes silence to itself instead of to workers. When
-	// processor time is short a tick may be late by a second.
+	// StallAfter is the gap between two rounds of the event loop after which silence is
+	// attributed to the leader itself rather than to the workers. The loop wakes with every
+	// tick, but ticks can be a second late when the CPU is overloaded.
 	StallAfter = 3 * time.Second
 	// LoadLogInterval is the time between two log lines about the leader's load.
 	LoadLogInterval = 30 * time.Second
@@ -39,15 +39,15 @@
 	SummaryLogInterval = 5 * time.Second
 )
 
-// Layout of an attempt number (bits): the attempt counter's low part, then the term, then
-// the counter's high part.
+// Layout of an attempt number, from the lowest bits: low part of the attempt counter, term,
+// high part of the counter. Widths are in bits.
 const (
-	// AttemptCounterBits is the width of the counter's low part, below the term: a million
-	// starts. Versions that know no high part read this layout as well.
+	// AttemptCounterBits is the width of the counter's low part: a million starts per term.
+	// Versions without the high part read this layout as well.
 	AttemptCounterBits = 20
-	// TermBits is the width of the term where a high part of the counter stands above it:
-	// enough for one election a second for half a year.
+	// TermBits is the width of the term if the counter's high part is in use. It is enough
+	// for one election per second for half a year.
 	TermBits = 24
-	// AttemptCarryBits is the width of the counter's high part: what is left of 64 bits.
+	// AttemptCarryBits is the width of the counter's high part: the remainder of 64 bits.
 	AttemptCarryBits = 64 - AttemptCounterBits - TermBits
 )
--- a/internal/constants/log.go
+++ b/internal/constants/log.go
@@ -4,62 +4,65 @@
 
 // The leader's write-ahead log, a ring of keys in the state service.
 const (
-	// LogRingSize is the number of keys in the ring. A failover reads them all; at a few
-	// KiB each that is a few pages.
+	// LogRingSize is the number of keys in the ring. A failover reads all of them: a few
+	// pages, at a few KiB per key.
 	LogRingSize = 1024
-	// LogLargeRingSize is the same for large fleets, used once every node can read it.
+	// LogLargeRingSize is the number of keys in the ring for large fleets, which is used only
+	// if every node can read it.
 	LogLargeRingSize = 8192
-	// LargeRingParts: the large ring is used when a checkpoint has more parts than the small
-	// ring's size divided by this. In the small ring it would have to be written again
-	// every few seconds.
+	// LargeRingParts is the divisor of LogRingSize that gives the number of checkpoint parts
+	// above which the large ring is used. Such a checkpoint would have to be rewritten every
+	// few seconds in the small ring.
 	LargeRingParts = 4
-	// LargeRingCheckInterval is the pause before all nodes are asked again which ring sizes
-	// they can read.
+	// LargeRingCheckInterval is the time between two checks of whether all nodes can read
+	// the large ring.
 	LargeRingCheckInterval = 10 * time.Second
-	// LogMaxFill is the part of the ring that may be full when a checkpoint is complete (ratio).
+	// LogMaxFill is the largest fraction of the ring that may be in use when a checkpoint
+	// completes.
 	LogMaxFill = 0.9
 	// LogSlack is the number of keys kept free in the ring for the entries of one transaction.
 	LogSlack = 8
-	// CheckpointEntries is how many entries a failover may have to read on top of the last
-	// checkpoint before the next checkpoint is begun.
+	// CheckpointEntries is the minimum number of log entries after a checkpoint before the
+	// next one starts. A failover has to replay them.
 	CheckpointEntries = 320
-	// CheckpointPartsFactor times the parts of the last checkpoint is the same where that is
-	// more: checkpoints then take half as many writes as entries do.
+	// CheckpointPartsFactor times the number of parts of the last checkpoint is that number
+	// of entries if it is larger. It keeps the writes for checkpoints at half of those for
+	// entries.
 	CheckpointPartsFactor = 2
 )
 
 // Group commit.
 const (
-	// CommitInterval is the least time between two of the leader's transactions: each costs
-	// a write of the log's head, so decisions are gathered in the meantime.
+	// CommitInterval is the minimum time between two of the leader's transactions. Each one
+	// also writes the log's head, so changes are collected in between.
 	CommitInterval = 60 * time.Millisecond
-	// CheckpointPartInterval is the same for a transaction that carries nothing but a part
-	// of a checkpoint: it can wait, and must not use up the write budget.
+	// CheckpointPartInterval is the minimum time before a transaction that only writes part of
+	// a checkpoint. It is not urgent and must not use up the write budget.
 	CheckpointPartInterval = 200 * time.Millisecond
-	// CommitBehindAfter is for how long transactions must have had no room for all that
-	// waits before metadata is held back.
+	// CommitBehindAfter is how long transactions must have been too small for the pending
+	// changes before metadata is held back.
 	CommitBehindAfter = 2 * time.Second
-	// JobWritesPerTxn bounds the jobs that one transaction ends, as each may conflict with
-	// its user's cancellation.
+	// JobWritesPerTxn is the maximum number of jobs that one transaction completes. Each of
+	// them can make the transaction conflict with a cancellation by its user.
 	JobWritesPerTxn = 4
-	// AttemptBytes is the most that one attempt with its job takes in its machine's record
-	// (bytes); the limit on a value's size then bounds the attempts on a machine.
+	// AttemptBytes is the maximum size of an attempt and its job in a machine's record, in
+	// bytes. The size limit of a value then determines the number of attempts per machine.
 	AttemptBytes = 176
-	// DoneChunkTasks is the number of tasks whose completion one record holds: 2 KiB of
-	// bits, 2.7 KiB in JSON.
+	// DoneChunkTasks is the number of tasks whose completion is stored in one record as a
+	// bitmap: 2 KiB of bits, 2.7 KiB in JSON.
 	DoneChunkTasks = 16384
 )
 
-// Metadata: records of machines' holds and images, which only improve decisions and need not
-// be complete.
+// Metadata: the machines' slot reservations and cached images. It improves scheduling after a
+// failover and need not be complete.
 const (
-	// MetadataDelay is the least time by which the record of a machine's holds and images
-	// lags: most holds are taken up before that.
+	// MetadataDelay is the minimum time between a change of a machine's metadata and its
+	// record. Most reservations are used before that.
 	MetadataDelay = 2500 * time.Millisecond
-	// MetadataWriteShare is the part of the leader's write budget that metadata may take
-	// where that is more than one value a second (ratio): on a large fleet it would take as
-	// much as starts and ends together, and a checkpoint holds it anyway.
+	// MetadataWriteShare is the fraction of the leader's write budget for metadata, if that is
+	// more than one value per second. On a large fleet metadata would otherwise take as many
+	// writes as starts and completions together, although checkpoints contain it anyway.
 	MetadataWriteShare = 0.1
-	// MetadataBurst is for how long that part may be saved up.
+	// MetadataBurst is the period for which unused metadata budget accumulates.
 	MetadataBurst = 2 * time.Second
 )
--- a/internal/constants/queue.go
+++ b/internal/constants/queue.go
@@ -2,34 +2,35 @@
 
 import "time"
 
-// The order of jobs of equal priority.
+// The order of jobs within a priority.
 const (
 	// LateSlack is the slack of a job that has just missed its last objective.
 	LateSlack = 90 * time.Second
-	// LateSlackDecay is how many seconds of age reduce that slack by one second.
+	// LateSlackDecay is the number of seconds after which the slack of a late job has shrunk
+	// by one second.
 	LateSlackDecay = 2
 )
 
 // Large gangs, which starve more easily than other jobs.
 const (
-	// BoostAfter is how long a gang waits before it may be boosted above all others:
-	// gathering whole machines takes most of the four minutes that users expect.
+	// BoostAfter is how long a gang waits before it may be boosted above all other jobs.
+	// Draining whole machines for it takes most of the four minutes that users accept.
 	BoostAfter = 60 * time.Second
-	// MaxBoosted is how many gangs are boosted at once.
+	// MaxBoosted is the maximum number of gangs that are boosted at a time.
 	MaxBoosted = 4
-	// LargeGangLateAfter is the wait from which one of a class's largest gangs counts as
-	// late: somewhat less than the four minutes that users expect.
+	// LargeGangLateAfter is the wait after which one of the largest gangs of a class counts
+	// as late. It is slightly less than the four minutes that users accept.
 	LargeGangLateAfter = 210 * time.Second
-	// LargeGangLateShare is the part of late ones above which they are preferred to others
-	// of their priority (ratio).
+	// LargeGangLateShare is the fraction of late gangs above which a class's largest gangs
+	// are preferred to other jobs of the same priority.
 	LargeGangLateShare = 0.4
-	// LargeGangCriticalShare is the part of late ones above which they are preferred to all
-	// other jobs (ratio); the users' bound is a half.
+	// LargeGangCriticalShare is the fraction of late gangs above which they are preferred to
+	// all other jobs. The users' limit is one half.
 	LargeGangCriticalShare = 0.55
-	// LargeGangWaitDecay is the factor by which an observed wait loses weight with each
-	// newer one.
+	// LargeGangWaitDecay is the factor by which each new observation reduces the weight of
+	// the earlier ones.
 	LargeGangWaitDecay = 0.9
-	// LargeGangPriorOnTime is how many gangs are assumed to have started in time before any
-	// was observed.
+	// LargeGangPriorOnTime is the number of on-time gangs that the counts of a class start
+	// with. It keeps a single late gang from triggering a boost.
 	LargeGangPriorOnTime = 3.0
 )
--- a/internal/constants/scheduling.go
+++ b/internal/constants/scheduling.go
@@ -4,86 +4,94 @@
 
 // Placement passes.
 const (
-	// MinPassInterval is the least time between two placement passes: short compared with a
-	// heartbeat interval, long enough to batch a burst of heartbeats.
+	// MinPassInterval is the minimum time between two placement passes: short compared with a
+	// heartbeat interval, but long enough to batch a burst of heartbeats.
 	MinPassInterval = 60 * time.Millisecond
-	// PassIntervalFactor times the duration of the last pass is the least time between two
-	// where that is more: placement then takes a quarter of the processor at most.
+	// PassIntervalFactor times the duration of the last pass is the minimum time between two
+	// passes if that is longer. It limits placement to a quarter of the CPU time.
 	PassIntervalFactor = 4
-	// MaxPassInterval bounds the time between two passes, whatever the last one took.
+	// MaxPassInterval is the upper limit of that time, however long the last pass took.
 	MaxPassInterval = 1200 * time.Millisecond
-	// MaxViewAge is how old a machine's view for placement may be: estimates of the time
-	// left change with time alone.
+	// MaxViewAge is the age at which the placement view of an unchanged machine is rebuilt,
+	// because the remaining run times in it change over time.
 	MaxViewAge = 2 * time.Second
-	// ViewAgeBaseMachines is the fleet up to which MaxViewAge holds (machines). Beyond it
-	// the age grows with the fleet, so that as many views are rebuilt each second.
+	// ViewAgeBaseMachines is the number of machines up to which MaxViewAge applies. For larger
+	// fleets the age grows with the fleet, so that the rebuilds per second stay the same.
 	ViewAgeBaseMachines = 2000
-	// MaxPreemptionAttempts is how many waiting jobs one pass tries to make room for.
+	// MaxPreemptionAttempts is the maximum number of waiting jobs for which one pass looks for
+	// tasks to preempt or machines to drain.
 	MaxPreemptionAttempts = 32
-	// MaxWaitingTasks bounds how many waiting tasks of a job one pass looks at.
+	// MaxWaitingTasks is the maximum number of waiting tasks per array or service that one
+	// pass considers.
 	MaxWaitingTasks = 400
-	// ResourceTolerance forgives rounding in sums of decimal amounts (in units of the amount).
+	// ResourceTolerance is the tolerance for rounding errors in sums of decimal amounts, in
+	// the unit of the amount.
 	ResourceTolerance = 1e-6
 )
 
 // The cost of preemption.
 const (
-	// RestartCost is what a stopped task loses beside the time to save: it queues again and
-	// may have to fetch its image anew.
+	// RestartCost is the time that a stopped task loses beyond saving its state: it queues
+	// again and may have to fetch its image again.
 	RestartCost = 10 * time.Second
-	// GangRestartFactor multiplies RestartCost for gangs, which need whole machines at once.
+	// GangRestartFactor multiplies RestartCost for gangs, which need several whole machines
+	// at once.
 	GangRestartFactor = 3
 	// StartCountsAfter is how long a task must run for its start to count (protocol).
 	StartCountsAfter = 30 * time.Second
-	// EarlyStopCost is the extra cost of stopping a task before StartCountsAfter.
+	// EarlyStopCost is the additional cost of stopping a task before StartCountsAfter.
 	EarlyStopCost = 5 * time.Second
-	// MinRemainingEstimate is how long a task is at least expected to go on that has run for
-	// as long as its owner expects.
+	// MinRemainingEstimate is the minimum estimate of a task's remaining run time, used when
+	// the task has run for as long as expected.
 	MinRemainingEstimate = 5 * time.Second
-	// StopWeight is what a second of a whole machine's lost work weighs against a second of
-	// waiting for an image there (ratio).
+	// StopWeight is the weight of a second of a whole machine's lost work relative to a second
+	// of waiting for an image on that machine.
 	StopWeight = 8.0
 )
 
 // Estimates of run times and arrivals.
 const (
 	// MaxRuntimeRatio is the largest factor by which run times are assumed to differ from
-	// what owners expect, either way.
+	// the expected ones, in either direction.
 	MaxRuntimeRatio = 3.0
-	// RuntimeRatioWeight is the weight of the newest run time in the moving average (ratio).
+	// RuntimeRatioWeight is the weight of the latest run time in the moving average, from 0
+	// to 1.
 	RuntimeRatioWeight = 0.1
-	// ArrivalWindow is how far back the jobs of each class are counted.
+	// ArrivalWindow is the time constant with which the count of arrived jobs of a class
+	// decays.
 	ArrivalWindow = 5 * time.Minute
-	// StartRateWindow is how far back the placed tasks of each class are counted to predict
-	// how soon those that wait will be placed: a few run times of short tasks.
+	// StartRateWindow is the time constant with which the placement rate of a class decays.
+	// The rate predicts how soon waiting tasks are placed; the window spans a few run times
+	// of short tasks.
 	StartRateWindow = 30 * time.Second
 )
 
 // Dependencies between jobs.
 const (
-	// ChainStep is the time between the end of a job and the start of its downstream job
-	// that is not run time: a heartbeat, two records and a command.
+	// ChainStep is the time between the end of a job and the start of its downstream job: a
+	// heartbeat, two records and a command.
 	ChainStep = 3 * time.Second
-	// MaxFinalReads bounds the final records of upstream jobs that are read at once.
+	// MaxFinalReads is the maximum number of concurrent reads of upstream jobs' final records.
 	MaxFinalReads = 6
-	// FinalReadRetry is the pause after such a read has failed.
+	// FinalReadRetry is the delay after such a read has failed.
 	FinalReadRetry = 500 * time.Millisecond
 )
 
 // Speculative slot reservation.
 const (
-	// HoldAlpha, HoldP and HoldThreshold are the defaults of the operator settings alpha, p
-	// and threshold (paper, section IV).
+	// HoldAlpha, HoldP and HoldThreshold are the defaults of the operator settings
+	// holds.alpha, holds.p and holds.threshold (paper, section IV).
 	HoldAlpha     = 1.6
 	HoldP         = 0.4
 	HoldThreshold = 0.8
-	// MaxDownstreams is how many of a job's downstream jobs are considered when its tasks
-	// end: a job may have thousands, and holds for a few take all the room that it leaves.
+	// MaxDownstreams is the maximum number of downstream jobs for which slots are considered
+	// when a task of a job finishes. A job may have thousands, but reservations for a few
+	// take all the slots that it frees.
 	MaxDownstreams = 64
-	// MaxReservationDeadline bounds the deadline D of the paper, which grows without bound
-	// (and out of a Duration) as P approaches 1.
+	// MaxReservationDeadline limits the deadline D of the paper, which otherwise overflows a
+	// time.Duration as P approaches 1.
 	MaxReservationDeadline = 24 * time.Hour
-	// ReservationPhaseRetention is how long a phase is remembered after its deadline: a
-	// task that finishes late must not be taken for the first finisher of a new phase.
+	// ReservationPhaseRetention is how long a phase is kept after its deadline, so that a
+	// task that finishes late is not taken for the first one of a new phase.
 	ReservationPhaseRetention = time.Hour
 )
--- a/internal/constants/scoring.go
+++ b/internal/constants/scoring.go
@@ -2,47 +2,51 @@
 
 import "time"
 
-// Terms of a machine's score for a task, in seconds of delay that they are worth.
+// Terms of a machine's score for a task, in seconds of delay. A lower score is better.
 const (
-	// OnDemandMachinePenalty keeps on-demand machines for jobs that can't use spot machines.
+	// OnDemandMachinePenalty keeps on-demand machines free for jobs that can't use spot
+	// machines.
 	OnDemandMachinePenalty = 4.0
-	// ReservedSlotBonus has a job use the slots that are reserved for its pipeline before
-	// other room.
+	// ReservedSlotBonus makes a job prefer the slots that are reserved for its pipeline.
 	ReservedSlotBonus = 3.0
-	// SpotSpreadPenalty spreads the tasks of job arrays that must fetch their image anyway
-	// over more spot machines, up to a full one: the more machines have it, the sooner it
-	// is there for the next tasks.
+	// SpotSpreadPenalty is the penalty of a fully used spot machine for a task of an array
+	// that must fetch its image there. It spreads the image over more machines, where later
+	// tasks of the array find it.
 	SpotSpreadPenalty = 3.0
-	// PartlyUsedBonus fills the machines that have the image one after the other.
+	// PartlyUsedBonus is the advantage of a fully used machine over an empty one for a task of
+	// an array, unless SpotSpreadPenalty applies. It fills machines one after another and
+	// leaves others whole for gangs.
 	PartlyUsedBonus = 10.0
-	// LastWholeMachinePenalty is the cost of breaking up the last whole machine for gangs
-	// that can't use spot machines; it is divided by the number of such machines.
+	// LastWholeMachinePenalty divided by the number of empty on-demand machines is the penalty
+	// of placing a task that could use a spot machine on one of them, since gangs that can't
+	// use spot machines need them whole.
 	LastWholeMachinePenalty = 30.0
-	// LocalImageMaxWaitS is the wait for an image (seconds) up to which it counts as present.
+	// LocalImageMaxWaitS is the longest wait for an image, in seconds, at which the image
+	// counts as present.
 	LocalImageMaxWaitS = 0.5
-	// ClaimedMachineBonusS is by how much (seconds) another machine must be quicker before a
-	// waiting gang leaves the machine that it has claimed.
+	// ClaimedMachineBonusS is how much sooner, in seconds, another machine must be empty for
+	// a waiting gang to give up a machine that it has claimed.
 	ClaimedMachineBonusS = 20.0
-	// BoostedClaimBonusS is added to that for a boosted gang (seconds): it must finish with
-	// the zone that it has begun to gather in.
+	// BoostedClaimBonusS is added to ClaimedMachineBonusS for a boosted gang, in seconds. The
+	// gang must not abandon the zone in which it has started to claim machines.
 	BoostedClaimBonusS = 300.0
-	// DrainPenaltyS (seconds) puts a machine that must run empty first behind every machine
-	// that has room for a waiting gang as soon as preempted tasks have ended: it is longer
-	// than any other delay.
+	// DrainPenaltyS is the penalty, in seconds, of a machine that has to drain first. It
+	// exceeds any other delay, so a gang prefers every machine that is free as soon as
+	// preempted tasks have ended.
 	DrainPenaltyS = 1e6
 )
 
-// Machines kept whole for gangs.
+// Empty machines that are kept free for gangs.
 const (
-	// GangReserveHorizon is how far ahead gangs are expected when whole machines are kept
-	// for them: about the time that other machines need to become free.
+	// GangReserveHorizon is the period for which arriving gangs are predicted: about the time
+	// until other machines become free.
 	GangReserveHorizon = 45 * time.Second
-	// GangReserveMaxAim is the longest expected start for which machines are kept: gangs
-	// whose users accept a longer wait need none.
+	// GangReserveMaxAim is the longest wait objective for which machines are kept free. Gangs
+	// whose users accept a longer wait do not need it.
 	GangReserveMaxAim = 100 * time.Second
-	// GangReserveMaxShare is the largest part of all on-demand machines that is kept (ratio).
+	// GangReserveMaxShare is the largest fraction of the on-demand machines that is kept free.
 	GangReserveMaxShare = 0.5
-	// MaxDrainingShare is the largest part of all machines that drains for gangs at a time
-	// (ratio): each stands half empty meanwhile. The first gang always gets its own.
+	// MaxDrainingShare is the largest fraction of all machines that drain for gangs at a time,
+	// as draining machines are partly idle. The first gang may always drain its machines.
 	MaxDrainingShare = 0.04
 )
--- a/internal/constants/serving.go
+++ b/internal/constants/serving.go
@@ -4,36 +4,39 @@
 
 // HTTP connections of users and workers.
 const (
-	// HeaderTimeout bounds reading a request's header; it ends slow connections.
+	// HeaderTimeout is the timeout for reading a request's header. It ends slow connections.
 	HeaderTimeout = 10 * time.Second
-	// MaxHeaderBytes bounds a request's header (bytes): workers and users send a few hundred.
+	// MaxHeaderBytes is the maximum size of a request's header in bytes. Headers of workers
+	// and users are normally a few hundred bytes long.
 	MaxHeaderBytes = 16 << 10
-	// IdleTimeout ends connections without a request.
+	// IdleTimeout is how long a connection without a request is kept open.
 	IdleTimeout = 120 * time.Second
-	// BodyTimeout bounds reading a whole request.
+	// BodyTimeout is the timeout for reading a whole request.
 	BodyTimeout = 15 * time.Second
-	// ShutdownGrace is how long open requests may take on an orderly shutdown.
+	// ShutdownGrace is how long an orderly shutdown waits for requests in flight.
 	ShutdownGrace = 3 * time.Second
 )
 
-// Calls between nodes, and the health of a node.
+// Calls between nodes and node health.
 const (
-	// MeshTimeout bounds a call between nodes.
+	// MeshTimeout is the timeout of a call between nodes.
 	MeshTimeout = 400 * time.Millisecond
-	// MeshConnsPerNode bounds the connections that each other node may have open here; it
-	// needs one, and a new one when that one hangs.
+	// MeshConnsPerNode is the maximum number of connections accepted per peer. A peer needs
+	// one, and opens another when that one hangs.
 	MeshConnsPerNode = 4
-	// RelayTimeout bounds a user's request that another node serves; users wait 2 s for a poll.
+	// RelayTimeout is the timeout of a user request that is relayed to another node. Users
+	// wait 2 s for a status query.
 	RelayTimeout = 1600 * time.Millisecond
-	// MaxRelayTargets is the number of nodes that a user's request is passed to in turn: its
-	// user waits for no more.
+	// MaxRelayTargets is the maximum number of nodes that a user request is relayed to in
+	// turn. The user does not wait for more.
 	MaxRelayTargets = 2
-	// HealthCheckInterval is the interval at which a node that the state service does not
-	// answer asks the other nodes whether it answers them.
+	// HealthCheckInterval is the interval at which a node that gets no response from the
+	// state service asks its peers whether they do.
 	HealthCheckInterval = 400 * time.Millisecond
-	// HealthMaxAge is how recent an answer of the state service must be to count.
+	// HealthMaxAge is the maximum age of the last response of the state service at which a
+	// node is healthy.
 	HealthMaxAge = 3 * time.Second
-	// IsolatedAfter is how long a node must be cut off from the state service and from all
-	// other nodes before it reports itself as not ready.
+	// IsolatedAfter is how long a node must have been cut off from the state service and from
+	// all peers before it reports that it is not ready.
 	IsolatedAfter = 1500 * time.Millisecond
 )
--- a/internal/constants/statestore.go
+++ b/internal/constants/statestore.go
@@ -4,56 +4,56 @@
 
 // Requests to the state service.
 const (
-	// StateTimeout bounds one ordinary request; answers take a few hundred milliseconds at
-	// worst, and users wait 2 s for a poll.
+	// StateTimeout is the timeout of an ordinary request. Responses take a few hundred
+	// milliseconds at worst, and users wait 2 s for a status query.
 	StateTimeout = 1500 * time.Millisecond
-	// TxnTimeout bounds one transaction, except those of elections, while the last one was
-	// answered in good time: answers take a few hundred milliseconds at worst, users should
-	// be answered within a second, and a transaction whose answer is lost can be sent once
-	// more in that time. A service that is slower gets up to StateTimeout.
+	// TxnTimeout is the minimum timeout of a transaction, except in elections. Users should
+	// get a response within a second, which leaves time to resend a transaction whose response
+	// was lost. If the service is slow, the timeout grows up to StateTimeout.
 	TxnTimeout = 500 * time.Millisecond
-	// TxnTimeoutFactor times the duration of the last answer is how long the next one may take.
+	// TxnTimeoutFactor times the duration of the last transaction is the timeout of the next.
 	TxnTimeoutFactor = 2
-	// UserTxnAttempts is how often, in all, a user's transaction without an answer is sent.
+	// UserTxnAttempts is the maximum number of times that a user's transaction is sent while
+	// it gets no response.
 	UserTxnAttempts = 3
-	// DialTimeout bounds a new connection to any other host; the calls over it have their
-	// own, shorter timeouts.
+	// DialTimeout is the timeout for connecting to any other host. Calls over the connection
+	// have their own, shorter timeouts.
 	DialTimeout = 4 * time.Second
-	// StateConns is the number of connections that a node keeps to the service.
+	// StateConns is the maximum number of connections of a node to the service.
 	StateConns = 24
-	// StateLeaseConns is the number of those reserved for what leadership depends on:
-	// renewals, elections, two watches, and the reads of a failover.
+	// StateLeaseConns is the number of separate connections for calls that leadership depends
+	// on: lease renewals, elections, two watches, and the reads of a failover.
 	StateLeaseConns = 6
-	// ListPage is the number of rows requested at once: well below the protocol's 512 KiB.
+	// ListPage is the number of keys per page of a list. A page stays well below the
+	// protocol's limit of 512 KiB.
 	ListPage = 400
-	// MinBackoff and MaxBackoff bound the jittered pause after a failed call.
+	// MinBackoff and MaxBackoff bound the backoff after a failed call.
 	MinBackoff = 100 * time.Millisecond
 	MaxBackoff = 1500 * time.Millisecond
 )
 
-// The rate budget. The state service's limits are shared by all nodes.
+// The rate budget. All nodes share the rate limits of the state service.
 const (
-	// LeaderShare and LeaderWriteShare are the leader's parts of the request and write
-	// budgets (ratios); the other nodes share the rest. The leader writes every start and
-	// finish, while all nodes answer polls alike.
+	// LeaderShare and LeaderWriteShare are the fractions of the request and write rates that
+	// the leader uses; the other nodes share the rest. The leader records every start and
+	// completion, while all nodes answer status queries.
 	LeaderShare      = 0.45
 	LeaderWriteShare = 0.72
-	// BudgetUse is the part of the allowed rate that is planned for (ratio); the rest
-	// absorbs clocks that disagree about a second.
+	// BudgetUse is the fraction of the allowed rates that is used. The rest allows for clocks
+	// that disagree about when a second begins.
 	BudgetUse = 0.94
-	// BudgetRetryInterval is the pause before a call looks again for budget that was held
-	// back for more important calls.
+	// BudgetRetryInterval is the interval at which a call that waits for budget checks again.
 	BudgetRetryInterval = 15 * time.Millisecond
-	// RateLimitedRun refusals for too many calls within RateLimitedWindow mean that the
-	// state service's limits have fallen below the settings.
+	// RateLimitedRun is the number of calls rejected by the rate limit within
+	// RateLimitedWindow that shows that the service has lowered its rates.
 	RateLimitedRun    = 5
 	RateLimitedWindow = 4 * time.Second
-	// TokensScarce is the part of the budget left below which it counts as scarce (ratio).
+	// TokensScarce is the fraction of the budget left below which it is reported as scarce.
 	TokensScarce = 0.1
 )
 
-// The budget that a call of each priority must leave untouched, as a part of one second's
-// worth (ratios).
+// The fraction of a full rate budget that the calls of each class must leave for more
+// important classes.
 const (
 	ReserveLease  = 0.0
 	ReserveCancel = 0.05
@@ -65,14 +65,14 @@
 
 // Sizes of values and transactions.
 const (
-	// MinValueKB (KiB) and MinTxnOps (puts and deletes) are how small values and
-	// transactions may become when the state service refuses larger ones.
+	// MinValueKB (in KiB) and MinTxnOps (in writes) are the sizes below which values and
+	// transactions are not reduced further when the state service rejects larger ones.
 	MinValueKB = 1.0
 	MinTxnOps  = 4
-	// CondsPerOp times the setting txn_ops is the number of conditions that a transaction
-	// may have (protocol).
+	// CondsPerOp times the setting txn_ops is the maximum number of conditions of a
+	// transaction (protocol).
 	CondsPerOp = 4
-	// TxnBytes bounds the values of one transaction (bytes); the state service takes 64 KiB
-	// with all names and conditions.
+	// TxnBytes is the maximum size of the values in one transaction in bytes. The state service
+	// accepts 64 KiB including all keys and conditions.
 	TxnBytes = 36 << 10
 )
--- a/internal/constants/users.go
+++ b/internal/constants/users.go
@@ -4,57 +4,58 @@
 
 // Limits on what users submit.
 const (
-	// MaxBodyBytes is the largest request body (bytes; protocol: 64 KiB).
+	// MaxBodyBytes is the maximum size of a request body in bytes (protocol: 64 KiB).
 	MaxBodyBytes = 64 << 10
-	// MaxTextBytes is the longest text field of a job (bytes): a longer one is taken for a
-	// mistake, as every record and message of the job would carry it.
+	// MaxTextBytes is the maximum length of a text field of a job in bytes. A longer text is
+	// probably a mistake, and every record and message of the job would contain it.
 	MaxTextBytes = 200
-	// MaxTasks is the largest number of tasks of a job (protocol).
+	// MaxTasks is the maximum number of tasks of a job (protocol).
 	MaxTasks = 100000
-	// MaxAmount is the largest amount (in its unit) or duration (seconds) that is accepted.
+	// MaxAmount is the largest accepted amount, in its unit, and the longest accepted
+	// duration in seconds.
 	MaxAmount = 1e9
 )
 
-// Users' requests.
+// User requests.
 const (
-	// RetryAfter is how long a user is told to wait (seconds) when the state service can't
-	// be asked.
+	// RetryAfter is the value of the Retry-After header, in seconds, while the state service
+	// is unavailable.
 	RetryAfter = 2
-	// UserRequestTimeout bounds the work for one submission or cancellation; users give up
+	// UserRequestTimeout is the timeout for a submission or cancellation. Users give up
 	// after 5 s.
 	UserRequestTimeout = 3500 * time.Millisecond
-	// CancelAttempts is how often a cancellation is tried when the job's record goes meanwhile:
-	// it is final then, so the second one finds that.
+	// CancelAttempts is the maximum number of attempts at a cancellation when the job's record
+	// changes concurrently. The job is final by then, which the second attempt finds.
 	CancelAttempts = 3
-	// PollTimeout is the same for a poll; users give up after 2 s.
+	// PollTimeout is the timeout for a status query. Users give up after 2 s.
 	PollTimeout = 1700 * time.Millisecond
-	// MinConcurrentSubmits is the least number of submissions that a node takes at once.
+	// MinConcurrentSubmits is the minimum limit on concurrent submissions per node.
 	MinConcurrentSubmits = 8
 	// FinalCache is the number of final job states kept in memory.
 	FinalCache = 20000
-	// ClientTimeout bounds a request of the command line to a node.
+	// ClientTimeout is the timeout of a request from the command line to a node.
 	ClientTimeout = 8 * time.Second
-	// MaxClientResponseBytes bounds what the command line reads of a node's response
-	// (bytes): the status of a large site takes a small part of it.
+	// MaxClientResponseBytes is the maximum number of bytes that the command line reads of a
+	// response. The status of a large cluster is much smaller.
 	MaxClientResponseBytes = 4 << 20
 )
 
-// Polls, which are proven by transactions on the state service.
+// Status queries, whose answers are proven by transactions on the state service.
 const (
-	// PollBatchWindow is how long polls are gathered before one transaction proves them;
-	// it delays the answer to a poll by a fraction of a second at most.
+	// PollBatchWindow is how long status queries are collected for one transaction. It delays
+	// an answer by a fraction of a second at most.
 	PollBatchWindow = 120 * time.Millisecond
-	// PollQueue is how many polls may wait for the next window; further ones are told to
-	// retry later.
+	// PollQueue is the maximum number of status queries that wait for a batch. Further ones
+	// are told to retry later.
 	PollQueue = 512
-	// PollBatches bounds the transactions for polls under way: the budget bounds their
-	// number a second, and each may take half a second before it is given up.
+	// PollBatches is the maximum number of concurrent batch transactions. The budget limits
+	// their rate, and each may take half a second before it times out.
 	PollBatches = 8
-	// MaxPollReads bounds the reads under way for polls whose proof failed.
+	// MaxPollReads is the maximum number of concurrent reads for queries whose proof failed.
 	MaxPollReads = 4
-	// ReplicaUpdateInterval is the least time between two updates of the replica of the open jobs:
-	// it only keeps proofs from failing, so it need not be quick.
+	// ReplicaUpdateInterval is the minimum time between two updates of the replica of the open
+	// jobs. An outdated replica only makes proofs fail, so updates are not urgent.
 	ReplicaUpdateInterval = 1 * time.Second
-	// ReplicaWatchWait is how long such an update waits for a change.
+	// ReplicaWatchWait is the maximum wait of one watch request for such an update.
 	ReplicaWatchWait = 20 * time.Second
 )
--- a/internal/constants/workers.go
+++ b/internal/constants/workers.go
@@ -2,85 +2,87 @@
 
 import "time"
 
-// Proofs that a task has left its machine.
+// Proof that a task is no longer on its machine.
 const (
-	// LeaseProofMargin is added to the workers' lease before silence proves that a worker
-	// has killed its tasks; it covers timers that fire late.
+	// LeaseProofMargin is added to the workers' lease to get the silence after which a worker
+	// must have killed its tasks. It covers timers that fire late.
 	LeaseProofMargin = 700 * time.Millisecond
-	// WorkerKillDelay is how long after the end of its lease a worker may still have its
-	// tasks: its timers may be late, and killing the tasks takes a moment.
+	// WorkerKillDelay is the maximum time between the end of a worker's lease and the end of
+	// its tasks. Timers may fire late, and killing the tasks takes a moment.
 	WorkerKillDelay = 4 * time.Second
 )
 
-// What a worker says of itself.
+// Validation of what a worker reports about itself.
 const (
-	// MaxMachineNameBytes bounds a machine's name (bytes). The cloud's names are a tenth of
-	// that; the bound keeps what a faulty worker sends out of the records.
+	// MaxMachineNameBytes is the maximum length of a machine's name in bytes: ten times that
+	// of the cloud's names. It keeps oversized names from a faulty worker out of the records.
 	MaxMachineNameBytes = 100
 )
 
-// Workers that do not receive what the leader sends.
+// Detection of workers that do not receive the leader's messages.
 const (
-	// LostReplyHeartbeats is how many heartbeats in a row must show a command not carried
-	// out before the leader concludes that its replies are lost: a single reply may be.
+	// LostReplyHeartbeats is the number of consecutive heartbeats that must show a command as
+	// not carried out before replies to the worker count as lost. A single reply may get lost.
 	LostReplyHeartbeats = 2
-	// StartOverdueAfter is how long after its first `run` a task may be missing from the
-	// heartbeats before its machine gets no more work. Workers report a change within half
-	// a second, and give a reply up after 4 s.
+	// StartOverdueAfter is how long after its first `run` command a task may be missing from
+	// the heartbeats before its machine gets no more tasks. Workers report a change within
+	// half a second and wait at most 4 s for a reply.
 	StartOverdueAfter = 5 * time.Second
-	// StopIgnoredAfter is how long after a stop a task may still run.
+	// StopIgnoredAfter is how long after a stop command a task may still be running before
+	// the command counts as ignored.
 	StopIgnoredAfter = 6 * time.Second
-	// ProbeInterval is the pause between two attempts to reach a worker whose replies are lost.
+	// ProbeInterval is the time between two direct commands that probe a worker whose replies
+	// are lost.
 	ProbeInterval = 5 * time.Second
-	// TokenPushesPerTick is how many workers are sent a new fencing token in one tick.
+	// TokenPushesPerTick is the maximum number of workers that are sent a new fencing token in
+	// one tick.
 	TokenPushesPerTick = 24
 )
 
-// Replies to heartbeats, which are held back so that commands can go with them.
+// Replies to heartbeats, which are held back so that commands can be sent with them.
 const (
 	// ReplyHold is how long the reply to a heartbeat is held back. Workers report changes
-	// at most every half second, so nothing is delayed by it.
+	// at most every half second, so it delays no report.
 	ReplyHold = 400 * time.Millisecond
-	// IdleReplyHold is the same for a machine with nothing running, which has nothing to
-	// report. Workers give a reply up after 4 s.
+	// IdleReplyHold is how long the reply to a worker without attempts is held back. Workers
+	// wait at most 4 s for a reply.
 	IdleReplyHold = 2600 * time.Millisecond
-	// PendingStartReplyHold is the same for a machine with starts that wait to be recorded.
-	// The bound is the same as for an idle one: the worker's 4 s.
+	// PendingStartReplyHold is how long a reply is held back while a start on the machine is
+	// not recorded yet. It is limited by the same 4 s.
 	PendingStartReplyHold = IdleReplyHold
 	// ReplyFlushInterval is the interval at which held replies are checked for expiry.
 	ReplyFlushInterval = 25 * time.Millisecond
-	// HeartbeatTimeout bounds a worker's wait for a leader that is still reading its
-	// records; workers give up after 4 s.
+	// HeartbeatTimeout is the timeout of a heartbeat while the leader is still reading its
+	// records. Workers wait at most 4 s for a reply.
 	HeartbeatTimeout = 3 * time.Second
 )
 
 // Commands sent directly to workers.
 const (
-	// CommandTimeout bounds one direct command to a worker.
+	// CommandTimeout is the timeout of a direct command.
 	CommandTimeout = 2 * time.Second
-	// MaxCommandAnswerBytes bounds the heartbeat that answers it (bytes): far more than the
-	// heartbeats that a worker may send by itself, which MaxBodyBytes bounds.
+	// MaxCommandAnswerBytes is the maximum size of the heartbeat in the response to a command,
+	// in bytes. It is much larger than MaxBodyBytes, which limits other heartbeats.
 	MaxCommandAnswerBytes = 16 * MaxBodyBytes
-	// CommandConnsPerWorker bounds the connections to one worker.
+	// CommandConnsPerWorker is the maximum number of connections to one worker.
 	CommandConnsPerWorker = 2
-	// MaxCommandsInFlight bounds the direct commands under way: in a zone that is cut off
-	// each hangs until its timeout, and every one takes a socket.
+	// MaxCommandsInFlight is the maximum number of concurrent direct commands. To an
+	// unreachable zone each hangs until its timeout and occupies a socket.
 	MaxCommandsInFlight = 96
-	// MaxSilentCommandsInFlight bounds those of them to workers that have not been heard for
-	// a while, which most likely hang: stops for a gang must reach all of it within seconds,
-	// however many machines a cut has taken away.
+	// MaxSilentCommandsInFlight is the maximum number of them to silent workers, to which
+	// commands usually hang. Stops for a gang must reach its reachable workers within
+	// seconds, however many machines are cut off.
 	MaxSilentCommandsInFlight = MaxCommandsInFlight / 2
-	// MaxIdleCommandConns bounds the connections to workers that are kept for the next
-	// command: with hundreds of workers one for each would be too many.
+	// MaxIdleCommandConns is the maximum number of idle connections to all workers together.
+	// One per worker would be too many for a fleet of hundreds.
 	MaxIdleCommandConns = 32
-	// StopGrace is added to a task's time to save (stashS) when it is told to stop and save.
+	// StopGrace is added to a task's save time (stashS) when it is told to save and stop.
 	StopGrace = 2 * time.Second
-	// StopResend is the pause before a stop is sent directly again.
+	// StopResend is the interval at which a stop is sent directly again.
 	StopResend = 2 * time.Second
-	// StopResendSilent is the same for a worker that has been silent for more than
-	// SilentAfterHeartbeats heartbeat intervals: commands to it most likely hang.
+	// StopResendSilent is that interval for a silent worker, to which commands usually hang.
 	StopResendSilent = 10 * time.Second
-	// SilentAfterHeartbeats is after how many intervals without a heartbeat a worker counts
-	// as silent.
+	// SilentAfterHeartbeats is the number of heartbeat intervals without a heartbeat after
+	// which a worker counts as silent.
 	SilentAfterHeartbeats = 2.5
 )
--- a/internal/reservations/deadline.go
+++ b/internal/reservations/deadline.go
@@ -7,10 +7,9 @@
 	"thornnotch/internal/constants"
 )
 
-// Deadline is the reservation deadline D of the paper's section IV-B: for how long after
-// the start of a phase of n tasks its slots stay reserved, where tm is the run time of the
-// task that finished first. All n tasks finish before it with probability P, by equation
-// (2) solved for D.
+// Deadline returns the reservation deadline D (paper, IV-B): how long after the start of a
+// phase of n tasks its slots stay reserved, where tm is the run time of the task that finished
+// first. It is equation (2) solved for D: all n tasks finish before D with probability P.
 func (o Options) Deadline(tm time.Duration, n int) time.Duration {
 	n = max(1, n)
 	deadline := float64(tm) * math.Pow(1-math.Pow(o.P, 1/float64(n)), -1/o.Alpha)
--- a/internal/reservations/manager.go
+++ b/internal/reservations/manager.go
@@ -9,12 +9,12 @@
 	"thornnotch/internal/placement"
 )
 
-// Manager keeps the reservations in memory.
+// Manager makes, releases and expires reservations. It is not safe for concurrent use.
 type Manager struct {
 	options      Options
 	reservations map[string][]Reservation // by machine
 	phases       map[string]*phase        // by upstream job
-	reservedFor  map[string]int           // reservations, by downstream job
+	reservedFor  map[string]int           // number of reservations by downstream job
 }
 
 // NewManager returns a manager without reservations.
@@ -27,17 +27,17 @@
 	}
 }
 
-// Restore puts back a reservation read from a machine's record.
+// Restore adds a reservation that was read from a machine's record.
 func (m *Manager) Restore(reservation Reservation) {
 	if m.options.Enabled {
 		m.add(reservation)
 	}
 }
 
-// OnMachine lists the reservations on a machine.
+// OnMachine returns the reservations on a machine.
 func (m *Manager) OnMachine(machine string) []Reservation { return m.reservations[machine] }
 
-// All lists every reservation, by machine.
+// All returns all reservations, sorted by machine.
 func (m *Manager) All() []Reservation {
 	var all []Reservation
 	for _, onMachine := range m.reservations {
@@ -47,11 +47,11 @@
 	return all
 }
 
-// Consume uses up one reservation on the machine for a task that is its pipeline's own,
-// and reports whether there was one.
-func (m *Manager) Consume(machine string, owns func(placement.Pipeline) bool) bool {
+// Consume removes one reservation on the machine for whose pipeline ownsPipeline returns true,
+// as a task of that pipeline takes its slot. It reports whether there was one.
+func (m *Manager) Consume(machine string, ownsPipeline func(placement.Pipeline) bool) bool {
 	for i, reservation := range m.reservations[machine] {
-		if owns(reservation.Pipeline) {
+		if ownsPipeline(reservation.Pipeline) {
 			m.remove(machine, i)
 			return true
 		}
@@ -59,8 +59,8 @@
 	return false
 }
 
-// ReleaseExcess removes reservations on a machine, lowest priority first, until what is
-// reserved there fits into the room that it has.
+// ReleaseExcess removes reservations on a machine, lowest priority first, until the rest fits
+// into room, the resources available there. It reports whether it removed any.
 func (m *Manager) ReleaseExcess(machine string, room placement.Resources) (changed bool) {
 	for len(m.reservations[machine]) > 0 {
 		var reserved placement.Resources
@@ -80,45 +80,45 @@
 	return changed
 }
 
-// RemoveMachine forgets the reservations on a machine that is leaving.
+// RemoveMachine removes all reservations on a machine that is leaving.
 func (m *Manager) RemoveMachine(machine string) {
 	for _, reservation := range m.reservations[machine] {
-		m.uncount(reservation)
+		m.decrementReservedFor(reservation)
 	}
 	delete(m.reservations, machine)
 }
 
-// Expire removes the reservations past their deadline, or whose downstream job no longer
-// waits, and names the machines that changed.
-func (m *Manager) Expire(now time.Time, waits func(job string) bool) (changed []string) {
+// Expire removes the reservations that are past their deadline or whose downstream job is no
+// longer waiting, and returns the names of the machines that they were on.
+func (m *Manager) Expire(now time.Time, isWaiting func(job string) bool) (changed []string) {
 	for machine, reservations := range m.reservations {
 		var kept []Reservation
 		for _, reservation := range reservations {
-			if reservation.ExpiresAt.After(now) && waits(reservation.Downstream) {
+			if reservation.ExpiresAt.After(now) && isWaiting(reservation.Downstream) {
 				kept = append(kept, reservation)
 			} else {
-				m.uncount(reservation)
+				m.decrementReservedFor(reservation)
 			}
 		}
 		if len(kept) < len(reservations) {
-			m.set(machine, kept)
+			m.setReservations(machine, kept)
 			changed = append(changed, machine)
 		}
 	}
-	m.forgetPhases(now, waits)
+	m.removeObsoletePhases(now, isWaiting)
 	sort.Strings(changed)
 	return changed
 }
 
-// forgetPhases forgets the phases that can reserve nothing any more: long past their
-// deadline, or with slots to pre-reserve for jobs of which none waits.
-func (m *Manager) forgetPhases(now time.Time, waits func(job string) bool) {
-	anyWaits := func(downstreams []Downstream) bool {
-		return slices.ContainsFunc(downstreams, func(downstream Downstream) bool { return waits(downstream.Job) })
+// removeObsoletePhases removes the phases that can't reserve slots any more: those long past their
+// deadline, and those that pre-reserve slots only for jobs that are no longer waiting.
+func (m *Manager) removeObsoletePhases(now time.Time, isWaiting func(job string) bool) {
+	anyWaiting := func(downstreams []Downstream) bool {
+		return slices.ContainsFunc(downstreams, func(downstream Downstream) bool { return isWaiting(downstream.Job) })
 	}
 	for job, upstream := range m.phases {
-		longPast := upstream.deadline.Before(now.Add(-constants.ReservationPhaseRetention))
-		if longPast || upstream.preReserve > 0 && !anyWaits(upstream.downstreams) {
+		pastRetention := upstream.deadline.Before(now.Add(-constants.ReservationPhaseRetention))
+		if pastRetention || upstream.slotsToPreReserve > 0 && !anyWaiting(upstream.downstreams) {
 			delete(m.phases, job)
 		}
 	}
@@ -129,16 +129,16 @@
 	m.reservedFor[reservation.Downstream]++
 }
 
-// remove takes away one reservation of a machine. The rest go into a new slice, as
-// callers may be iterating over the old one.
+// remove removes one reservation on a machine. It copies the rest to a new slice, since callers
+// may be iterating over the old one.
 func (m *Manager) remove(machine string, index int) {
 	reservations := m.reservations[machine]
-	m.uncount(reservations[index])
-	m.set(machine, slices.Concat(reservations[:index], reservations[index+1:]))
+	m.decrementReservedFor(reservations[index])
+	m.setReservations(machine, slices.Concat(reservations[:index], reservations[index+1:]))
 }
 
-// set replaces a machine's reservations.
-func (m *Manager) set(machine string, reservations []Reservation) {
+// setReservations replaces the reservations on a machine.
+func (m *Manager) setReservations(machine string, reservations []Reservation) {
 	if len(reservations) == 0 {
 		delete(m.reservations, machine)
 		return
@@ -146,8 +146,8 @@
 	m.reservations[machine] = reservations
 }
 
-// uncount takes a reservation that ends out of the counts.
-func (m *Manager) uncount(reservation Reservation) {
+// decrementReservedFor subtracts a removed reservation from the count of its downstream job.
+func (m *Manager) decrementReservedFor(reservation Reservation) {
 	m.reservedFor[reservation.Downstream]--
 	if m.reservedFor[reservation.Downstream] <= 0 {
 		delete(m.reservedFor, reservation.Downstream)
--- a/internal/reservations/manager_test.go
+++ b/internal/reservations/manager_test.go
@@ -18,81 +18,83 @@
 	t0           = time.Unix(1000, 0)
 )
 
-// fitsAll has every slot fit every downstream job.
+// fitsAll reports that the slot fits any downstream job.
 func fitsAll(Downstream) bool { return true }
 
-func ownedByTestPipeline(p placement.Pipeline) bool { return p == testPipeline }
+func isTestPipeline(p placement.Pipeline) bool { return p == testPipeline }
 
-// finishAll ends all tasks of one upstream job, ten seconds after its start, and tells
-// for each whether its slot is reserved.
-func finishAll(manager *Manager, upstreamTasks int, downstreams ...Downstream) (held []bool) {
+// finishAllTasks finishes all tasks of one upstream job ten seconds after its start and returns
+// for each whether its slot was reserved.
+func finishAllTasks(manager *Manager, upstreamTasks int, downstreams ...Downstream) (reserved []bool) {
 	for i := range upstreamTasks {
-		held = append(held, manager.TaskFinished(TaskFinish{
+		reserved = append(reserved, manager.TaskFinished(TaskFinish{
 			Job: "j-1", Tasks: upstreamTasks, UpstreamStartedAt: t0, Runtime: 10 * time.Second,
 			Machine: fmt.Sprint("m-", i), Fits: fitsAll, Downstreams: downstreams, Now: t0.Add(10 * time.Second),
 		}))
 	}
-	return held
+	return reserved
 }
 
-// TestHoldRule is the paper's m, n rule (section III-B, algorithm 1).
-func TestHoldRule(t *testing.T) {
+// TestReservationRule checks the number of reserved slots for m upstream and n downstream tasks
+// (paper, III-B, algorithm 1).
+func TestReservationRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, n := rapid.IntRange(1, 40).Draw(t, "m"), rapid.IntRange(0, 40).Draw(t, "n")
 		manager := NewManager(testOptions)
-		reservedAll := finishAll(manager, m, Downstream{Pipeline: testPipeline, Job: "j-2", Tasks: n, TaskResources: oneTask})
+		reservedAll := finishAllTasks(manager, m, Downstream{Pipeline: testPipeline, Job: "j-2", Tasks: n, TaskResources: oneTask})
 		for i, reserved := range reservedAll {
-			// n unknown counts as m; of m > n the first m-n release.
+			// An unknown n is taken as m. If m > n, the first m-n slots are released.
 			if want := n == 0 || i >= m-n; reserved != want {
-				t.Fatalf("m %d n %d: finisher %d held %v", m, n, i, reserved)
+				t.Fatalf("m %d n %d: slot of finished task %d reserved: %v", m, n, i, reserved)
 			}
 		}
-		extra := 0
+		preReserved := 0
 		for manager.OfferFreed("m-x", fitsAll, t0.Add(11*time.Second)) {
-			extra++
+			preReserved++
 		}
 		want := 0
 		if n > m {
 			want = n - m
 		}
-		if extra != want {
-			t.Fatalf("m %d n %d: %d held from elsewhere, want %d", m, n, extra, want)
+		if preReserved != want {
+			t.Fatalf("m %d n %d: %d slots pre-reserved, want %d", m, n, preReserved, want)
 		}
 	})
 }
 
-// severalDownstreams are the jobs that wait for one upstream; slots may not fit some.
-type severalDownstreams struct {
-	jobs  []Downstream
-	unfit map[string]bool
-	// tasks is what all of them have, useful what those have that slots fit.
-	tasks, useful int
+// downstreamSet contains the downstream jobs of one upstream job. Slots do not fit those
+// in unsuitable.
+type downstreamSet struct {
+	jobs       []Downstream
+	unsuitable map[string]bool
+	// totalTasks is the number of tasks of all jobs, usableTasks that of the jobs that slots fit.
+	totalTasks, usableTasks int
 }
 
-func drawDownstreams(t *rapid.T) (drawn severalDownstreams) {
-	drawn.unfit = map[string]bool{}
+func drawDownstreams(t *rapid.T) (set downstreamSet) {
+	set.unsuitable = map[string]bool{}
 	for i := range rapid.IntRange(1, 4).Draw(t, "jobs") {
 		name := fmt.Sprint("j-1", i)
 		pipeline := placement.Pipeline{Team: "a", Class: "x", Downstream: name}
 		downstream := Downstream{Pipeline: pipeline, Job: name, Tasks: rapid.IntRange(1, 9).Draw(t, "n"), TaskResources: oneTask}
-		drawn.unfit[name] = rapid.IntRange(0, 3).Draw(t, "fits") == 0
-		if !drawn.unfit[name] {
-			drawn.useful += downstream.Tasks
+		set.unsuitable[name] = rapid.IntRange(0, 3).Draw(t, "fits") == 0
+		if !set.unsuitable[name] {
+			set.usableTasks += downstream.Tasks
 		}
-		drawn.tasks += downstream.Tasks
-		drawn.jobs = append(drawn.jobs, downstream)
+		set.totalTasks += downstream.Tasks
+		set.jobs = append(set.jobs, downstream)
 	}
-	return drawn
+	return set
 }
 
-func (s severalDownstreams) fits(downstream Downstream) bool { return !s.unfit[downstream.Job] }
+func (s downstreamSet) fits(downstream Downstream) bool { return !s.unsuitable[downstream.Job] }
 
-// checkReservedInOrder: each reservation is for its job's pipeline, none is for a job that
-// slots do not fit, no job has more than its tasks, and none has any while one before it
-// lacks some.
-func (s severalDownstreams) checkReservedInOrder(t *rapid.T, manager *Manager) {
+// checkReservationOrder checks that each reservation is for the pipeline of its job, that jobs
+// that slots do not fit have none, that no job has more reservations than tasks, and that a job
+// has none while an earlier job that slots fit still lacks some.
+func (s downstreamSet) checkReservationOrder(t *rapid.T, manager *Manager) {
 	t.Helper()
-	short := false
+	earlierIncomplete := false
 	for _, downstream := range s.jobs {
 		count := 0
 		for _, reservation := range manager.All() {
@@ -101,24 +103,24 @@
 			}
 			count++
 			if reservation.Pipeline != downstream.Pipeline {
-				t.Fatalf("%+v held for %s", reservation, downstream.Job)
+				t.Fatalf("%+v: wrong pipeline for %s", reservation, downstream.Job)
 			}
 		}
-		if s.unfit[downstream.Job] && count > 0 || count > downstream.Tasks || short && count > 0 {
-			t.Fatalf("%d held for %s of %d; an earlier one lacks some: %v", count, downstream.Job, downstream.Tasks, short)
+		if s.unsuitable[downstream.Job] && count > 0 || count > downstream.Tasks || earlierIncomplete && count > 0 {
+			t.Fatalf("%d reservations for %s, which has %d tasks; an earlier job lacks some: %v", count, downstream.Job, downstream.Tasks, earlierIncomplete)
 		}
-		short = short || !s.unfit[downstream.Job] && count < downstream.Tasks
+		earlierIncomplete = earlierIncomplete || !s.unsuitable[downstream.Job] && count < downstream.Tasks
 	}
 }
 
-// TestHoldRuleOfSeveral: where several jobs wait for one, n is what all of them have of
-// tasks; slots go to the first that has not all that it can use and that fits there, and
-// none gets more than its own.
-func TestHoldRuleOfSeveral(t *testing.T) {
+// TestReservationRuleForSeveralDownstreams checks the rule for several downstream jobs of one
+// upstream job: n is the total number of their tasks, and slots are reserved for the jobs in
+// order, for each at most as many as it has tasks.
+func TestReservationRuleForSeveralDownstreams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := rapid.IntRange(1, 30).Draw(t, "m")
 		downstreams := drawDownstreams(t)
-		n := downstreams.tasks
+		n := downstreams.totalTasks
 		manager := NewManager(testOptions)
 		for i := range m {
 			manager.TaskFinished(TaskFinish{
@@ -126,23 +128,23 @@
 				Fits: downstreams.fits, Downstreams: downstreams.jobs, Now: t0.Add(10 * time.Second),
 			})
 			if i < m-n && len(manager.All()) > 0 {
-				t.Fatalf("finisher %d of %d holds for %d tasks", i, m, n)
+				t.Fatalf("slot of finished task %d of %d reserved for %d downstream tasks", i, m, n)
 			}
 		}
 		for range n {
 			manager.OfferFreed("m-x", downstreams.fits, t0.Add(11*time.Second))
 		}
-		// Of m < n, n-m more are pre-reserved; of m > n, m-n finishers do not reserve.
-		if want := min(downstreams.useful, n); len(manager.All()) != want {
-			t.Fatalf("m %d n %d useful %d: %d held, want %d", m, n, downstreams.useful, len(manager.All()), want)
+		// If m < n, n-m further slots are pre-reserved; if m > n, m-n slots are released.
+		if want := min(downstreams.usableTasks, n); len(manager.All()) != want {
+			t.Fatalf("m %d n %d usable %d: %d reservations, want %d", m, n, downstreams.usableTasks, len(manager.All()), want)
 		}
-		downstreams.checkReservedInOrder(t, manager)
+		downstreams.checkReservationOrder(t, manager)
 	})
 }
 
-// TestThreshold: nothing is held from elsewhere before more than the wished
-// part of the stage has finished.
-func TestThreshold(t *testing.T) {
+// TestPreReservationThreshold checks that further slots are pre-reserved only after more than
+// the threshold fraction of the phase's tasks has finished.
+func TestPreReservationThreshold(t *testing.T) {
 	manager := NewManager(testOptions)
 	for i := range 10 {
 		manager.TaskFinished(TaskFinish{
@@ -151,14 +153,14 @@
 		})
 		got := manager.OfferFreed("m-x", fitsAll, t0.Add(10*time.Second))
 		if got != (i == 8) {
-			t.Errorf("after %d of 10: extra held %v", i+1, got)
+			t.Errorf("after %d of 10 tasks: pre-reserved %v", i+1, got)
 		}
 	}
 }
 
-// TestLapse checks D against the paper's equation (2): all N tasks end before
-// D with chance P.
-func TestLapse(t *testing.T) {
+// TestDeadlineEquation checks the deadline D against equation (2) of the paper: all n tasks
+// finish before D with probability P.
+func TestDeadlineEquation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		options := Options{Alpha: rapid.Float64Range(1.05, 4).Draw(t, "alpha"), P: rapid.Float64Range(0.05, 0.95).Draw(t, "p")}
 		n := rapid.IntRange(1, 500).Draw(t, "n")
@@ -168,47 +170,47 @@
 		}
 		probability := math.Pow(1-math.Pow(1/deadline.Seconds(), options.Alpha), float64(n))
 		if math.Abs(probability-options.P) > 1e-3 {
-			t.Fatalf("n %d: chance %v, want %v", n, probability, options.P)
+			t.Fatalf("n %d: probability %v, want %v", n, probability, options.P)
 		}
 	})
 }
 
-// TestHoldsEnd: holds lapse, end with their downstream job's wait, and give
-// way where room was taken.
-func TestHoldsEnd(t *testing.T) {
+// TestReservationsEnd checks that reservations end when they are used, when their slot is taken,
+// when their downstream job stops waiting, and at their deadline.
+func TestReservationsEnd(t *testing.T) {
 	next := Downstream{Pipeline: testPipeline, Job: "j-2", Tasks: 3, TaskResources: oneTask}
 	always := func(string) bool { return true }
 	manager := NewManager(testOptions)
-	finishAll(manager, 3, next)
+	finishAllTasks(manager, 3, next)
 	if len(manager.All()) != 3 {
-		t.Fatalf("%d holds, want 3", len(manager.All()))
+		t.Fatalf("%d reservations, want 3", len(manager.All()))
 	}
 	if changed := manager.Expire(t0.Add(11*time.Second), always); len(changed) != 0 {
-		t.Errorf("lapsed early: %v", changed)
+		t.Errorf("expired before the deadline: %v", changed)
 	}
-	if !manager.Consume("m-0", ownedByTestPipeline) || manager.Consume("m-0", ownedByTestPipeline) {
-		t.Errorf("a hold is used other than once")
+	if !manager.Consume("m-0", isTestPipeline) || manager.Consume("m-0", isTestPipeline) {
+		t.Errorf("reservation not consumed exactly once")
 	}
 	if !manager.ReleaseExcess("m-1", placement.Resources{}) || len(manager.OnMachine("m-1")) != 0 {
-		t.Errorf("a hold stands in room that is taken")
+		t.Errorf("reservation kept although the slot is taken")
 	}
 	if changed := manager.Expire(t0.Add(11*time.Second), func(string) bool { return false }); len(changed) != 1 {
-		t.Errorf("holds outlive their job: %v", changed)
+		t.Errorf("reservations not removed when their job stopped waiting: %v", changed)
 	}
-	finishAll(manager, 3, next)
+	finishAllTasks(manager, 3, next)
 	if changed := manager.Expire(t0.Add(testOptions.Deadline(10*time.Second, 3)+time.Second), always); len(changed) != 3 {
-		t.Errorf("holds do not lapse: %v", changed)
+		t.Errorf("reservations not removed at their deadline: %v", changed)
 	}
-	if off := NewManager(Options{}); finishAll(off, 1, next)[0] {
-		t.Errorf("holds although turned off")
+	if off := NewManager(Options{}); finishAllTasks(off, 1, next)[0] {
+		t.Errorf("slot reserved although reservations are disabled")
 	}
 }
 
-// TestNoMoreIsHeldThanIsOfUse guards against drawn days of Peakdale: every job of
-// a pipeline that ended held room for the one gang that still waited, 237 machines
-// for its 24 tasks. Whatever ends, lapses, is used or lost, no more is held for a
-// job than it has tasks, and what it needs can be held again.
-func TestNoMoreIsHeldThanIsOfUse(t *testing.T) {
+// TestReservationsLimitedToTaskCount guards against more reservations for a job than it has
+// tasks: every upstream job of a pipeline that finished reserved slots for the one gang that
+// still waited, until it had 237 machines for 24 tasks. It checks the limit and the internal
+// count while tasks finish and reservations expire, are used or are lost.
+func TestReservationsLimitedToTaskCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		manager := NewManager(testOptions)
 		now := t0
@@ -216,13 +218,13 @@
 		waits := map[string]bool{"j-90": true, "j-91": true}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Second)
-			machine := fmt.Sprint("m-", rapid.IntRange(0, 9).Draw(t, "rig"))
-			next := downstream[rapid.IntRange(0, 1).Draw(t, "for")]
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			machine := fmt.Sprint("m-", rapid.IntRange(0, 9).Draw(t, "machine"))
+			next := downstream[rapid.IntRange(0, 1).Draw(t, "downstream")]
+			switch rapid.IntRange(0, 9).Draw(t, "action") {
 			case 0:
 				manager.RemoveMachine(machine)
 			case 1:
-				manager.Consume(machine, ownedByTestPipeline)
+				manager.Consume(machine, isTestPipeline)
 			case 2:
 				manager.ReleaseExcess(machine, oneTask)
 			case 3:
@@ -241,12 +243,12 @@
 				})
 			}
 			count := map[string]int{}
-			for _, h := range manager.All() {
-				count[h.Downstream]++
+			for _, reservation := range manager.All() {
+				count[reservation.Downstream]++
 			}
 			for _, target := range downstream {
 				if count[target.Job] > target.Tasks || count[target.Job] != manager.reservedFor[target.Job] {
-					t.Fatalf("%d held for %s of %d tasks, counted as %d", count[target.Job], target.Job, target.Tasks, manager.reservedFor[target.Job])
+					t.Fatalf("%d reservations for %s with %d tasks, counted as %d", count[target.Job], target.Job, target.Tasks, manager.reservedFor[target.Job])
 				}
 			}
 		}
--- a/internal/reservations/phase.go
+++ b/internal/reservations/phase.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// phase follows one upstream job; the paper calls it the current phase.
+// phase tracks the progress of one upstream job (the current phase in the paper).
 type phase struct {
-	finished int // tasks
-	released int // slots of these that were let go, for m > n
-	// shortestRuntime is that of the task that finished first: t_m in the paper.
+	finishedTasks int // number of finished tasks
+	releasedSlots int // number of their slots that were released, if m > n
+	// shortestRuntime is the run time of the task that finished first: t_m in the paper.
 	shortestRuntime time.Duration
 	deadline        time.Time
-	// preReserve is how many slots, released by other jobs, are still to be reserved, for
-	// m < n; it is set once, when the threshold is reached.
-	preReserve       int
-	thresholdReached bool
-	downstreams      []Downstream
+	// slotsToPreReserve is the number of slots released by other jobs that are still to be
+	// reserved, if m < n. It is set once, when the threshold is reached.
+	slotsToPreReserve int
+	thresholdReached  bool
+	downstreams       []Downstream
 }
 
-// TaskFinished takes in the end of a task of an upstream job and reports whether its slot
-// is now reserved. It is algorithm 1 of the paper (III-B).
+// TaskFinished processes the end of a task of an upstream job and reports whether its slot is
+// now reserved (paper, III-B, algorithm 1).
 func (m *Manager) TaskFinished(finish TaskFinish) (reserved bool) {
 	if !m.options.Enabled {
 		return false
@@ -31,26 +31,26 @@
 		upstream = &phase{shortestRuntime: finish.Runtime}
 		m.phases[finish.Job] = upstream
 	}
-	upstream.finished++
+	upstream.finishedTasks++
 	upstream.deadline = finish.UpstreamStartedAt.Add(m.options.Deadline(upstream.shortestRuntime, finish.Tasks))
 	if len(finish.Downstreams) > 0 {
 		upstream.downstreams = finish.Downstreams
 		reserved = m.reserveOrRelease(upstream, finish)
 		m.startPreReserving(upstream, finish)
 	}
-	if upstream.finished >= finish.Tasks && upstream.preReserve == 0 {
+	if upstream.finishedTasks >= finish.Tasks && upstream.slotsToPreReserve == 0 {
 		delete(m.phases, finish.Job)
 	}
 	return reserved
 }
 
-// reserveOrRelease reserves the slot of a finished task, unless fewer tasks follow
-// (m > n): then the first m-n slots are let go.
+// reserveOrRelease reserves the slot of a finished task and reports whether it did. If the
+// downstream jobs have fewer tasks (m > n), the first m-n slots are released instead.
 func (m *Manager) reserveOrRelease(upstream *phase, finish TaskFinish) (reserved bool) {
 	surplus := finish.Tasks - finish.downstreamTasks()
 	switch {
-	case upstream.released < surplus:
-		upstream.released++
+	case upstream.releasedSlots < surplus:
+		upstream.releasedSlots++
 		return false
 	case upstream.deadline.After(finish.Now):
 		return m.reserveFor(upstream, finish.Job, finish.Machine, finish.Tasks, finish.Fits)
@@ -58,33 +58,33 @@
 	return false
 }
 
-// startPreReserving has n-m further slots reserved once more than the threshold of the
-// phase has finished, where more tasks follow (m < n).
+// startPreReserving starts the reservation of n-m further slots if the downstream jobs have
+// more tasks (m < n) and the phase has just exceeded the threshold.
 func (m *Manager) startPreReserving(upstream *phase, finish TaskFinish) {
 	missing := finish.downstreamTasks() - finish.Tasks
-	if missing > 0 && !upstream.thresholdReached && float64(upstream.finished) > m.options.Threshold*float64(finish.Tasks) {
-		upstream.thresholdReached, upstream.preReserve = true, missing
+	if missing > 0 && !upstream.thresholdReached && float64(upstream.finishedTasks) > m.options.Threshold*float64(finish.Tasks) {
+		upstream.thresholdReached, upstream.slotsToPreReserve = true, missing
 	}
 }
 
-// downstreamTasks is n of the paper: the tasks of all downstream jobs together.
+// downstreamTasks returns the total number of tasks of all downstream jobs: n in the paper.
 func (f TaskFinish) downstreamTasks() int {
 	n := 0
 	for _, downstream := range f.Downstreams {
-		n += downstream.tasksOr(f.Tasks)
+		n += downstream.tasksOrDefault(f.Tasks)
 	}
 	return n
 }
 
-// reserveFor reserves a slot for the first of a phase's downstream jobs that lacks some
-// and that fits there.
+// reserveFor reserves a slot for the first downstream job of the phase that fits there and has
+// fewer reservations than tasks. It reports whether there is one.
 //
-// Several upstream jobs may end while the same one waits. It can use no more than its own
-// tasks take; all else would only stand empty and use up the team's limit, as on Peakdale,
-// where one gang of 24 had slots on 237 machines and could not start for that.
+// Several upstream jobs may finish while the same downstream job waits. More reservations than
+// tasks would leave slots idle and use up the team's limit: a gang of 24 tasks once had
+// reservations on 237 machines, which kept it from starting.
 func (m *Manager) reserveFor(upstream *phase, upstreamJob, machine string, upstreamTasks int, fits func(Downstream) bool) bool {
 	for _, downstream := range upstream.downstreams {
-		if m.reservedFor[downstream.Job] < downstream.tasksOr(upstreamTasks) && fits(downstream) {
+		if m.reservedFor[downstream.Job] < downstream.tasksOrDefault(upstreamTasks) && fits(downstream) {
 			m.add(Reservation{
 				Machine:    machine,
 				Pipeline:   downstream.Pipeline,
@@ -101,30 +101,30 @@
 }
 
 // OfferFreed offers a slot that another job has released to the phases that pre-reserve
-// (m < n), and reports whether it is now reserved; fits tells whether a task of the
-// downstream can use it. The highest priority goes first.
+// (m < n), highest priority first, and reports whether it is now reserved. The function fits
+// reports whether a task of the downstream job can use the slot.
 func (m *Manager) OfferFreed(machine string, fits func(Downstream) bool, now time.Time) bool {
 	for _, job := range m.preReservingJobs(now) {
 		upstream := m.phases[job]
-		// An unknown n counts as m, and then nothing more is pre-reserved: hence 0.
+		// An unknown n is taken as m, for which no further slots are pre-reserved: hence 0.
 		if m.reserveFor(upstream, job, machine, 0, fits) {
-			upstream.preReserve--
+			upstream.slotsToPreReserve--
 			return true
 		}
 	}
 	return false
 }
 
-// preReservingJobs names the upstream jobs that pre-reserve, the one whose first
-// downstream has the highest priority first. Those past their deadline stop.
+// preReservingJobs returns the upstream jobs whose phases pre-reserve, ordered by the priority
+// of their first downstream job, highest first. Phases past their deadline stop pre-reserving.
 func (m *Manager) preReservingJobs(now time.Time) []string {
 	var jobs []string
 	for job, upstream := range m.phases {
-		if upstream.preReserve == 0 {
+		if upstream.slotsToPreReserve == 0 {
 			continue
 		}
 		if !upstream.deadline.After(now) {
-			upstream.preReserve = 0
+			upstream.slotsToPreReserve = 0
 			continue
 		}
 		jobs = append(jobs, job)
--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,5 +1,5 @@
-// Package testseed runs a package's generated tests with a fixed seed, so that every run
-// tests the same cases and a failure can be repeated.
+// Package testseed runs a package's property-based tests with a fixed seed, so that every run
+// tests the same cases and failures are reproducible.
 package testseed
 
 import (
@@ -8,17 +8,17 @@
 	"strconv"
 	"testing"
 
-	_ "pgregory.net/rapid" // defines the flags that are set here
+	_ "pgregory.net/rapid" // defines the flags that Main sets
 )
 
 const (
 	seed = "20261201"
-	// actionsPerCase is the average number of actions of a state machine test.
+	// actionsPerCase is the average number of actions per case of a state machine test.
 	actionsPerCase = "60"
 )
 
-// Main runs the tests of a package, each property with so many generated cases, and returns
-// the exit code. TestMain calls it.
+// Main runs the tests of a package, with the given number of cases per property, and returns
+// the exit code. It is called by TestMain.
 func Main(m *testing.M, cases int) int {
 	flag.Parse()
 	setFlag("rapid.seed", seed)
