--- a/internal/node/combined_faults_cancellations_test.go
+++ b/internal/node/combined_faults_cancellations_test.go
@@ -9,10 +9,10 @@
 	"thornnotch/internal/workers"
 )
 
-// Cancellations that meet with another fault.
+// Tests of cancellations combined with other faults.
 
-// fillQuotas fills both teams up to their limits with long tasks: three jobs of team a,
-// two of team b. More jobs wait for room.
+// fillQuotas runs long jobs that use up the quota of both teams, three of team a and two of
+// team b, and returns their IDs. It then submits more jobs, which have to wait.
 func (sc *scenario) fillQuotas() (ids []string) {
 	sc.t.Helper()
 	sc.cancelAll(sc.ids)
@@ -30,48 +30,48 @@
 	return ids
 }
 
-// hangFor has a machine stand still from now on for a while.
-func (sc *scenario) hangFor(machine string, duration time.Duration) {
+// hangMachine suspends a machine's worker for the duration, starting now.
+func (sc *scenario) hangMachine(machine string, duration time.Duration) {
 	sc.worker(machine).SetHanging(true)
 	sc.after(duration, func() { sc.worker(machine).SetHanging(false) })
 }
 
-// cancelAfter has a user cancel a job after a while.
+// cancelAfter cancels a job after a delay, without blocking.
 func (sc *scenario) cancelAfter(wait time.Duration, id string) {
 	sc.after(wait, func() { sc.cancel(id) })
 }
 
-// TestCombinedLimitCancelHang: every team is at its limit while jobs are cancelled
-// whose machines are cut off or hang, and the leader changes.
-func TestCombinedLimitCancelHang(t *testing.T) {
+// TestCombinedFullQuotaUnreachableMachines: both teams use up their quota. Two running jobs
+// are cancelled while their machines are unreachable or hang, and the leader is restarted.
+func TestCombinedFullQuotaUnreachableMachines(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		ids := sc.fillQuotas()
-		first, last := ids[0], ids[4]
-		for _, name := range slices.Compact(append(sc.machinesOf(first), sc.machinesOf(last)...)) {
+		jobA, jobB := ids[0], ids[4]
+		for _, name := range slices.Compact(append(sc.machinesOf(jobA), sc.machinesOf(jobB)...)) {
 			if sc.intn(2) == 0 {
 				sc.isolateMachines(name)
 			} else {
-				sc.hangFor(name, sc.duration(3*time.Second, 30*time.Second))
+				sc.hangMachine(name, sc.duration(3*time.Second, 30*time.Second))
 			}
 		}
-		sc.cancelAfter(sc.duration(0, 3*time.Second), first)
-		sc.cancelAfter(sc.duration(0, 3*time.Second), last)
+		sc.cancelAfter(sc.duration(0, 3*time.Second), jobA)
+		sc.cancelAfter(sc.duration(0, 3*time.Second), jobB)
 		time.Sleep(sc.duration(0, 4*time.Second))
 		sc.restartLeader(sc.duration(100*time.Millisecond, 3*time.Second))
 		sc.waitCancelledGone()
-		sc.checkCancelled(first, last)
+		sc.checkCancelled(jobA, jobB)
 		sc.cancelAll(ids)
 	})
 }
 
-// TestCombinedLimitLeaderChangesCancel: a team is at its limit when the leader
-// changes, some of its machines can't be asked, and a cancellation falls into
-// that spell.
-func TestCombinedLimitLeaderChangesCancel(t *testing.T) {
+// TestCombinedFullQuotaFailover: both teams use up their quota when the leader is killed.
+// Machines of two running jobs are cut off, partly in one direction only, and the jobs are
+// cancelled during or after the failover.
+func TestCombinedFullQuotaFailover(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		ids := sc.fillQuotas()
-		ofTeamA, ofTeamB := ids[2], ids[3]
-		for i, name := range slices.Compact(append(sc.machinesOf(ofTeamA), sc.machinesOf(ofTeamB)...)) {
+		jobA, jobB := ids[2], ids[3]
+		for i, name := range slices.Compact(append(sc.machinesOf(jobA), sc.machinesOf(jobB)...)) {
 			switch i % 3 {
 			case 0:
 				sc.isolateMachines(name)
@@ -81,45 +81,45 @@
 				sc.worker(name).CutIncoming(true)
 			}
 		}
-		old := sc.nextLeader("")
-		sc.killNode(old)
-		sc.cancelAfter(sc.duration(0, 4*time.Second), ofTeamA)
-		sc.cancelAfter(sc.duration(0, 9*time.Second), ofTeamB)
+		oldLeader := sc.nextLeader("")
+		sc.killNode(oldLeader)
+		sc.cancelAfter(sc.duration(0, 4*time.Second), jobA)
+		sc.cancelAfter(sc.duration(0, 9*time.Second), jobB)
 		time.Sleep(sc.duration(100*time.Millisecond, 4*time.Second))
-		sc.startNode(nodeNumber(old))
+		sc.startNode(nodeNumber(oldLeader))
 		sc.nextLeader("")
 		sc.waitCancelledGone()
-		sc.checkCancelled(ofTeamA, ofTeamB)
+		sc.checkCancelled(jobA, jobB)
 		sc.cancelAll(ids)
 	})
 }
 
-// TestCombinedCancelWhileHandingOver: jobs are cancelled in the seconds in which one
-// controller's work changes hands.
-func TestCombinedCancelWhileHandingOver(t *testing.T) {
+// TestCombinedCancelDuringFailover: jobs are cancelled in the seconds around the leader's
+// crash and the election of the next one.
+func TestCombinedCancelDuringFailover(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		var ids []string
 		for n := range 6 {
 			ids = append(ids, sc.submitNext(longJob(teamOf(n), kindOf(n/4), 2, 120)))
 		}
 		sc.waitRunning(ids[0])
-		old := sc.nextLeader("")
+		oldLeader := sc.nextLeader("")
 		for _, id := range ids {
 			sc.after(sc.duration(0, 6*time.Second), func() { sc.cancel(id); sc.queryAllNodes(id) })
 		}
 		time.Sleep(sc.duration(0, time.Second))
-		sc.killNode(old)
+		sc.killNode(oldLeader)
 		time.Sleep(sc.duration(50*time.Millisecond, 5*time.Second))
-		sc.startNode(nodeNumber(old))
+		sc.startNode(nodeNumber(oldLeader))
 		sc.nextLeader("")
 		sc.waitCancelledGone()
 		sc.checkCancelled(ids...)
 	})
 }
 
-// TestCombinedCancelAtTheEnd: a cancellation, a question or a repeated submission
-// meets the end of a job's last task.
-func TestCombinedCancelAtTheEnd(t *testing.T) {
+// TestCombinedCancelAtCompletion: cancellations, status queries and repeated submissions
+// arrive just as a job's last task completes.
+func TestCombinedCancelAtCompletion(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		sc.rules.callOnDone(func(task workers.TaskID) {
 			sc.users.goroutines.Go(func() {
@@ -137,24 +137,24 @@
 			ids = append(ids, sc.submitNext(job))
 		}
 		time.Sleep(50 * time.Second)
-		outcomes := sc.countStatuses(ids)
-		sc.checkTookPlace(outcomes[jobs.StatusDone] > 0 && outcomes[jobs.StatusCancelled] > 0, "outcomes %v", outcomes)
+		statusCounts := sc.countStatuses(ids)
+		sc.checkTookPlace(statusCounts[jobs.StatusDone] > 0 && statusCounts[jobs.StatusCancelled] > 0, "final statuses %v", statusCounts)
 	})
 }
 
-// TestCombinedCommandHeldUp: a command or its answer is held up for seconds, and the
-// machine then goes on.
-func TestCombinedCommandHeldUp(t *testing.T) {
+// TestCombinedDelayedCommands: machines hang for seconds, so that commands to them or their
+// replies are delayed, and then resume.
+func TestCombinedDelayedCommands(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		var ids []string
 		for n := range 4 {
 			ids = append(ids, sc.submitNext(longJob(teamOf(n), kindOf(n/2), 3, 90)))
 		}
-		hung := 0
+		hungMachines := 0
 		for _, id := range ids {
 			sc.waitRunning(id)
-			sc.hangFor(sc.machinesOf(id)[0], sc.duration(time.Second, 16*time.Second))
-			hung++
+			sc.hangMachine(sc.machinesOf(id)[0], sc.duration(time.Second, 16*time.Second))
+			hungMachines++
 			sc.cancelAfter(sc.duration(0, 3*time.Second), id)
 		}
 		for n := range 4 {
@@ -164,6 +164,6 @@
 			sc.restartLeader(sc.duration(100*time.Millisecond, 3*time.Second))
 		}
 		sc.waitCancelledGone()
-		sc.checkTookPlace(hung == 4, "%d machines hung", hung)
+		sc.checkTookPlace(hungMachines == 4, "%d machines were suspended", hungMachines)
 	})
 }
--- a/internal/node/combined_faults_leaders_test.go
+++ b/internal/node/combined_faults_leaders_test.go
@@ -9,56 +9,56 @@
 	"thornnotch/internal/simulator"
 )
 
-// Changes of the leader that meet with another fault.
+// Tests of leader failovers combined with other faults.
 
-// TestCombinedLeaderEndsMachinesAway: a leader ends while machines with long tasks
-// can't be reached, or don't hear the new leader's answers.
-func TestCombinedLeaderEndsMachinesAway(t *testing.T) {
+// TestCombinedFailoverUnreachableMachines: the leader is killed while one machine with a
+// long task is unreachable and another one does not receive replies to its heartbeats.
+func TestCombinedFailoverUnreachableMachines(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		array := sc.submitNext(longJob("a", jobs.KindArray, 6, 60))
 		gang := sc.submitNext(longJob("b", jobs.KindGang, 3, 60))
 		sc.waitRunning(array, gang)
 		sc.isolateMachines(sc.machinesOf(array)[0])
-		deaf := sc.machinesOf(gang)[0]
-		sc.after(sc.duration(0, time.Second), func() { sc.worker(deaf).CutIncoming(true) })
-		old := sc.leader()
+		cutMachine := sc.machinesOf(gang)[0]
+		sc.after(sc.duration(0, time.Second), func() { sc.worker(cutMachine).CutIncoming(true) })
+		oldLeader := sc.leader()
 		time.Sleep(sc.duration(0, 2*time.Second))
-		sc.restartNode(old, sc.duration(50*time.Millisecond, 4*time.Second))
+		sc.restartNode(oldLeader, sc.duration(50*time.Millisecond, 4*time.Second))
 		sc.nextLeader("")
 		time.Sleep(sc.duration(2*time.Second, 25*time.Second))
-		sc.checkTookPlace(len(sc.machinesOf(array)) > 0, "no long task runs")
+		sc.checkTookPlace(len(sc.machinesOf(array)) > 0, "no task of the long array is running")
 	})
 }
 
-// TestCombinedHandOverAndBack: controllers hand over and back, all end, and one
-// returns, also within a second.
-func TestCombinedHandOverAndBack(t *testing.T) {
+// TestCombinedRepeatedFailovers: the leader is restarted several times in a row. Then all
+// nodes are killed and one of them starts again within a second.
+func TestCombinedRepeatedFailovers(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		sc.submitNext(longJob("a", jobs.KindArray, 5, 50))
 		sc.submitNext(longJob("b", jobs.KindGang, 3, 40))
-		ends := 0
+		kills := 0
 		for range 3 {
 			sc.restartLeader(sc.duration(20*time.Millisecond, 3*time.Second))
-			ends++
+			kills++
 			time.Sleep(sc.duration(0, 4*time.Second))
 			sc.submitNext(testJob(0, "a", jobs.KindArray, 2))
 		}
-		ends += len(sc.nodes)
+		kills += len(sc.nodes)
 		sc.killAllNodes()
 		time.Sleep(sc.duration(20*time.Millisecond, 900*time.Millisecond))
 		sc.startNode(sc.intn(3))
 		time.Sleep(sc.duration(time.Second, 8*time.Second))
-		sc.checkTookPlace(ends == 6, "%d ends", ends)
+		sc.checkTookPlace(kills == 6, "%d nodes were killed", kills)
 	})
 }
 
-// TestCombinedLeadersChangeAndOutage: leaders change ten times in two minutes, also
-// inside an outage.
-func TestCombinedLeadersChangeAndOutage(t *testing.T) {
+// TestCombinedFailoversDuringOutage: the leader, or another node if none leads, is restarted
+// ten times within two minutes, partly during an outage of the state service.
+func TestCombinedFailoversDuringOutage(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		sc.submitNext(longJob("a", jobs.KindArray, 5, 100))
 		sc.submitNext(longJob("b", jobs.KindGang, 3, 70))
-		begun, changes := time.Now(), 0
+		startedAt, restarts := time.Now(), 0
 		for n := range 10 {
 			if n == 4 {
 				sc.state.SetOutage(true)
@@ -69,7 +69,7 @@
 			}
 			if sc.nodes[name] != nil {
 				sc.restartNode(name, sc.duration(50*time.Millisecond, 2*time.Second))
-				changes++
+				restarts++
 			}
 			time.Sleep(sc.duration(time.Second, 8*time.Second))
 			if n == 6 {
@@ -77,22 +77,22 @@
 				sc.submitNext(testJob(0, "a", jobs.KindArray, 2))
 			}
 		}
-		sc.checkTookPlace(changes == 10 && time.Since(begun) < 2*time.Minute, "%d changes in %v", changes, time.Since(begun))
+		sc.checkTookPlace(restarts == 10 && time.Since(startedAt) < 2*time.Minute, "%d restarts in %v", restarts, time.Since(startedAt))
 	})
 }
 
-// TestCombinedTasksEndApart: jobs of two or three tasks end far apart across a change
-// of leader. What has ended stays so: no task runs a second time.
-func TestCombinedTasksEndApart(t *testing.T) {
-	tasksEndApart := func(s *site) {
+// TestCombinedStaggeredCompletions: the tasks of a job complete 18 s apart, with failovers
+// in between. Guards against a new leader that runs a completed task again.
+func TestCombinedStaggeredCompletions(t *testing.T) {
+	staggerTaskDurations := func(s *site) {
 		s.taskDuration = func(job *jobs.Spec, index int) time.Duration {
 			if job.Kind == jobs.KindGang {
-				index = 0 // they end together
+				index = 0 // a gang's tasks complete together
 			}
 			return time.Duration(job.ExpectedS*float64(time.Second)) + time.Duration(index)*18*time.Second
 		}
 	}
-	runScenario(t, tasksEndApart, func(sc *scenario) {
+	runScenario(t, staggerTaskDurations, func(sc *scenario) {
 		var ids []string
 		for n := range 4 {
 			job := testJob(0, teamOf(n), jobs.KindArray, 2+n%2)
@@ -100,50 +100,51 @@
 			ids = append(ids, sc.submitNext(job))
 		}
 		sc.waitRunning(ids[0])
-		sc.state.SetFate(sc.slowWrites(600*time.Millisecond, 1300*time.Millisecond))
-		ended := 0
+		sc.state.SetFate(sc.delayedWrites(600*time.Millisecond, 1300*time.Millisecond))
+		completed := 0
 		for range 3 {
-			before := sc.tasksDone(ids)
-			sc.waitFor(40*time.Second, "an end", func() bool { return sc.tasksDone(ids) > before })
-			ended = sc.tasksDone(ids)
+			before := sc.countCompletedTasks(ids)
+			sc.waitFor(40*time.Second, "a task to complete", func() bool { return sc.countCompletedTasks(ids) > before })
+			completed = sc.countCompletedTasks(ids)
 			time.Sleep(sc.duration(0, time.Second))
 			sc.restartLeader(sc.duration(100*time.Millisecond, 4*time.Second))
 			sc.nextLeader("")
 		}
 		sc.state.SetFate(nil)
-		sc.checkTookPlace(ended > 0 && ended < 10, "%d tasks had ended", ended)
+		sc.checkTookPlace(completed > 0 && completed < 10, "%d tasks had completed before the last failover", completed)
 		time.Sleep(60 * time.Second)
-		for task, times := range sc.rules.allCompletions() {
-			if slices.Contains(ids, task.Job) && times != 1 {
-				sc.t.Errorf("task %v ended %d times", task, times)
+		for task, completions := range sc.rules.allCompletions() {
+			if slices.Contains(ids, task.Job) && completions != 1 {
+				sc.t.Errorf("task %v completed %d times", task, completions)
 			}
 		}
 	})
 }
 
-// slowWrites has writes lag, so that a leader ends between a task's heartbeat and its
-// record.
-func (sc *scenario) slowWrites(least, most time.Duration) func(node string, writes int) simulator.Fate {
+// delayedWrites returns a fault function that delays every write by a random time. A leader
+// can then crash after it received a heartbeat and before the task's record is written.
+func (sc *scenario) delayedWrites(minDelay, maxDelay time.Duration) func(node string, writes int) simulator.Fate {
 	return func(_ string, writes int) simulator.Fate {
 		if writes == 0 {
 			return simulator.Fate{}
 		}
-		return simulator.Fate{Slow: sc.duration(least, most)}
+		return simulator.Fate{Slow: sc.duration(minDelay, maxDelay)}
 	}
 }
 
-// tasksDone is how many tasks of these jobs are done.
-func (sc *scenario) tasksDone(ids []string) (done int) {
+// countCompletedTasks returns the number of tasks of these jobs that have completed.
+func (sc *scenario) countCompletedTasks(ids []string) (count int) {
 	for task := range sc.rules.allCompletions() {
 		if slices.Contains(ids, task.Job) {
-			done++
+			count++
 		}
 	}
-	return done
+	return count
 }
 
-// TestCombinedAllAway: all controllers are away for longer than lease_s.
-func TestCombinedAllAway(t *testing.T) {
+// TestCombinedAllNodesDownPastLease: all nodes are down for longer than lease_s, so that the
+// machines must kill their tasks. A job is cancelled shortly before or during the downtime.
+func TestCombinedAllNodesDownPastLease(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		id := sc.submitNext(longJob("a", jobs.KindArray, 6, 30))
 		sc.waitRunning(id)
@@ -151,8 +152,8 @@
 		time.Sleep(sc.duration(0, 2*time.Second))
 		sc.killAllNodes()
 		time.Sleep(sc.duration(13*time.Second, 40*time.Second))
-		left := len(sc.rules.runningTasks())
-		sc.checkTookPlace(left == 0, "%d tasks outlived their leases", left)
+		running := len(sc.rules.runningTasks())
+		sc.checkTookPlace(running == 0, "%d tasks are running after their leases expired", running)
 		for _, i := range []int{1, 2, 0} {
 			sc.startNode(i)
 			time.Sleep(sc.duration(0, time.Second))
@@ -160,22 +161,22 @@
 	})
 }
 
-// TestCombinedLeaderAlone: a leader is cut from the state service and from the other
-// controllers while workers and users still reach it, and jobs are cancelled
-// through the new one.
-func TestCombinedLeaderAlone(t *testing.T) {
+// TestCombinedIsolatedLeader: the leader is cut off from the state service and the other
+// nodes while workers and users still reach it, and jobs are cancelled through the new
+// leader.
+func TestCombinedIsolatedLeader(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		var ids []string
 		for n := range 4 {
 			ids = append(ids, sc.submitNext(longJob(teamOf(n), jobs.KindArray, 3, 120)))
 		}
 		sc.waitRunning(ids...)
-		old := sc.nextLeader("")
-		sc.isolate(old)
-		next := nodeNumber(sc.nextLeader(old))
+		oldLeader := sc.nextLeader("")
+		sc.isolate(oldLeader)
+		newLeader := nodeNumber(sc.nextLeader(oldLeader))
 		for _, id := range ids {
 			sc.after(sc.duration(0, 15*time.Second), func() {
-				sc.cancelAtUntilAnswered(next, id, 200*time.Millisecond)
+				sc.cancelAtUntilAnswered(newLeader, id, 200*time.Millisecond)
 				sc.queryAllNodes(id)
 			})
 		}
--- a/internal/node/combined_faults_machines_test.go
+++ b/internal/node/combined_faults_machines_test.go
@@ -10,21 +10,21 @@
 	"thornnotch/internal/simulator"
 )
 
-// Faults of machines and of their links that meet with another fault.
+// Tests of faults of machines and their network links, combined with other faults.
 
-// TestCombinedNewMachinesWritesLag: new machines are up within two seconds and get
-// work at once while writes lag, and the leader ends.
-func TestCombinedNewMachinesWritesLag(t *testing.T) {
-	layout := smallSite()
-	layout.bootTime = 1500 * time.Millisecond
+// TestCombinedNewMachinesDelayedWrites: new machines boot within two seconds and get tasks
+// at once while writes are delayed or lose their reply, and the leader is restarted.
+func TestCombinedNewMachinesDelayedWrites(t *testing.T) {
+	options := smallSite()
+	options.bootTime = 1500 * time.Millisecond
 	for seed := range uint64(seedsPerScenario) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			runScenarioOnce(t, layout, seed, nil, func(sc *scenario) {
-				sc.state.SetFate(sc.slowAndLostWrites())
-				before := len(sc.machineNames())
+			runScenarioOnce(t, options, seed, nil, func(sc *scenario) {
+				sc.state.SetFate(sc.delayedAndLostWrites())
+				machinesBefore := len(sc.machineNames())
 				sc.submitNext(longJob("a", jobs.KindArray, 9, 40))
 				gang := sc.submitNext(longJob("b", jobs.KindGang, 4, 40))
-				sc.waitFor(60*time.Second, "new machines", func() bool { return len(sc.machineNames()) > before })
+				sc.waitFor(60*time.Second, "new machines to boot", func() bool { return len(sc.machineNames()) > machinesBefore })
 				time.Sleep(sc.duration(0, 4*time.Second))
 				sc.restartLeader(sc.duration(100*time.Millisecond, 4*time.Second))
 				time.Sleep(sc.duration(0, 5*time.Second))
@@ -33,93 +33,94 @@
 				}
 				time.Sleep(20 * time.Second)
 				machines, counts := len(sc.machineNames()), sc.state.Counts()
-				sc.checkTookPlace(machines > before && counts.LateDone+counts.LateFailed > 0, "machines %d, %d before; %+v", machines, before, counts)
+				sc.checkTookPlace(machines > machinesBefore && counts.LateDone+counts.LateFailed > 0, "%d machines, %d before; %+v", machines, machinesBefore, counts)
 			})
 		})
 	}
 }
 
-// slowAndLostWrites has all writes lag, and the answer of one in four lost, which is then
-// carried out late.
-func (sc *scenario) slowAndLostWrites() func(node string, writes int) simulator.Fate {
-	lost := sc.oneInEach(4)
-	slow := sc.slowWrites(100*time.Millisecond, time.Second)
+// delayedAndLostWrites returns a fault function that delays three in four transactions with
+// writes. The fourth loses its reply and is applied late.
+func (sc *scenario) delayedAndLostWrites() func(node string, writes int) simulator.Fate {
+	losesReply := sc.oneInEach(4)
+	delayed := sc.delayedWrites(100*time.Millisecond, time.Second)
 	return func(node string, writes int) simulator.Fate {
-		if lost(writes) {
+		if losesReply(writes) {
 			return simulator.Fate{Lost: true, After: sc.duration(500*time.Millisecond, 6*time.Second)}
 		}
-		return slow(node, writes)
+		return delayed(node, writes)
 	}
 }
 
-// TestCombinedHeldBackReport: a heartbeat is held back until a new leader has acted, and
-// then arrives there.
-func TestCombinedHeldBackReport(t *testing.T) {
+// TestCombinedDelayedHeartbeats: heartbeats sent before a failover reach the new leader
+// after it has already changed jobs.
+func TestCombinedDelayedHeartbeats(t *testing.T) {
 	runScenario(t, func(s *site) { s.keptHeartbeats = 3 }, func(sc *scenario) {
 		array := sc.submitNext(longJob("a", jobs.KindArray, 5, 25))
 		gang := sc.submitNext(longJob("b", jobs.KindGang, 3, 25))
 		sc.waitRunning(array, gang)
-		old := sc.nextLeader("")
+		oldLeader := sc.nextLeader("")
 		names := sc.machineNames()
-		sc.killNode(old)
-		next := nodeNumber(sc.nextLeader(old))
-		// It acts: one job is cancelled, others end and begin.
+		sc.killNode(oldLeader)
+		newLeader := nodeNumber(sc.nextLeader(oldLeader))
+		// The new leader acts before the old heartbeats arrive: it cancels a job and gets new ones.
 		sc.cancel(gang)
 		for range 3 {
 			sc.submitNext(testJob(0, "b", jobs.KindArray, 2))
 		}
 		for _, name := range names {
-			sc.worker(name).CutOutgoing(true) // what it keeps stays the old
+			sc.worker(name).CutOutgoing(true) // so that it still keeps the old heartbeats
 		}
 		time.Sleep(sc.duration(0, 14*time.Second))
 		sent := 0
 		for _, name := range names {
-			sent += sc.worker(name).ResendHeartbeats(sc.users.ctx, nodeAddress(next))
+			sent += sc.worker(name).ResendHeartbeats(sc.users.ctx, nodeAddress(newLeader))
 		}
-		sc.checkTookPlace(sent > 0, "no report came late")
+		sc.checkTookPlace(sent > 0, "no heartbeat was resent")
 		for _, name := range names {
 			sc.worker(name).CutOutgoing(false)
 		}
-		sc.startNode(nodeNumber(old))
+		sc.startNode(nodeNumber(oldLeader))
 		sc.waitCancelledGone()
 	})
 }
 
-// TestCombinedOldReportNewLeader: an old heartbeat reaches every controller just as a
-// new leader begins.
-func TestCombinedOldReportNewLeader(t *testing.T) {
+// TestCombinedOldHeartbeatsDuringElection: old heartbeats reach every node while a new
+// leader is elected and starts its term.
+func TestCombinedOldHeartbeatsDuringElection(t *testing.T) {
 	runScenario(t, func(s *site) { s.keptHeartbeats = 2 }, func(sc *scenario) {
 		id := sc.submitNext(longJob("a", jobs.KindArray, 5, 25))
 		sc.submitNext(longJob("b", jobs.KindGang, 3, 25))
 		sc.waitRunning(id)
-		old := sc.nextLeader("")
+		oldLeader := sc.nextLeader("")
 		names := sc.machineNames()
-		sc.killNode(old)
+		sc.killNode(oldLeader)
 		end := time.Now().Add(6 * time.Second)
-		sent, begun := 0, false
+		resends, elected := 0, false
 		for time.Now().Before(end) {
 			for _, name := range names {
-				sc.after(0, func() { sc.sendOldHeartbeats(name) })
-				sent++
+				sc.after(0, func() { sc.resendHeartbeats(name) })
+				resends++
 			}
-			begun = begun || sc.leader() != ""
+			elected = elected || sc.leader() != ""
 			time.Sleep(sc.duration(50*time.Millisecond, 400*time.Millisecond))
 		}
-		sc.checkTookPlace(sent > 0 && begun, "%d reports, a leader %v", sent, begun)
-		sc.startNode(nodeNumber(old))
+		sc.checkTookPlace(resends > 0 && elected, "%d resends, leader elected: %v", resends, elected)
+		sc.startNode(nodeNumber(oldLeader))
 		sc.submitNext(testJob(0, "a", jobs.KindGang, 3))
 	})
 }
 
-// sendOldHeartbeats has a machine send what it has kept to all nodes.
-func (sc *scenario) sendOldHeartbeats(machine string) {
+// resendHeartbeats makes a machine send the heartbeats that it has kept to all nodes.
+func (sc *scenario) resendHeartbeats(machine string) {
 	for i := range 3 {
 		sc.worker(machine).ResendHeartbeats(sc.users.ctx, nodeAddress(i))
 	}
 }
 
-// TestCombinedZoneLosesMachines: jobs bound to one zone, arrays too, lose machines.
-func TestCombinedZoneLosesMachines(t *testing.T) {
+// TestCombinedZonedJobsLoseMachines: jobs that are restricted to one zone, arrays as well as
+// gangs, lose machines.
+func TestCombinedZonedJobsLoseMachines(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		zone := zones[sc.intn(3)]
 		var ids []string
@@ -129,38 +130,38 @@
 			ids = append(ids, sc.submitNext(job))
 		}
 		sc.waitRunning(ids[0], ids[1])
-		lost := 0
+		failed := 0
 		for _, name := range slices.Compact(append(sc.machinesOf(ids[0]), sc.machinesOf(ids[1])...)) {
-			if lost < 2 {
+			if failed < 2 {
 				sc.cloud.Fail(name)
-				lost++
+				failed++
 				time.Sleep(sc.duration(0, 3*time.Second))
 			}
 		}
 		if sc.intn(2) == 0 {
 			sc.restartLeader(sc.duration(100*time.Millisecond, 3*time.Second))
 		}
-		sc.checkTookPlace(lost > 0, "no machine was lost")
+		sc.checkTookPlace(failed > 0, "no machine failed")
 	})
 }
 
-// TestCombinedOldReports: old heartbeats arrive after newer ones, also from an earlier
-// epoch or attempt.
-func TestCombinedOldReports(t *testing.T) {
-	lateCopies := func(s *site) {
+// TestCombinedDuplicateHeartbeats: delayed copies of heartbeats arrive after newer
+// heartbeats, some of them from an earlier epoch or attempt.
+func TestCombinedDuplicateHeartbeats(t *testing.T) {
+	duplicateHeartbeats := func(s *site) {
 		s.heartbeatCopies = []time.Duration{3 * time.Second, 9 * time.Second, 21 * time.Second}
 	}
-	runScenario(t, lateCopies, func(sc *scenario) {
+	runScenario(t, duplicateHeartbeats, func(sc *scenario) {
 		id := sc.submitNext(longJob("a", jobs.KindArray, 6, 30))
 		sc.submitNext(longJob("b", jobs.KindGang, 3, 30))
 		sc.waitRunning(id)
-		// Machines that lose their lease begin new epochs and attempts.
-		deaf := sc.machinesOf(id)[:2]
-		for _, name := range deaf {
+		// Machines whose lease expires start a new epoch, and their tasks a new attempt.
+		cutMachines := sc.machinesOf(id)[:2]
+		for _, name := range cutMachines {
 			sc.worker(name).CutIncoming(true)
 		}
 		time.Sleep(sc.duration(13*time.Second, 20*time.Second))
-		for _, name := range deaf {
+		for _, name := range cutMachines {
 			sc.worker(name).CutIncoming(false)
 		}
 		time.Sleep(sc.duration(0, 6*time.Second))
@@ -168,19 +169,19 @@
 		sc.submitNext(testJob(0, "b", jobs.KindGang, 3))
 		time.Sleep(25 * time.Second)
 		starts := sc.rules.startCount()
-		sc.checkTookPlace(starts > 20, "%d tasks began", starts)
+		sc.checkTookPlace(starts > 20, "%d tasks started", starts)
 	})
 }
 
-// TestCombinedMuteMachines: workers can't open connections to any controller, while
-// direct commands still reach them.
-func TestCombinedMuteMachines(t *testing.T) {
+// TestCombinedOutgoingConnectionsCut: workers can't connect to any node, while direct
+// commands still reach them.
+func TestCombinedOutgoingConnectionsCut(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		array := sc.submitNext(longJob("a", jobs.KindArray, 6, 30))
 		gang := sc.submitNext(longJob("b", jobs.KindGang, 3, 60))
 		sc.waitRunning(array, gang)
-		mute := slices.Compact(append(sc.machinesOf(array)[:2], sc.machinesOf(gang)...))
-		for _, name := range mute {
+		cutMachines := slices.Compact(append(sc.machinesOf(array)[:2], sc.machinesOf(gang)...))
+		for _, name := range cutMachines {
 			sc.worker(name).CutOutgoing(true)
 		}
 		sc.cancelAfter(sc.duration(0, 15*time.Second), gang)
@@ -190,13 +191,13 @@
 		}
 		sc.submitNext(testJob(0, "a", jobs.KindArray, 2))
 		time.Sleep(sc.duration(20*time.Second, 50*time.Second))
-		sc.checkTookPlace(len(mute) > 0, "no machine is mute")
+		sc.checkTookPlace(len(cutMachines) > 0, "no machine was cut off")
 	})
 }
 
-// TestCombinedZoneCutOff: a zone with workers and a controller is cut off for longer
-// than lease_s; jobs are cancelled meanwhile.
-func TestCombinedZoneCutOff(t *testing.T) {
+// TestCombinedZonePartition: the leader's zone, with its workers, is cut off for longer than
+// lease_s. A job that runs there is cancelled meanwhile.
+func TestCombinedZonePartition(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		leader := sc.nextLeader("")
 		job := longJob("b", jobs.KindArray, 4, 200)
@@ -204,9 +205,9 @@
 		id := sc.submitNext(job)
 		sc.waitRunning(id)
 		sc.cutZone(leader)
-		next := nodeNumber(sc.nextLeader(leader))
+		newLeader := nodeNumber(sc.nextLeader(leader))
 		time.Sleep(sc.duration(0, 10*time.Second))
-		sc.checkTookPlace(sc.cancelAt(next, id) == jobs.StatusCancelled, "not cancelled")
+		sc.checkTookPlace(sc.cancelAt(newLeader, id) == jobs.StatusCancelled, "the cancellation was not confirmed")
 		sc.submitNext(testJob(0, "a", jobs.KindArray, 3))
 		time.Sleep(sc.duration(14*time.Second, 40*time.Second))
 		sc.heal()
--- a/internal/node/combined_faults_statestore_test.go
+++ b/internal/node/combined_faults_statestore_test.go
@@ -10,63 +10,63 @@
 	"thornnotch/internal/workers"
 )
 
-// Faults of the state service that meet with another fault.
+// Tests of state service faults combined with other faults.
 
-// refusalOutage is one run of TestCombinedSlowStateRefusalOutage.
-type refusalOutage struct {
+// refusalOutageRun holds the state of one run of TestCombinedSlowStateRefusalOutage.
+type refusalOutageRun struct {
 	*scenario
-	seed      uint64
-	jobs      []string
-	cancelled []string // the jobs that users cancel between refusal and outage
-	leader    string   // whom the state service refuses
-	others    []int
-	apart     time.Duration // between refusal and outage
-	refusedAt time.Time
+	seed          uint64
+	jobs          []string
+	cancelledJobs []string // cancelled between refusal and outage
+	leader        string   // the node that the state service refuses
+	otherNodes    []int
+	outageDelay   time.Duration // time from refusal to outage
+	refusedAt     time.Time
 }
 
-// TestCombinedSlowStateRefusalOutage: the state service answers slowly, then refuses
-// the leader alone, then everybody for longer than cancel_s, while users cancel
-// and ask. With the refusal and the outage nearer together or further apart this
-// is the gap: another node confirms cancellations that the leader can't see.
+// TestCombinedSlowStateRefusalOutage: the state service replies slowly, then refuses only
+// the leader, and then is down for everyone for longer than cancel_s, while users cancel and
+// query jobs. Between refusal and outage, other nodes confirm cancellations that the leader
+// can't read. docs/design.md calls this the gap.
 func TestCombinedSlowStateRefusalOutage(t *testing.T) {
-	// Nearer together and further apart, also beyond an election.
-	for seed, apart := range []time.Duration{
+	// The longer delays leave time to elect a new leader before the outage.
+	for seed, outageDelay := range []time.Duration{
 		300 * time.Millisecond, time.Second, 2 * time.Second, 2600 * time.Millisecond,
 		3 * time.Second, 3500 * time.Millisecond, 5 * time.Second, 8 * time.Second,
 	} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			runScenarioOnce(t, smallSite(), uint64(seed), nil, func(sc *scenario) {
-				run := &refusalOutage{scenario: sc, seed: uint64(seed), apart: apart}
+				run := &refusalOutageRun{scenario: sc, seed: uint64(seed), outageDelay: outageDelay}
 				run.submitLongJobs()
-				slow := run.slowDownState()
+				delayed := run.delayStateReplies()
 				run.refuseLeader()
-				run.cancelThroughOthers()
-				time.Sleep(apart)
+				run.cancelThroughOtherNodes()
+				time.Sleep(outageDelay)
 				sc.state.SetOutage(true)
-				confirmed := sc.countStatuses(run.cancelled)[jobs.StatusCancelled]
-				run.restartNodes()
-				time.Sleep(sc.rules.cancelWithin + sc.duration(4*time.Second, 20*time.Second) - time.Since(run.refusedAt) + apart)
+				confirmed := sc.countStatuses(run.cancelledJobs)[jobs.StatusCancelled]
+				run.restartNodesDuringOutage()
+				time.Sleep(sc.rules.cancelWithin + sc.duration(4*time.Second, 20*time.Second) - time.Since(run.refusedAt) + outageDelay)
 				sc.rules.checkRunning()
-				sc.checkTookPlace(confirmed > 0 || apart < time.Second || slow, "nothing was confirmed before the outage")
-				sc.checkTookPlace(sc.state.Counts().Refused > 0, "the state service refused nobody")
+				sc.checkTookPlace(confirmed > 0 || outageDelay < time.Second || delayed, "no cancellation was confirmed before the outage")
+				sc.checkTookPlace(sc.state.Counts().Refused > 0, "the state service refused no request")
 				run.endOutage()
 			})
 		})
 	}
 }
 
-// submitLongJobs has five jobs run, of which users will cancel four.
-func (r *refusalOutage) submitLongJobs() {
+// submitLongJobs starts five jobs, the first four of which are to be cancelled.
+func (r *refusalOutageRun) submitLongJobs() {
 	r.t.Helper()
 	for n := range 5 {
 		r.jobs = append(r.jobs, r.submitNext(longJob(teamOf(n), kindOf(n/3), 3, 200)))
 	}
 	r.waitRunning(r.jobs...)
-	r.cancelled = r.jobs[:4]
+	r.cancelledJobs = r.jobs[:4]
 }
 
-// slowDownState has the state service answer slowly with every second seed.
-func (r *refusalOutage) slowDownState() (slow bool) {
+// delayStateReplies makes the state service slow with odd seeds, and reports whether it did.
+func (r *refusalOutageRun) delayStateReplies() (delayed bool) {
 	if r.seed%2 == 0 {
 		return false
 	}
@@ -77,46 +77,46 @@
 	return true
 }
 
-// refuseLeader has the state service refuse the leader alone.
-func (r *refusalOutage) refuseLeader() {
+// refuseLeader makes the state service refuse the leader and no other node.
+func (r *refusalOutageRun) refuseLeader() {
 	r.t.Helper()
 	r.leader = r.nextLeader("")
-	r.others = []int{(nodeNumber(r.leader) + 1) % 3, (nodeNumber(r.leader) + 2) % 3}
+	r.otherNodes = []int{(nodeNumber(r.leader) + 1) % 3, (nodeNumber(r.leader) + 2) % 3}
 	r.state.RefuseHost(r.leader, true)
 	r.refusedAt = time.Now()
 }
 
-// cancelThroughOthers has users cancel jobs through the other nodes before the outage;
-// a machine of the last one hangs into it.
-func (r *refusalOutage) cancelThroughOthers() {
-	for i, id := range r.cancelled {
-		r.after(r.duration(0, r.apart), func() {
-			r.cancelAtUntilAnswered(r.others[i%2], id, 50*time.Millisecond)
+// cancelThroughOtherNodes cancels jobs through the other nodes before the outage. One machine
+// of the last job hangs until after the outage has started.
+func (r *refusalOutageRun) cancelThroughOtherNodes() {
+	for i, id := range r.cancelledJobs {
+		r.after(r.duration(0, r.outageDelay), func() {
+			r.cancelAtUntilAnswered(r.otherNodes[i%2], id, 50*time.Millisecond)
 		})
 	}
-	hanging := r.worker(r.machinesOf(r.cancelled[3])[0])
-	r.after(r.duration(0, r.apart), func() { hanging.SetHanging(true) })
-	r.after(r.apart+r.duration(5*time.Second, 30*time.Second), func() { hanging.SetHanging(false) })
+	hungWorker := r.worker(r.machinesOf(r.cancelledJobs[3])[0])
+	r.after(r.duration(0, r.outageDelay), func() { hungWorker.SetHanging(true) })
+	r.after(r.outageDelay+r.duration(5*time.Second, 30*time.Second), func() { hungWorker.SetHanging(false) })
 }
 
-// restartNodes ends nodes in the outage: the leader, or those who have confirmed
-// cancellations, so that nobody is left to attest to them; with some seeds none.
-func (r *refusalOutage) restartNodes() {
+// restartNodesDuringOutage restarts, depending on the seed, the leader, no node, or the nodes
+// that confirmed cancellations. In the last case no process is left that can attest to them.
+func (r *refusalOutageRun) restartNodesDuringOutage() {
 	switch r.seed % 4 {
 	case 2:
 		time.Sleep(r.duration(0, 10*time.Second))
 		r.restartNode(r.leader, r.duration(100*time.Millisecond, 3*time.Second))
 	case 1, 3:
-		r.killNode(nodeName(r.others[0]))
-		r.killNode(nodeName(r.others[1]))
+		r.killNode(nodeName(r.otherNodes[0]))
+		r.killNode(nodeName(r.otherNodes[1]))
 		time.Sleep(r.duration(100*time.Millisecond, 5*time.Second))
-		r.startNode(r.others[0])
-		r.startNode(r.others[1])
+		r.startNode(r.otherNodes[0])
+		r.startNode(r.otherNodes[1])
 	}
 }
 
-// endOutage has the state service answer everybody again, and all jobs cancelled.
-func (r *refusalOutage) endOutage() {
+// endOutage ends all faults of the state service and cancels all jobs.
+func (r *refusalOutageRun) endOutage() {
 	r.state.SetOutage(false)
 	r.state.RefuseHost(r.leader, false)
 	r.state.SetFate(nil)
@@ -124,61 +124,61 @@
 	r.cancelAll(r.jobs)
 }
 
-// TestOutageKeepsWork: while the state service is out for far longer than a leader
-// is certain by itself and than leases last, the nodes attest to one another, and
-// what runs goes on; nothing starts a second time.
-func TestOutageKeepsWork(t *testing.T) {
+// TestTasksKeepRunningDuringOutage: the state service is down for far longer than worker
+// leases last and than a leader alone can rule out unseen cancellations. Attestations of the
+// other nodes let it renew leases: running tasks continue and none is restarted.
+func TestTasksKeepRunningDuringOutage(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		ids := []string{sc.submitNext(longJob("a", jobs.KindArray, 5, 150)), sc.submitNext(longJob("b", jobs.KindGang, 3, 150))}
 		sc.waitRunning(ids...)
-		before := sc.rules.startCount()
+		startsBefore := sc.rules.startCount()
 		sc.state.SetOutage(true)
 		time.Sleep(sc.duration(60*time.Second, 100*time.Second))
 		for _, id := range ids {
 			if len(sc.machinesOf(id)) == 0 {
-				sc.t.Errorf("%s was let go", id)
+				sc.t.Errorf("%s lost its tasks during the outage", id)
 			}
 		}
-		if starts := sc.rules.startCount(); starts != before {
-			sc.t.Errorf("%d tasks began in the outage", starts-before)
+		if starts := sc.rules.startCount(); starts != startsBefore {
+			sc.t.Errorf("%d tasks started during the outage", starts-startsBefore)
 		}
 		sc.state.SetOutage(false)
 	})
 }
 
-// TestCombinedLateWrites: transactions without an answer are carried out late, after
-// newer ones of the same controller.
+// TestCombinedLateWrites: transactions lose their reply and are applied late, after newer
+// ones of the same node.
 func TestCombinedLateWrites(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
-		lost := sc.oneInEach(4)
+		losesReply := sc.oneInEach(4)
 		sc.state.SetFate(func(_ string, writes int) simulator.Fate {
-			if lost(writes) {
+			if losesReply(writes) {
 				return simulator.Fate{Lost: true, After: sc.duration(200*time.Millisecond, 12*time.Second)}
 			}
 			return simulator.Fate{}
 		})
-		sc.runJobsAmidLostAnswers()
+		sc.runJobsWithLostReplies()
 		time.Sleep(13 * time.Second)
 		counts := sc.state.Counts()
 		sc.checkTookPlace(counts.LateDone+counts.LateFailed > 10, "%+v", counts)
 	})
 }
 
-// TestCombinedLostAnswers: transactions are carried out at once and only their
-// answers are lost, while other nodes read what they wrote.
-func TestCombinedLostAnswers(t *testing.T) {
+// TestCombinedLostReplies: transactions are applied at once and only their replies are lost,
+// while other nodes read what was written.
+func TestCombinedLostReplies(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
-		lost := sc.oneInEach(3)
-		sc.state.SetFate(func(_ string, writes int) simulator.Fate { return simulator.Fate{Lost: lost(writes)} })
-		sc.runJobsAmidLostAnswers()
+		losesReply := sc.oneInEach(3)
+		sc.state.SetFate(func(_ string, writes int) simulator.Fate { return simulator.Fate{Lost: losesReply(writes)} })
+		sc.runJobsWithLostReplies()
 		counts := sc.state.Counts()
 		sc.checkTookPlace(counts.Lost > 10, "%+v", counts)
 	})
 }
 
-// runJobsAmidLostAnswers has jobs come, end and be cancelled, and the leader end, while
-// transactions get no answer.
-func (sc *scenario) runJobsAmidLostAnswers() {
+// runJobsWithLostReplies submits and cancels jobs, also just as a task completes, queries
+// them at all nodes and restarts the leader, while transactions lose their replies.
+func (sc *scenario) runJobsWithLostReplies() {
 	sc.t.Helper()
 	sc.rules.callOnDone(func(task workers.TaskID) {
 		sc.users.goroutines.Go(func() {
--- a/internal/node/combined_faults_users_test.go
+++ b/internal/node/combined_faults_users_test.go
@@ -9,43 +9,44 @@
 	"thornnotch/internal/workers"
 )
 
-// Much work, and much asking, while faults go on.
+// Tests of high load and many user requests, combined with faults.
 
-// TestCombinedMoreWorkThanRoom: more work than room, urgent and not, over slow links.
-func TestCombinedMoreWorkThanRoom(t *testing.T) {
+// TestCombinedOverloadSlowLinks: more tasks than the machines can hold, in all priority
+// classes, over slow network links.
+func TestCombinedOverloadSlowLinks(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
-		sc.slowLinks(2*time.Millisecond, 60*time.Millisecond)
-		most := 0
-		count := func() { most = max(most, len(sc.rules.runningTasks())) }
+		sc.delayAllPackets(2*time.Millisecond, 60*time.Millisecond)
+		maxRunning := 0
+		updateMaxRunning := func() { maxRunning = max(maxRunning, len(sc.rules.runningTasks())) }
 		for n := range 16 {
 			job := testJob(0, teamOf(n), mostlyArrays(n), 4)
 			job.PriorityClass = []string{"standard", "urgent", "idle", "production"}[n%4]
 			sc.submitNext(job)
-			count()
+			updateMaxRunning()
 		}
 		for range 20 {
 			time.Sleep(time.Second)
-			count()
+			updateMaxRunning()
 		}
-		sc.checkTookPlace(most >= 14, "%d tasks at most at a time", most)
+		sc.checkTookPlace(maxRunning >= 14, "at most %d tasks were running at once", maxRunning)
 	})
 }
 
-// slowLinks delays all that nodes and machines send by times between two.
-func (sc *scenario) slowLinks(least, most time.Duration) {
-	delay := func() time.Duration { return sc.duration(least, most) }
+// delayAllPackets delays every packet from nodes and machines by a random time in the range.
+func (sc *scenario) delayAllPackets(minDelay, maxDelay time.Duration) {
+	delay := func() time.Duration { return sc.duration(minDelay, maxDelay) }
 	for _, process := range sc.nodes {
 		process.host.DelayPackets(delay)
 	}
-	for _, place := range sc.machinePlaces() {
-		place.host.DelayPackets(delay)
+	for _, machine := range sc.machinePlaces() {
+		machine.host.DelayPackets(delay)
 	}
 }
 
-// TestCombinedCloseLooks: users ask at all nodes, again and again within
-// milliseconds, and repeat the submission, right after a job was accepted, ended
-// or confirmed as cancelled; some cancel at once.
-func TestCombinedCloseLooks(t *testing.T) {
+// TestCombinedFrequentRequests: users query all nodes several times within milliseconds, and
+// repeat the submission, right after a job was accepted, completed or confirmed as cancelled.
+// Some jobs are cancelled immediately after submission.
+func TestCombinedFrequentRequests(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		sc.rules.callOnDone(func(task workers.TaskID) {
 			sc.users.goroutines.Go(func() { sc.queryAllNodes(task.Job) })
@@ -66,13 +67,13 @@
 			sc.queryAllNodes(id)
 		}
 		time.Sleep(20 * time.Second)
-		sc.checkTookPlace(cancelled >= 4, "%d cancelled", cancelled)
+		sc.checkTookPlace(cancelled >= 4, "%d jobs were cancelled", cancelled)
 	})
 }
 
-// TestCombinedFlood: one-task jobs come four a second for a minute, a quarter of them
-// cancelled.
-func TestCombinedFlood(t *testing.T) {
+// TestCombinedHighSubmissionRate: for a minute, four one-task jobs are submitted per second,
+// and a quarter of them are cancelled.
+func TestCombinedHighSubmissionRate(t *testing.T) {
 	runScenarioOnce(t, smallSite(), 1, nil, func(sc *scenario) {
 		var cancelled atomic.Int64
 		for n := range 240 {
@@ -89,13 +90,13 @@
 			time.Sleep(250 * time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
-		sc.checkTookPlace(cancelled.Load() >= 20, "%d cancelled", cancelled.Load())
+		sc.checkTookPlace(cancelled.Load() >= 20, "%d jobs were cancelled", cancelled.Load())
 	})
 }
 
-// TestCombinedOddRequests: bad input keeps its answers amid an outage and a change of
-// leaders.
-func TestCombinedOddRequests(t *testing.T) {
+// TestCombinedInvalidRequests: invalid requests get the same status codes during failovers
+// and outages as at other times.
+func TestCombinedInvalidRequests(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		sc.users.goroutines.Go(func() {
 			for sc.users.ctx.Err() == nil {
@@ -104,25 +105,25 @@
 			}
 		})
 		id := sc.submitNext(testJob(0, "a", jobs.KindArray, 2))
-		sc.waitFor(2*time.Minute, "done", func() bool { return sc.polled(0, id) == jobs.StatusDone })
-		sc.users.goroutines.Go(func() { sc.cancelDoneJob(id) })
+		sc.waitFor(2*time.Minute, "the job done", func() bool { return sc.polled(0, id) == jobs.StatusDone })
+		sc.users.goroutines.Go(func() { sc.keepCancellingDoneJob(id) })
 		sc.restartLeader(sc.duration(50*time.Millisecond, 3*time.Second))
 		time.Sleep(sc.duration(0, 3*time.Second))
 		sc.state.SetOutage(true)
 		time.Sleep(5 * time.Second)
 		sc.state.SetOutage(false)
 		time.Sleep(5 * time.Second)
-		answered, refused := sc.requestCounts()
-		sc.checkTookPlace(answered > 20 && refused > 5, "%d answered, %d refused", answered, refused)
+		answered, inconclusive := sc.requestCounts()
+		sc.checkTookPlace(answered > 20 && inconclusive > 5, "%d requests answered, %d inconclusive", answered, inconclusive)
 	})
 }
 
-// cancelDoneJob has users cancel a job that is done, again and again until they go home:
+// keepCancellingDoneJob tries to cancel a done job until the scenario ends, and checks that
 // it stays done.
-func (sc *scenario) cancelDoneJob(id string) {
+func (sc *scenario) keepCancellingDoneJob(id string) {
 	for sc.users.ctx.Err() == nil {
 		if status := sc.cancelAt(sc.intn(3), id); status != "" && status != jobs.StatusDone {
-			sc.rules.reportViolation("went_back: a cancellation of a done job got %s", status)
+			sc.rules.reportViolation("went_back: cancelling a done job returned %s", status)
 		}
 		sc.queryAllNodes(id)
 		sc.pause(sc.duration(0, time.Second))
--- a/internal/node/dependencies_input_test.go
+++ b/internal/node/dependencies_input_test.go
@@ -8,133 +8,135 @@
 	"thornnotch/internal/jobs"
 )
 
-// What users may name as dependencies.
+// Tests of the dependency lists that users may submit.
 
-// TestNamesACancelledJob: a job that names a cancelled one is accepted, and called
-// cancelled by every node from its first answer on; so is one that names that, also
-// where the list names jobs that are done or run. Nothing of them ever runs. What can't
-// be checked is told so, and not that it is unknown.
-func TestNamesACancelledJob(t *testing.T) {
+// TestDependencyOnCancelledJob: a job that depends on a cancelled one, directly or through
+// other jobs, is accepted. From the first response on every node reports it as cancelled, and
+// none of its tasks ever starts, also if it depends on done and running jobs as well. If a
+// dependency can't be checked, the response is 503 and not that the job is unknown.
+func TestDependencyOnCancelledJob(t *testing.T) {
 	runScenarioOnce(t, smallSite(), 15, nil, func(sc *scenario) {
 		done := sc.submitNext(testJob(0, "a", jobs.KindArray, 1))
-		runs := sc.submitNext(longJob("b", jobs.KindArray, 1, 200))
+		running := sc.submitNext(longJob("b", jobs.KindArray, 1, 200))
 		cancelled := sc.submitNext(longJob("a", jobs.KindArray, 1, 200))
-		sc.waitFor(time.Minute, "one done", func() bool { return sc.knownStatus(done) == jobs.StatusDone })
+		sc.waitFor(time.Minute, "the first upstream job done", func() bool { return sc.knownStatus(done) == jobs.StatusDone })
 		if status := sc.cancel(cancelled); status != jobs.StatusCancelled {
-			sc.t.Fatalf("the cancellation is answered %q", status)
+			sc.t.Fatalf("cancellation returned status %q, want aborted", status)
 		}
 
-		upstream := cancelled
+		previous := cancelled
 		var downstream []string
 		for n := range 6 {
-			job := sc.jobAfter(700+n, done, upstream, runs)
+			job := sc.newDependentJob(700+n, done, previous, running)
 			sc.checkAcceptedAsCancelled(n%3, job)
-			upstream = job.ID
+			previous = job.ID
 			downstream = append(downstream, job.ID)
 		}
-		sc.waitFor(sc.rules.cancelWithin, "final records", func() bool { return len(sc.state.Keys(jobs.OpenPrefix)) == 1 })
+		sc.waitFor(sc.rules.cancelWithin, "final records of all cancelled jobs", func() bool { return len(sc.state.Keys(jobs.OpenPrefix)) == 1 })
 		for _, id := range downstream {
 			if sc.rules.hasStarted(id) {
-				sc.rules.reportViolation("a task of %s ran", id)
+				sc.rules.reportViolation("a task of %s started although the job depends on a cancelled one", id)
 			}
 		}
 
 		sc.state.SetOutage(true)
-		if code := sc.site.submit(1, sc.jobAfter(720, jobID(777777))); code != http.StatusServiceUnavailable {
-			sc.t.Errorf("without the state service a name that can't be checked got %d", code)
+		if code := sc.site.submit(1, sc.newDependentJob(720, jobID(777777))); code != http.StatusServiceUnavailable {
+			sc.t.Errorf("submission with an unverifiable dependency during an outage returned %d, want 503", code)
 		}
 		sc.state.SetOutage(false)
-		sc.cancel(runs)
+		sc.cancel(running)
 	})
 }
 
-// jobAfter is a job that users know of, and that depends on others.
-func (sc *scenario) jobAfter(number int, upstream ...string) *jobs.Spec {
+// newDependentJob returns a job that depends on the given jobs, and registers it with users.
+func (sc *scenario) newDependentJob(number int, upstream ...string) *jobs.Spec {
 	job := testJob(number, "b", jobs.KindArray, 2)
 	job.DependsOn = upstream
 	sc.register(job)
 	return job
 }
 
-// checkAcceptedAsCancelled submits a job until a node accepts it, and demands that this
-// node, and all at once for repeats, call it cancelled, and soon for polls.
+// checkAcceptedAsCancelled submits a job until the node accepts it. It checks that this
+// response and those to repeated submissions at every node report the job as cancelled, and
+// that status queries at every node do so soon.
 func (sc *scenario) checkAcceptedAsCancelled(node int, job *jobs.Spec) {
 	sc.t.Helper()
 	sc.waitFor(10*time.Second, job.ID+" accepted", func() bool {
-		code, answer := sc.submitAndRead(node, job)
-		if code == http.StatusCreated && answer.Status != jobs.StatusCancelled {
-			sc.t.Errorf("%s is accepted as %s", job.ID, answer.Status)
+		code, response := sc.submitAndRead(node, job)
+		if code == http.StatusCreated && response.Status != jobs.StatusCancelled {
+			sc.t.Errorf("%s was accepted with status %s, want aborted", job.ID, response.Status)
 		}
 		return code == http.StatusCreated
 	})
 	for i := range 3 {
-		if code, answer := sc.submitAndRead(i, job); code != http.StatusOK || answer.Status != jobs.StatusCancelled {
-			sc.t.Errorf("its repeat at node %d got %d, %s", i, code, answer.Status)
+		if code, response := sc.submitAndRead(i, job); code != http.StatusOK || response.Status != jobs.StatusCancelled {
+			sc.t.Errorf("repeated submission at node %d returned %d with status %s, want 200 with aborted", i, code, response.Status)
 		}
-		sc.waitFor(3*time.Second, "an answer", func() bool {
+		sc.waitFor(3*time.Second, "a query response that reports the job as cancelled", func() bool {
 			code, status := sc.poll(i, job.ID)
 			return code == http.StatusOK && status == jobs.StatusCancelled
 		})
 	}
 }
 
-// TestWaitsOnInput: what users may name, at any node and by lists of any length.
-func TestWaitsOnInput(t *testing.T) {
-	layout := smallSite()
-	layout.params.State.ValueKB, layout.params.State.TxnOps = 2, 4
-	runScenarioOnce(t, layout, 5, nil, func(sc *scenario) {
+// TestDependencyListInput: any node accepts or rejects dependency lists by the same rules:
+// duplicates and empty lists are valid, unknown jobs and malformed IDs are not.
+func TestDependencyListInput(t *testing.T) {
+	options := smallSite()
+	options.params.State.ValueKB, options.params.State.TxnOps = 2, 4
+	runScenarioOnce(t, options, 5, nil, func(sc *scenario) {
 		upstream := sc.submitNext(testJob(0, "a", jobs.KindArray, 1))
-		for i, input := range []struct {
+		for i, test := range []struct {
 			dependsOn []string
 			wantCode  int
 		}{
 			{[]string{upstream, upstream}, http.StatusCreated},
 			{[]string{"j-777777"}, http.StatusUnprocessableEntity},
-			{[]string{"j-000502"}, http.StatusUnprocessableEntity}, // itself
+			{[]string{"j-000502"}, http.StatusUnprocessableEntity}, // the job itself
 			{[]string{upstream, "x"}, http.StatusBadRequest},
 			{[]string{""}, http.StatusBadRequest},
 			{[]string{}, http.StatusCreated},
 		} {
-			sc.checkSubmission(oneTaskAfter(500+i, input.dependsOn...), input.wantCode)
+			sc.checkSubmissionCode(oneTaskDependentJob(500+i, test.dependsOn...), test.wantCode)
 		}
-		if code := sc.submitAt(1, oneTaskAfter(500, "j-777777")); code != http.StatusOK {
-			sc.t.Errorf("a repeat that names another got %d", code)
+		if code := sc.submitAt(1, oneTaskDependentJob(500, "j-777777")); code != http.StatusOK {
+			sc.t.Errorf("repeated submission with another dependency returned %d, want 200", code)
 		}
-		sc.waitFor(2*time.Minute, "done", func() bool { return sc.polled(0, "j-000500") == jobs.StatusDone })
-		sc.checkLongList()
+		sc.waitFor(2*time.Minute, "j-000500 done", func() bool { return sc.polled(0, "j-000500") == jobs.StatusDone })
+		sc.checkLongDependencyList()
 	})
 }
 
-// oneTaskAfter is a one-task job that depends on others. Without any its list is empty,
-// not missing.
-func oneTaskAfter(number int, upstream ...string) *jobs.Spec {
+// oneTaskDependentJob returns a one-task job that depends on the given jobs. A non-nil empty
+// list is kept, so that the field is submitted as an empty list and not left out.
+func oneTaskDependentJob(number int, upstream ...string) *jobs.Spec {
 	job := testJob(number, "a", jobs.KindArray, 1)
 	job.DependsOn = upstream
 	return job
 }
 
-// checkSubmission submits a job until it gets another answer than 503, and demands its
-// code.
-func (sc *scenario) checkSubmission(job *jobs.Spec, wantCode int) {
+// checkSubmissionCode submits a job until the response has the wanted status code. Before
+// that, only 503 is allowed.
+func (sc *scenario) checkSubmissionCode(job *jobs.Spec, wantCode int) {
 	sc.t.Helper()
 	sc.register(job)
-	sc.waitFor(5*time.Second, "an answer", func() bool {
+	sc.waitFor(5*time.Second, "a response with the wanted status code", func() bool {
 		code := sc.submitAt(sc.intn(3), job)
 		if code != http.StatusServiceUnavailable && code != wantCode {
-			sc.t.Errorf("%v got %d, want %d", job.DependsOn, code, wantCode)
+			sc.t.Errorf("submission with dependencies %v returned %d, want %d", job.DependsOn, code, wantCode)
 		}
 		return code == wantCode
 	})
 }
 
-// checkLongList submits a job with as long a list as a body takes, each job of it
-// accepted, some over; it is read whole by another leader, and cancelled with one of
-// the list.
-func (sc *scenario) checkLongList() {
+// checkLongDependencyList submits a job with a dependency list of nearly the greatest length
+// that fits into a request body. It checks that a new leader reads the whole list, and that
+// the job is cancelled when one of the listed jobs is.
+func (sc *scenario) checkLongDependencyList() {
 	sc.t.Helper()
-	var list []string
+	var upstreamIDs []string
 	for n := range 400 {
-		job := oneTaskAfter(10000 + n)
+		job := oneTaskDependentJob(10000 + n)
 		job.ExpectedS = 400
 		if n%8 != 0 {
 			job.DependsOn = []string{jobID(10000 + n - n%8)}
@@ -142,22 +144,22 @@
 		if !sc.users.submit(job) {
 			sc.t.Fatalf("%s was not accepted", job.ID)
 		}
-		list = append(list, job.ID)
+		upstreamIDs = append(upstreamIDs, job.ID)
 	}
-	last := oneTaskAfter(600, list...)
-	if !sc.users.submit(last) {
-		sc.t.Fatal("a long list is not accepted")
+	dependent := oneTaskDependentJob(600, upstreamIDs...)
+	if !sc.users.submit(dependent) {
+		sc.t.Fatal("the job with the long dependency list was not accepted")
 	}
-	sc.restartLeader(time.Second) // it must be read whole by another, too
+	sc.restartLeader(time.Second) // the next leader must read the whole list, too
 	sc.nextLeader("")
-	if status := sc.polled(2, last.ID); status != jobs.StatusPending {
-		sc.t.Errorf("it is %s", status)
+	if status := sc.polled(2, dependent.ID); status != jobs.StatusPending {
+		sc.t.Errorf("the job with the long dependency list is %s, want pending", status)
 	}
-	sc.cancel(list[len(list)-8])
+	sc.cancel(upstreamIDs[len(upstreamIDs)-8])
 	for i := range 3 {
-		sc.waitFor(4*time.Second, "the last job cancelled", func() bool { return sc.polled(i, last.ID) == jobs.StatusCancelled })
+		sc.waitFor(4*time.Second, "the job with the long dependency list cancelled", func() bool { return sc.polled(i, dependent.ID) == jobs.StatusCancelled })
 	}
-	for _, id := range list {
+	for _, id := range upstreamIDs {
 		sc.cancelAfter(0, id)
 	}
 	time.Sleep(20 * time.Second)
--- a/internal/node/dependencies_test.go
+++ b/internal/node/dependencies_test.go
@@ -11,41 +11,43 @@
 	"thornnotch/internal/workers"
 )
 
-// Jobs that wait for others, on a whole site: no task begins before all that its
-// job depends on is done, and what is downstream of a cancelled job is cancelled, as
-// every node says, through whatever else happens.
+// Tests of jobs with dependencies on a simulated site with faults: no task starts before all
+// jobs that its job depends on are done, and every node reports all jobs downstream of a
+// cancelled job as cancelled.
 
-// submitChains submits chains and diamonds of jobs, each as soon as those upstream are
-// accepted, and returns their IDs: the first ones, and all that wait.
+// submitChains submits n dependency graphs of four stages with one or two jobs each. A job is
+// submitted as soon as those upstream of it are accepted. It returns the IDs of the jobs of
+// the first stages and of all jobs downstream of them.
 func (sc *scenario) submitChains(n int) (first, downstream []string) {
 	sc.t.Helper()
-	for chain := range n {
-		stage := sc.submitFirstStage(chain)
+	for chainIndex := range n {
+		stage := sc.submitFirstStage(chainIndex)
 		first = append(first, stage...)
 		for depth := range 3 {
-			stage = sc.submitStage(chain, depth, stage)
+			stage = sc.submitStage(chainIndex, depth, stage)
 			downstream = append(downstream, stage...)
 		}
 	}
 	return first, downstream
 }
 
-// submitFirstStage submits the one or two jobs that a chain begins with.
-func (sc *scenario) submitFirstStage(chain int) (ids []string) {
+// submitFirstStage submits the one or two jobs of a chain's first stage.
+func (sc *scenario) submitFirstStage(chainIndex int) (ids []string) {
 	sc.t.Helper()
-	for i := range 1 + chain%2 {
-		job := testJob(0, teamOf(chain+i), jobs.KindArray, 2)
+	for i := range 1 + chainIndex%2 {
+		job := testJob(0, teamOf(chainIndex+i), jobs.KindArray, 2)
 		job.ExpectedS = 4 + float64(sc.intn(8))
 		ids = append(ids, sc.submitNext(job))
 	}
 	return ids
 }
 
-// submitStage submits one or two jobs that depend on all of a stage, on one of it twice.
-func (sc *scenario) submitStage(chain, depth int, upstream []string) (ids []string) {
+// submitStage submits one or two jobs that depend on all jobs of the previous stage and list
+// one of them twice.
+func (sc *scenario) submitStage(chainIndex, depth int, upstream []string) (ids []string) {
 	sc.t.Helper()
-	for i := range 1 + (chain+depth)%2 {
-		job := testJob(0, teamOf(chain+depth+i), kindOf(depth), 1+sc.intn(3))
+	for i := range 1 + (chainIndex+depth)%2 {
+		job := testJob(0, teamOf(chainIndex+depth+i), kindOf(depth), 1+sc.intn(3))
 		job.ExpectedS = 3 + float64(sc.intn(5))
 		job.DependsOn = append(slices.Clone(upstream), upstream[0])
 		ids = append(ids, sc.submitNext(job))
@@ -53,7 +55,7 @@
 	return ids
 }
 
-// runChainScenario runs a scenario with four chains of jobs under way.
+// runChainScenario runs a scenario in which faults are injected into four running chains.
 func runChainScenario(t *testing.T, injectFaults func(sc *scenario, first, downstream []string)) {
 	t.Helper()
 	runScenario(t, nil, func(sc *scenario) {
@@ -62,8 +64,8 @@
 	})
 }
 
-// TestChains: all run in their order over changes of leader.
-func TestChains(t *testing.T) {
+// TestChainsCompleteDespiteFailovers: all jobs of the chains run in order across failovers.
+func TestChainsCompleteDespiteFailovers(t *testing.T) {
 	runChainScenario(t, func(sc *scenario, _, downstream []string) {
 		for range 4 {
 			time.Sleep(sc.duration(0, 12*time.Second))
@@ -71,19 +73,19 @@
 		}
 		sc.checkOutcome()
 		if counts := sc.countStatuses(downstream); counts[jobs.StatusDone] != len(downstream) {
-			sc.t.Errorf("outcomes %v of %d", counts, len(downstream))
+			sc.t.Errorf("final statuses %v, want all %d downstream jobs done", counts, len(downstream))
 		}
 	})
 }
 
-// TestChainsCancelled: jobs before others are cancelled, some at their very end,
-// amid lost and late answers and the leader's end. What comes after each one shares
-// its outcome.
-func TestChainsCancelled(t *testing.T) {
+// TestChainsWithCancelledJobs: jobs with dependents are cancelled, some just as their last
+// task completes, while replies are lost or late and the leader is restarted. Jobs downstream
+// of a cancelled job must be cancelled, all others done.
+func TestChainsWithCancelledJobs(t *testing.T) {
 	runChainScenario(t, func(sc *scenario, first, downstream []string) {
-		sc.state.SetFate(sc.lostAndLateWrites)
+		sc.state.SetFate(sc.delayedAndLateWrites)
 		sc.rules.callOnDone(func(task workers.TaskID) {
-			// Its tasks may all be done, and its end not be written yet.
+			// All tasks may be done while the job's final record is not written yet.
 			if slices.Contains(first, task.Job) {
 				sc.after(sc.duration(0, 700*time.Millisecond), func() { sc.cancelAt(sc.intn(3), task.Job) })
 			}
@@ -99,14 +101,14 @@
 		time.Sleep(30 * time.Second)
 		sc.endFaults()
 		sc.checkOutcome()
-		sc.checkSharedCancellation()
+		sc.checkCancellationsPropagated()
 	})
 }
 
-// lostAndLateWrites has half of the log's writes lag, so that a cancellation may overtake
-// them, and one in eight of the other writes lose its answer, half of these to be
-// carried out late.
-func (sc *scenario) lostAndLateWrites(_ string, writes int) simulator.Fate {
+// delayedAndLateWrites chooses the fault of a transaction. Those with more than two writes are
+// the log's: half of them are delayed, so that a cancellation may overtake them. One in eight
+// of the other transactions with writes loses its reply, and half of these are applied late.
+func (sc *scenario) delayedAndLateWrites(_ string, writes int) simulator.Fate {
 	switch {
 	case writes == 0:
 		return simulator.Fate{}
@@ -120,7 +122,7 @@
 	return simulator.Fate{Lost: true, After: sc.duration(time.Second, 8*time.Second)}
 }
 
-// cancelAndQuery cancels a job, and asks all nodes for others at once.
+// cancelAndQuery cancels a job and then immediately queries other jobs at all nodes.
 func (sc *scenario) cancelAndQuery(id string, others ...string) {
 	sc.cancel(id)
 	for _, other := range others {
@@ -128,37 +130,37 @@
 	}
 }
 
-// checkSharedCancellation demands that every job shares the fate of what is upstream.
-func (sc *scenario) checkSharedCancellation() {
+// checkCancellationsPropagated checks that jobs with a cancelled job upstream are cancelled,
+// and that all others are done unless a user asked to cancel them.
+func (sc *scenario) checkCancellationsPropagated() {
 	sc.t.Helper()
 	sc.users.mu.Lock()
 	defer sc.users.mu.Unlock()
-	withUpstream := 0
+	propagated := 0
 	for id, known := range sc.jobs {
-		cancelled, _ := sc.upstreamCancelled(id)
-		if cancelled {
-			withUpstream++
+		hasCancelledUpstream, _ := sc.upstreamCancelled(id)
+		if hasCancelledUpstream {
+			propagated++
 		}
-		if cancelled && known.status != jobs.StatusCancelled || !cancelled && !known.cancelRequested && known.status != jobs.StatusDone {
-			sc.t.Errorf("%s is %s; one before it cancelled: %v", id, known.status, cancelled)
+		if hasCancelledUpstream && known.status != jobs.StatusCancelled || !hasCancelledUpstream && !known.cancelRequested && known.status != jobs.StatusDone {
+			sc.t.Errorf("%s is %s; upstream job cancelled: %v", id, known.status, hasCancelledUpstream)
 		}
 	}
-	sc.checkTookPlace(withUpstream > 0, "nothing was cancelled with one before it")
+	sc.checkTookPlace(propagated > 0, "no job is downstream of a cancelled one")
 }
 
-// TestChainCancelledThenOutage: a job is cancelled, and before its leader can write
-// anything the state service is out for longer than cancel_s, all nodes end, and
-// one comes back. What waits is called cancelled by every node as soon as it can be
-// asked.
+// TestChainCancelledThenOutage: after jobs are cancelled, the state service is down for longer
+// than cancel_s before the leader can record anything, all nodes crash, and one starts again.
+// Each node must report the waiting dependents as cancelled from its first response on.
 func TestChainCancelledThenOutage(t *testing.T) {
 	runChainScenario(t, func(sc *scenario, first, downstream []string) {
 		leader := sc.nextLeader("")
 		if sc.intn(2) == 0 {
-			sc.killNode(leader) // nobody leads as it is cancelled
+			sc.killNode(leader) // the jobs are cancelled while there is no leader
 		}
 		for _, id := range first {
 			if status := sc.cancel(id); !isOver(status) {
-				sc.t.Errorf("%s: %q", id, status)
+				sc.t.Errorf("cancelling %s returned status %q, want a final one", id, status)
 			}
 		}
 		sc.state.SetOutage(true)
@@ -167,70 +169,71 @@
 		time.Sleep(sc.rules.cancelWithin)
 		sc.startNode(nodeNumber(leader))
 		sc.state.SetOutage(false)
-		sc.waitAnswered(20*time.Second, nodeNumber(leader), downstream[0])
+		sc.waitForAnswer(20*time.Second, nodeNumber(leader), downstream[0])
 		for _, id := range downstream {
-			sc.waitAnswered(10*time.Second, nodeNumber(leader), id)
+			sc.waitForAnswer(10*time.Second, nodeNumber(leader), id)
 		}
 		sc.endFaults()
 		sc.checkOutcome()
-		sc.checkSharedCancellation()
+		sc.checkCancellationsPropagated()
 	})
 }
 
-// waitAnswered waits until a node answers a poll.
-func (sc *scenario) waitAnswered(limit time.Duration, node int, id string) {
+// waitForAnswer waits until a node answers a status query with 200.
+func (sc *scenario) waitForAnswer(limit time.Duration, node int, id string) {
 	sc.t.Helper()
-	sc.waitFor(limit, id+" answered", func() bool { code, _ := sc.poll(node, id); return code == http.StatusOK })
+	sc.waitFor(limit, id+" to be answered", func() bool { code, _ := sc.poll(node, id); return code == http.StatusOK })
 }
 
-// TestWaitingHoldsNothing: a job that waits holds no part of its team's limit or
-// guarantee, and rents no machine.
-func TestWaitingHoldsNothing(t *testing.T) {
+// TestWaitingJobReservesNothing: a job that waits for its dependencies uses none of its
+// team's quota or guarantee, and no machine is rented for it.
+func TestWaitingJobReservesNothing(t *testing.T) {
 	runScenarioOnce(t, smallSite(), 3, nil, func(sc *scenario) {
-		upstream := sc.submitNext(longJob("a", jobs.KindArray, 2, 60))
-		sc.waitRunning(upstream)
-		big := longJob("a", jobs.KindGang, 10, 20)
-		big.DependsOn = []string{upstream}
-		waiting := sc.submitNext(big)
-		other := sc.submitNext(longJob("a", jobs.KindArray, 10, 5)) // fits only beside the first
-		sc.waitFor(40*time.Second, "the other team mate", func() bool { return sc.knownStatus(other) == jobs.StatusDone })
-		if status := sc.knownStatus(waiting); status != jobs.StatusPending {
-			sc.t.Errorf("the job that waits is %s", status)
+		upstreamID := sc.submitNext(longJob("a", jobs.KindArray, 2, 60))
+		sc.waitRunning(upstreamID)
+		dependent := longJob("a", jobs.KindGang, 10, 20)
+		dependent.DependsOn = []string{upstreamID}
+		waitingID := sc.submitNext(dependent)
+		otherID := sc.submitNext(longJob("a", jobs.KindArray, 10, 5)) // exceeds the quota with the waiting job
+		sc.waitFor(40*time.Second, "the team's other job done", func() bool { return sc.knownStatus(otherID) == jobs.StatusDone })
+		if status := sc.knownStatus(waitingID); status != jobs.StatusPending {
+			sc.t.Errorf("the waiting job is %s, want pending", status)
 		}
-		sc.waitFor(3*time.Minute, "the job that waited", func() bool { return sc.knownStatus(waiting) == jobs.StatusDone })
+		sc.waitFor(3*time.Minute, "the waiting job done", func() bool { return sc.knownStatus(waitingID) == jobs.StatusDone })
 	})
 }
 
-// TestLongChain: a chain of hundreds, and a job with hundreds after it, are cancelled
-// by one cancellation, whatever that takes of transactions.
-func TestLongChain(t *testing.T) {
+// TestCancelLongChain: cancelling one job cancels a chain of 150 jobs and 150 direct
+// dependents, even though this takes many transactions.
+func TestCancelLongChain(t *testing.T) {
 	runScenarioOnce(t, smallSite(), 4, nil, func(sc *scenario) {
 		first := sc.submitNext(longJob("a", jobs.KindArray, 1, 300))
 		last := first
-		var all []string
+		var dependents []string
 		for n := range 150 {
-			last = sc.mustSubmitAfter(1000+n, last)
-			all = append(all, last, sc.mustSubmitAfter(2000+n, first))
+			last = sc.mustSubmitDependentJob(1000+n, last)
+			dependents = append(dependents, last, sc.mustSubmitDependentJob(2000+n, first))
 		}
 		if status := sc.cancel(first); status != jobs.StatusCancelled {
-			sc.t.Fatalf("the first is %s", status)
+			sc.t.Fatalf("the first job is %s after its cancellation, want aborted", status)
 		}
 		for i := range 3 {
 			if status := sc.polled(i, last); status != jobs.StatusCancelled {
-				sc.t.Errorf("node %d says at once that the last of the chain is %q", i, status)
+				sc.t.Errorf("node %d reports the last job of the chain as %q right after the cancellation", i, status)
 			}
 		}
-		sc.waitFor(sc.rules.cancelWithin, "final records", func() bool { return len(sc.state.Keys(jobs.OpenPrefix)) == 0 })
-		for _, id := range all {
+		sc.waitFor(sc.rules.cancelWithin, "final records of all jobs", func() bool { return len(sc.state.Keys(jobs.OpenPrefix)) == 0 })
+		for _, id := range dependents {
 			if status := sc.polled(sc.intn(3), id); status != jobs.StatusCancelled {
-				sc.t.Errorf("%s is %s", id, status)
+				sc.t.Errorf("%s is %s, want aborted", id, status)
 			}
 		}
 	})
 }
 
-// mustSubmitAfter submits a one-task job that depends on others.
-func (sc *scenario) mustSubmitAfter(number int, upstream ...string) (id string) {
+// mustSubmitDependentJob submits a one-task job that depends on the given jobs. It fails the
+// test if the job is not accepted.
+func (sc *scenario) mustSubmitDependentJob(number int, upstream ...string) (id string) {
 	sc.t.Helper()
 	job := testJob(number, "b", jobs.KindArray, 1)
 	job.DependsOn = upstream
