--- a/cmd/thornnotch/overview.go
+++ b/cmd/thornnotch/overview.go
@@ -40,28 +40,28 @@
 		t.node(n)
 	}
 	for _, n := range nodes {
-		for _, problem := range n.TooSmall {
-			t.line("\n%s: settings are too small: %s", n.Label, problem)
+		for _, problem := range n.UndersizedSettings {
+			t.line("\n%s: settings are too small: %s", n.Name, problem)
 		}
 	}
 	for _, n := range nodes {
 		if n.Failover != "" {
-			t.line("\n%s: failover in progress: %s", n.Label, n.Failover)
+			t.line("\n%s: failover in progress: %s", n.Name, n.Failover)
 		}
 	}
 }
 
 func (t overviewTable) node(n node.Status) {
 	if !n.Reachable {
-		t.line("%s\t\tnot reachable\t\t\t\t\t\t\t\t\t", n.Label)
+		t.line("%s\t\tnot reachable\t\t\t\t\t\t\t\t\t", n.Name)
 		return
 	}
 	sockets := fmt.Sprint(n.Sockets.Open)
 	if n.Sockets.Limit > 0 {
 		sockets = fmt.Sprintf("%d of %d", n.Sockets.Open, n.Sockets.Limit)
 	}
-	t.line("%s\t%s\t%v\t%s\t%d\t%.0f\t%.0f\t%.0f\t%s\t%.0f MB\t%d\t%s", n.Label, n.Version, n.Leads, n.Leader, n.Term,
-		n.RequestTokens, n.WriteTokens, n.CloudTokens, sockets, n.MemoryMB, n.Threads, strings.Join(n.Scarce, ", "))
+	t.line("%s\t%s\t%v\t%s\t%d\t%.0f\t%.0f\t%.0f\t%s\t%.0f MB\t%d\t%s", n.Name, n.Version, n.Leads, n.Leader, n.Term,
+		n.RequestTokens, n.WriteTokens, n.CloudTokens, sockets, n.MemoryMB, n.Threads, strings.Join(n.ScarceResources, ", "))
 }
 
 // cluster writes the leader's view of the cluster.
@@ -70,8 +70,8 @@
 	t.machines(cluster.Machines)
 	t.queue(cluster.Queue)
 	t.teams(cluster.Teams)
-	if len(cluster.Holds) > 0 {
-		t.reservations(cluster.Holds)
+	if len(cluster.Reservations) > 0 {
+		t.reservations(cluster.Reservations)
 	}
 }
 
@@ -117,7 +117,7 @@
 	t.line("%s\t%s\t%.0f\t%.0f\t%.0f\t%s", team, resource, q.used, q.reserved, q.guaranteed, limit)
 }
 
-func (t overviewTable) reservations(reservations []leader.HoldStatus) {
+func (t overviewTable) reservations(reservations []leader.ReservationStatus) {
 	t.line("\nRESERVED ON\tTEAM\tCLASS\tFOR JOB\tCPUS\tGPUS\tEXPIRES IN")
 	for _, reservation := range reservations {
 		expiresIn := time.Duration(reservation.ExpiresInS * float64(time.Second)).Round(time.Second)
--- a/cmd/thornnotch/serve.go
+++ b/cmd/thornnotch/serve.go
@@ -29,7 +29,7 @@
 	ctx, stop := signalContext()
 	defer stop()
 	node.LimitRuntime(settings.Params.MachineLimits)
-	network := node.System{Dialer: &net.Dialer{Timeout: constants.DialTimeout}}
+	network := node.OSNetwork{Dialer: &net.Dialer{Timeout: constants.DialTimeout}}
 	return node.New(settings, operator, network, log).Run(ctx)
 }
 
--- a/internal/autoscaling/client.go
+++ b/internal/autoscaling/client.go
@@ -48,8 +48,8 @@
 		baseURL: "http://" + addr,
 		http: &http.Client{Transport: &http.Transport{
 			DialContext:         dial,
-			MaxConnsPerHost:     constants.CloudConns,
-			MaxIdleConnsPerHost: constants.CloudIdleConns,
+			MaxConnsPerHost:     constants.MaxCloudConns,
+			MaxIdleConnsPerHost: constants.MaxIdleCloudConns,
 			DisableCompression:  true,
 		}},
 		limiter: rate.NewLimiter(rate.Limit(rps), max(1, int(rps))),
@@ -93,7 +93,7 @@
 // of from for the following page, or empty after the last one. The list lags, and may be
 // older than one read before.
 func (c *CloudClient) List(ctx context.Context, from string) (instances []Instance, next string, err error) {
-	query := url.Values{"limit": {strconv.Itoa(constants.InstanceListPage)}}
+	query := url.Values{"limit": {strconv.Itoa(constants.InstanceListPageSize)}}
 	if from != "" {
 		query.Set("from", from)
 	}
--- a/internal/autoscaling/scaleout.go
+++ b/internal/autoscaling/scaleout.go
@@ -74,7 +74,7 @@
 }
 
 func rentRequest(pool InstancePool, missing int) RentRequest {
-	return RentRequest{MachineType: pool.Type, Zone: pool.Zone, Spot: pool.Spot, Count: min(missing, constants.RentBatch)}
+	return RentRequest{MachineType: pool.Type, Zone: pool.Zone, Spot: pool.Spot, Count: min(missing, constants.MaxMachinesPerRent)}
 }
 
 // leastUsedZone returns the available zone with the fewest machines of the type. Spreading
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -84,7 +84,7 @@
 	c.address("services.cloud", s.Services.Cloud)
 	c.address("services.state", s.Services.State)
 	c.peers(s.NodeName, s.Peers)
-	c.atLeast("params.count", 1, s.Params.Count)
+	c.atLeast("params.count", 1, s.Params.NodeCount)
 	c.teams(s.Params.Teams)
 	for i, objective := range s.Params.SLOs {
 		c.slo(fmt.Sprintf("params.objectives[%d]", i), objective)
@@ -137,8 +137,8 @@
 	case SLOWait, SLOCompletion, SLOGuarantee:
 		c.positive(key+".within_s", objective.WithinS)
 	case SLODeadline:
-		if objective.DueTimeFactor != nil {
-			c.positive(key+".times", *objective.DueTimeFactor)
+		if objective.DeadlineMultiple != nil {
+			c.positive(key+".times", *objective.DeadlineMultiple)
 		}
 	default:
 		return
@@ -158,7 +158,7 @@
 	c.positive("params.workers.report_s", timings.HeartbeatS)
 	c.positive("params.workers.lease_s", timings.LeaseS)
 	c.positive("params.workers.gang_wait_s", timings.GangWaitS)
-	c.positive("params.workers.gang_peer_s", timings.GangPeerS)
+	c.positive("params.workers.gang_peer_s", timings.GangPeerTimeoutS)
 	c.positive("params.workers.cancel_s", timings.CancelWithinS)
 	// A worker that can't be reached keeps running its tasks until its lease expires.
 	if timings.CancelWithinS > 0 && timings.CancelWithinS <= timings.LeaseS {
@@ -171,7 +171,7 @@
 	c.positive("params.state.write_rps", limits.WriteRPS)
 	c.positive("params.state.value_kb", limits.ValueKB)
 	c.atLeast("params.state.txn_ops", constants.MinTxnOps, limits.TxnOps)
-	next := limits.Next
+	next := limits.Upcoming
 	if next == nil {
 		return
 	}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -5,14 +5,14 @@
 // Operator contains the operators' settings. Every field has a default, so the file is
 // optional and may set only some of them.
 type Operator struct {
-	Holds   HoldSettings    `yaml:"holds"`
-	Budgets BudgetSettings  `yaml:"budgets"`
-	Scaling ScalingSettings `yaml:"renting"`
-	Log     LogSettings     `yaml:"log"`
+	Reservations ReservationSettings `yaml:"holds"`
+	Budgets      BudgetSettings      `yaml:"budgets"`
+	Scaling      ScalingSettings     `yaml:"renting"`
+	Log          LogSettings         `yaml:"log"`
 }
 
-// HoldSettings configure speculative slot reservation (paper, III-B and IV-B).
-type HoldSettings struct {
+// ReservationSettings configure speculative slot reservation (paper, III-B and IV-B).
+type ReservationSettings struct {
 	// Enabled turns slot reservation on; off allows a comparison without it.
 	Enabled bool `yaml:"enabled"`
 	// SubmissionOrder reserves slots even if jobs declare no dependencies: for the next job
@@ -33,8 +33,8 @@
 	// LeaderWriteShare is its fraction of the writes.
 	LeaderShare      float64 `yaml:"leader_share"`
 	LeaderWriteShare float64 `yaml:"leader_write_share"`
-	// Use is the fraction of each allowed rate that all nodes together use.
-	Use float64 `yaml:"use"`
+	// UsableShare is the fraction of each allowed rate that all nodes together use.
+	UsableShare float64 `yaml:"use"`
 }
 
 // ScalingSettings configure how many machines are rented.
@@ -58,19 +58,19 @@
 // DefaultOperator returns the settings that apply without a file.
 func DefaultOperator() Operator {
 	return Operator{
-		Holds: HoldSettings{
+		Reservations: ReservationSettings{
 			Enabled:         true,
 			SubmissionOrder: true,
-			Alpha:           constants.HoldAlpha,
-			P:               constants.HoldP,
-			Threshold:       constants.HoldThreshold,
+			Alpha:           constants.DefaultReservationAlpha,
+			P:               constants.DefaultReservationP,
+			Threshold:       constants.DefaultReservationThreshold,
 		},
 		Budgets: BudgetSettings{
 			LeaderShare:      constants.LeaderShare,
 			LeaderWriteShare: constants.LeaderWriteShare,
-			Use:              constants.BudgetUse,
+			UsableShare:      constants.UsableBudgetShare,
 		},
-		Scaling: ScalingSettings{Spare: constants.ScaleOutSpare, Keep: constants.ScaleInSpare},
+		Scaling: ScalingSettings{Spare: constants.DefaultScaleOutSpare, Keep: constants.DefaultScaleInKeep},
 		Log:     LogSettings{LargeRing: true},
 	}
 }
--- a/internal/config/operator_load.go
+++ b/internal/config/operator_load.go
@@ -67,12 +67,12 @@
 			problems = append(problems, &OperatorSettingError{key, lineOf(raw, key), validRange, value})
 		}
 	}
-	alpha, p, threshold := o.Holds.Alpha, o.Holds.P, o.Holds.Threshold
+	alpha, p, threshold := o.Reservations.Alpha, o.Reservations.P, o.Reservations.Threshold
 	require("holds.alpha", alpha, alpha > 1 && alpha <= 100, "greater than 1 and at most 100")
 	require("holds.p", p, p > 0 && p < 1, "greater than 0 and less than 1")
 	require("holds.threshold", threshold, threshold >= 0 && threshold <= 1, "from 0 to 1")
 
-	share, writeShare, use := o.Budgets.LeaderShare, o.Budgets.LeaderWriteShare, o.Budgets.Use
+	share, writeShare, use := o.Budgets.LeaderShare, o.Budgets.LeaderWriteShare, o.Budgets.UsableShare
 	require("budgets.leader_share", share, share > 0 && share < 1, "greater than 0 and less than 1")
 	require("budgets.leader_write_share", writeShare, writeShare > 0 && writeShare < 1, "greater than 0 and less than 1")
 	require("budgets.use", use, use > 0 && use <= 1, "greater than 0 and at most 1")
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -9,7 +9,7 @@
 // contain the key and its line.
 func TestOperatorErrorsNameKeyAndLine(t *testing.T) {
 	operator, err := ParseOperator([]byte("holds:\n  p: 0.5\n"))
-	if err != nil || operator.Holds.P != 0.5 || operator.Holds.Alpha != DefaultOperator().Holds.Alpha {
+	if err != nil || operator.Reservations.P != 0.5 || operator.Reservations.Alpha != DefaultOperator().Reservations.Alpha {
 		t.Fatalf("%+v, %v", operator, err)
 	}
 	if operator, err := ParseOperator(nil); err != nil || operator != DefaultOperator() {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -36,17 +36,17 @@
 
 // Params contains the settings that are the same for all nodes.
 type Params struct {
-	// Count is the number of nodes.
-	Count int      `toml:"count"`
-	Zones []string `toml:"zones"`
-	// ClockOffMS is the maximum error of a node's wall clock in milliseconds. It is not used.
-	ClockOffMS    float64       `toml:"clock_off_ms"`
-	Teams         []Team        `toml:"teams"`
-	SLOs          []SLO         `toml:"objectives"`
-	Workers       WorkerTimings `toml:"workers"`
-	State         StateLimits   `toml:"state"`
-	Cloud         CloudLimits   `toml:"cloud"`
-	MachineLimits MachineLimits `toml:"machine_limits"`
+	// NodeCount is the number of nodes.
+	NodeCount int      `toml:"count"`
+	Zones     []string `toml:"zones"`
+	// MaxClockErrorMS is the maximum error of a node's wall clock in milliseconds. It is not used.
+	MaxClockErrorMS float64       `toml:"clock_off_ms"`
+	Teams           []Team        `toml:"teams"`
+	SLOs            []SLO         `toml:"objectives"`
+	Workers         WorkerTimings `toml:"workers"`
+	State           StateLimits   `toml:"state"`
+	Cloud           CloudLimits   `toml:"cloud"`
+	MachineLimits   MachineLimits `toml:"machine_limits"`
 }
 
 // Team is a team and its quota. A guarantee of 0 guarantees nothing, a maximum of 0 means no
@@ -69,9 +69,9 @@
 	LeaseS float64 `toml:"lease_s"`
 	// GangWaitS is how long a task of a gang waits for the others to start.
 	GangWaitS float64 `toml:"gang_wait_s"`
-	// GangPeerS is the time within which a task of a gang detects that another one is gone,
+	// GangPeerTimeoutS is the time within which a task of a gang detects that another one is gone,
 	// and how long it waits for the others in an orderly stop.
-	GangPeerS float64 `toml:"gang_peer_s"`
+	GangPeerTimeoutS float64 `toml:"gang_peer_s"`
 	// CancelWithinS is the maximum time between the confirmation of a job's cancellation to
 	// its user and the end of its last task.
 	CancelWithinS float64 `toml:"cancel_s"`
@@ -87,8 +87,8 @@
 	ValueKB float64 `toml:"value_kb"`
 	// TxnOps is the maximum number of writes in a transaction.
 	TxnOps int `toml:"txn_ops"`
-	// Next contains lower limits that take effect at some time without notice; nil if none.
-	Next *UpcomingStateLimits `toml:"next"`
+	// Upcoming contains lower limits that take effect at some time without notice; nil if none.
+	Upcoming *UpcomingStateLimits `toml:"next"`
 }
 
 // UpcomingStateLimits contains limits that will replace the present ones. Those that are nil do
@@ -103,11 +103,11 @@
 // withUpcomingSizes returns the limits with each size reduced to the smaller of the present and
 // the upcoming limit. A larger value or transaction could be in flight when the limits change.
 func (l StateLimits) withUpcomingSizes() StateLimits {
-	if l.Next != nil && l.Next.ValueKB != nil {
-		l.ValueKB = min(l.ValueKB, *l.Next.ValueKB)
+	if l.Upcoming != nil && l.Upcoming.ValueKB != nil {
+		l.ValueKB = min(l.ValueKB, *l.Upcoming.ValueKB)
 	}
-	if l.Next != nil && l.Next.TxnOps != nil {
-		l.TxnOps = min(l.TxnOps, *l.Next.TxnOps)
+	if l.Upcoming != nil && l.Upcoming.TxnOps != nil {
+		l.TxnOps = min(l.TxnOps, *l.Upcoming.TxnOps)
 	}
 	return l
 }
@@ -116,11 +116,11 @@
 // ones if fallen is set.
 func (l StateLimits) Rates(fallen bool) (rps, writeRPS float64) {
 	rps, writeRPS = l.RPS, l.WriteRPS
-	if fallen && l.Next != nil && l.Next.RPS != nil {
-		rps = min(rps, *l.Next.RPS)
+	if fallen && l.Upcoming != nil && l.Upcoming.RPS != nil {
+		rps = min(rps, *l.Upcoming.RPS)
 	}
-	if fallen && l.Next != nil && l.Next.WriteRPS != nil {
-		writeRPS = min(writeRPS, *l.Next.WriteRPS)
+	if fallen && l.Upcoming != nil && l.Upcoming.WriteRPS != nil {
+		writeRPS = min(writeRPS, *l.Upcoming.WriteRPS)
 	}
 	return rps, writeRPS
 }
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -92,9 +92,9 @@
 	}
 }
 
-// TestLargeSiteAccepted checks that the settings of a large cluster are accepted: five nodes,
+// TestSettingsOfLargeSiteAreAccepted checks that the settings of a large cluster are accepted: five nodes,
 // thousands of GPUs, small values and large transactions.
-func TestLargeSiteAccepted(t *testing.T) {
+func TestSettingsOfLargeSiteAreAccepted(t *testing.T) {
 	text := strings.Replace(validSettings, "[services]", `[[known]]
 label = "rig-2"
 addr = "10.0.0.3:8081"
@@ -112,7 +112,7 @@
 		text = strings.Replace(text, from, to, 1)
 	}
 	settings, err := Parse(text)
-	if err != nil || len(settings.Peers) != 4 || settings.Params.Count != 5 || settings.Params.Teams[0].MaxGPUs != 7000 {
+	if err != nil || len(settings.Peers) != 4 || settings.Params.NodeCount != 5 || settings.Params.Teams[0].MaxGPUs != 7000 {
 		t.Fatalf("%+v: %v", settings, err)
 	}
 	if _, err := Parse(strings.Replace(text, `"rig-4"`, `"rig-3"`, 1)); err == nil || !strings.Contains(err.Error(), "known[3].label") {
--- a/internal/config/sizing.go
+++ b/internal/config/sizing.go
@@ -10,9 +10,9 @@
 // internalSockets returns the number of sockets that a node needs for its own calls and those of
 // its peers.
 func internalSockets(peers int) int {
-	const direct = constants.StateConns + constants.StateLeaseConns + constants.CloudConns +
+	const direct = constants.StateConns + constants.StateLeaseConns + constants.MaxCloudConns +
 		constants.MaxCommandsInFlight + constants.MaxIdleCommandConns
-	return direct + peers*(1+constants.MeshConnsPerNode) + constants.SocketMargin
+	return direct + peers*(1+constants.MaxConnsPerPeer) + constants.SocketMargin
 }
 
 // SocketLimit returns the maximum number of connections of users and workers together: all
@@ -23,7 +23,7 @@
 		return 0
 	}
 	reserved := min(internalSockets(len(s.Peers)), int(float64(total)*constants.MaxReservedSocketShare))
-	return max(constants.MinSockets, total-reserved)
+	return max(constants.MinSocketLimit, total-reserved)
 }
 
 // WorkerCapacity returns how many workers one node can serve, in addition to some users, with
@@ -31,7 +31,7 @@
 func (s *Settings) WorkerCapacity() (bySockets, byMemory float64) {
 	bySockets, byMemory = math.Inf(1), math.Inf(1)
 	if sockets := s.SocketLimit(); sockets > 0 {
-		bySockets = max(0, float64(sockets-constants.MinUsers))
+		bySockets = max(0, float64(sockets-constants.MinUserConns))
 	}
 	if memMB := s.Params.MachineLimits.MemMB; memMB > 0 {
 		byMemory = max(0, math.Floor((memMB-constants.BaseMemoryMB)/constants.MemoryPerWorkerMB))
@@ -59,7 +59,7 @@
 		return ""
 	}
 	return fmt.Sprintf("params.machine_limits.sockets: %d leave room for %.0f workers beside %d users and our own calls; %d are to be expected: all of them would take %d",
-		s.Params.MachineLimits.Sockets, bySockets, constants.MinUsers, workers, workers+constants.MinUsers+internalSockets(len(s.Peers)))
+		s.Params.MachineLimits.Sockets, bySockets, constants.MinUserConns, workers, workers+constants.MinUserConns+internalSockets(len(s.Peers)))
 }
 
 // memoryWarning returns a warning if there is too little memory for the workers, else "".
@@ -77,16 +77,16 @@
 // cloud's request rate for renting and returning, else "".
 func (s *Settings) cloudRateWarning(machines int) string {
 	rps, listRPS := s.Params.Cloud.RPS, s.listRPS(machines)
-	if rps <= 0 || listRPS <= rps*constants.MaxListShare { // 0: no limit
+	if rps <= 0 || listRPS <= rps*constants.MaxInstanceListRateShare { // 0: no limit
 		return ""
 	}
 	return fmt.Sprintf("params.cloud.rps: %g leave too little for renting and returning; %d machines are to be expected: their list alone takes %.1f, so it should be %.1f",
-		rps, machines, listRPS, listRPS/constants.MaxListShare)
+		rps, machines, listRPS, listRPS/constants.MaxInstanceListRateShare)
 }
 
 // listRPS returns the requests per second needed to read a list of that many machines from the
 // cloud.
 func (s *Settings) listRPS(machines int) float64 {
-	pages := math.Ceil(float64(machines) / constants.InstanceListPage)
-	return pages / max(s.Params.Cloud.ListLagS, constants.MinListInterval.Seconds())
+	pages := math.Ceil(float64(machines) / constants.InstanceListPageSize)
+	return pages / max(s.Params.Cloud.ListLagS, constants.MinInstanceListInterval.Seconds())
 }
--- a/internal/config/sizing_test.go
+++ b/internal/config/sizing_test.go
@@ -17,7 +17,7 @@
 			settings := &Settings{Peers: make([]Peer, test.peers)}
 			settings.Params.MachineLimits.Sockets = test.sockets
 			limit := settings.SocketLimit()
-			if limit >= test.sockets || float64(test.workers) > constants.SocketsFull*float64(limit) {
+			if limit >= test.sockets || float64(test.workers) > constants.FullSocketShare*float64(limit) {
 				t.Errorf("limit of %d of %d sockets is too small or too large for %d workers", limit, test.sockets, test.workers)
 			}
 			if reserved := test.sockets - limit; test.sockets > 1000 && reserved < internalSockets(test.peers) {
--- a/internal/config/slo.go
+++ b/internal/config/slo.go
@@ -20,15 +20,15 @@
 	// Share is the fraction of jobs or tasks that must meet the objective, greater than 0 and
 	// at most 1.
 	Share *float64 `toml:"share"`
-	// DueTimeFactor is the multiple of the due time for SLODeadline; 1 if nil.
-	DueTimeFactor *float64 `toml:"times"`
+	// DeadlineMultiple is the multiple of the due time for SLODeadline; 1 if nil.
+	DeadlineMultiple *float64 `toml:"times"`
 }
 
-// DueFactor returns the multiple of its due time within which a job must complete, for
+// DeadlineFactor returns the multiple of its due time within which a job must complete, for
 // SLODeadline.
-func (o SLO) DueFactor() float64 {
-	if o.DueTimeFactor == nil {
+func (o SLO) DeadlineFactor() float64 {
+	if o.DeadlineMultiple == nil {
 		return 1
 	}
-	return *o.DueTimeFactor
+	return *o.DeadlineMultiple
 }
--- a/internal/constants/health.go
+++ b/internal/constants/health.go
@@ -4,20 +4,20 @@
 
 // Failed tasks: attribution of failures to machines or jobs.
 const (
-	// RetryBase and RetryMax bound the backoff before a failed task is retried. It doubles
+	// MinTaskRetryDelay and MaxTaskRetryDelay bound the backoff before a failed task is retried. It doubles
 	// with each consecutive failure.
-	RetryBase = 1 * time.Second
-	RetryMax  = 60 * time.Second
-	// FaultyMachineJobs is the number of different jobs that must have failed on a machine
+	MinTaskRetryDelay = 1 * time.Second
+	MaxTaskRetryDelay = 60 * time.Second
+	// FaultyMachineMinJobs is the number of different jobs that must have failed on a machine
 	// for it to count as faulty if none of them has run longer elsewhere.
-	FaultyMachineJobs = 3
-	// FaultyJobMachines is the number of machines on which a job without any success must
+	FaultyMachineMinJobs = 3
+	// FaultyJobMinMachines is the number of machines on which a job without any success must
 	// fail to count as faulty. Faulty machines are rare, so a job is unlikely to run on three
 	// of them before it runs on a healthy one.
-	FaultyJobMachines = 3
-	// FaultyTaskMachines is the number of machines on which a task may fail before the task
+	FaultyJobMinMachines = 3
+	// FaultyTaskMaxMachines is the number of machines on which a task may fail before the task
 	// itself counts as faulty, if other tasks of its job succeed.
-	FaultyTaskMachines = 3
+	FaultyTaskMaxMachines = 3
 	// FailureAttributionMargin is how much longer than the failed task another task of the
 	// job must have run elsewhere for the failure to be attributed to the machine. It covers
 	// heartbeat delays and the variation in when a faulty job fails.
@@ -27,8 +27,8 @@
 	SuspectMachinePause = 8 * time.Second
 	// FailureWindow is the period for which a failure counts against a machine.
 	FailureWindow = 60 * time.Second
-	// AvoidFor is how long a job avoids a machine after failing on it.
-	AvoidFor = 60 * time.Second
+	// AvoidMachineFor is how long a job avoids a machine after failing on it.
+	AvoidMachineFor = 60 * time.Second
 )
 
 // Stragglers: machines that run their tasks slowly.
--- a/internal/constants/leadership.go
+++ b/internal/constants/leadership.go
@@ -4,19 +4,19 @@
 
 // Leader election and the leader's lease.
 const (
-	// LeaseTTL is the lifetime of the leader's lease in the state service, and so the longest
+	// LeaderLeaseTTL is the lifetime of the leader's lease in the state service, and so the longest
 	// time for which a dead leader goes unnoticed. It must be much shorter than the workers'
 	// lease, so that a new leader answers workers before their lease expires.
-	LeaseTTL = 2500 * time.Millisecond
-	// LeaseRenewInterval is the time between two renewals. Three attempts fit into LeaseTTL.
-	LeaseRenewInterval = 700 * time.Millisecond
-	// WatchBlock is the maximum wait of one watch request of the leader. Every response, even
+	LeaderLeaseTTL = 2500 * time.Millisecond
+	// LeaderLeaseRenewInterval is the time between two renewals. Three attempts fit into LeaderLeaseTTL.
+	LeaderLeaseRenewInterval = 700 * time.Millisecond
+	// LeaderWatchWait is the maximum wait of one watch request of the leader. Every response, even
 	// an empty one, renews the proof that the leader knows all cancellations, so the wait must
 	// be short compared with the setting cancel_s. One request per second is cheap.
-	WatchBlock = 1000 * time.Millisecond
-	// ElectionWatchBlock is the maximum wait of one watch request for changes of the election
+	LeaderWatchWait = 1000 * time.Millisecond
+	// ElectionWatchWait is the maximum wait of one watch request for changes of the election
 	// on a node that does not lead. Nothing depends on frequent responses to it.
-	ElectionWatchBlock = 10 * time.Second
+	ElectionWatchWait = 10 * time.Second
 	// ClockDrift is the maximum relative difference in rate between two monotonic clocks. The
 	// protocol allows 0.05 % for each clock; the rest is a safety margin.
 	ClockDrift = 0.002
--- a/internal/constants/log.go
+++ b/internal/constants/log.go
@@ -10,25 +10,25 @@
 	// LogLargeRingSize is the number of keys in the ring for large fleets, which is used only
 	// if every node can read it.
 	LogLargeRingSize = 8192
-	// LargeRingParts is the divisor of LogRingSize that gives the number of checkpoint parts
+	// LargeRingPartsDivisor is the divisor of LogRingSize that gives the number of checkpoint parts
 	// above which the large ring is used. Such a checkpoint would have to be rewritten every
 	// few seconds in the small ring.
-	LargeRingParts = 4
+	LargeRingPartsDivisor = 4
 	// LargeRingCheckInterval is the time between two checks of whether all nodes can read
 	// the large ring.
 	LargeRingCheckInterval = 10 * time.Second
 	// LogMaxFill is the largest fraction of the ring that may be in use when a checkpoint
 	// completes.
 	LogMaxFill = 0.9
-	// LogSlack is the number of keys kept free in the ring for the entries of one transaction.
-	LogSlack = 8
-	// CheckpointEntries is the minimum number of log entries after a checkpoint before the
+	// LogFreeKeys is the number of keys kept free in the ring for the entries of one transaction.
+	LogFreeKeys = 8
+	// MinCheckpointEntries is the minimum number of log entries after a checkpoint before the
 	// next one starts. A failover has to replay them.
-	CheckpointEntries = 320
-	// CheckpointPartsFactor times the number of parts of the last checkpoint is that number
+	MinCheckpointEntries = 320
+	// CheckpointEntriesPerPart times the number of parts of the last checkpoint is that number
 	// of entries if it is larger. It keeps the writes for checkpoints at half of those for
 	// entries.
-	CheckpointPartsFactor = 2
+	CheckpointEntriesPerPart = 2
 )
 
 // Group commit.
@@ -42,15 +42,15 @@
 	// CommitBehindAfter is how long transactions must have been too small for the pending
 	// changes before metadata is held back.
 	CommitBehindAfter = 2 * time.Second
-	// JobWritesPerTxn is the maximum number of jobs that one transaction completes. Each of
+	// MaxJobWritesPerTxn is the maximum number of jobs that one transaction completes. Each of
 	// them can make the transaction conflict with a cancellation by its user.
-	JobWritesPerTxn = 4
-	// AttemptBytes is the maximum size of an attempt and its job in a machine's record, in
+	MaxJobWritesPerTxn = 4
+	// MaxAttemptBytes is the maximum size of an attempt and its job in a machine's record, in
 	// bytes. The size limit of a value then determines the number of attempts per machine.
-	AttemptBytes = 176
-	// DoneChunkTasks is the number of tasks whose completion is stored in one record as a
+	MaxAttemptBytes = 176
+	// TasksPerDoneChunk is the number of tasks whose completion is stored in one record as a
 	// bitmap: 2 KiB of bits, 2.7 KiB in JSON.
-	DoneChunkTasks = 16384
+	TasksPerDoneChunk = 16384
 )
 
 // Metadata: the machines' slot reservations and cached images. It improves scheduling after a
--- a/internal/constants/log_encoding.go
+++ b/internal/constants/log_encoding.go
@@ -10,8 +10,8 @@
 	// LogDoneJobOverhead is the size of a job's list of completed tasks without the job's ID
 	// and the task numbers.
 	LogDoneJobOverhead = 8
-	// LogTaskNumber is the size of one task in such a list: up to six digits and a comma.
-	LogTaskNumber = 7
+	// LogTaskNumberBytes is the size of one task in such a list: up to six digits and a comma.
+	LogTaskNumberBytes = 7
 	// LogDoneRunOverhead is the size of a run of completed tasks in a checkpoint without the
 	// job's ID and the bitmap.
 	LogDoneRunOverhead = 40
--- a/internal/constants/queue.go
+++ b/internal/constants/queue.go
@@ -13,11 +13,11 @@
 
 // Large gangs, which starve more easily than other jobs.
 const (
-	// BoostAfter is how long a gang waits before it may be boosted above all other jobs.
+	// GangBoostAfter is how long a gang waits before it may be boosted above all other jobs.
 	// Draining whole machines for it takes most of the four minutes that users accept.
-	BoostAfter = 60 * time.Second
-	// MaxBoosted is the maximum number of gangs that are boosted at a time.
-	MaxBoosted = 4
+	GangBoostAfter = 60 * time.Second
+	// MaxBoostedGangs is the maximum number of gangs that are boosted at a time.
+	MaxBoostedGangs = 4
 	// LargeGangLateAfter is the wait after which one of the largest gangs of a class counts
 	// as late. It is slightly less than the four minutes that users accept.
 	LargeGangLateAfter = 210 * time.Second
--- a/internal/constants/scheduling.go
+++ b/internal/constants/scheduling.go
@@ -12,18 +12,18 @@
 	PassIntervalFactor = 4
 	// MaxPassInterval is the upper limit of that time, however long the last pass took.
 	MaxPassInterval = 1200 * time.Millisecond
-	// MaxViewAge is the age at which the placement view of an unchanged machine is rebuilt,
+	// MaxMachineViewAge is the age at which the placement view of an unchanged machine is rebuilt,
 	// because the remaining run times in it change over time.
-	MaxViewAge = 2 * time.Second
-	// ViewAgeBaseMachines is the number of machines up to which MaxViewAge applies. For larger
+	MaxMachineViewAge = 2 * time.Second
+	// MachineViewAgeBaseFleet is the number of machines up to which MaxMachineViewAge applies. For larger
 	// fleets the age grows with the fleet, so that the rebuilds per second stay the same.
-	ViewAgeBaseMachines = 2000
+	MachineViewAgeBaseFleet = 2000
 	// MaxPreemptionAttempts is the maximum number of waiting jobs for which one pass looks for
 	// tasks to preempt or machines to drain.
 	MaxPreemptionAttempts = 32
-	// MaxWaitingTasks is the maximum number of waiting tasks per array or service that one
+	// MaxWaitingTasksPerJob is the maximum number of waiting tasks per array or service that one
 	// pass considers.
-	MaxWaitingTasks = 400
+	MaxWaitingTasksPerJob = 400
 	// ResourceTolerance is the tolerance for rounding errors in sums of decimal amounts, in
 	// the unit of the amount.
 	ResourceTolerance = 1e-6
@@ -44,9 +44,9 @@
 	// MinRemainingEstimate is the minimum estimate of a task's remaining run time, used when
 	// the task has run for as long as expected.
 	MinRemainingEstimate = 5 * time.Second
-	// StopWeight is the weight of a second of a whole machine's lost work relative to a second
+	// StopLossWeight is the weight of a second of a whole machine's lost work relative to a second
 	// of waiting for an image on that machine.
-	StopWeight = 8.0
+	StopLossWeight = 8.0
 )
 
 // Estimates of run times and arrivals.
@@ -68,22 +68,22 @@
 
 // Dependencies between jobs.
 const (
-	// ChainStep is the time between the end of a job and the start of its downstream job: a
+	// DownstreamStartDelay is the time between the end of a job and the start of its downstream job: a
 	// heartbeat, two records and a command.
-	ChainStep = 3 * time.Second
-	// MaxFinalReads is the maximum number of concurrent reads of upstream jobs' final records.
-	MaxFinalReads = 6
-	// FinalReadRetry is the delay after such a read has failed.
-	FinalReadRetry = 500 * time.Millisecond
+	DownstreamStartDelay = 3 * time.Second
+	// MaxFinalRecordReads is the maximum number of concurrent reads of upstream jobs' final records.
+	MaxFinalRecordReads = 6
+	// FinalRecordRetryDelay is the delay after such a read has failed.
+	FinalRecordRetryDelay = 500 * time.Millisecond
 )
 
 // Speculative slot reservation.
 const (
-	// HoldAlpha, HoldP and HoldThreshold are the defaults of the operator settings
+	// DefaultReservationAlpha, DefaultReservationP and DefaultReservationThreshold are the defaults of the operator settings
 	// holds.alpha, holds.p and holds.threshold (paper, section IV).
-	HoldAlpha     = 1.6
-	HoldP         = 0.4
-	HoldThreshold = 0.8
+	DefaultReservationAlpha     = 1.6
+	DefaultReservationP         = 0.4
+	DefaultReservationThreshold = 0.8
 	// MaxDownstreams is the maximum number of downstream jobs for which slots are considered
 	// when a task of a job finishes. A job may have thousands, but reservations for a few
 	// take all the slots that it frees.
--- a/internal/constants/scoring.go
+++ b/internal/constants/scoring.go
@@ -4,23 +4,23 @@
 
 // Terms of a machine's score for a task, in seconds of delay. A lower score is better.
 const (
-	// OnDemandMachinePenalty keeps on-demand machines free for jobs that can't use spot
+	// OnDemandMachinePenaltyS keeps on-demand machines free for jobs that can't use spot
 	// machines.
-	OnDemandMachinePenalty = 4.0
-	// ReservedSlotBonus makes a job prefer the slots that are reserved for its pipeline.
-	ReservedSlotBonus = 3.0
-	// SpotSpreadPenalty is the penalty of a fully used spot machine for a task of an array
+	OnDemandMachinePenaltyS = 4.0
+	// ReservedSlotBonusS makes a job prefer the slots that are reserved for its pipeline.
+	ReservedSlotBonusS = 3.0
+	// SpotSpreadPenaltyS is the penalty of a fully used spot machine for a task of an array
 	// that must fetch its image there. It spreads the image over more machines, where later
 	// tasks of the array find it.
-	SpotSpreadPenalty = 3.0
-	// PartlyUsedBonus is the advantage of a fully used machine over an empty one for a task of
-	// an array, unless SpotSpreadPenalty applies. It fills machines one after another and
+	SpotSpreadPenaltyS = 3.0
+	// UnusedCapacityPenaltyS is the advantage of a fully used machine over an empty one for a task of
+	// an array, unless SpotSpreadPenaltyS applies. It fills machines one after another and
 	// leaves others whole for gangs.
-	PartlyUsedBonus = 10.0
-	// LastWholeMachinePenalty divided by the number of empty on-demand machines is the penalty
+	UnusedCapacityPenaltyS = 10.0
+	// LastWholeMachinePenaltyS divided by the number of empty on-demand machines is the penalty
 	// of placing a task that could use a spot machine on one of them, since gangs that can't
 	// use spot machines need them whole.
-	LastWholeMachinePenalty = 30.0
+	LastWholeMachinePenaltyS = 30.0
 	// LocalImageMaxWaitS is the longest wait for an image, in seconds, at which the image
 	// counts as present.
 	LocalImageMaxWaitS = 0.5
@@ -41,9 +41,9 @@
 	// GangReserveHorizon is the period for which arriving gangs are predicted: about the time
 	// until other machines become free.
 	GangReserveHorizon = 45 * time.Second
-	// GangReserveMaxAim is the longest wait objective for which machines are kept free. Gangs
+	// GangReserveMaxWait is the longest wait objective for which machines are kept free. Gangs
 	// whose users accept a longer wait do not need it.
-	GangReserveMaxAim = 100 * time.Second
+	GangReserveMaxWait = 100 * time.Second
 	// GangReserveMaxShare is the largest fraction of the on-demand machines that is kept free.
 	GangReserveMaxShare = 0.5
 	// MaxDrainingShare is the largest fraction of all machines that drain for gangs at a time,
--- a/internal/constants/serving.go
+++ b/internal/constants/serving.go
@@ -19,23 +19,23 @@
 
 // Calls between nodes and node health.
 const (
-	// MeshTimeout is the timeout of a call between nodes.
-	MeshTimeout = 400 * time.Millisecond
-	// MeshConnsPerNode is the maximum number of connections accepted per peer. A peer needs
+	// PeerTimeout is the timeout of a call between nodes.
+	PeerTimeout = 400 * time.Millisecond
+	// MaxConnsPerPeer is the maximum number of connections accepted per peer. A peer needs
 	// one, and opens another when that one hangs.
-	MeshConnsPerNode = 4
+	MaxConnsPerPeer = 4
 	// RelayTimeout is the timeout of a user request that is relayed to another node. Users
 	// wait 2 s for a status query.
 	RelayTimeout = 1600 * time.Millisecond
 	// MaxRelayTargets is the maximum number of nodes that a user request is relayed to in
 	// turn. The user does not wait for more.
 	MaxRelayTargets = 2
-	// HealthCheckInterval is the interval at which a node that gets no response from the
+	// PeerHealthCheckInterval is the interval at which a node that gets no response from the
 	// state service asks its peers whether they do.
-	HealthCheckInterval = 400 * time.Millisecond
-	// HealthMaxAge is the maximum age of the last response of the state service at which a
+	PeerHealthCheckInterval = 400 * time.Millisecond
+	// MaxStateResponseAge is the maximum age of the last response of the state service at which a
 	// node is healthy.
-	HealthMaxAge = 3 * time.Second
+	MaxStateResponseAge = 3 * time.Second
 	// IsolatedAfter is how long a node must have been cut off from the state service and from
 	// all peers before it reports that it is not ready.
 	IsolatedAfter = 1500 * time.Millisecond
--- a/internal/constants/sizing.go
+++ b/internal/constants/sizing.go
@@ -10,22 +10,22 @@
 	// MaxReservedSocketShare is the largest fraction of all sockets that is reserved and not
 	// available to users and workers.
 	MaxReservedSocketShare = 0.25
-	// SocketsScarce is the fraction of connections in use above which user connections are
+	// ScarceSocketShare is the fraction of connections in use above which user connections are
 	// closed after each response, so that workers can connect.
-	SocketsScarce = 0.85
-	// SocketsFull is the fraction of connections in use above which worker connections are
+	ScarceSocketShare = 0.85
+	// FullSocketShare is the fraction of connections in use above which worker connections are
 	// closed after each response as well, and idle user connections are closed, so that new
 	// connections can always be accepted.
-	SocketsFull = 0.95
-	// MinSockets is the minimum limit on connections of users and workers together, whatever
+	FullSocketShare = 0.95
+	// MinSocketLimit is the minimum limit on connections of users and workers together, whatever
 	// the machine's limit.
-	MinSockets = 16
+	MinSocketLimit = 16
 )
 
 // Minimum capacity of a node, below which the settings are reported as too small.
 const (
-	// MinUsers is the minimum number of user connections.
-	MinUsers = 32
+	// MinUserConns is the minimum number of user connections.
+	MinUserConns = 32
 	// MinWorkers is the minimum number of workers.
 	MinWorkers = 8
 )
@@ -40,11 +40,11 @@
 	// with 4,000 workers a limit of 200 MB was enough, of which 136 MB were used; with 160 MB
 	// garbage collection took most of the CPU.
 	MemoryPerWorkerMB = 0.045
-	// MemoryShare is the fraction of the machine's memory that is set as the memory limit of
+	// GoMemoryLimitShare is the fraction of the machine's memory that is set as the memory limit of
 	// the Go runtime. Threads and the binary need the rest.
-	MemoryShare = 0.7
-	// MemoryScarce is the fraction of memory in use above which memory is reported as scarce.
-	MemoryScarce = 0.85
+	GoMemoryLimitShare = 0.7
+	// ScarceMemoryShare is the fraction of memory in use above which memory is reported as scarce.
+	ScarceMemoryShare = 0.85
 	// GCPercent is the garbage collection target percentage. CPU time is usually scarcer
 	// than memory; where it is not, the memory limit triggers collection.
 	GCPercent = 400
@@ -52,9 +52,9 @@
 
 // Checks while a node runs.
 const (
-	// FleetGrowth is the growth factor of the fleet after which the settings are checked
+	// SizingCheckGrowth is the growth factor of the fleet after which the settings are checked
 	// against its size again.
-	FleetGrowth = 1.1
+	SizingCheckGrowth = 1.1
 	// ResourceCheckInterval is the interval at which a node checks its resource usage.
 	ResourceCheckInterval = 5 * time.Second
 )
--- a/internal/constants/statestore.go
+++ b/internal/constants/statestore.go
@@ -7,15 +7,15 @@
 	// StateTimeout is the timeout of an ordinary request. Responses take a few hundred
 	// milliseconds at worst, and users wait 2 s for a status query.
 	StateTimeout = 1500 * time.Millisecond
-	// TxnTimeout is the minimum timeout of a transaction, except in elections. Users should
+	// MinTxnTimeout is the minimum timeout of a transaction, except in elections. Users should
 	// get a response within a second, which leaves time to resend a transaction whose response
 	// was lost. If the service is slow, the timeout grows up to StateTimeout.
-	TxnTimeout = 500 * time.Millisecond
+	MinTxnTimeout = 500 * time.Millisecond
 	// TxnTimeoutFactor times the duration of the last transaction is the timeout of the next.
 	TxnTimeoutFactor = 2
-	// UserTxnAttempts is the maximum number of times that a user's transaction is sent while
+	// MaxUserTxnAttempts is the maximum number of times that a user's transaction is sent while
 	// it gets no response.
-	UserTxnAttempts = 3
+	MaxUserTxnAttempts = 3
 	// DialTimeout is the timeout for connecting to any other host. Calls over the connection
 	// have their own, shorter timeouts.
 	DialTimeout = 4 * time.Second
@@ -24,12 +24,12 @@
 	// StateLeaseConns is the number of separate connections for calls that leadership depends
 	// on: lease renewals, elections, two watches, and the reads of a failover.
 	StateLeaseConns = 6
-	// ListPage is the number of keys per page of a list. A page stays well below the
+	// StateListPageSize is the number of keys per page of a list. A page stays well below the
 	// protocol's limit of 512 KiB.
-	ListPage = 400
-	// MinBackoff and MaxBackoff bound the backoff after a failed call.
-	MinBackoff = 100 * time.Millisecond
-	MaxBackoff = 1500 * time.Millisecond
+	StateListPageSize = 400
+	// MinStateBackoff and MaxStateBackoff bound the backoff after a failed call.
+	MinStateBackoff = 100 * time.Millisecond
+	MaxStateBackoff = 1500 * time.Millisecond
 )
 
 // The rate budget. All nodes share the rate limits of the state service.
@@ -39,28 +39,28 @@
 	// completion, while all nodes answer status queries.
 	LeaderShare      = 0.45
 	LeaderWriteShare = 0.72
-	// BudgetUse is the fraction of the allowed rates that is used. The rest allows for clocks
+	// UsableBudgetShare is the fraction of the allowed rates that is used. The rest allows for clocks
 	// that disagree about when a second begins.
-	BudgetUse = 0.94
+	UsableBudgetShare = 0.94
 	// BudgetRetryInterval is the interval at which a call that waits for budget checks again.
 	BudgetRetryInterval = 15 * time.Millisecond
-	// RateLimitedRun is the number of calls rejected by the rate limit within
+	// RateLimitedRefusals is the number of calls rejected by the rate limit within
 	// RateLimitedWindow that shows that the service has lowered its rates.
-	RateLimitedRun    = 5
-	RateLimitedWindow = 4 * time.Second
-	// TokensScarce is the fraction of the budget left below which it is reported as scarce.
-	TokensScarce = 0.1
+	RateLimitedRefusals = 5
+	RateLimitedWindow   = 4 * time.Second
+	// ScarceTokenShare is the fraction of the budget left below which it is reported as scarce.
+	ScarceTokenShare = 0.1
 )
 
 // The fraction of a full rate budget that the calls of each class must leave for more
 // important classes.
 const (
-	ReserveLease  = 0.0
-	ReserveCancel = 0.05
-	ReserveSubmit = 0.10
-	ReserveRecord = 0.15
-	ReservePoll   = 0.20
-	ReserveOther  = 0.40
+	BudgetReserveLease       = 0.0
+	BudgetReserveCancel      = 0.05
+	BudgetReserveSubmit      = 0.10
+	BudgetReserveRecord      = 0.15
+	BudgetReserveStatusQuery = 0.20
+	BudgetReserveOther       = 0.40
 )
 
 // Sizes of values and transactions.
@@ -69,10 +69,10 @@
 	// transactions are not reduced further when the state service rejects larger ones.
 	MinValueKB = 1.0
 	MinTxnOps  = 4
-	// CondsPerOp times the setting txn_ops is the maximum number of conditions of a
+	// ConditionsPerOp times the setting txn_ops is the maximum number of conditions of a
 	// transaction (protocol).
-	CondsPerOp = 4
-	// TxnBytes is the maximum size of the values in one transaction in bytes. The state service
+	ConditionsPerOp = 4
+	// MaxTxnValueBytes is the maximum size of the values in one transaction in bytes. The state service
 	// accepts 64 KiB including all keys and conditions.
-	TxnBytes = 36 << 10
+	MaxTxnValueBytes = 36 << 10
 )
--- a/internal/constants/users.go
+++ b/internal/constants/users.go
@@ -18,21 +18,21 @@
 
 // User requests.
 const (
-	// RetryAfter is the value of the Retry-After header, in seconds, while the state service
+	// RetryAfterSeconds is the value of the Retry-After header, in seconds, while the state service
 	// is unavailable.
-	RetryAfter = 2
+	RetryAfterSeconds = 2
 	// UserRequestTimeout is the timeout for a submission or cancellation. Users give up
 	// after 5 s.
 	UserRequestTimeout = 3500 * time.Millisecond
-	// CancelAttempts is the maximum number of attempts at a cancellation when the job's record
+	// MaxCancelAttempts is the maximum number of attempts at a cancellation when the job's record
 	// changes concurrently. The job is final by then, which the second attempt finds.
-	CancelAttempts = 3
-	// PollTimeout is the timeout for a status query. Users give up after 2 s.
-	PollTimeout = 1700 * time.Millisecond
+	MaxCancelAttempts = 3
+	// StatusQueryTimeout is the timeout for a status query. Users give up after 2 s.
+	StatusQueryTimeout = 1700 * time.Millisecond
 	// MinConcurrentSubmits is the minimum limit on concurrent submissions per node.
 	MinConcurrentSubmits = 8
-	// FinalCache is the number of final job states kept in memory.
-	FinalCache = 20000
+	// FinalRecordCacheSize is the number of final job states kept in memory.
+	FinalRecordCacheSize = 20000
 	// ClientTimeout is the timeout of a request from the command line to a node.
 	ClientTimeout = 8 * time.Second
 	// MaxClientResponseBytes is the maximum number of bytes that the command line reads of a
@@ -42,20 +42,20 @@
 
 // Status queries, whose answers are proven by transactions on the state service.
 const (
-	// PollBatchWindow is how long status queries are collected for one transaction. It delays
+	// StatusQueryBatchWindow is how long status queries are collected for one transaction. It delays
 	// an answer by a fraction of a second at most.
-	PollBatchWindow = 120 * time.Millisecond
-	// PollQueue is the maximum number of status queries that wait for a batch. Further ones
+	StatusQueryBatchWindow = 120 * time.Millisecond
+	// StatusQueryQueueSize is the maximum number of status queries that wait for a batch. Further ones
 	// are told to retry later.
-	PollQueue = 512
-	// PollBatches is the maximum number of concurrent batch transactions. The budget limits
+	StatusQueryQueueSize = 512
+	// MaxStatusQueryBatches is the maximum number of concurrent batch transactions. The budget limits
 	// their rate, and each may take half a second before it times out.
-	PollBatches = 8
-	// MaxPollReads is the maximum number of concurrent reads for queries whose proof failed.
-	MaxPollReads = 4
-	// ReplicaUpdateInterval is the minimum time between two updates of the replica of the open
+	MaxStatusQueryBatches = 8
+	// MaxStatusQueryReads is the maximum number of concurrent reads for queries whose proof failed.
+	MaxStatusQueryReads = 4
+	// MinReplicaUpdateInterval is the minimum time between two updates of the replica of the open
 	// jobs. An outdated replica only makes proofs fail, so updates are not urgent.
-	ReplicaUpdateInterval = 1 * time.Second
+	MinReplicaUpdateInterval = 1 * time.Second
 	// ReplicaWatchWait is the maximum wait of one watch request for such an update.
 	ReplicaWatchWait = 20 * time.Second
 )
--- a/internal/constants/workers.go
+++ b/internal/constants/workers.go
@@ -34,9 +34,9 @@
 	// ProbeInterval is the time between two direct commands that probe a worker whose replies
 	// are lost.
 	ProbeInterval = 5 * time.Second
-	// TokenPushesPerTick is the maximum number of workers that are sent a new fencing token in
+	// MaxTokenPushesPerTick is the maximum number of workers that are sent a new fencing token in
 	// one tick.
-	TokenPushesPerTick = 24
+	MaxTokenPushesPerTick = 24
 )
 
 // Replies to heartbeats, which are held back so that commands can be sent with them.
@@ -61,11 +61,11 @@
 const (
 	// CommandTimeout is the timeout of a direct command.
 	CommandTimeout = 2 * time.Second
-	// MaxCommandAnswerBytes is the maximum size of the heartbeat in the response to a command,
+	// MaxCommandResponseBytes is the maximum size of the heartbeat in the response to a command,
 	// in bytes. It is much larger than MaxBodyBytes, which limits other heartbeats.
-	MaxCommandAnswerBytes = 16 * MaxBodyBytes
-	// CommandConnsPerWorker is the maximum number of connections to one worker.
-	CommandConnsPerWorker = 2
+	MaxCommandResponseBytes = 16 * MaxBodyBytes
+	// MaxCommandConnsPerWorker is the maximum number of connections to one worker.
+	MaxCommandConnsPerWorker = 2
 	// MaxCommandsInFlight is the maximum number of concurrent direct commands. To an
 	// unreachable zone each hangs until its timeout and occupies a socket.
 	MaxCommandsInFlight = 96
@@ -78,10 +78,10 @@
 	MaxIdleCommandConns = 32
 	// StopGrace is added to a task's save time (stashS) when it is told to save and stop.
 	StopGrace = 2 * time.Second
-	// StopResend is the interval at which a stop is sent directly again.
-	StopResend = 2 * time.Second
-	// StopResendSilent is that interval for a silent worker, to which commands usually hang.
-	StopResendSilent = 10 * time.Second
+	// StopResendInterval is the interval at which a stop is sent directly again.
+	StopResendInterval = 2 * time.Second
+	// SilentStopResendInterval is that interval for a silent worker, to which commands usually hang.
+	SilentStopResendInterval = 10 * time.Second
 	// SilentAfterHeartbeats is the number of heartbeat intervals without a heartbeat after
 	// which a worker counts as silent.
 	SilentAfterHeartbeats = 2.5
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -80,7 +80,7 @@
 	for ctx.Err() == nil {
 		if err := e.runRound(ctx, lead); err != nil && ctx.Err() == nil {
 			e.logger.Debug("election round ended", "error", err)
-			sleepJittered(ctx, constants.MinBackoff)
+			sleepJittered(ctx, constants.MinStateBackoff)
 		}
 	}
 	return ctx.Err()
@@ -132,7 +132,7 @@
 // awaitVacancy watches the election records until this node may campaign.
 func (e *Elector) awaitVacancy(ctx context.Context, view View, revision uint64) (View, error) {
 	for !view.MayCampaign(e.self) {
-		next, changes, err := e.store.Watch(ctx, Prefix, revision, constants.ElectionWatchBlock)
+		next, changes, err := e.store.Watch(ctx, Prefix, revision, constants.ElectionWatchWait)
 		if err != nil {
 			return View{}, fmt.Errorf("watch election records: %w", err)
 		}
@@ -149,7 +149,7 @@
 
 // campaign tries to make this node the leader, under a new lease.
 func (e *Elector) campaign(ctx context.Context, view View) (won View, lease uint64, err error) {
-	lease, err = e.store.GrantLease(ctx, constants.LeaseTTL)
+	lease, err = e.store.GrantLease(ctx, constants.LeaderLeaseTTL)
 	if err != nil {
 		return View{}, 0, fmt.Errorf("grant campaign lease: %w", err)
 	}
--- a/internal/election/lease.go
+++ b/internal/election/lease.go
@@ -17,7 +17,7 @@
 // be over. An expired lease is replaced as long as no other node has started a newer term,
 // because safety depends on the term's record and not on the lease.
 func (e *Elector) holdLease(ctx context.Context, view View, lease uint64) error {
-	ticker := time.NewTicker(constants.LeaseRenewInterval)
+	ticker := time.NewTicker(constants.LeaderLeaseRenewInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -48,7 +48,7 @@
 // reacquireLease names the leader of the view again, under a new lease. The error is
 // errTermSuperseded if another node leads or has led since.
 func (e *Elector) reacquireLease(ctx context.Context, view View) (lease uint64, err error) {
-	lease, err = e.store.GrantLease(ctx, constants.LeaseTTL)
+	lease, err = e.store.GrantLease(ctx, constants.LeaderLeaseTTL)
 	if err != nil {
 		return 0, fmt.Errorf("grant replacement for expired lease: %w", err)
 	}
@@ -74,7 +74,7 @@
 	if !errors.Is(context.Cause(ctx), context.Canceled) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), constants.LeaseRenewInterval)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), constants.LeaderLeaseRenewInterval)
 	defer cancel()
 	_ = e.store.RevokeLease(ctx, lease) // expires by itself if this fails
 }
--- a/internal/jobs/decode_test.go
+++ b/internal/jobs/decode_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestNullEqualsOmitted checks that null means the same as omission for the optional fields.
-func TestNullEqualsOmitted(t *testing.T) {
+// TestNullFieldEqualsOmitted checks that null means the same as omission for the optional fields.
+func TestNullFieldEqualsOmitted(t *testing.T) {
 	for _, field := range []string{"rigTypes", "hall", "dueS"} {
 		null, nullErr := DecodeSpec(jobstest.Edit(t, func(fields map[string]any) { fields[field] = nil }))
 		omitted, omittedErr := DecodeSpec(jobstest.Edit(t, func(fields map[string]any) { delete(fields, field) }))
--- a/internal/jobs/jobstest/jobstest.go
+++ b/internal/jobs/jobstest/jobstest.go
@@ -12,16 +12,16 @@
  "vcpus":8.0,"accelerators":1.0,"ramGb":64.0,"bundle":"img-07","imageGb":6.2,"rigTypes":["g8"],"hall":null,"samePlace":true,
  "apart":false,"loaners":true,"expectS":240.0,"snapshotS":30.0,"stashS":4.0,"dueS":900.0,"unknown":[1]}`
 
-// Fataler is the subset of testing.TB that rapid.T implements too.
-type Fataler interface {
+// TestingT is the subset of testing.TB that rapid.T implements too.
+type TestingT interface {
 	Helper()
 	Fatal(args ...any)
 }
 
-var _ Fataler = testing.TB(nil)
+var _ TestingT = testing.TB(nil)
 
 // Edit returns Submission with its fields modified by edit.
-func Edit(t Fataler, edit func(fields map[string]any)) []byte {
+func Edit(t TestingT, edit func(fields map[string]any)) []byte {
 	t.Helper()
 	var fields map[string]any
 	if err := json.Unmarshal([]byte(Submission), &fields); err != nil {
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -54,8 +54,8 @@
 	fieldAllowSpot           = "loaners"
 	fieldExpectedS           = "expectS"
 	fieldCheckpointIntervalS = "snapshotS"
-	fieldSaveS               = "stashS"
-	fieldDueS                = "dueS"
+	fieldCheckpointSaveS     = "stashS"
+	fieldDeadlineS           = "dueS"
 	// FieldDependsOn is exported because other packages check whether these jobs exist.
 	FieldDependsOn = "waitsOn"
 )
@@ -99,10 +99,10 @@
 	// CheckpointIntervalS is the progress, in seconds, after which a task saves a checkpoint.
 	// 0 means that the task never saves one, not even when it is stopped.
 	CheckpointIntervalS float64 `json:"snapshotS"`
-	// SaveS is how long a task takes to save a checkpoint when it is stopped, in seconds.
-	SaveS float64 `json:"stashS"`
-	// DueS is the job's deadline in seconds after its submission; nil means none.
-	DueS *float64 `json:"dueS,omitempty"`
+	// CheckpointSaveS is how long a task takes to save a checkpoint when it is stopped, in seconds.
+	CheckpointSaveS float64 `json:"stashS"`
+	// DeadlineS is the job's deadline in seconds after its submission; nil means none.
+	DeadlineS *float64 `json:"dueS,omitempty"`
 	// DependsOn lists the jobs that must be done before any task of this one starts, without
 	// duplicates.
 	DependsOn []string `json:"waitsOn,omitempty"`
@@ -129,8 +129,8 @@
 	AllowSpot           *bool    `json:"loaners"`
 	ExpectedS           *float64 `json:"expectS"`
 	CheckpointIntervalS *float64 `json:"snapshotS"`
-	SaveS               *float64 `json:"stashS"`
-	DueS                *float64 `json:"dueS"`
+	CheckpointSaveS     *float64 `json:"stashS"`
+	DeadlineS           *float64 `json:"dueS"`
 	DependsOn           []string `json:"waitsOn"`
 }
 
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -132,7 +132,7 @@
 		b.ResetTimer()
 		for i := range b.N {
 			machine := fleet[i%len(fleet)]
-			l.handleHeartbeat(nextHeartbeat(l, machine, workers.StatusRunning, ""), now, reply)
+			l.heartbeat(nextHeartbeat(l, machine, workers.StatusRunning, ""), now, reply)
 			l.commit(now)
 			l.replies.byMachine[machine].until = now
 			l.replies.wake(machine)
@@ -225,7 +225,7 @@
 		l, fleet := largeFleet(b, machines)
 		rows := make(map[string]statestore.KeyValue)
 		writeCheckpoint(l, rows)
-		for i := range constants.CheckpointEntries {
+		for i := range constants.MinCheckpointEntries {
 			for k := range 20 {
 				l.logMetadata(fleet[(i*20+k)%len(fleet)], nil)
 			}
--- a/internal/leader/certainty_test.go
+++ b/internal/leader/certainty_test.go
@@ -79,7 +79,7 @@
 	s.sequence++
 	reply := make(chan Reply, 1)
 	heartbeat := &workers.Heartbeat{Machine: "m-1", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: s.sequence, Token: s.l.term.number()}
-	s.l.handleHeartbeat(heartbeat, time.Now(), reply)
+	s.l.heartbeat(heartbeat, time.Now(), reply)
 	if s.rng.IntN(3) == 0 { // the reply is delayed, too
 		time.Sleep(s.randomBelow(2 * time.Second))
 	}
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -105,9 +105,9 @@
 // heartbeat. They are repeated less often to a silent worker, which is most likely
 // unreachable.
 func (l *Leader) sendStops(machine *machineState, now time.Time) {
-	resend := constants.StopResend
+	resend := constants.StopResendInterval
 	if l.isSilent(machine, now) {
-		resend = constants.StopResendSilent
+		resend = constants.SilentStopResendInterval
 	}
 	if !machine.stopsDue(resend, now) {
 		return
--- a/internal/leader/commit_job_writes.go
+++ b/internal/leader/commit_job_writes.go
@@ -57,7 +57,7 @@
 func (c *groupCommit) jobWrites() (writes []wal.JobWrite) {
 	remainingOps := max(c.txnOps-opsReservedForLog, opsPerFinalRecord)
 	add := func(write func() wal.JobWrite) bool {
-		if len(writes) >= constants.JobWritesPerTxn || remainingOps < opsPerFinalRecord {
+		if len(writes) >= constants.MaxJobWritesPerTxn || remainingOps < opsPerFinalRecord {
 			return false
 		}
 		remainingOps -= opsPerFinalRecord
--- a/internal/leader/commit_result.go
+++ b/internal/leader/commit_result.go
@@ -70,7 +70,7 @@
 	if c.healthy() {
 		c.logger.Warn("commit failed, retrying", "error", err)
 	}
-	c.backoff = min(max(2*c.backoff, constants.MinBackoff), constants.MaxBackoff)
+	c.backoff = min(max(2*c.backoff, constants.MinStateBackoff), constants.MaxStateBackoff)
 	c.retryAt = now.Add(jitter(c.backoff))
 }
 
--- a/internal/leader/demand_propagation.go
+++ b/internal/leader/demand_propagation.go
@@ -51,7 +51,7 @@
 		}
 		combined.priority = max(combined.priority, downstream.view.Priority)
 		if latest := l.latestStart(downstream); !latest.IsZero() {
-			latest = latest.Add(-l.classes.runtimeRatios.expectedRuntime(upstream.spec) - constants.ChainStep)
+			latest = latest.Add(-l.classes.runtimeRatios.expectedRuntime(upstream.spec) - constants.DownstreamStartDelay)
 			combined.latestStart = earlier(combined.latestStart, latest)
 		}
 	}
--- a/internal/leader/demand_propagation_test.go
+++ b/internal/leader/demand_propagation_test.go
@@ -44,7 +44,7 @@
 	}
 	if rapid.Bool().Draw(rt, "due") {
 		due := float64(rapid.IntRange(10, 500).Draw(rt, "dueS"))
-		spec.DueS = &due
+		spec.DeadlineS = &due
 	}
 	for i, node := range m.nodes {
 		if node.job.removed || rapid.IntRange(0, 3).Draw(rt, "dependsOn") > 0 {
@@ -91,7 +91,7 @@
 		}
 		priority = max(priority, downstream.job.view.Priority)
 		if at := m.leader.latestStart(downstream.job); !at.IsZero() {
-			at = at.Add(-time.Duration(spec.ExpectedS)*time.Second - constants.ChainStep)
+			at = at.Add(-time.Duration(spec.ExpectedS)*time.Second - constants.DownstreamStartDelay)
 			if latestStart.IsZero() || at.Before(latestStart) {
 				latestStart = at
 			}
@@ -135,7 +135,7 @@
 		l := testLeader(t)
 		dueS := 300.0
 		spec := arraySpec("j-9", 1)
-		spec.DueS, spec.DependsOn = &dueS, []string{"j-1", "j-2"}
+		spec.DeadlineS, spec.DependsOn = &dueS, []string{"j-1", "j-2"}
 		job := addJob(t, l, spec, now)
 		accepted, last := job.acceptedAt, job.acceptedAt
 		now = now.Add(100 * time.Second)
--- a/internal/leader/dependency_tracker.go
+++ b/internal/leader/dependency_tracker.go
@@ -139,10 +139,14 @@
 }
 
 // atReadLimit reports whether the maximum number of reads is in progress.
-func (d *dependencyTracker) atReadLimit() bool { return len(d.activeReads) >= constants.MaxFinalReads }
+func (d *dependencyTracker) atReadLimit() bool {
+	return len(d.activeReads) >= constants.MaxFinalRecordReads
+}
 
 // readFailed pauses reads after a failure.
-func (d *dependencyTracker) readFailed(now time.Time) { d.retryAt = now.Add(constants.FinalReadRetry) }
+func (d *dependencyTracker) readFailed(now time.Time) {
+	d.retryAt = now.Add(constants.FinalRecordRetryDelay)
+}
 
 // clearReservedUpstreams removes the marks that markReservedUpstream has set.
 func (d *dependencyTracker) clearReservedUpstreams() {
--- a/internal/leader/dependency_tracker_test.go
+++ b/internal/leader/dependency_tracker_test.go
@@ -25,7 +25,7 @@
 		t.Fatal("no final record is requested although a job depends on it")
 	}
 	tracker.readFailed(now)
-	if tracker.readsDue(now.Add(constants.FinalReadRetry-time.Nanosecond)) || !tracker.readsDue(now.Add(constants.FinalReadRetry)) {
+	if tracker.readsDue(now.Add(constants.FinalRecordRetryDelay-time.Nanosecond)) || !tracker.readsDue(now.Add(constants.FinalRecordRetryDelay)) {
 		t.Errorf("reads resume after %v", tracker.retryAt.Sub(now))
 	}
 	if got := tracker.takeDownstreams("j-1"); len(got) != 1 || len(tracker.downstreamsOf("j-1")) != 0 || tracker.readsDue(now.Add(time.Hour)) {
@@ -36,7 +36,7 @@
 // TestDependencyReadsAreBounded checks that the number of concurrent reads is limited, no
 // record is read twice, and reads that are no longer needed are dropped.
 func TestDependencyReadsAreBounded(t *testing.T) {
-	const upstreams = constants.MaxFinalReads + 5
+	const upstreams = constants.MaxFinalRecordReads + 5
 	tracker := newDependencyTracker()
 	for i := range upstreams {
 		id := fmt.Sprint("j-", i)
@@ -48,8 +48,8 @@
 	tracker.addUnlinked(waiting, jobs.Dependencies{})
 	noneOpen := func(string) bool { return false }
 	first := tracker.startFinalReads(noneOpen)
-	if len(first) != constants.MaxFinalReads || len(tracker.startListReads()) != 0 {
-		t.Fatalf("%d reads started at first, want %d", len(first), constants.MaxFinalReads)
+	if len(first) != constants.MaxFinalRecordReads || len(tracker.startListReads()) != 0 {
+		t.Fatalf("%d reads started at first, want %d", len(first), constants.MaxFinalRecordReads)
 	}
 	for _, id := range first[:3] {
 		tracker.takeDownstreams(id)
--- a/internal/leader/events.go
+++ b/internal/leader/events.go
@@ -45,7 +45,7 @@
 	reply     chan<- Reply
 }
 
-func (e heartbeatReceived) apply(l *Leader) { l.handleHeartbeat(e.heartbeat, e.arrived, e.reply) }
+func (e heartbeatReceived) apply(l *Leader) { l.heartbeat(e.heartbeat, e.arrived, e.reply) }
 
 // statusRequested asks for the operators' view of the term.
 type statusRequested struct{ reply chan<- Status }
--- a/internal/leader/failover_test.go
+++ b/internal/leader/failover_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// TestFailoverCompletesOnReportsOrLeaseExpiry checks that a failover completes once all
+// TestFailoverCompletesOnHeartbeatsOrLeaseExpiry checks that a failover completes once all
 // machines have reported or the leases of the others have expired, and that it shows its
 // progress until then.
-func TestFailoverCompletesOnReportsOrLeaseExpiry(t *testing.T) {
+func TestFailoverCompletesOnHeartbeatsOrLeaseExpiry(t *testing.T) {
 	const lease = 12 * time.Second
 	startedAt := time.Unix(1000, 0)
 	for _, c := range []struct {
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -15,7 +15,7 @@
 	if !attempt.RunningSince.IsZero() {
 		ran = now.Sub(attempt.RunningSince)
 	}
-	job.retry.avoidMachine(machine.agent.Name, now.Add(constants.AvoidFor))
+	job.retry.avoidMachine(machine.agent.Name, now.Add(constants.AvoidMachineFor))
 	job.markStale()
 	task := attempt.ID.Task.Index
 	pause, taskOnly := job.failures.Record(machine.agent.Name, task, ran, job.retry.backingOff(now), now)
--- a/internal/leader/finish_reservations.go
+++ b/internal/leader/finish_reservations.go
@@ -11,7 +11,7 @@
 // reserveFreedResources applies the reservation rule to the resources that a finished task
 // frees.
 func (l *Leader) reserveFreedResources(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
-	finish := reservations.TaskFinish{
+	finish := reservations.FinishedTask{
 		Job: job.spec.ID, Tasks: job.spec.Tasks, UpstreamStartedAt: job.started, Machine: machine.agent.Name, Downstreams: l.downstreams(job), Now: now,
 		Fits: func(downstream reservations.Downstream) bool {
 			return machine.schedulable(now) && l.mayReserve(machine, downstream)
@@ -37,7 +37,7 @@
 		return
 	}
 	fits := func(downstream reservations.Downstream) bool { return l.mayReserve(machine, downstream) }
-	if l.reservations.OfferFreed(machine.agent.Name, fits, now) {
+	if l.reservations.OfferFreedSlot(machine.agent.Name, fits, now) {
 		l.metadataChanged(machine, now)
 	}
 }
@@ -56,7 +56,7 @@
 	if upstream.upstreams.declared || len(l.dependencies.downstreamsOf(upstream.spec.ID)) > 0 {
 		return l.dependentDownstreams(upstream)
 	}
-	if !l.deps.Operator.Holds.SubmissionOrder {
+	if !l.deps.Operator.Reservations.SubmissionOrder {
 		return nil
 	}
 	next := l.jobs.nextInPipeline(upstream)
--- a/internal/leader/fixtures_test.go
+++ b/internal/leader/fixtures_test.go
@@ -27,7 +27,7 @@
 	tb.Helper()
 	settings := &config.Settings{Params: config.Params{
 		Teams:   []config.Team{{Name: "a", GuaranteedGPUs: 8, MaxGPUs: 16}},
-		Workers: config.WorkerTimings{HeartbeatS: 2, LeaseS: 12, CancelWithinS: 37, GangPeerS: 8, GangWaitS: 30},
+		Workers: config.WorkerTimings{HeartbeatS: 2, LeaseS: 12, CancelWithinS: 37, GangPeerTimeoutS: 8, GangWaitS: 30},
 		State:   config.StateLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 12}, Cloud: config.CloudLimits{RPS: 2, ListLagS: 5},
 	}}
 	catalog := &autoscaling.Catalog{MachineTypes: []autoscaling.MachineType{{
@@ -66,7 +66,7 @@
 func arraySpec(id string, tasks int) jobs.Spec {
 	return jobs.Spec{
 		ID: id, Class: "x", Team: "a", Kind: jobs.KindArray, PriorityClass: "standard", Tasks: tasks,
-		CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 5, AllowSpot: true, ExpectedS: 30, CheckpointIntervalS: 5, SaveS: 1,
+		CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 5, AllowSpot: true, ExpectedS: 30, CheckpointIntervalS: 5, CheckpointSaveS: 1,
 	}
 }
 
@@ -87,7 +87,7 @@
 // commitPending commits pending log changes and the final records of completed jobs. The state
 // service's revision starts from the given one; commitPending returns the last one.
 func commitPending(l *Leader, revision uint64) uint64 {
-	for l.wal.Pending() || len(l.commits.completed) > 0 {
+	for l.wal.HasPending() || len(l.commits.completed) > 0 {
 		if l.commits.next() == nil {
 			break
 		}
--- a/internal/leader/gang_recovery.go
+++ b/internal/leader/gang_recovery.go
@@ -19,7 +19,7 @@
 	if replace && l.mayReplaceTask(job, attempt) {
 		job.gang.replacingTask = true
 		job.markStale()
-		job.retry.avoidMachine(machine.agent.Name, now.Add(constants.AvoidFor))
+		job.retry.avoidMachine(machine.agent.Name, now.Add(constants.AvoidMachineFor))
 		l.deps.Log.Debug("replacing lost task of waiting gang", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.agent.Name)
 		return
 	}
--- a/internal/leader/gang_reserve.go
+++ b/internal/leader/gang_reserve.go
@@ -30,7 +30,7 @@
 		return false
 	}
 	for _, objective := range l.deps.Settings.Params.SLOs {
-		if objective.Kind == config.SLOWait && objective.Class == spec.Class && config.Seconds(objective.WithinS) <= constants.GangReserveMaxAim {
+		if objective.Kind == config.SLOWait && objective.Class == spec.Class && config.Seconds(objective.WithinS) <= constants.GangReserveMaxWait {
 			return true
 		}
 	}
--- a/internal/leader/group_commit_test.go
+++ b/internal/leader/group_commit_test.go
@@ -129,7 +129,7 @@
 		if outcome := c.finishTxn(commitResult{err: errors.New("no answer")}, now); outcome.requestPass || outcome.endReason != "" {
 			t.Fatalf("unexpected outcome %+v", outcome)
 		}
-		if c.healthy() || c.backoff > constants.MaxBackoff {
+		if c.healthy() || c.backoff > constants.MaxStateBackoff {
 			t.Fatalf("backoff %v", c.backoff)
 		}
 		dueAt := c.dueAt()
--- a/internal/leader/growth_test.go
+++ b/internal/leader/growth_test.go
@@ -27,7 +27,7 @@
 		w.heartbeat = testing.AllocsPerRun(200, func() {
 			machine := fleet[next%len(fleet)]
 			next += 7
-			l.handleHeartbeat(nextHeartbeat(l, machine, workers.StatusRunning, ""), now, reply)
+			l.heartbeat(nextHeartbeat(l, machine, workers.StatusRunning, ""), now, reply)
 			l.replies.byMachine[machine].until = now
 			l.replies.wake(machine)
 			l.flushReplies(now)
@@ -43,7 +43,7 @@
 		}
 		before, entries := l.counts.Views, l.wal.Stats().EntryBytes
 		l.runSchedulingPass(now)
-		for l.wal.Pending() {
+		for l.wal.HasPending() {
 			l.commits.next()
 			l.applyCommitResult(commitResult{revision: uint64(3000 + w.transactions)})
 			w.transactions++
--- a/internal/leader/health/failures.go
+++ b/internal/leader/health/failures.go
@@ -62,17 +62,17 @@
 		h.byMachine, h.failuresByTask = make(map[string]failure), make(map[int]int)
 	}
 	h.failuresByTask[task]++
-	if h.succeeded && h.failuresByTask[task] > constants.FaultyTaskMachines {
+	if h.succeeded && h.failuresByTask[task] > constants.FaultyTaskMaxMachines {
 		// Only this task of the job fails on every machine, so the machines are not to
 		// blame.
-		return constants.RetryMax, true
+		return constants.MaxTaskRetryDelay, true
 	}
 	h.byMachine[machine] = failure{now, max(h.byMachine[machine].ran, ran)}
 	if h.succeeded {
 		return 0, false
 	}
-	if h.recentMachines(now) < constants.FaultyJobMachines && !h.JobIsFaulty() {
-		return constants.RetryBase, false
+	if h.recentMachines(now) < constants.FaultyJobMinMachines && !h.JobIsFaulty() {
+		return constants.MinTaskRetryDelay, false
 	}
 	if !inBackoff {
 		// Tasks that fail in the same round count once.
@@ -81,13 +81,13 @@
 	return backoff(h.failedRounds), false
 }
 
-// maxDoublings bounds the shift in backoff to avoid overflow. The pause reaches RetryMax long
+// maxDoublings bounds the shift in backoff to avoid overflow. The pause reaches MaxTaskRetryDelay long
 // before.
 const maxDoublings = 10
 
 // backoff returns the pause after the given number of failed rounds.
 func backoff(rounds int) time.Duration {
-	return min(constants.RetryMax, constants.RetryBase<<min(rounds, maxDoublings))
+	return min(constants.MaxTaskRetryDelay, constants.MinTaskRetryDelay<<min(rounds, maxDoublings))
 }
 
 // recentMachines counts the suspect machines with a failure within FailureWindow.
--- a/internal/leader/health/failures_test.go
+++ b/internal/leader/health/failures_test.go
@@ -16,13 +16,13 @@
 	blamed := 0
 	for i := range 20 {
 		pause, taskOnly := history.Record(fmt.Sprint("m-", i), 7, time.Second, false, now)
-		if taskOnly != (i >= constants.FaultyTaskMachines) || taskOnly && pause != constants.RetryMax {
+		if taskOnly != (i >= constants.FaultyTaskMaxMachines) || taskOnly && pause != constants.MaxTaskRetryDelay {
 			t.Fatalf("failure %d: pause %v, task only %v", i, pause, taskOnly)
 		}
 		blamed += len(history.TakeFaultyMachines(nil, now))
 		now = now.Add(time.Second)
 	}
-	if blamed != constants.FaultyTaskMachines {
+	if blamed != constants.FaultyTaskMaxMachines {
 		t.Errorf("%d machines are blamed for one task's failures", blamed)
 	}
 }
@@ -67,14 +67,14 @@
 func TestFaultyJobBacksOff(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var history FailureHistory
-	for i := range constants.FaultyJobMachines - 1 {
-		if pause, _ := history.Record(fmt.Sprint("m-", i), i, time.Second, false, now); pause != constants.RetryBase || history.JobIsFaulty() {
+	for i := range constants.FaultyJobMinMachines - 1 {
+		if pause, _ := history.Record(fmt.Sprint("m-", i), i, time.Second, false, now); pause != constants.MinTaskRetryDelay || history.JobIsFaulty() {
 			t.Fatalf("failure %d: pause %v, faulty %v", i, pause, history.JobIsFaulty())
 		}
 	}
-	want := constants.RetryBase
+	want := constants.MinTaskRetryDelay
 	for round := range 12 {
-		want = min(2*want, constants.RetryMax)
+		want = min(2*want, constants.MaxTaskRetryDelay)
 		if pause, _ := history.Record("m-x", round, time.Second, false, now); pause != want || !history.JobIsFaulty() {
 			t.Fatalf("round %d: pause %v, want %v, faulty %v", round, pause, want, history.JobIsFaulty())
 		}
@@ -88,8 +88,8 @@
 	}
 }
 
-// TestTaskDelays checks that only the delayed task waits, and only until its time.
-func TestTaskDelays(t *testing.T) {
+// TestOnlyDelayedTaskWaits checks that only the delayed task waits, and only until its time.
+func TestOnlyDelayedTaskWaits(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var delays TaskDelays
 	delays.Add(3, now.Add(time.Second))
--- a/internal/leader/health/machine.go
+++ b/internal/leader/health/machine.go
@@ -48,7 +48,7 @@
 		m.failedJobs = make(map[string]bool)
 	}
 	m.failedJobs[job] = true
-	return len(m.failedJobs) >= constants.FaultyMachineJobs
+	return len(m.failedJobs) >= constants.FaultyMachineMinJobs
 }
 
 // ClearSuspicion withdraws the suspicion that a job's failure raised against the machine.
--- a/internal/leader/health/machine_test.go
+++ b/internal/leader/health/machine_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestSuspectMachine checks that a suspect machine gets no tasks until the suspicion expires or
-// is withdrawn, and that failures of FaultyMachineJobs different jobs make it faulty.
+// is withdrawn, and that failures of FaultyMachineMinJobs different jobs make it faulty.
 func TestSuspectMachine(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var machine Machine
@@ -31,8 +31,8 @@
 	if !machine.AcceptsTasks(now) {
 		t.Error("a cleared suspicion still counts")
 	}
-	for i := range constants.FaultyMachineJobs {
-		if faulty := machine.MarkSuspect(fmt.Sprint("j-", i), now); faulty != (i == constants.FaultyMachineJobs-1) {
+	for i := range constants.FaultyMachineMinJobs {
+		if faulty := machine.MarkSuspect(fmt.Sprint("j-", i), now); faulty != (i == constants.FaultyMachineMinJobs-1) {
 			t.Errorf("after %d jobs: faulty %v", i+1, faulty)
 		}
 	}
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -26,10 +26,10 @@
 	return Reply{}, false
 }
 
-// handleHeartbeat applies a worker's heartbeat, and either refuses it or holds its reply. The
+// heartbeat applies a worker's heartbeat, and either refuses it or holds its reply. The
 // order of the checks matters: a heartbeat refused before applyHeartbeat does not count as
 // contact with the worker.
-func (l *Leader) handleHeartbeat(heartbeat *workers.Heartbeat, arrived time.Time, reply chan<- Reply) {
+func (l *Leader) heartbeat(heartbeat *workers.Heartbeat, arrived time.Time, reply chan<- Reply) {
 	now := time.Now()
 	if !l.certainty.MayAcknowledge(now) {
 		// Another node may have accepted a cancellation that this leader has not seen.
@@ -116,7 +116,7 @@
 		commands = []workers.Command{} // the protocol requires a list, not null
 	}
 	l.counts.RepliedCommands += uint64(len(commands))
-	return Reply{Status: http.StatusOK, Answer: workers.CommandBatch{Token: l.term.number(), Commands: commands}}, true
+	return Reply{Status: http.StatusOK, Batch: workers.CommandBatch{Token: l.term.number(), Commands: commands}}, true
 }
 
 // waitsForStartRecord reports whether a reply should be held longer because a placed task
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -23,7 +23,7 @@
 	duplicate := nextHeartbeat(l, machine, "", "")
 	duplicate.Sequence = 1
 	replyCh := make(chan Reply, 1)
-	l.handleHeartbeat(duplicate, now.Add(time.Second), replyCh)
+	l.heartbeat(duplicate, now.Add(time.Second), replyCh)
 	select {
 	case reply := <-replyCh:
 		if reply.Status != 503 || !machine.agent.LastAcknowledged.Equal(lastAcknowledged) || l.replies.byMachine[machine] != nil {
@@ -33,20 +33,20 @@
 		t.Errorf("the reply to a duplicate heartbeat is held")
 	}
 	l.scaling.terminated["m-9"] = now
-	l.handleHeartbeat(&workers.Heartbeat{Machine: "m-9", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: 1, Token: 3}, now, replyCh)
+	l.heartbeat(&workers.Heartbeat{Machine: "m-9", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: 1, Token: 3}, now, replyCh)
 	if reply := <-replyCh; reply.Status != 503 || l.fleet.get("m-9") != nil {
 		t.Errorf("a late heartbeat added a returned machine again: status %d", reply.Status)
 	}
 	l.fleet.remove(machine)
 	job := addJob(t, l, arraySpec("j-1", 1), now)
 	stale := &workers.Heartbeat{Machine: "m-2", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: 400, Token: l.term.number() - 1}
-	l.handleHeartbeat(stale, now, replyCh)
+	l.heartbeat(stale, now, replyCh)
 	l.runSchedulingPass(now)
 	if len(job.attempts) != 0 {
 		t.Fatalf("a task was placed on a machine that may no longer exist")
 	}
 	stale.Sequence, stale.Token = 401, l.term.number()
-	l.handleHeartbeat(stale, now, replyCh)
+	l.heartbeat(stale, now, replyCh)
 	l.runSchedulingPass(now)
 	if len(job.attempts) != 1 {
 		t.Errorf("no task was placed on a machine that reported this term's token")
@@ -65,7 +65,7 @@
 	machine.agent.RepliesLost = true
 	machine.markStale()
 	replyCh := make(chan Reply, 1)
-	l.handleHeartbeat(nextHeartbeat(l, machine, "", ""), now.Add(time.Second), replyCh)
+	l.heartbeat(nextHeartbeat(l, machine, "", ""), now.Add(time.Second), replyCh)
 	l.flushReplies(now.Add(3 * time.Second))
 	if reply := <-replyCh; reply.Status != 503 || !machine.agent.LastAcknowledged.Equal(lastAcknowledged) {
 		t.Errorf("status %d; lease start moved by %v", reply.Status, machine.agent.LastAcknowledged.Sub(lastAcknowledged))
@@ -99,7 +99,7 @@
 		commitPending(l, 100)
 		machine.agent.Commands(true, now)
 		replies := make(chan Reply, 2)
-		l.handleHeartbeat(nextHeartbeat(l, machine, workers.StatusRunning, ""), now, replies)
+		l.heartbeat(nextHeartbeat(l, machine, workers.StatusRunning, ""), now, replies)
 		if len(machine.agent.Attempts) != 2 || len(replies) != 0 {
 			t.Fatalf("%d attempts on the machine, %d replies before it was returned", len(machine.agent.Attempts), len(replies))
 		}
--- a/internal/leader/held_replies.go
+++ b/internal/leader/held_replies.go
@@ -12,7 +12,7 @@
 // there was one.
 type Reply struct {
 	Status int
-	Answer workers.CommandBatch
+	Batch  workers.CommandBatch
 }
 
 // refusal is the reply to a heartbeat that must not renew the worker's lease.
--- a/internal/leader/job_admission.go
+++ b/internal/leader/job_admission.go
@@ -60,7 +60,7 @@
 		l.removeJob(job, now)
 		l.deps.Log.Debug("job record deleted", "job", id)
 	}
-	l.jobs.recordDeleted(id)
+	l.jobs.clearRemoved(id)
 }
 
 // removeJob removes a job that has ended. Attempts that may still be on machines are stopped,
--- a/internal/leader/job_attempts.go
+++ b/internal/leader/job_attempts.go
@@ -9,7 +9,7 @@
 
 // stopGrace returns the time, in seconds, that a task of the job has to save its progress
 // before it is killed.
-func (j *jobState) stopGrace() float64 { return j.spec.SaveS + constants.StopGrace.Seconds() }
+func (j *jobState) stopGrace() float64 { return j.spec.CheckpointSaveS + constants.StopGrace.Seconds() }
 
 // stopAttempt requests the stop of an attempt. An attempt whose run command was never sent is
 // removed at once.
--- a/internal/leader/job_table.go
+++ b/internal/leader/job_table.go
@@ -71,9 +71,9 @@
 	delete(t.open, id)
 }
 
-// recordDeleted is called when the watch reports the deletion of a job's open record. The
+// clearRemoved is called when the watch reports the deletion of a job's open record. The
 // watch delivers changes in order, so no older change of that record can follow.
-func (t *jobTable) recordDeleted(id string) { delete(t.removed, id) }
+func (t *jobTable) clearRemoved(id string) { delete(t.removed, id) }
 
 // restoreAttemptOfEndedJob counts an attempt of an ended job that was restored from the
 // records.
--- a/internal/leader/job_table_test.go
+++ b/internal/leader/job_table_test.go
@@ -45,7 +45,7 @@
 	if table.get("j-1") != nil || !table.openOrRemoved("j-1") || len(table.ended) != 0 {
 		t.Errorf("after the removal: open %v, open or removed %v, ended jobs %v", table.get("j-1") != nil, table.openOrRemoved("j-1"), table.ended)
 	}
-	table.recordDeleted("j-1")
+	table.clearRemoved("j-1")
 	if table.openOrRemoved("j-1") {
 		t.Error("still remembered after the deletion was reported")
 	}
--- a/internal/leader/job_view.go
+++ b/internal/leader/job_view.go
@@ -48,7 +48,7 @@
 
 // listWaitingTasks lists the first tasks of an array or service that wait for a machine.
 func (j *jobState) listWaitingTasks(now time.Time) {
-	limit := constants.MaxWaitingTasks
+	limit := constants.MaxWaitingTasksPerJob
 	if j.failures.JobIsFaulty() {
 		// A single task shows whether the job still fails, and leaves the capacity to
 		// other jobs.
--- a/internal/leader/job_view_test.go
+++ b/internal/leader/job_view_test.go
@@ -18,7 +18,7 @@
 func TestArrayWaitingTasks(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.Unix(1000, 0)
-		spec := arraySpec("j-1", rapid.IntRange(1, 2*constants.MaxWaitingTasks).Draw(rt, "tasks"))
+		spec := arraySpec("j-1", rapid.IntRange(1, 2*constants.MaxWaitingTasksPerJob).Draw(rt, "tasks"))
 		job := newJobState(&spec, 1, now, now)
 		machine := &machineState{agent: workers.NewAgent("m-1")}
 		delayedUntil := make(map[int]time.Time)
@@ -56,7 +56,7 @@
 			waiting = append(waiting, task)
 		}
 	}
-	return waiting[:min(len(waiting), constants.MaxWaitingTasks)]
+	return waiting[:min(len(waiting), constants.MaxWaitingTasksPerJob)]
 }
 
 // TestGangWaitingTasks checks that all tasks of a gang wait while it has no attempts, none
@@ -100,7 +100,7 @@
 	running := &workers.Attempt{RunningSince: now.Add(-time.Minute)}
 	spec := jobs.Spec{ExpectedS: 100, Tasks: 4, Kind: jobs.KindArray}
 	saving, gang, overdue := spec, spec, spec
-	saving.CheckpointIntervalS, saving.SaveS = 5, 2
+	saving.CheckpointIntervalS, saving.CheckpointSaveS = 5, 2
 	gang.Kind = jobs.KindGang
 	overdue.ExpectedS = 20
 	for _, c := range []struct {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -119,8 +119,8 @@
 		classes:      newClassStats(),
 		teamUsage:    make(teamUsage),
 		reservations: reservations.NewManager(reservations.Options{
-			Enabled: operator.Holds.Enabled, Alpha: operator.Holds.Alpha,
-			P: operator.Holds.P, Threshold: operator.Holds.Threshold,
+			Enabled: operator.Reservations.Enabled, Alpha: operator.Reservations.Alpha,
+			P: operator.Reservations.P, Threshold: operator.Reservations.Threshold,
 		}),
 
 		fleet:   newFleet(),
--- a/internal/leader/legacy.go
+++ b/internal/leader/legacy.go
@@ -84,7 +84,7 @@
 	}
 	for i := range len(bits) * 8 {
 		if bitset(bits).has(i) {
-			tasks = append(tasks, chunk*constants.DoneChunkTasks+i)
+			tasks = append(tasks, chunk*constants.TasksPerDoneChunk+i)
 		}
 	}
 	return job, tasks, nil
--- a/internal/leader/loop_test.go
+++ b/internal/leader/loop_test.go
@@ -94,8 +94,8 @@
 		if !ok || reply.Status != 200 {
 			t.Fatalf("heartbeat %d: answered %v, status %d", sequence, ok, reply.Status)
 		}
-		if len(reply.Answer.Commands) > 0 {
-			return reply.Answer.Commands
+		if len(reply.Batch.Commands) > 0 {
+			return reply.Batch.Commands
 		}
 		time.Sleep(time.Second)
 	}
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -36,7 +36,7 @@
 	view         *placement.Machine
 	viewAt       time.Time
 	stale        bool
-	countedUsage []teamUse
+	countedUsage []teamResources
 }
 
 // newMachineState returns the initial state of a machine. Only its name is known.
--- a/internal/leader/machine_view.go
+++ b/internal/leader/machine_view.go
@@ -16,7 +16,7 @@
 	l.counts.Views++
 	machineType, _ := l.deps.Catalog().Type(machine.agent.MachineType) // an unknown type has no resources
 	view := l.placementMachine(machine)
-	view.AttemptCapacity = int(l.deps.Settings.Params.State.ValueKB*1024)/constants.AttemptBytes - len(machine.agent.Attempts)
+	view.AttemptCapacity = int(l.deps.Settings.Params.State.ValueKB*1024)/constants.MaxAttemptBytes - len(machine.agent.Attempts)
 	view.Total = placement.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}
 	view.FetchGBPerS = machineType.FetchGBPerS
 	view.ImageWait = make(map[string]time.Duration, len(machine.images))
@@ -25,18 +25,18 @@
 			view.ImageWait[image.name] = 0
 		}
 	}
-	var uses []teamUse
+	var uses []teamResources
 	for _, attempt := range machine.agent.Attempts {
 		if !attempt.Live() {
 			continue
 		}
 		task := l.runningTask(view, attempt, now)
-		uses = append(uses, teamUse{l.jobs.teamOf(attempt), task.Resources})
+		uses = append(uses, teamResources{l.jobs.teamOf(attempt), task.Resources})
 		view.RunningTasks = append(view.RunningTasks, task)
 	}
 	for _, reservation := range l.reservations.OnMachine(machine.agent.Name) {
 		view.Reserved = append(view.Reserved, placement.ReservedSlot{Pipeline: reservation.Pipeline, Priority: reservation.Priority, Resources: reservation.Resources})
-		uses = append(uses, teamUse{reservation.Pipeline.Team, reservation.Resources})
+		uses = append(uses, teamResources{reservation.Pipeline.Team, reservation.Resources})
 	}
 	l.setTeamUsage(machine, uses)
 	machine.view = view
@@ -46,7 +46,7 @@
 // still fetches its image, the expected wait is added to the view.
 func (l *Leader) runningTask(view *placement.Machine, attempt *workers.Attempt, now time.Time) placement.RunningTask {
 	task := placement.RunningTask{
-		TaskIndex: attempt.ID.Task.Index, Attempt: attempt.ID.Number,
+		Index: attempt.ID.Task.Index, Attempt: attempt.ID.Number,
 		Resources: l.jobs.resourcesOf(attempt), Stopping: attempt.StopRequested,
 	}
 	job := l.jobs.get(attempt.ID.Task.Job)
--- a/internal/leader/metadata.go
+++ b/internal/leader/metadata.go
@@ -29,7 +29,7 @@
 func newMetadataQueue(state config.StateLimits, budgets config.BudgetSettings) metadataQueue {
 	_, writes := state.Rates(true)
 	valueBytes := state.ValueKB * 1024
-	perSecond := max(valueBytes, constants.MetadataWriteShare*budgets.LeaderWriteShare*budgets.Use*writes*valueBytes)
+	perSecond := max(valueBytes, constants.MetadataWriteShare*budgets.LeaderWriteShare*budgets.UsableShare*writes*valueBytes)
 	burst := max(valueBytes, perSecond*constants.MetadataBurst.Seconds())
 	return metadataQueue{
 		due:    make(map[*machineState]time.Time),
--- a/internal/leader/metadata_test.go
+++ b/internal/leader/metadata_test.go
@@ -17,10 +17,10 @@
 	for _, c := range []struct {
 		writesPerSecond float64 // accepted by the state service
 		valuesPerSecond float64 // available to metadata
-	}{{35, constants.MetadataWriteShare * constants.LeaderWriteShare * constants.BudgetUse * 35}, {10, 1}} {
+	}{{35, constants.MetadataWriteShare * constants.LeaderWriteShare * constants.UsableBudgetShare * 35}, {10, 1}} {
 		const machines, seconds = 3000, 60
 		now := time.Now()
-		state := config.StateLimits{WriteRPS: 100, ValueKB: 2, TxnOps: 10, Next: &config.UpcomingStateLimits{WriteRPS: &c.writesPerSecond}}
+		state := config.StateLimits{WriteRPS: 100, ValueKB: 2, TxnOps: 10, Upcoming: &config.UpcomingStateLimits{WriteRPS: &c.writesPerSecond}}
 		l := leaderWithChangedImages(t, state, machines, now)
 
 		l.logDueMetadata(now.Add(constants.MetadataDelay / 2))
--- a/internal/leader/placement_snapshot.go
+++ b/internal/leader/placement_snapshot.go
@@ -89,5 +89,5 @@
 // maxViewAge returns the maximum age of an unchanged machine's view. It grows with the fleet,
 // as refreshing every view of a large fleet would take longer than the pass itself.
 func maxViewAge(machines int) time.Duration {
-	return time.Duration(float64(constants.MaxViewAge) * max(1, float64(machines)/constants.ViewAgeBaseMachines))
+	return time.Duration(float64(constants.MaxMachineViewAge) * max(1, float64(machines)/constants.MachineViewAgeBaseFleet))
 }
--- a/internal/leader/plan_execution.go
+++ b/internal/leader/plan_execution.go
@@ -33,13 +33,13 @@
 	if job == nil {
 		return
 	}
-	l.deps.Log.Debug("task preempted", "task", workers.TaskID{Job: job.spec.ID, Index: victim.TaskIndex}, "attempt", victim.Attempt,
+	l.deps.Log.Debug("task preempted", "task", workers.TaskID{Job: job.spec.ID, Index: victim.Index}, "attempt", victim.Attempt,
 		"machine", machine.agent.Name, "for_job", preemption.Preemptor.Spec.ID)
 	if job.spec.Kind == jobs.KindGang {
 		l.stopGang(job, job.stopGrace(), now)
 		return
 	}
-	for _, placed := range job.attempts[victim.TaskIndex] {
+	for _, placed := range job.attempts[victim.Index] {
 		if placed.machine == machine && placed.attempt.ID.Number == victim.Attempt {
 			l.stopAttempt(machine, placed.attempt, job.stopGrace(), now)
 		}
@@ -93,7 +93,7 @@
 // on the machine that it is entitled to; reservations that no longer fit on the machine are
 // released.
 func (l *Leader) startTask(machine *machineState, job *jobState, start placement.Start, number uint64, now time.Time) {
-	id := workers.AttemptID{Task: workers.TaskID{Job: job.spec.ID, Index: start.TaskIndex}, Number: number}
+	id := workers.AttemptID{Task: workers.TaskID{Job: job.spec.ID, Index: start.Index}, Number: number}
 	attempt := &workers.Attempt{ID: id, Epoch: machine.agent.Epoch, PlacedAt: now}
 	machine.agent.Attempts[id] = attempt
 	job.lastPlacedAt = now
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -21,9 +21,9 @@
 	return wal.Resources{r.CPUs, r.GPUs, r.MemoryGB}
 }
 
-func reservationFromRecord(hold wal.Hold, machine string) reservations.Reservation {
+func reservationFromRecord(hold wal.SlotReservation, machine string) reservations.Reservation {
 	pipeline := placement.Pipeline{Team: hold.Team, Class: hold.Class}
-	if hold.Edge {
+	if hold.UserDeclaredEdge {
 		pipeline.Downstream = hold.Downstream
 	}
 	return reservations.Reservation{
@@ -33,9 +33,9 @@
 	}
 }
 
-func reservationToRecord(r reservations.Reservation) wal.Hold {
-	return wal.Hold{
-		Team: r.Pipeline.Team, Class: r.Pipeline.Class, Upstream: r.Upstream, Downstream: r.Downstream, Edge: r.Pipeline.Downstream != "",
+func reservationToRecord(r reservations.Reservation) wal.SlotReservation {
+	return wal.SlotReservation{
+		Team: r.Pipeline.Team, Class: r.Pipeline.Class, Upstream: r.Upstream, Downstream: r.Downstream, UserDeclaredEdge: r.Pipeline.Downstream != "",
 		Priority: r.Priority, Resources: resourcesToRecord(r.Resources), Expires: r.ExpiresAt.UnixMilli(),
 	}
 }
@@ -65,7 +65,7 @@
 		Endpoint: agent.Endpoint, Epoch: agent.Epoch, Leaving: machine.lifecycle.isLeaving(),
 	}
 	for _, reservation := range l.reservations.OnMachine(agent.Name) {
-		record.Holds = append(record.Holds, reservationToRecord(reservation))
+		record.Reservations = append(record.Reservations, reservationToRecord(reservation))
 	}
 	for _, image := range machine.images {
 		if image.fetched {
@@ -86,15 +86,15 @@
 		}
 		record.Attempts = append(record.Attempts, attemptToRecord(a))
 		if record.Jobs == nil {
-			record.Jobs = make(map[string]wal.JobUse)
+			record.Jobs = make(map[string]wal.JobUsage)
 		}
-		record.Jobs[a.ID.Task.Job] = l.jobUseToRecord(a)
+		record.Jobs[a.ID.Task.Job] = l.jobUsageToRecord(a)
 	}
 	return record
 }
 
-// jobUseToRecord returns the team and resources of an attempt. They are recorded so that the
+// jobUsageToRecord returns the team and resources of an attempt. They are recorded so that the
 // attempt can still be accounted for after its job has ended.
-func (l *Leader) jobUseToRecord(a *workers.Attempt) wal.JobUse {
-	return wal.JobUse{Team: l.jobs.teamOf(a), Resources: resourcesToRecord(l.jobs.resourcesOf(a))}
+func (l *Leader) jobUsageToRecord(a *workers.Attempt) wal.JobUsage {
+	return wal.JobUsage{Team: l.jobs.teamOf(a), Resources: resourcesToRecord(l.jobs.resourcesOf(a))}
 }
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -146,7 +146,7 @@
 			return statestore.KeyValue{}, false, fmt.Errorf("read %s: %w", key, err)
 		}
 		l.deps.Log.Info("record read failed, retrying", "key", key, "error", err)
-		pause(ctx, constants.MinBackoff)
+		pause(ctx, constants.MinStateBackoff)
 	}
 }
 
@@ -171,6 +171,6 @@
 			return recordList{}, fmt.Errorf("list %s: %w", prefix, err)
 		}
 		l.deps.Log.Info("record listing failed, retrying", "key", prefix, "error", err)
-		pause(ctx, constants.MinBackoff)
+		pause(ctx, constants.MinStateBackoff)
 	}
 }
--- a/internal/leader/reservation_edges_test.go
+++ b/internal/leader/reservation_edges_test.go
@@ -163,7 +163,7 @@
 	t.Run("expired", func(t *testing.T) {
 		s := newDependencyFixture(t, 4, start)
 		finishAll(s.leader, s.machine, finished)
-		settings := s.leader.deps.Operator.Holds
+		settings := s.leader.deps.Operator.Reservations
 		expiry := start.Add(reservations.Options{Alpha: settings.Alpha, P: settings.P}.Deadline(10*time.Second, 4))
 		s.leader.reservations.Expire(expiry.Add(-time.Second), s.leader.hasWaitingTasks)
 		if s.reserved() != 4 {
@@ -214,7 +214,7 @@
 		spec := arraySpec(id, 2)
 		spec.PriorityClass, spec.DependsOn = priorityClass, upstreams
 		if dueS > 0 {
-			spec.DueS = &dueS
+			spec.DeadlineS = &dueS
 		}
 		return addJob(t, l, spec, now)
 	}
@@ -258,7 +258,7 @@
 	for _, submissionOrder := range []bool{true, false} {
 		now := time.Now()
 		l := testLeader(t)
-		l.deps.Operator.Holds.SubmissionOrder = submissionOrder
+		l.deps.Operator.Reservations.SubmissionOrder = submissionOrder
 		l.teams[0].MaxGPUs = 4 // so that the next job waits
 		machine := addMachine(l, "m-1", "east", now)
 		addJob(t, l, arraySpec("j-1", 4), now)
@@ -270,7 +270,7 @@
 		}
 
 		s := newDependencyFixture(t, 4, now)
-		s.leader.deps.Operator.Holds.SubmissionOrder = submissionOrder
+		s.leader.deps.Operator.Reservations.SubmissionOrder = submissionOrder
 		finishAll(s.leader, s.machine, now.Add(10*time.Second))
 		if got := s.reserved(); got != 4 {
 			t.Errorf("submission order %v: %d reservations for the dependent job, want 4", submissionOrder, got)
--- a/internal/leader/restore.go
+++ b/internal/leader/restore.go
@@ -24,7 +24,7 @@
 	for _, i := range record.Images {
 		machine.images = append(machine.images, cachedImage{name: i.Name, gb: i.GB, fetched: true})
 	}
-	for _, hold := range record.Holds {
+	for _, hold := range record.Reservations {
 		l.reservations.Restore(reservationFromRecord(hold, name))
 	}
 	return nil
@@ -32,7 +32,7 @@
 
 // restoreAttempt restores an attempt that may be running on a machine. If its job has ended,
 // it is counted with the team and resources recorded in uses, and stopped.
-func (l *Leader) restoreAttempt(machine *machineState, record wal.Attempt, uses map[string]wal.JobUse, now time.Time) error {
+func (l *Leader) restoreAttempt(machine *machineState, record wal.Attempt, uses map[string]wal.JobUsage, now time.Time) error {
 	attempt, err := attemptFromRecord(record, now)
 	if err != nil {
 		return err
--- a/internal/leader/scaling_list.go
+++ b/internal/leader/scaling_list.go
@@ -36,7 +36,7 @@
 // listInterval returns the pause between two complete reads of the list. It is at least the
 // lag of the list, because reading it more often returns nothing new.
 func (l *Leader) listInterval() time.Duration {
-	return max(config.Seconds(l.deps.Settings.Params.Cloud.ListLagS), constants.MinListInterval)
+	return max(config.Seconds(l.deps.Settings.Params.Cloud.ListLagS), constants.MinInstanceListInterval)
 }
 
 // requestInstancePage queues a call that reads the next page of the cloud's list.
--- a/internal/leader/scaling_rent.go
+++ b/internal/leader/scaling_rent.go
@@ -14,9 +14,9 @@
 // machines are requested from them.
 type unavailablePools map[autoscaling.InstancePool]time.Time
 
-// markUnavailable excludes a pool from rent requests for NoCapacityPause.
+// markUnavailable excludes a pool from rent requests for NoCapacityBackoff.
 func (p unavailablePools) markUnavailable(pool autoscaling.InstancePool, now time.Time) {
-	p[pool] = now.Add(constants.NoCapacityPause)
+	p[pool] = now.Add(constants.NoCapacityBackoff)
 }
 
 // nextRentRequest returns the next rent request, if more machines are needed.
--- a/internal/leader/scaling_return.go
+++ b/internal/leader/scaling_return.go
@@ -18,7 +18,7 @@
 		}
 		returnAfter := constants.SilentReturnAfter
 		if unreachable[machine.agent.Zone] {
-			returnAfter = constants.UnreachableReturnAfter
+			returnAfter = constants.UnreachableZoneReturnAfter
 		}
 		switch {
 		case l.silentFor(machine, now) > l.lease+returnAfter:
@@ -56,7 +56,7 @@
 		}
 	}
 	slices.Sort(names)
-	return names[:min(len(names), constants.ReturnBatch)]
+	return names[:min(len(names), constants.MaxMachinesPerReturn)]
 }
 
 // isDraining reports whether a machine to be returned may still run tasks, which must get
--- a/internal/leader/scaling_state_test.go
+++ b/internal/leader/scaling_state_test.go
@@ -101,11 +101,11 @@
 }
 
 // TestUnreachableZones checks that a zone is unreachable if a majority of its machines, and at
-// least UnreachableMinMachines, are silent, and that it remains so for UnreachableHold after
+// least UnreachableZoneMinSilent, are silent, and that it remains so for UnreachableZoneRecovery after
 // they report again.
 func TestUnreachableZones(t *testing.T) {
 	now := time.Unix(1000, 0)
-	const minSilent = constants.UnreachableMinMachines
+	const minSilent = constants.UnreachableZoneMinSilent
 	tests := []struct {
 		name             string
 		machines, silent int
@@ -123,7 +123,7 @@
 			if got["east"] != test.want || got["west"] {
 				t.Errorf("unreachable: %v", got)
 			}
-			later := now.Add(constants.UnreachableHold)
+			later := now.Add(constants.UnreachableZoneRecovery)
 			if got := zones.update(machines, nil, later.Add(-1)); got["east"] != test.want {
 				t.Errorf("unreachable just before the end of the hold time: %v", got)
 			}
@@ -150,9 +150,9 @@
 	}
 }
 
-// TestScaleMakesOneCallAtATime checks that no tick makes a call to the cloud while another
+// TestScalingMakesOneCloudCallAtATime checks that no tick makes a call to the cloud while another
 // is in flight, or during the pause after one that failed.
-func TestScaleMakesOneCallAtATime(t *testing.T) {
+func TestScalingMakesOneCloudCallAtATime(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := testLeader(t)
 	l.scale(now)
--- a/internal/leader/scaling_test.go
+++ b/internal/leader/scaling_test.go
@@ -36,7 +36,7 @@
 	c.calls = append(c.calls, "page")
 	for i := range c.machines {
 		name := fmt.Sprintf("m-%06d", i)
-		if name > from && len(instances) < constants.InstanceListPage {
+		if name > from && len(instances) < constants.InstanceListPageSize {
 			instances = append(instances, autoscaling.Instance{Name: name, MachineType: "g4", Zone: "east", Status: "running"})
 			next = name
 		}
@@ -88,7 +88,7 @@
 			}
 		}
 		pages := countPages(t, cloud.calls)
-		if want := cloud.machines / constants.InstanceListPage; pages != want {
+		if want := cloud.machines / constants.InstanceListPageSize; pages != want {
 			t.Errorf("%d pages read, want %d: %v", pages, want, cloud.calls)
 		}
 		if !slices.Contains(cloud.calls, "rent") || l.scaling.list.completedAt.IsZero() {
@@ -136,7 +136,7 @@
 	if l.fleet.get("m-e3").lifecycle.leaving {
 		t.Errorf("the last machine is returned as soon as the others report again")
 	}
-	l.retireMachines(healed.Add(constants.UnreachableHold + l.lease + constants.SilentReturnAfter))
+	l.retireMachines(healed.Add(constants.UnreachableZoneRecovery + l.lease + constants.SilentReturnAfter))
 	if !l.fleet.get("m-e3").lifecycle.leaving {
 		t.Errorf("a machine that stays silent after the others report again is never returned")
 	}
@@ -144,7 +144,7 @@
 		machine := l.fleet.get(fmt.Sprint("m-e", i))
 		machine.agent.LastHeartbeat, machine.lifecycle.leaving = start, false
 	}
-	l.retireMachines(start.Add(l.lease + constants.UnreachableReturnAfter + time.Second))
+	l.retireMachines(start.Add(l.lease + constants.UnreachableZoneReturnAfter + time.Second))
 	if !l.fleet.get("m-e0").lifecycle.leaving {
 		t.Errorf("the machines of a zone that stays unreachable are never returned")
 	}
--- a/internal/leader/start_targets.go
+++ b/internal/leader/start_targets.go
@@ -26,13 +26,13 @@
 		case config.SLOCompletion:
 			targets = append(targets, config.Seconds(objective.WithinS-spec.ExpectedS-fetchS))
 		case config.SLODeadline:
-			if spec.DueS != nil {
-				targets = append(targets, config.Seconds(*spec.DueS*objective.DueFactor()-spec.ExpectedS-fetchS)-waited)
+			if spec.DeadlineS != nil {
+				targets = append(targets, config.Seconds(*spec.DeadlineS*objective.DeadlineFactor()-spec.ExpectedS-fetchS)-waited)
 			}
 		}
 	}
-	if len(targets) == 0 && spec.DueS != nil {
-		targets = append(targets, config.Seconds(*spec.DueS-spec.ExpectedS-fetchS)-waited)
+	if len(targets) == 0 && spec.DeadlineS != nil {
+		targets = append(targets, config.Seconds(*spec.DeadlineS-spec.ExpectedS-fetchS)-waited)
 	}
 	slices.Sort(targets)
 	return targets
@@ -55,8 +55,8 @@
 // latestStart returns the latest time at which a job can start so that it and the jobs that
 // depend on it finish by their due times. It is zero if none of them has a due time.
 func (l *Leader) latestStart(job *jobState) (at time.Time) {
-	if job.spec.DueS != nil {
-		at = job.acceptedAt.Add(config.Seconds(*job.spec.DueS) - l.classes.runtimeRatios.expectedRuntime(job.spec))
+	if job.spec.DeadlineS != nil {
+		at = job.acceptedAt.Add(config.Seconds(*job.spec.DeadlineS) - l.classes.runtimeRatios.expectedRuntime(job.spec))
 	}
 	return earlier(at, job.downstreamDemand.latestStart)
 }
--- a/internal/leader/start_targets_test.go
+++ b/internal/leader/start_targets_test.go
@@ -12,7 +12,7 @@
 	share, factor, due := 0.9, 1.5, 100.0
 	l := testLeader(t)
 	l.deps.Settings.Params.SLOs = []config.SLO{
-		{Kind: config.SLODeadline, Class: "deadline", Share: &share, DueTimeFactor: &factor},
+		{Kind: config.SLODeadline, Class: "deadline", Share: &share, DeadlineMultiple: &factor},
 		{Kind: config.SLODeadline, Class: "deadline", Share: &share},
 		{Kind: config.SLOWait, Class: "wait", WithinS: 30, Share: &share},
 		{Kind: config.SLOCompletion, Class: "wait", WithinS: 250, Share: &share},
@@ -30,7 +30,7 @@
 		{"novel", nil, "[]"},
 	} {
 		spec := arraySpec("j-1", 1)
-		spec.Class, spec.DueS = c.class, c.dueS
+		spec.Class, spec.DeadlineS = c.class, c.dueS
 		if got := fmt.Sprint(l.startTargets(&spec, 0)); got != c.want {
 			t.Errorf("class %s, due time %v: targets %s, want %s", c.class, c.dueS != nil, got, c.want)
 		}
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -2,16 +2,16 @@
 
 // Status is the operators' view of a term.
 type Status struct {
-	Term          uint64          `json:"term"`
-	Machines      []PoolStatus    `json:"machines"`
-	Queue         []QueueStatus   `json:"queue"`
-	Teams         []TeamStatus    `json:"teams"`
-	Holds         []HoldStatus    `json:"holds"`
-	Booting       int             `json:"booting"`
-	Leaving       int             `json:"leaving"`
-	Recording     RecordingStatus `json:"recording"`
-	Work          WorkCounts      `json:"work"`
-	EventsWaiting int             `json:"callsWaiting"`
+	Term          uint64              `json:"term"`
+	Machines      []PoolStatus        `json:"machines"`
+	Queue         []QueueStatus       `json:"queue"`
+	Teams         []TeamStatus        `json:"teams"`
+	Reservations  []ReservationStatus `json:"holds"`
+	Booting       int                 `json:"booting"`
+	Leaving       int                 `json:"leaving"`
+	Recording     RecordingStatus     `json:"recording"`
+	Work          WorkCounts          `json:"work"`
+	EventsWaiting int                 `json:"callsWaiting"`
 }
 
 // RecordingStatus shows whether state can be written to the state service.
@@ -64,8 +64,8 @@
 	MaxGPUs        float64 `json:"gpusLimit"`
 }
 
-// HoldStatus shows a reservation and the time until it expires.
-type HoldStatus struct {
+// ReservationStatus shows a reservation and the time until it expires.
+type ReservationStatus struct {
 	Machine    string  `json:"rig"`
 	Team       string  `json:"team"`
 	Class      string  `json:"class"`
--- a/internal/leader/status_view.go
+++ b/internal/leader/status_view.go
@@ -17,7 +17,7 @@
 		Machines:      machines,
 		Queue:         l.queueStatus(),
 		Teams:         l.teamStatus(),
-		Holds:         l.reservationStatus(now),
+		Reservations:  l.reservationStatus(now),
 		Booting:       len(l.scaling.booting),
 		Leaving:       leaving,
 		Recording:     l.recordingStatus(now),
@@ -162,9 +162,9 @@
 	return teams
 }
 
-func (l *Leader) reservationStatus(now time.Time) (list []HoldStatus) {
+func (l *Leader) reservationStatus(now time.Time) (list []ReservationStatus) {
 	for _, reservation := range l.reservations.All() {
-		list = append(list, HoldStatus{
+		list = append(list, ReservationStatus{
 			Machine: reservation.Machine, Team: reservation.Pipeline.Team, Class: reservation.Pipeline.Class, Job: reservation.Downstream,
 			CPUs: reservation.Resources.CPUs, GPUs: reservation.Resources.GPUs,
 			ExpiresInS: reservation.ExpiresAt.Sub(now).Seconds(),
--- a/internal/leader/stop_cost.go
+++ b/internal/leader/stop_cost.go
@@ -23,7 +23,7 @@
 	ran := now.Sub(attempt.RunningSince)
 	remaining = max(expected-ran, constants.MinRemainingEstimate)
 	if spec.CheckpointIntervalS > 0 {
-		loss = time.Duration(spec.SaveS*float64(time.Second)) + constants.StopGrace
+		loss = time.Duration(spec.CheckpointSaveS*float64(time.Second)) + constants.StopGrace
 	} else {
 		loss = ran
 	}
--- a/internal/leader/stragglers.go
+++ b/internal/leader/stragglers.go
@@ -58,7 +58,7 @@
 }
 
 // saveGrace returns the time that one of the job's tasks gets to save and stop, in seconds.
-func (j *jobState) saveGrace() float64 { return j.spec.SaveS + constants.StopGrace.Seconds() }
+func (j *jobState) saveGrace() float64 { return j.spec.CheckpointSaveS + constants.StopGrace.Seconds() }
 
 // recordTaskRuntime compares a finished task's run time with those of the job's other tasks
 // and then adds it to them.
--- a/internal/leader/stragglers_test.go
+++ b/internal/leader/stragglers_test.go
@@ -40,7 +40,7 @@
 		t.Fatalf("slow machine not detected")
 	}
 	for _, attempt := range slow.agent.SortedAttempts() {
-		if !attempt.StopRequested || attempt.GraceS < job.spec.SaveS {
+		if !attempt.StopRequested || attempt.GraceS < job.spec.CheckpointSaveS {
 			t.Errorf("%v is not stopped with time to save", attempt.ID)
 		}
 	}
--- a/internal/leader/task_events.go
+++ b/internal/leader/task_events.go
@@ -85,7 +85,7 @@
 		job.restartedTasks[attempt.ID.Task.Index] = true
 	default:
 		// The worker refused the start, so its state differs from the leader's: retry soon.
-		job.retry.notBefore = now.Add(constants.RetryBase)
+		job.retry.notBefore = now.Add(constants.MinTaskRetryDelay)
 		replace = true
 	}
 	l.allowForget(machine, attempt)
--- a/internal/leader/task_progress.go
+++ b/internal/leader/task_progress.go
@@ -98,7 +98,7 @@
 
 // chunks returns the set of done tasks, split into parts that fit one checkpoint record.
 func (p *taskProgress) chunks() (chunks []wal.DoneTasks) {
-	const chunkBytes = constants.DoneChunkTasks / 8
+	const chunkBytes = constants.TasksPerDoneChunk / 8
 	for offset := 0; offset < len(p.done); offset += chunkBytes {
 		chunks = append(chunks, wal.DoneTasks{First: offset * 8, Bits: slices.Clone(p.done[offset:min(len(p.done), offset+chunkBytes)])})
 	}
--- a/internal/leader/team_usage.go
+++ b/internal/leader/team_usage.go
@@ -6,15 +6,15 @@
 // in the machine views.
 type teamUsage map[string]placement.Resources
 
-// teamUse is the contribution of one attempt or reservation to its team's usage.
-type teamUse struct {
+// teamResources is the contribution of one attempt or reservation to its team's usage.
+type teamResources struct {
 	team      string
 	resources placement.Resources
 }
 
 // replace subtracts a machine's previous contributions from the teams' usage and adds its
 // current ones.
-func (u teamUsage) replace(previous, current []teamUse) {
+func (u teamUsage) replace(previous, current []teamResources) {
 	for _, use := range previous {
 		u[use.team] = u[use.team].Sub(use.resources)
 	}
@@ -24,7 +24,7 @@
 }
 
 // setTeamUsage replaces a machine's contributions to the teams' usage.
-func (l *Leader) setTeamUsage(machine *machineState, uses []teamUse) {
+func (l *Leader) setTeamUsage(machine *machineState, uses []teamResources) {
 	l.teamUsage.replace(machine.countedUsage, uses)
 	machine.countedUsage = uses
 }
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -43,7 +43,7 @@
 		switch {
 		case agent.RepliesLost || agent.EpochUnconfirmed:
 			l.probeAgent(machine, now)
-		case tokensPushed < constants.TokenPushesPerTick && l.needsToken(machine, now):
+		case tokensPushed < constants.MaxTokenPushesPerTick && l.needsToken(machine, now):
 			// A few per tick, because sending to all machines at once would take too many
 			// sockets and too long.
 			tokensPushed++
--- a/internal/leader/wal/checkpoint.go
+++ b/internal/leader/wal/checkpoint.go
@@ -87,7 +87,7 @@
 // started. As many entries again may be added while it is being written.
 func (w *Writer) checkpointThreshold() int {
 	halfFull := int(float64(w.head.ringSize()) * constants.LogMaxFill / 2)
-	return max(constants.CheckpointEntries, min(constants.CheckpointPartsFactor*w.head.Parts, halfFull))
+	return max(constants.MinCheckpointEntries, min(constants.CheckpointEntriesPerPart*w.head.Parts, halfFull))
 }
 
 // reservePartOps returns how many of ops, the operations of a transaction that entries and
@@ -138,7 +138,7 @@
 func (b *partBuilder) addMachine(name string, machine Machine) bool {
 	raw := encode(machine)
 	if len(raw)+constants.LogRecordOverhead > b.maxBytes {
-		machine.Images, machine.Holds = nil, nil // only hints: losing them is better than failing the checkpoint
+		machine.Images, machine.Reservations = nil, nil // only hints: losing them is better than failing the checkpoint
 		raw = encode(machine)
 	}
 	size := len(raw) + len(name) + constants.LogMemberOverhead
--- a/internal/leader/wal/checkpoint_test.go
+++ b/internal/leader/wal/checkpoint_test.go
@@ -41,14 +41,14 @@
 		if jobsEnd {
 			jobWrites = append(jobWrites, jobEndWrite(fmt.Sprint("j-", i)))
 		}
-		if writer.Backlog() > constants.CheckpointEntries {
+		if writer.Backlog() > constants.MinCheckpointEntries {
 			// No effect while a checkpoint is being written.
 			writer.BeginCheckpoint(fleet.machines, nil, fleet.leader, func() { checkpoints++ })
 		}
 		before := writer.Head().Next
 		commitNext(t, fleet.store, writer, jobWrites) // also checks the limits
 
-		if maxBacklog := constants.LogRingSize - constants.LogSlack - limits.TxnOps; writer.Backlog() > maxBacklog {
+		if maxBacklog := constants.LogRingSize - constants.LogFreeKeys - limits.TxnOps; writer.Backlog() > maxBacklog {
 			t.Fatal("the ring is full")
 		}
 		if writer.Head().Next > before {
@@ -89,7 +89,7 @@
 	before := len(sequence.recorded)
 	sequence.runTerm(t, 600)
 	sequence.checkRecorded(t)
-	if backlog := sequence.leader.writer.Backlog(); backlog > 2*constants.CheckpointEntries || len(sequence.recorded) < before+400 {
+	if backlog := sequence.leader.writer.Backlog(); backlog > 2*constants.MinCheckpointEntries || len(sequence.recorded) < before+400 {
 		t.Errorf("backlog of %d entries, %d starts committed, %d before", backlog, len(sequence.recorded), before)
 	}
 }
@@ -152,14 +152,14 @@
 	machine := s.machines[s.attemptCount%uint64(len(s.machines))]
 	attempt := Attempt{Task: fmt.Sprintf("j-%06d/0", s.attemptCount), Number: s.attemptCount, Epoch: 1}
 	s.leader.liveAttempts[machine][attempt] = true
-	writer.AttemptPlaced(machine, attempt, "j-1", JobUse{Team: "x"}, func() { s.recorded[attempt] = machine })
-	if writer.Backlog() > constants.CheckpointEntries {
+	writer.AttemptPlaced(machine, attempt, "j-1", JobUsage{Team: "x"}, func() { s.recorded[attempt] = machine })
+	if writer.Backlog() > constants.MinCheckpointEntries {
 		writer.BeginCheckpoint(slices.Clone(s.machines), nil, s.leader, nil) // no effect while one is being written
 	}
 
 	before := writer.Backlog()
 	commitNext(t, s.store, writer, nil)
-	if writer.Backlog() > constants.LogRingSize-constants.LogSlack {
+	if writer.Backlog() > constants.LogRingSize-constants.LogFreeKeys {
 		t.Fatalf("term %d: backlog of %d entries", s.term, writer.Backlog())
 	}
 	if writer.Backlog() == before && writer.Checkpointing() {
--- a/internal/leader/wal/damage_test.go
+++ b/internal/leader/wal/damage_test.go
@@ -10,12 +10,12 @@
 	"thornnotch/internal/statestore"
 )
 
-// TestDamagedLog checks that Read fails and names the record if a live record is damaged or
+// TestReadReportsDamagedRecords checks that Read fails and names the record if a live record is damaged or
 // missing, and that a foreign key is listed and otherwise ignored.
-func TestDamagedLog(t *testing.T) {
+func TestReadReportsDamagedRecords(t *testing.T) {
 	store := newFakeStore()
 	writer := NewWriter(1, Limits{ValueBytes: 2000, TxnOps: 8}, Head{}, 0)
-	writer.AttemptPlaced("m-1", Attempt{Task: "j-1/0", Number: 1, Epoch: 1}, "j-1", JobUse{Team: "x"}, nil)
+	writer.AttemptPlaced("m-1", Attempt{Task: "j-1/0", Number: 1, Epoch: 1}, "j-1", JobUsage{Team: "x"}, nil)
 	commitNext(t, store, writer, nil)
 
 	foreignKey := Prefix + "note"
--- a/internal/leader/wal/model_test.go
+++ b/internal/leader/wal/model_test.go
@@ -59,7 +59,7 @@
 func (m *leaderModel) startAttempt(machine string, attempt Attempt) {
 	m.addMachine(machine)
 	m.liveAttempts[machine][attempt] = true
-	m.writer.AttemptPlaced(machine, attempt, "j-1", JobUse{Team: "x"}, func() { m.recorded[attempt] = true })
+	m.writer.AttemptPlaced(machine, attempt, "j-1", JobUsage{Team: "x"}, func() { m.recorded[attempt] = true })
 }
 
 func (m *leaderModel) finishAttempt(machine string, attempt Attempt) {
--- a/internal/leader/wal/pending.go
+++ b/internal/leader/wal/pending.go
@@ -51,11 +51,11 @@
 // resources of its job. The attempt must not be started before committed is called
 // (docs/design.md, Safety, 3); otherwise a failover would not know of it. committed may be
 // nil.
-func (w *Writer) AttemptPlaced(machineName string, attempt Attempt, jobID string, use JobUse, committed func()) {
+func (w *Writer) AttemptPlaced(machineName string, attempt Attempt, jobID string, use JobUsage, committed func()) {
 	machine := w.pending.machine(machineName)
 	machine.Placed = append(machine.Placed, attempt)
 	if machine.Jobs == nil {
-		machine.Jobs = make(map[string]JobUse)
+		machine.Jobs = make(map[string]JobUsage)
 	}
 	machine.Jobs[jobID] = use
 	if committed != nil {
@@ -178,7 +178,7 @@
 	count := 0
 	for _, job := range p.doneOrder {
 		tasks := p.done[job]
-		maxTasks := (remaining - len(job) - constants.LogDoneJobOverhead) / constants.LogTaskNumber
+		maxTasks := (remaining - len(job) - constants.LogDoneJobOverhead) / constants.LogTaskNumberBytes
 		if maxTasks < 1 {
 			break
 		}
@@ -188,7 +188,7 @@
 			break
 		}
 		taken[job] = tasks
-		remaining -= len(job) + constants.LogDoneJobOverhead + constants.LogTaskNumber*len(tasks)
+		remaining -= len(job) + constants.LogDoneJobOverhead + constants.LogTaskNumberBytes*len(tasks)
 		delete(p.done, job)
 		count++
 	}
--- a/internal/leader/wal/pending_test.go
+++ b/internal/leader/wal/pending_test.go
@@ -19,7 +19,7 @@
 	writer.TasksDone("j-1", completed, func() { reported = true })
 
 	transactions := 0
-	for ; writer.Pending(); transactions++ {
+	for ; writer.HasPending(); transactions++ {
 		if reported {
 			t.Fatalf("reported as committed after %d transactions, with changes still pending", transactions)
 		}
@@ -39,7 +39,7 @@
 func TestAttemptGoneBeforeStartWritten(t *testing.T) {
 	writer := NewWriter(1, Limits{ValueBytes: 600, TxnOps: 4}, Head{}, 0)
 	attempt := Attempt{Task: "j-1/0", Number: 1, Epoch: 1}
-	writer.AttemptPlaced("m-1", attempt, "j-1", JobUse{Team: "x"}, func() { t.Error("the start was reported as committed") })
+	writer.AttemptPlaced("m-1", attempt, "j-1", JobUsage{Team: "x"}, func() { t.Error("the start was reported as committed") })
 	writer.AttemptGone("m-1", attempt)
 	store := newFakeStore()
 	commitNext(t, store, writer, nil)
--- a/internal/leader/wal/record.go
+++ b/internal/leader/wal/record.go
@@ -18,10 +18,10 @@
 	Epoch  uint64 `json:"h"`
 }
 
-// JobUse holds the team and resources of an attempt's job. They are recorded because the job
+// JobUsage holds the team and resources of an attempt's job. They are recorded because the job
 // may be over while one of its tasks is still on a machine and counts towards the team's
 // quota.
-type JobUse struct {
+type JobUsage struct {
 	Team      string    `json:"w"`
 	Resources Resources `json:"r"`
 }
@@ -29,16 +29,16 @@
 // Resources holds CPUs (cores), GPUs (devices) and memory (GB), in this order.
 type Resources [3]float64
 
-// Hold is a reservation of resources on a machine for a downstream job.
-type Hold struct {
-	Team       string    `json:"w"`
-	Class      string    `json:"k"`
-	Upstream   string    `json:"u"`
-	Downstream string    `json:"d"`
-	Edge       bool      `json:"e,omitempty"` // along an edge that a user declared
-	Priority   int       `json:"p"`
-	Resources  Resources `json:"r"`
-	Expires    int64     `json:"x"` // Unix time (ms)
+// SlotReservation is a reservation of resources on a machine for a downstream job.
+type SlotReservation struct {
+	Team             string    `json:"w"`
+	Class            string    `json:"k"`
+	Upstream         string    `json:"u"`
+	Downstream       string    `json:"d"`
+	UserDeclaredEdge bool      `json:"e,omitempty"` // along an edge that a user declared
+	Priority         int       `json:"p"`
+	Resources        Resources `json:"r"`
+	Expires          int64     `json:"x"` // Unix time (ms)
 }
 
 // Image is a container image present on a machine.
@@ -58,9 +58,9 @@
 	Leaving  bool      `json:"l,omitempty"`
 	Attempts []Attempt `json:"a,omitempty"`
 	// Jobs holds the jobs of the attempts, by job ID.
-	Jobs   map[string]JobUse `json:"j,omitempty"`
-	Holds  []Hold            `json:"o,omitempty"`
-	Images []Image           `json:"i,omitempty"`
+	Jobs         map[string]JobUsage `json:"j,omitempty"`
+	Reservations []SlotReservation   `json:"o,omitempty"`
+	Images       []Image             `json:"i,omitempty"`
 }
 
 // MachineChange is the change of one machine in one entry.
@@ -71,7 +71,7 @@
 	// Gone are attempts that are proven to be off the machine.
 	Gone []Attempt `json:"x,omitempty"`
 	// Jobs holds the jobs of the attempts in Placed, by job ID.
-	Jobs map[string]JobUse `json:"j,omitempty"`
+	Jobs map[string]JobUsage `json:"j,omitempty"`
 	// Removed is set once the cloud has taken the machine back.
 	Removed bool `json:"g,omitempty"`
 }
--- a/internal/leader/wal/replay.go
+++ b/internal/leader/wal/replay.go
@@ -154,7 +154,7 @@
 	}
 	for job, use := range change.Jobs {
 		if machine.Jobs == nil {
-			machine.Jobs = make(map[string]JobUse)
+			machine.Jobs = make(map[string]JobUsage)
 		}
 		machine.Jobs[job] = use
 	}
--- a/internal/leader/wal/replay_test.go
+++ b/internal/leader/wal/replay_test.go
@@ -130,7 +130,7 @@
 // service may or may not carry it out, and the answer may be lost.
 func (r *replayRun) sendTransaction(t *rapid.T) {
 	writer := r.leader.writer
-	if !writer.Pending() && !writer.Checkpointing() {
+	if !writer.HasPending() && !writer.Checkpointing() {
 		return
 	}
 	var jobWrites []JobWrite
@@ -257,7 +257,7 @@
 			}
 		}
 	}
-	if leader.writer.Pending() {
+	if leader.writer.HasPending() {
 		return // ends may not be recorded yet
 	}
 	for attempt, name := range machineOf {
--- a/internal/leader/wal/ring.go
+++ b/internal/leader/wal/ring.go
@@ -10,7 +10,7 @@
 	if w.mustLeaveLargeRing(next) {
 		return false
 	}
-	return w.Backlog()+added < min(w.head.ringSize(), next.ringSize())-constants.LogSlack
+	return w.Backlog()+added < min(w.head.ringSize(), next.ringSize())-constants.LogFreeKeys
 }
 
 // AllowLargeRing sets whether entries may be stored in the large ring. The large ring is used
--- a/internal/leader/wal/ring_test.go
+++ b/internal/leader/wal/ring_test.go
@@ -26,10 +26,10 @@
 		}
 
 		commitNext(t, store, writer, nil)
-		if writer.Backlog() > constants.LogRingSize-constants.LogSlack {
+		if writer.Backlog() > constants.LogRingSize-constants.LogFreeKeys {
 			t.Fatalf("backlog of %d entries", writer.Backlog())
 		}
-		if writer.Backlog() > constants.LogRingSize-2*constants.LogSlack {
+		if writer.Backlog() > constants.LogRingSize-2*constants.LogFreeKeys {
 			writer.BeginCheckpoint(machines, nil, leader, nil) // no effect while one is being written
 		}
 	}
@@ -51,7 +51,7 @@
 func TestFullRingAcceptsNoEntries(t *testing.T) {
 	fleet := newLoadedFleet(Limits{ValueBytes: 2048, TxnOps: 8}, 20, 10)
 	writer := fleet.writer
-	const maxBacklog = constants.LogRingSize - constants.LogSlack
+	const maxBacklog = constants.LogRingSize - constants.LogFreeKeys
 	for writer.Backlog() < maxBacklog {
 		before := writer.Backlog()
 		fleet.placeAttempts(200)
@@ -161,7 +161,7 @@
 	for range count {
 		f.attemptCount++
 		attempt := Attempt{Task: fmt.Sprintf("j-%06d/0", f.attemptCount), Number: f.attemptCount, Epoch: 1}
-		f.writer.AttemptPlaced(f.machines[int(f.attemptCount)%len(f.machines)], attempt, "j-000001", JobUse{Team: "someone"}, nil)
+		f.writer.AttemptPlaced(f.machines[int(f.attemptCount)%len(f.machines)], attempt, "j-000001", JobUsage{Team: "someone"}, nil)
 	}
 }
 
--- a/internal/leader/wal/transaction.go
+++ b/internal/leader/wal/transaction.go
@@ -90,8 +90,8 @@
 // addEntries puts pending changes into as many entries as fit. It reserves partOps
 // operations, and a proportional share of the bytes, for checkpoint parts.
 func (w *Writer) addEntries(txn *Txn, size *txnSize, partOps int) {
-	partBytes := (constants.TxnBytes - size.bytes) * partOps / max(w.limits.TxnOps-size.ops, 1)
-	maxSize := txnSize{ops: w.limits.TxnOps - partOps, bytes: constants.TxnBytes - partBytes}
+	partBytes := (constants.MaxTxnValueBytes - size.bytes) * partOps / max(w.limits.TxnOps-size.ops, 1)
+	maxSize := txnSize{ops: w.limits.TxnOps - partOps, bytes: constants.MaxTxnValueBytes - partBytes}
 	for added := 0; size.ops < maxSize.ops && size.bytes < maxSize.bytes && w.mayAddEntry(txn.head, added); added++ {
 		value, onCommitted := w.pending.takeEntry(txn.head.Next, w.limits.ValueBytes)
 		if value == nil {
@@ -110,7 +110,7 @@
 // have left room for it. With the last part the head switches to the new checkpoint.
 func (w *Writer) addParts(txn *Txn, size *txnSize, partOps int) {
 	c := w.checkpoint
-	for added := 0; added < max(partOps, 1) && size.ops < w.limits.TxnOps && size.bytes < constants.TxnBytes && !c.allPartsWritten; added++ {
+	for added := 0; added < max(partOps, 1) && size.ops < w.limits.TxnOps && size.bytes < constants.MaxTxnValueBytes && !c.allPartsWritten; added++ {
 		value := c.nextPart(w.limits.ValueBytes)
 		if value == nil {
 			c.allPartsWritten = true
--- a/internal/leader/wal/writer.go
+++ b/internal/leader/wal/writer.go
@@ -75,15 +75,15 @@
 		term: term, limits: limits, head: head, headRevision: headRevision,
 		pending:        newPendingChanges(),
 		largeRingSize:  constants.LogLargeRingSize,
-		largeRingParts: constants.LogRingSize / constants.LargeRingParts,
+		largeRingParts: constants.LogRingSize / constants.LargeRingPartsDivisor,
 	}
 }
 
-// Pending reports whether changes are still to be written or a transaction is in flight.
-func (w *Writer) Pending() bool { return w.inFlight != nil || !w.pending.empty() }
+// HasPending reports whether changes are still to be written or a transaction is in flight.
+func (w *Writer) HasPending() bool { return w.inFlight != nil || !w.pending.empty() }
 
-// Remaining reports whether there are changes that are not in the transaction in flight.
-func (w *Writer) Remaining() bool {
+// HasQueuedChanges reports whether there are changes that are not in the transaction in flight.
+func (w *Writer) HasQueuedChanges() bool {
 	return len(w.pending.machineOrder) > 0 || len(w.pending.doneOrder) > 0
 }
 
--- a/internal/leader/watch.go
+++ b/internal/leader/watch.go
@@ -14,13 +14,13 @@
 // watchJobs watches the open jobs for submissions and cancellations. It posts all changes
 // after this revision to the loop until ctx is done.
 func (l *Leader) watchJobs(ctx context.Context, revision uint64) error {
-	block := constants.WatchBlock
+	block := constants.LeaderWatchWait
 	for ctx.Err() == nil {
 		askedAt := time.Now()
 		next, changes, err := l.deps.Store.Watch(ctx, jobs.OpenPrefix, revision, block)
 		// After an outage, the leader needs proof that it knows all cancellations before
 		// workers' leases have to expire, so the first request does not wait for a change.
-		block = constants.WatchBlock
+		block = constants.LeaderWatchWait
 		if err != nil {
 			block = 0
 		}
@@ -29,7 +29,7 @@
 			return fmt.Errorf("watch of open jobs cannot resume: %w", err)
 		case err != nil:
 			l.deps.Log.Debug("watch of open jobs failed, retrying", "error", err)
-			pause(ctx, constants.MinBackoff)
+			pause(ctx, constants.MinStateBackoff)
 			continue
 		}
 		revision = next
--- a/internal/node/attestations.go
+++ b/internal/node/attestations.go
@@ -30,5 +30,5 @@
 	}
 	attestations[0].Cancelled, attestations[0].Complete = n.AttestCancellations(span)
 	wg.Wait()
-	return attestation.Merge(attestations, n.settings.Params.Count)
+	return attestation.Merge(attestations, n.settings.Params.NodeCount)
 }
--- a/internal/node/catalog.go
+++ b/internal/node/catalog.go
@@ -35,9 +35,9 @@
 func (c *catalogCache) run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		c.refresh(ctx)
-		wait := constants.CatalogInterval
+		wait := constants.CatalogRefreshInterval
 		if c.load() == nil {
-			wait = constants.CatalogRetry
+			wait = constants.CatalogRetryDelay
 		}
 		pause(ctx, wait)
 	}
@@ -67,7 +67,7 @@
 // restore loads the stored catalog, if there is one. A state service error is ignored because
 // refresh queries the cloud next.
 func (c *catalogCache) restore(ctx context.Context) {
-	row, found, err := c.store.Get(ctx, statestore.ClassPoll, catalogKey)
+	row, found, err := c.store.Get(ctx, statestore.ClassStatusQuery, catalogKey)
 	if err != nil || !found {
 		return
 	}
--- a/internal/node/combined_faults_cancellations_test.go
+++ b/internal/node/combined_faults_cancellations_test.go
@@ -23,9 +23,9 @@
 		sc.submitNext(longJob("b", jobs.KindArray, 4, 300)),
 		sc.submitNext(longJob("b", jobs.KindGang, 4, 300)),
 	)
-	sc.waitRunning(ids...)
+	sc.waitAllTasksRunning(ids...)
 	for n := range 4 {
-		sc.submitNext(testJob(0, teamOf(n), jobs.KindArray, 4))
+		sc.submitNext(testJob(0, alternatingTeam(n), jobs.KindArray, 4))
 	}
 	return ids
 }
@@ -33,12 +33,12 @@
 // hangMachine suspends a machine's worker for the duration, starting now.
 func (sc *scenario) hangMachine(machine string, duration time.Duration) {
 	sc.worker(machine).SetHanging(true)
-	sc.after(duration, func() { sc.worker(machine).SetHanging(false) })
+	sc.runAfter(duration, func() { sc.worker(machine).SetHanging(false) })
 }
 
 // cancelAfter cancels a job after a delay, without blocking.
 func (sc *scenario) cancelAfter(wait time.Duration, id string) {
-	sc.after(wait, func() { sc.cancel(id) })
+	sc.runAfter(wait, func() { sc.cancel(id) })
 }
 
 // TestCombinedFullQuotaUnreachableMachines: both teams use up their quota. Two running jobs
@@ -47,19 +47,19 @@
 	runScenario(t, nil, func(sc *scenario) {
 		ids := sc.fillQuotas()
 		jobA, jobB := ids[0], ids[4]
-		for _, name := range slices.Compact(append(sc.machinesOf(jobA), sc.machinesOf(jobB)...)) {
+		for _, name := range slices.Compact(append(sc.runningMachinesOf(jobA), sc.runningMachinesOf(jobB)...)) {
 			if sc.intn(2) == 0 {
 				sc.isolateMachines(name)
 			} else {
-				sc.hangMachine(name, sc.duration(3*time.Second, 30*time.Second))
+				sc.hangMachine(name, sc.randomDuration(3*time.Second, 30*time.Second))
 			}
 		}
-		sc.cancelAfter(sc.duration(0, 3*time.Second), jobA)
-		sc.cancelAfter(sc.duration(0, 3*time.Second), jobB)
-		time.Sleep(sc.duration(0, 4*time.Second))
-		sc.restartLeader(sc.duration(100*time.Millisecond, 3*time.Second))
-		sc.waitCancelledGone()
-		sc.checkCancelled(jobA, jobB)
+		sc.cancelAfter(sc.randomDuration(0, 3*time.Second), jobA)
+		sc.cancelAfter(sc.randomDuration(0, 3*time.Second), jobB)
+		time.Sleep(sc.randomDuration(0, 4*time.Second))
+		sc.restartLeader(sc.randomDuration(100*time.Millisecond, 3*time.Second))
+		sc.sleepPastCancelDeadline()
+		sc.checkCancelsConfirmed(jobA, jobB)
 		sc.cancelAll(ids)
 	})
 }
@@ -71,25 +71,25 @@
 	runScenario(t, nil, func(sc *scenario) {
 		ids := sc.fillQuotas()
 		jobA, jobB := ids[2], ids[3]
-		for i, name := range slices.Compact(append(sc.machinesOf(jobA), sc.machinesOf(jobB)...)) {
+		for i, name := range slices.Compact(append(sc.runningMachinesOf(jobA), sc.runningMachinesOf(jobB)...)) {
 			switch i % 3 {
 			case 0:
 				sc.isolateMachines(name)
 			case 1:
-				sc.worker(name).CutOutgoing(true)
+				sc.worker(name).BlockOutgoing(true)
 			default:
-				sc.worker(name).CutIncoming(true)
+				sc.worker(name).BlockIncoming(true)
 			}
 		}
-		oldLeader := sc.nextLeader("")
+		oldLeader := sc.awaitLeader("")
 		sc.killNode(oldLeader)
-		sc.cancelAfter(sc.duration(0, 4*time.Second), jobA)
-		sc.cancelAfter(sc.duration(0, 9*time.Second), jobB)
-		time.Sleep(sc.duration(100*time.Millisecond, 4*time.Second))
+		sc.cancelAfter(sc.randomDuration(0, 4*time.Second), jobA)
+		sc.cancelAfter(sc.randomDuration(0, 9*time.Second), jobB)
+		time.Sleep(sc.randomDuration(100*time.Millisecond, 4*time.Second))
 		sc.startNode(nodeNumber(oldLeader))
-		sc.nextLeader("")
-		sc.waitCancelledGone()
-		sc.checkCancelled(jobA, jobB)
+		sc.awaitLeader("")
+		sc.sleepPastCancelDeadline()
+		sc.checkCancelsConfirmed(jobA, jobB)
 		sc.cancelAll(ids)
 	})
 }
@@ -100,20 +100,20 @@
 	runScenario(t, nil, func(sc *scenario) {
 		var ids []string
 		for n := range 6 {
-			ids = append(ids, sc.submitNext(longJob(teamOf(n), kindOf(n/4), 2, 120)))
+			ids = append(ids, sc.submitNext(longJob(alternatingTeam(n), alternatingKind(n/4), 2, 120)))
 		}
-		sc.waitRunning(ids[0])
-		oldLeader := sc.nextLeader("")
+		sc.waitAllTasksRunning(ids[0])
+		oldLeader := sc.awaitLeader("")
 		for _, id := range ids {
-			sc.after(sc.duration(0, 6*time.Second), func() { sc.cancel(id); sc.queryAllNodes(id) })
+			sc.runAfter(sc.randomDuration(0, 6*time.Second), func() { sc.cancel(id); sc.queryAllNodes(id) })
 		}
-		time.Sleep(sc.duration(0, time.Second))
+		time.Sleep(sc.randomDuration(0, time.Second))
 		sc.killNode(oldLeader)
-		time.Sleep(sc.duration(50*time.Millisecond, 5*time.Second))
+		time.Sleep(sc.randomDuration(50*time.Millisecond, 5*time.Second))
 		sc.startNode(nodeNumber(oldLeader))
-		sc.nextLeader("")
-		sc.waitCancelledGone()
-		sc.checkCancelled(ids...)
+		sc.awaitLeader("")
+		sc.sleepPastCancelDeadline()
+		sc.checkCancelsConfirmed(ids...)
 	})
 }
 
@@ -121,9 +121,9 @@
 // arrive just as a job's last task completes.
 func TestCombinedCancelAtCompletion(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
-		sc.rules.callOnDone(func(task workers.TaskID) {
+		sc.rules.setOnDone(func(task workers.TaskID) {
 			sc.users.goroutines.Go(func() {
-				sc.pause(sc.duration(0, 700*time.Millisecond))
+				sc.pause(sc.randomDuration(0, 700*time.Millisecond))
 				if sc.intn(3) > 0 {
 					sc.cancel(task.Job)
 				}
@@ -132,13 +132,13 @@
 		})
 		var ids []string
 		for n := range 12 {
-			job := testJob(0, teamOf(n), kindOf(n), 1+n%3)
+			job := testJob(0, alternatingTeam(n), alternatingKind(n), 1+n%3)
 			job.ExpectedS = 4 + float64(n)
 			ids = append(ids, sc.submitNext(job))
 		}
 		time.Sleep(50 * time.Second)
 		statusCounts := sc.countStatuses(ids)
-		sc.checkTookPlace(statusCounts[jobs.StatusDone] > 0 && statusCounts[jobs.StatusCancelled] > 0, "final statuses %v", statusCounts)
+		sc.checkFaultsOccurred(statusCounts[jobs.StatusDone] > 0 && statusCounts[jobs.StatusCancelled] > 0, "final statuses %v", statusCounts)
 	})
 }
 
@@ -148,22 +148,22 @@
 	runScenario(t, nil, func(sc *scenario) {
 		var ids []string
 		for n := range 4 {
-			ids = append(ids, sc.submitNext(longJob(teamOf(n), kindOf(n/2), 3, 90)))
+			ids = append(ids, sc.submitNext(longJob(alternatingTeam(n), alternatingKind(n/2), 3, 90)))
 		}
 		hungMachines := 0
 		for _, id := range ids {
-			sc.waitRunning(id)
-			sc.hangMachine(sc.machinesOf(id)[0], sc.duration(time.Second, 16*time.Second))
+			sc.waitAllTasksRunning(id)
+			sc.hangMachine(sc.runningMachinesOf(id)[0], sc.randomDuration(time.Second, 16*time.Second))
 			hungMachines++
-			sc.cancelAfter(sc.duration(0, 3*time.Second), id)
+			sc.cancelAfter(sc.randomDuration(0, 3*time.Second), id)
 		}
 		for n := range 4 {
-			sc.submitNext(testJob(0, teamOf(n), jobs.KindArray, 3))
+			sc.submitNext(testJob(0, alternatingTeam(n), jobs.KindArray, 3))
 		}
 		if sc.intn(2) == 0 {
-			sc.restartLeader(sc.duration(100*time.Millisecond, 3*time.Second))
+			sc.restartLeader(sc.randomDuration(100*time.Millisecond, 3*time.Second))
 		}
-		sc.waitCancelledGone()
-		sc.checkTookPlace(hungMachines == 4, "%d machines were suspended", hungMachines)
+		sc.sleepPastCancelDeadline()
+		sc.checkFaultsOccurred(hungMachines == 4, "%d machines were suspended", hungMachines)
 	})
 }
--- a/internal/node/combined_faults_leaders_test.go
+++ b/internal/node/combined_faults_leaders_test.go
@@ -17,16 +17,16 @@
 	runScenario(t, nil, func(sc *scenario) {
 		array := sc.submitNext(longJob("a", jobs.KindArray, 6, 60))
 		gang := sc.submitNext(longJob("b", jobs.KindGang, 3, 60))
-		sc.waitRunning(array, gang)
-		sc.isolateMachines(sc.machinesOf(array)[0])
-		cutMachine := sc.machinesOf(gang)[0]
-		sc.after(sc.duration(0, time.Second), func() { sc.worker(cutMachine).CutIncoming(true) })
+		sc.waitAllTasksRunning(array, gang)
+		sc.isolateMachines(sc.runningMachinesOf(array)[0])
+		cutMachine := sc.runningMachinesOf(gang)[0]
+		sc.runAfter(sc.randomDuration(0, time.Second), func() { sc.worker(cutMachine).BlockIncoming(true) })
 		oldLeader := sc.leader()
-		time.Sleep(sc.duration(0, 2*time.Second))
-		sc.restartNode(oldLeader, sc.duration(50*time.Millisecond, 4*time.Second))
-		sc.nextLeader("")
-		time.Sleep(sc.duration(2*time.Second, 25*time.Second))
-		sc.checkTookPlace(len(sc.machinesOf(array)) > 0, "no task of the long array is running")
+		time.Sleep(sc.randomDuration(0, 2*time.Second))
+		sc.restartNode(oldLeader, sc.randomDuration(50*time.Millisecond, 4*time.Second))
+		sc.awaitLeader("")
+		time.Sleep(sc.randomDuration(2*time.Second, 25*time.Second))
+		sc.checkFaultsOccurred(len(sc.runningMachinesOf(array)) > 0, "no task of the long array is running")
 	})
 }
 
@@ -38,17 +38,17 @@
 		sc.submitNext(longJob("b", jobs.KindGang, 3, 40))
 		kills := 0
 		for range 3 {
-			sc.restartLeader(sc.duration(20*time.Millisecond, 3*time.Second))
+			sc.restartLeader(sc.randomDuration(20*time.Millisecond, 3*time.Second))
 			kills++
-			time.Sleep(sc.duration(0, 4*time.Second))
+			time.Sleep(sc.randomDuration(0, 4*time.Second))
 			sc.submitNext(testJob(0, "a", jobs.KindArray, 2))
 		}
 		kills += len(sc.nodes)
 		sc.killAllNodes()
-		time.Sleep(sc.duration(20*time.Millisecond, 900*time.Millisecond))
+		time.Sleep(sc.randomDuration(20*time.Millisecond, 900*time.Millisecond))
 		sc.startNode(sc.intn(3))
-		time.Sleep(sc.duration(time.Second, 8*time.Second))
-		sc.checkTookPlace(kills == 6, "%d nodes were killed", kills)
+		time.Sleep(sc.randomDuration(time.Second, 8*time.Second))
+		sc.checkFaultsOccurred(kills == 6, "%d nodes were killed", kills)
 	})
 }
 
@@ -68,16 +68,16 @@
 				name = nodeName(n % 3)
 			}
 			if sc.nodes[name] != nil {
-				sc.restartNode(name, sc.duration(50*time.Millisecond, 2*time.Second))
+				sc.restartNode(name, sc.randomDuration(50*time.Millisecond, 2*time.Second))
 				restarts++
 			}
-			time.Sleep(sc.duration(time.Second, 8*time.Second))
+			time.Sleep(sc.randomDuration(time.Second, 8*time.Second))
 			if n == 6 {
 				sc.state.SetOutage(false)
 				sc.submitNext(testJob(0, "a", jobs.KindArray, 2))
 			}
 		}
-		sc.checkTookPlace(restarts == 10 && time.Since(startedAt) < 2*time.Minute, "%d restarts in %v", restarts, time.Since(startedAt))
+		sc.checkFaultsOccurred(restarts == 10 && time.Since(startedAt) < 2*time.Minute, "%d restarts in %v", restarts, time.Since(startedAt))
 	})
 }
 
@@ -95,25 +95,25 @@
 	runScenario(t, staggerTaskDurations, func(sc *scenario) {
 		var ids []string
 		for n := range 4 {
-			job := testJob(0, teamOf(n), jobs.KindArray, 2+n%2)
+			job := testJob(0, alternatingTeam(n), jobs.KindArray, 2+n%2)
 			job.ExpectedS = 4
 			ids = append(ids, sc.submitNext(job))
 		}
-		sc.waitRunning(ids[0])
-		sc.state.SetFate(sc.delayedWrites(600*time.Millisecond, 1300*time.Millisecond))
+		sc.waitAllTasksRunning(ids[0])
+		sc.state.SetTxnFaults(sc.delayedWrites(600*time.Millisecond, 1300*time.Millisecond))
 		completed := 0
 		for range 3 {
 			before := sc.countCompletedTasks(ids)
 			sc.waitFor(40*time.Second, "a task to complete", func() bool { return sc.countCompletedTasks(ids) > before })
 			completed = sc.countCompletedTasks(ids)
-			time.Sleep(sc.duration(0, time.Second))
-			sc.restartLeader(sc.duration(100*time.Millisecond, 4*time.Second))
-			sc.nextLeader("")
+			time.Sleep(sc.randomDuration(0, time.Second))
+			sc.restartLeader(sc.randomDuration(100*time.Millisecond, 4*time.Second))
+			sc.awaitLeader("")
 		}
-		sc.state.SetFate(nil)
-		sc.checkTookPlace(completed > 0 && completed < 10, "%d tasks had completed before the last failover", completed)
+		sc.state.SetTxnFaults(nil)
+		sc.checkFaultsOccurred(completed > 0 && completed < 10, "%d tasks had completed before the last failover", completed)
 		time.Sleep(60 * time.Second)
-		for task, completions := range sc.rules.allCompletions() {
+		for task, completions := range sc.rules.completionCounts() {
 			if slices.Contains(ids, task.Job) && completions != 1 {
 				sc.t.Errorf("task %v completed %d times", task, completions)
 			}
@@ -123,18 +123,18 @@
 
 // delayedWrites returns a fault function that delays every write by a random time. A leader
 // can then crash after it received a heartbeat and before the task's record is written.
-func (sc *scenario) delayedWrites(minDelay, maxDelay time.Duration) func(node string, writes int) simulator.Fate {
-	return func(_ string, writes int) simulator.Fate {
+func (sc *scenario) delayedWrites(minDelay, maxDelay time.Duration) func(node string, writes int) simulator.TxnFault {
+	return func(_ string, writes int) simulator.TxnFault {
 		if writes == 0 {
-			return simulator.Fate{}
+			return simulator.TxnFault{}
 		}
-		return simulator.Fate{Slow: sc.duration(minDelay, maxDelay)}
+		return simulator.TxnFault{Delay: sc.randomDuration(minDelay, maxDelay)}
 	}
 }
 
 // countCompletedTasks returns the number of tasks of these jobs that have completed.
 func (sc *scenario) countCompletedTasks(ids []string) (count int) {
-	for task := range sc.rules.allCompletions() {
+	for task := range sc.rules.completionCounts() {
 		if slices.Contains(ids, task.Job) {
 			count++
 		}
@@ -147,16 +147,16 @@
 func TestCombinedAllNodesDownPastLease(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		id := sc.submitNext(longJob("a", jobs.KindArray, 6, 30))
-		sc.waitRunning(id)
-		sc.after(sc.duration(0, 2*time.Second), func() { sc.cancelAt(sc.intn(3), id) })
-		time.Sleep(sc.duration(0, 2*time.Second))
+		sc.waitAllTasksRunning(id)
+		sc.runAfter(sc.randomDuration(0, 2*time.Second), func() { sc.cancelAt(sc.intn(3), id) })
+		time.Sleep(sc.randomDuration(0, 2*time.Second))
 		sc.killAllNodes()
-		time.Sleep(sc.duration(13*time.Second, 40*time.Second))
+		time.Sleep(sc.randomDuration(13*time.Second, 40*time.Second))
 		running := len(sc.rules.runningTasks())
-		sc.checkTookPlace(running == 0, "%d tasks are running after their leases expired", running)
+		sc.checkFaultsOccurred(running == 0, "%d tasks are running after their leases expired", running)
 		for _, i := range []int{1, 2, 0} {
 			sc.startNode(i)
-			time.Sleep(sc.duration(0, time.Second))
+			time.Sleep(sc.randomDuration(0, time.Second))
 		}
 	})
 }
@@ -168,21 +168,21 @@
 	runScenario(t, nil, func(sc *scenario) {
 		var ids []string
 		for n := range 4 {
-			ids = append(ids, sc.submitNext(longJob(teamOf(n), jobs.KindArray, 3, 120)))
+			ids = append(ids, sc.submitNext(longJob(alternatingTeam(n), jobs.KindArray, 3, 120)))
 		}
-		sc.waitRunning(ids...)
-		oldLeader := sc.nextLeader("")
-		sc.isolate(oldLeader)
-		newLeader := nodeNumber(sc.nextLeader(oldLeader))
+		sc.waitAllTasksRunning(ids...)
+		oldLeader := sc.awaitLeader("")
+		sc.isolateNode(oldLeader)
+		newLeader := nodeNumber(sc.awaitLeader(oldLeader))
 		for _, id := range ids {
-			sc.after(sc.duration(0, 15*time.Second), func() {
-				sc.cancelAtUntilAnswered(newLeader, id, 200*time.Millisecond)
+			sc.runAfter(sc.randomDuration(0, 15*time.Second), func() {
+				sc.cancelAtUntilConfirmed(newLeader, id, 200*time.Millisecond)
 				sc.queryAllNodes(id)
 			})
 		}
-		time.Sleep(sc.duration(10*time.Second, 40*time.Second))
-		sc.heal()
-		sc.waitCancelledGone()
-		sc.checkCancelled(ids...)
+		time.Sleep(sc.randomDuration(10*time.Second, 40*time.Second))
+		sc.healPartitions()
+		sc.sleepPastCancelDeadline()
+		sc.checkCancelsConfirmed(ids...)
 	})
 }
--- a/internal/node/combined_faults_machines_test.go
+++ b/internal/node/combined_faults_machines_test.go
@@ -15,25 +15,25 @@
 // TestCombinedNewMachinesDelayedWrites: new machines boot within two seconds and get tasks
 // at once while writes are delayed or lose their reply, and the leader is restarted.
 func TestCombinedNewMachinesDelayedWrites(t *testing.T) {
-	options := smallSite()
+	options := smallSiteOptions()
 	options.bootTime = 1500 * time.Millisecond
 	for seed := range uint64(seedsPerScenario) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			runScenarioOnce(t, options, seed, nil, func(sc *scenario) {
-				sc.state.SetFate(sc.delayedAndLostWrites())
+				sc.state.SetTxnFaults(sc.delayedAndLostWrites())
 				machinesBefore := len(sc.machineNames())
 				sc.submitNext(longJob("a", jobs.KindArray, 9, 40))
 				gang := sc.submitNext(longJob("b", jobs.KindGang, 4, 40))
 				sc.waitFor(60*time.Second, "new machines to boot", func() bool { return len(sc.machineNames()) > machinesBefore })
-				time.Sleep(sc.duration(0, 4*time.Second))
-				sc.restartLeader(sc.duration(100*time.Millisecond, 4*time.Second))
-				time.Sleep(sc.duration(0, 5*time.Second))
+				time.Sleep(sc.randomDuration(0, 4*time.Second))
+				sc.restartLeader(sc.randomDuration(100*time.Millisecond, 4*time.Second))
+				time.Sleep(sc.randomDuration(0, 5*time.Second))
 				if sc.intn(2) == 0 {
 					sc.cancel(gang)
 				}
 				time.Sleep(20 * time.Second)
 				machines, counts := len(sc.machineNames()), sc.state.Counts()
-				sc.checkTookPlace(machines > machinesBefore && counts.LateDone+counts.LateFailed > 0, "%d machines, %d before; %+v", machines, machinesBefore, counts)
+				sc.checkFaultsOccurred(machines > machinesBefore && counts.LateApplied+counts.LateRejected > 0, "%d machines, %d before; %+v", machines, machinesBefore, counts)
 			})
 		})
 	}
@@ -41,12 +41,12 @@
 
 // delayedAndLostWrites returns a fault function that delays three in four transactions with
 // writes. The fourth loses its reply and is applied late.
-func (sc *scenario) delayedAndLostWrites() func(node string, writes int) simulator.Fate {
-	losesReply := sc.oneInEach(4)
+func (sc *scenario) delayedAndLostWrites() func(node string, writes int) simulator.TxnFault {
+	losesReply := sc.oneInEvery(4)
 	delayed := sc.delayedWrites(100*time.Millisecond, time.Second)
-	return func(node string, writes int) simulator.Fate {
+	return func(node string, writes int) simulator.TxnFault {
 		if losesReply(writes) {
-			return simulator.Fate{Lost: true, After: sc.duration(500*time.Millisecond, 6*time.Second)}
+			return simulator.TxnFault{ReplyLost: true, After: sc.randomDuration(500*time.Millisecond, 6*time.Second)}
 		}
 		return delayed(node, writes)
 	}
@@ -55,57 +55,57 @@
 // TestCombinedDelayedHeartbeats: heartbeats sent before a failover reach the new leader
 // after it has already changed jobs.
 func TestCombinedDelayedHeartbeats(t *testing.T) {
-	runScenario(t, func(s *site) { s.keptHeartbeats = 3 }, func(sc *scenario) {
+	runScenario(t, func(s *site) { s.maxKeptHeartbeats = 3 }, func(sc *scenario) {
 		array := sc.submitNext(longJob("a", jobs.KindArray, 5, 25))
 		gang := sc.submitNext(longJob("b", jobs.KindGang, 3, 25))
-		sc.waitRunning(array, gang)
-		oldLeader := sc.nextLeader("")
+		sc.waitAllTasksRunning(array, gang)
+		oldLeader := sc.awaitLeader("")
 		names := sc.machineNames()
 		sc.killNode(oldLeader)
-		newLeader := nodeNumber(sc.nextLeader(oldLeader))
+		newLeader := nodeNumber(sc.awaitLeader(oldLeader))
 		// The new leader acts before the old heartbeats arrive: it cancels a job and gets new ones.
 		sc.cancel(gang)
 		for range 3 {
 			sc.submitNext(testJob(0, "b", jobs.KindArray, 2))
 		}
 		for _, name := range names {
-			sc.worker(name).CutOutgoing(true) // so that it still keeps the old heartbeats
+			sc.worker(name).BlockOutgoing(true) // so that it still keeps the old heartbeats
 		}
-		time.Sleep(sc.duration(0, 14*time.Second))
+		time.Sleep(sc.randomDuration(0, 14*time.Second))
 		sent := 0
 		for _, name := range names {
 			sent += sc.worker(name).ResendHeartbeats(sc.users.ctx, nodeAddress(newLeader))
 		}
-		sc.checkTookPlace(sent > 0, "no heartbeat was resent")
+		sc.checkFaultsOccurred(sent > 0, "no heartbeat was resent")
 		for _, name := range names {
-			sc.worker(name).CutOutgoing(false)
+			sc.worker(name).BlockOutgoing(false)
 		}
 		sc.startNode(nodeNumber(oldLeader))
-		sc.waitCancelledGone()
+		sc.sleepPastCancelDeadline()
 	})
 }
 
 // TestCombinedOldHeartbeatsDuringElection: old heartbeats reach every node while a new
 // leader is elected and starts its term.
 func TestCombinedOldHeartbeatsDuringElection(t *testing.T) {
-	runScenario(t, func(s *site) { s.keptHeartbeats = 2 }, func(sc *scenario) {
+	runScenario(t, func(s *site) { s.maxKeptHeartbeats = 2 }, func(sc *scenario) {
 		id := sc.submitNext(longJob("a", jobs.KindArray, 5, 25))
 		sc.submitNext(longJob("b", jobs.KindGang, 3, 25))
-		sc.waitRunning(id)
-		oldLeader := sc.nextLeader("")
+		sc.waitAllTasksRunning(id)
+		oldLeader := sc.awaitLeader("")
 		names := sc.machineNames()
 		sc.killNode(oldLeader)
 		end := time.Now().Add(6 * time.Second)
 		resends, elected := 0, false
 		for time.Now().Before(end) {
 			for _, name := range names {
-				sc.after(0, func() { sc.resendHeartbeats(name) })
+				sc.runAfter(0, func() { sc.resendHeartbeats(name) })
 				resends++
 			}
 			elected = elected || sc.leader() != ""
-			time.Sleep(sc.duration(50*time.Millisecond, 400*time.Millisecond))
+			time.Sleep(sc.randomDuration(50*time.Millisecond, 400*time.Millisecond))
 		}
-		sc.checkTookPlace(resends > 0 && elected, "%d resends, leader elected: %v", resends, elected)
+		sc.checkFaultsOccurred(resends > 0 && elected, "%d resends, leader elected: %v", resends, elected)
 		sc.startNode(nodeNumber(oldLeader))
 		sc.submitNext(testJob(0, "a", jobs.KindGang, 3))
 	})
@@ -125,23 +125,23 @@
 		zone := zones[sc.intn(3)]
 		var ids []string
 		for n := range 3 {
-			job := longJob(teamOf(n), kindOf(n), 3, 40)
+			job := longJob(alternatingTeam(n), alternatingKind(n), 3, 40)
 			job.Zone = zone
 			ids = append(ids, sc.submitNext(job))
 		}
-		sc.waitRunning(ids[0], ids[1])
+		sc.waitAllTasksRunning(ids[0], ids[1])
 		failed := 0
-		for _, name := range slices.Compact(append(sc.machinesOf(ids[0]), sc.machinesOf(ids[1])...)) {
+		for _, name := range slices.Compact(append(sc.runningMachinesOf(ids[0]), sc.runningMachinesOf(ids[1])...)) {
 			if failed < 2 {
-				sc.cloud.Fail(name)
+				sc.cloud.FailMachine(name)
 				failed++
-				time.Sleep(sc.duration(0, 3*time.Second))
+				time.Sleep(sc.randomDuration(0, 3*time.Second))
 			}
 		}
 		if sc.intn(2) == 0 {
-			sc.restartLeader(sc.duration(100*time.Millisecond, 3*time.Second))
+			sc.restartLeader(sc.randomDuration(100*time.Millisecond, 3*time.Second))
 		}
-		sc.checkTookPlace(failed > 0, "no machine failed")
+		sc.checkFaultsOccurred(failed > 0, "no machine failed")
 	})
 }
 
@@ -149,49 +149,49 @@
 // heartbeats, some of them from an earlier epoch or attempt.
 func TestCombinedDuplicateHeartbeats(t *testing.T) {
 	duplicateHeartbeats := func(s *site) {
-		s.heartbeatCopies = []time.Duration{3 * time.Second, 9 * time.Second, 21 * time.Second}
+		s.heartbeatDuplicateDelays = []time.Duration{3 * time.Second, 9 * time.Second, 21 * time.Second}
 	}
 	runScenario(t, duplicateHeartbeats, func(sc *scenario) {
 		id := sc.submitNext(longJob("a", jobs.KindArray, 6, 30))
 		sc.submitNext(longJob("b", jobs.KindGang, 3, 30))
-		sc.waitRunning(id)
+		sc.waitAllTasksRunning(id)
 		// Machines whose lease expires start a new epoch, and their tasks a new attempt.
-		cutMachines := sc.machinesOf(id)[:2]
+		cutMachines := sc.runningMachinesOf(id)[:2]
 		for _, name := range cutMachines {
-			sc.worker(name).CutIncoming(true)
+			sc.worker(name).BlockIncoming(true)
 		}
-		time.Sleep(sc.duration(13*time.Second, 20*time.Second))
+		time.Sleep(sc.randomDuration(13*time.Second, 20*time.Second))
 		for _, name := range cutMachines {
-			sc.worker(name).CutIncoming(false)
+			sc.worker(name).BlockIncoming(false)
 		}
-		time.Sleep(sc.duration(0, 6*time.Second))
-		sc.restartLeader(sc.duration(100*time.Millisecond, 3*time.Second))
+		time.Sleep(sc.randomDuration(0, 6*time.Second))
+		sc.restartLeader(sc.randomDuration(100*time.Millisecond, 3*time.Second))
 		sc.submitNext(testJob(0, "b", jobs.KindGang, 3))
 		time.Sleep(25 * time.Second)
 		starts := sc.rules.startCount()
-		sc.checkTookPlace(starts > 20, "%d tasks started", starts)
+		sc.checkFaultsOccurred(starts > 20, "%d tasks started", starts)
 	})
 }
 
-// TestCombinedOutgoingConnectionsCut: workers can't connect to any node, while direct
+// TestCombinedWorkersCannotReachNodes: workers can't connect to any node, while direct
 // commands still reach them.
-func TestCombinedOutgoingConnectionsCut(t *testing.T) {
+func TestCombinedWorkersCannotReachNodes(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		array := sc.submitNext(longJob("a", jobs.KindArray, 6, 30))
 		gang := sc.submitNext(longJob("b", jobs.KindGang, 3, 60))
-		sc.waitRunning(array, gang)
-		cutMachines := slices.Compact(append(sc.machinesOf(array)[:2], sc.machinesOf(gang)...))
+		sc.waitAllTasksRunning(array, gang)
+		cutMachines := slices.Compact(append(sc.runningMachinesOf(array)[:2], sc.runningMachinesOf(gang)...))
 		for _, name := range cutMachines {
-			sc.worker(name).CutOutgoing(true)
+			sc.worker(name).BlockOutgoing(true)
 		}
-		sc.cancelAfter(sc.duration(0, 15*time.Second), gang)
+		sc.cancelAfter(sc.randomDuration(0, 15*time.Second), gang)
 		if sc.intn(2) == 0 {
-			time.Sleep(sc.duration(0, 10*time.Second))
-			sc.restartLeader(sc.duration(100*time.Millisecond, 3*time.Second))
+			time.Sleep(sc.randomDuration(0, 10*time.Second))
+			sc.restartLeader(sc.randomDuration(100*time.Millisecond, 3*time.Second))
 		}
 		sc.submitNext(testJob(0, "a", jobs.KindArray, 2))
-		time.Sleep(sc.duration(20*time.Second, 50*time.Second))
-		sc.checkTookPlace(len(cutMachines) > 0, "no machine was cut off")
+		time.Sleep(sc.randomDuration(20*time.Second, 50*time.Second))
+		sc.checkFaultsOccurred(len(cutMachines) > 0, "no machine was cut off")
 	})
 }
 
@@ -199,18 +199,18 @@
 // lease_s. A job that runs there is cancelled meanwhile.
 func TestCombinedZonePartition(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
-		leader := sc.nextLeader("")
+		leader := sc.awaitLeader("")
 		job := longJob("b", jobs.KindArray, 4, 200)
 		job.Zone = zones[nodeNumber(leader)]
 		id := sc.submitNext(job)
-		sc.waitRunning(id)
-		sc.cutZone(leader)
-		newLeader := nodeNumber(sc.nextLeader(leader))
-		time.Sleep(sc.duration(0, 10*time.Second))
-		sc.checkTookPlace(sc.cancelAt(newLeader, id) == jobs.StatusCancelled, "the cancellation was not confirmed")
+		sc.waitAllTasksRunning(id)
+		sc.isolateZoneOf(leader)
+		newLeader := nodeNumber(sc.awaitLeader(leader))
+		time.Sleep(sc.randomDuration(0, 10*time.Second))
+		sc.checkFaultsOccurred(sc.cancelAt(newLeader, id) == jobs.StatusCancelled, "the cancellation was not confirmed")
 		sc.submitNext(testJob(0, "a", jobs.KindArray, 3))
-		time.Sleep(sc.duration(14*time.Second, 40*time.Second))
-		sc.heal()
-		sc.waitCancelledGone()
+		time.Sleep(sc.randomDuration(14*time.Second, 40*time.Second))
+		sc.healPartitions()
+		sc.sleepPastCancelDeadline()
 	})
 }
--- a/internal/node/combined_faults_statestore_test.go
+++ b/internal/node/combined_faults_statestore_test.go
@@ -16,7 +16,7 @@
 type refusalOutageRun struct {
 	*scenario
 	seed          uint64
-	jobs          []string
+	jobIDs        []string
 	cancelledJobs []string // cancelled between refusal and outage
 	leader        string   // the node that the state service refuses
 	otherNodes    []int
@@ -35,7 +35,7 @@
 		3 * time.Second, 3500 * time.Millisecond, 5 * time.Second, 8 * time.Second,
 	} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			runScenarioOnce(t, smallSite(), uint64(seed), nil, func(sc *scenario) {
+			runScenarioOnce(t, smallSiteOptions(), uint64(seed), nil, func(sc *scenario) {
 				run := &refusalOutageRun{scenario: sc, seed: uint64(seed), outageDelay: outageDelay}
 				run.submitLongJobs()
 				delayed := run.delayStateReplies()
@@ -45,10 +45,10 @@
 				sc.state.SetOutage(true)
 				confirmed := sc.countStatuses(run.cancelledJobs)[jobs.StatusCancelled]
 				run.restartNodesDuringOutage()
-				time.Sleep(sc.rules.cancelWithin + sc.duration(4*time.Second, 20*time.Second) - time.Since(run.refusedAt) + outageDelay)
-				sc.rules.checkRunning()
-				sc.checkTookPlace(confirmed > 0 || outageDelay < time.Second || delayed, "no cancellation was confirmed before the outage")
-				sc.checkTookPlace(sc.state.Counts().Refused > 0, "the state service refused no request")
+				time.Sleep(sc.rules.cancelWithin + sc.randomDuration(4*time.Second, 20*time.Second) - time.Since(run.refusedAt) + outageDelay)
+				sc.rules.checkCancelDeadlines()
+				sc.checkFaultsOccurred(confirmed > 0 || outageDelay < time.Second || delayed, "no cancellation was confirmed before the outage")
+				sc.checkFaultsOccurred(sc.state.Counts().Refused > 0, "the state service refused no request")
 				run.endOutage()
 			})
 		})
@@ -59,10 +59,10 @@
 func (r *refusalOutageRun) submitLongJobs() {
 	r.t.Helper()
 	for n := range 5 {
-		r.jobs = append(r.jobs, r.submitNext(longJob(teamOf(n), kindOf(n/3), 3, 200)))
+		r.jobIDs = append(r.jobIDs, r.submitNext(longJob(alternatingTeam(n), alternatingKind(n/3), 3, 200)))
 	}
-	r.waitRunning(r.jobs...)
-	r.cancelledJobs = r.jobs[:4]
+	r.waitAllTasksRunning(r.jobIDs...)
+	r.cancelledJobs = r.jobIDs[:4]
 }
 
 // delayStateReplies makes the state service slow with odd seeds, and reports whether it did.
@@ -70,8 +70,8 @@
 	if r.seed%2 == 0 {
 		return false
 	}
-	r.state.SetFate(func(string, int) simulator.Fate {
-		return simulator.Fate{Slow: r.duration(0, 900*time.Millisecond)}
+	r.state.SetTxnFaults(func(string, int) simulator.TxnFault {
+		return simulator.TxnFault{Delay: r.randomDuration(0, 900*time.Millisecond)}
 	})
 	time.Sleep(3 * time.Second)
 	return true
@@ -80,7 +80,7 @@
 // refuseLeader makes the state service refuse the leader and no other node.
 func (r *refusalOutageRun) refuseLeader() {
 	r.t.Helper()
-	r.leader = r.nextLeader("")
+	r.leader = r.awaitLeader("")
 	r.otherNodes = []int{(nodeNumber(r.leader) + 1) % 3, (nodeNumber(r.leader) + 2) % 3}
 	r.state.RefuseHost(r.leader, true)
 	r.refusedAt = time.Now()
@@ -90,13 +90,13 @@
 // of the last job hangs until after the outage has started.
 func (r *refusalOutageRun) cancelThroughOtherNodes() {
 	for i, id := range r.cancelledJobs {
-		r.after(r.duration(0, r.outageDelay), func() {
-			r.cancelAtUntilAnswered(r.otherNodes[i%2], id, 50*time.Millisecond)
+		r.runAfter(r.randomDuration(0, r.outageDelay), func() {
+			r.cancelAtUntilConfirmed(r.otherNodes[i%2], id, 50*time.Millisecond)
 		})
 	}
-	hungWorker := r.worker(r.machinesOf(r.cancelledJobs[3])[0])
-	r.after(r.duration(0, r.outageDelay), func() { hungWorker.SetHanging(true) })
-	r.after(r.outageDelay+r.duration(5*time.Second, 30*time.Second), func() { hungWorker.SetHanging(false) })
+	hungWorker := r.worker(r.runningMachinesOf(r.cancelledJobs[3])[0])
+	r.runAfter(r.randomDuration(0, r.outageDelay), func() { hungWorker.SetHanging(true) })
+	r.runAfter(r.outageDelay+r.randomDuration(5*time.Second, 30*time.Second), func() { hungWorker.SetHanging(false) })
 }
 
 // restartNodesDuringOutage restarts, depending on the seed, the leader, no node, or the nodes
@@ -104,12 +104,12 @@
 func (r *refusalOutageRun) restartNodesDuringOutage() {
 	switch r.seed % 4 {
 	case 2:
-		time.Sleep(r.duration(0, 10*time.Second))
-		r.restartNode(r.leader, r.duration(100*time.Millisecond, 3*time.Second))
+		time.Sleep(r.randomDuration(0, 10*time.Second))
+		r.restartNode(r.leader, r.randomDuration(100*time.Millisecond, 3*time.Second))
 	case 1, 3:
 		r.killNode(nodeName(r.otherNodes[0]))
 		r.killNode(nodeName(r.otherNodes[1]))
-		time.Sleep(r.duration(100*time.Millisecond, 5*time.Second))
+		time.Sleep(r.randomDuration(100*time.Millisecond, 5*time.Second))
 		r.startNode(r.otherNodes[0])
 		r.startNode(r.otherNodes[1])
 	}
@@ -119,9 +119,9 @@
 func (r *refusalOutageRun) endOutage() {
 	r.state.SetOutage(false)
 	r.state.RefuseHost(r.leader, false)
-	r.state.SetFate(nil)
+	r.state.SetTxnFaults(nil)
 	time.Sleep(3 * time.Second)
-	r.cancelAll(r.jobs)
+	r.cancelAll(r.jobIDs)
 }
 
 // TestTasksKeepRunningDuringOutage: the state service is down for far longer than worker
@@ -130,12 +130,12 @@
 func TestTasksKeepRunningDuringOutage(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		ids := []string{sc.submitNext(longJob("a", jobs.KindArray, 5, 150)), sc.submitNext(longJob("b", jobs.KindGang, 3, 150))}
-		sc.waitRunning(ids...)
+		sc.waitAllTasksRunning(ids...)
 		startsBefore := sc.rules.startCount()
 		sc.state.SetOutage(true)
-		time.Sleep(sc.duration(60*time.Second, 100*time.Second))
+		time.Sleep(sc.randomDuration(60*time.Second, 100*time.Second))
 		for _, id := range ids {
-			if len(sc.machinesOf(id)) == 0 {
+			if len(sc.runningMachinesOf(id)) == 0 {
 				sc.t.Errorf("%s lost its tasks during the outage", id)
 			}
 		}
@@ -150,17 +150,17 @@
 // ones of the same node.
 func TestCombinedLateWrites(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
-		losesReply := sc.oneInEach(4)
-		sc.state.SetFate(func(_ string, writes int) simulator.Fate {
+		losesReply := sc.oneInEvery(4)
+		sc.state.SetTxnFaults(func(_ string, writes int) simulator.TxnFault {
 			if losesReply(writes) {
-				return simulator.Fate{Lost: true, After: sc.duration(200*time.Millisecond, 12*time.Second)}
+				return simulator.TxnFault{ReplyLost: true, After: sc.randomDuration(200*time.Millisecond, 12*time.Second)}
 			}
-			return simulator.Fate{}
+			return simulator.TxnFault{}
 		})
 		sc.runJobsWithLostReplies()
 		time.Sleep(13 * time.Second)
 		counts := sc.state.Counts()
-		sc.checkTookPlace(counts.LateDone+counts.LateFailed > 10, "%+v", counts)
+		sc.checkFaultsOccurred(counts.LateApplied+counts.LateRejected > 10, "%+v", counts)
 	})
 }
 
@@ -168,11 +168,13 @@
 // while other nodes read what was written.
 func TestCombinedLostReplies(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
-		losesReply := sc.oneInEach(3)
-		sc.state.SetFate(func(_ string, writes int) simulator.Fate { return simulator.Fate{Lost: losesReply(writes)} })
+		losesReply := sc.oneInEvery(3)
+		sc.state.SetTxnFaults(func(_ string, writes int) simulator.TxnFault {
+			return simulator.TxnFault{ReplyLost: losesReply(writes)}
+		})
 		sc.runJobsWithLostReplies()
 		counts := sc.state.Counts()
-		sc.checkTookPlace(counts.Lost > 10, "%+v", counts)
+		sc.checkFaultsOccurred(counts.ReplyLost > 10, "%+v", counts)
 	})
 }
 
@@ -180,7 +182,7 @@
 // them at all nodes and restarts the leader, while transactions lose their replies.
 func (sc *scenario) runJobsWithLostReplies() {
 	sc.t.Helper()
-	sc.rules.callOnDone(func(task workers.TaskID) {
+	sc.rules.setOnDone(func(task workers.TaskID) {
 		sc.users.goroutines.Go(func() {
 			if sc.intn(3) == 0 {
 				sc.cancelAt(sc.intn(3), task.Job)
@@ -189,17 +191,17 @@
 		})
 	})
 	for n := range 10 {
-		job := testJob(0, teamOf(n), mostlyArrays(n), 2)
+		job := testJob(0, alternatingTeam(n), mostlyArrayKind(n), 2)
 		job.ExpectedS = 6
 		id := sc.submitNext(job)
 		sc.users.goroutines.Go(func() { sc.queryAllNodes(id) })
 		if n%3 == 0 {
-			sc.after(sc.duration(0, 10*time.Second), func() { sc.cancel(id); sc.queryAllNodes(id) })
+			sc.runAfter(sc.randomDuration(0, 10*time.Second), func() { sc.cancel(id); sc.queryAllNodes(id) })
 		}
 		if n == 5 {
-			sc.restartLeader(sc.duration(100*time.Millisecond, 3*time.Second))
+			sc.restartLeader(sc.randomDuration(100*time.Millisecond, 3*time.Second))
 		}
-		time.Sleep(sc.duration(0, 3*time.Second))
+		time.Sleep(sc.randomDuration(0, 3*time.Second))
 	}
 	time.Sleep(15 * time.Second)
 }
--- a/internal/node/combined_faults_users_test.go
+++ b/internal/node/combined_faults_users_test.go
@@ -19,7 +19,7 @@
 		maxRunning := 0
 		updateMaxRunning := func() { maxRunning = max(maxRunning, len(sc.rules.runningTasks())) }
 		for n := range 16 {
-			job := testJob(0, teamOf(n), mostlyArrays(n), 4)
+			job := testJob(0, alternatingTeam(n), mostlyArrayKind(n), 4)
 			job.PriorityClass = []string{"standard", "urgent", "idle", "production"}[n%4]
 			sc.submitNext(job)
 			updateMaxRunning()
@@ -28,17 +28,17 @@
 			time.Sleep(time.Second)
 			updateMaxRunning()
 		}
-		sc.checkTookPlace(maxRunning >= 14, "at most %d tasks were running at once", maxRunning)
+		sc.checkFaultsOccurred(maxRunning >= 14, "at most %d tasks were running at once", maxRunning)
 	})
 }
 
 // delayAllPackets delays every packet from nodes and machines by a random time in the range.
 func (sc *scenario) delayAllPackets(minDelay, maxDelay time.Duration) {
-	delay := func() time.Duration { return sc.duration(minDelay, maxDelay) }
+	delay := func() time.Duration { return sc.randomDuration(minDelay, maxDelay) }
 	for _, process := range sc.nodes {
 		process.host.DelayPackets(delay)
 	}
-	for _, machine := range sc.machinePlaces() {
+	for _, machine := range sc.machineLocations() {
 		machine.host.DelayPackets(delay)
 	}
 }
@@ -48,18 +48,18 @@
 // Some jobs are cancelled immediately after submission.
 func TestCombinedFrequentRequests(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
-		sc.rules.callOnDone(func(task workers.TaskID) {
+		sc.rules.setOnDone(func(task workers.TaskID) {
 			sc.users.goroutines.Go(func() { sc.queryAllNodes(task.Job) })
 		})
 		cancelled := 0
 		for n := range 12 {
-			id := sc.submitNext(testJob(0, teamOf(n), jobs.KindArray, 1+n%2))
+			id := sc.submitNext(testJob(0, alternatingTeam(n), jobs.KindArray, 1+n%2))
 			sc.users.goroutines.Go(func() { sc.queryAllNodes(id) })
 			if n%2 != 0 {
 				continue
 			}
 			if n%4 == 0 {
-				time.Sleep(sc.duration(0, 12*time.Second))
+				time.Sleep(sc.randomDuration(0, 12*time.Second))
 			}
 			if sc.cancel(id) == jobs.StatusCancelled {
 				cancelled++
@@ -67,21 +67,21 @@
 			sc.queryAllNodes(id)
 		}
 		time.Sleep(20 * time.Second)
-		sc.checkTookPlace(cancelled >= 4, "%d jobs were cancelled", cancelled)
+		sc.checkFaultsOccurred(cancelled >= 4, "%d jobs were cancelled", cancelled)
 	})
 }
 
 // TestCombinedHighSubmissionRate: for a minute, four one-task jobs are submitted per second,
 // and a quarter of them are cancelled.
 func TestCombinedHighSubmissionRate(t *testing.T) {
-	runScenarioOnce(t, smallSite(), 1, nil, func(sc *scenario) {
+	runScenarioOnce(t, smallSiteOptions(), 1, nil, func(sc *scenario) {
 		var cancelled atomic.Int64
 		for n := range 240 {
-			job := testJob(0, teamOf(n), jobs.KindArray, 1)
+			job := testJob(0, alternatingTeam(n), jobs.KindArray, 1)
 			job.ExpectedS = 2
 			id := sc.submitNext(job)
 			if n%4 == 0 {
-				sc.after(sc.duration(0, 5*time.Second), func() {
+				sc.runAfter(sc.randomDuration(0, 5*time.Second), func() {
 					if sc.cancel(id) == jobs.StatusCancelled {
 						cancelled.Add(1)
 					}
@@ -90,7 +90,7 @@
 			time.Sleep(250 * time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
-		sc.checkTookPlace(cancelled.Load() >= 20, "%d jobs were cancelled", cancelled.Load())
+		sc.checkFaultsOccurred(cancelled.Load() >= 20, "%d jobs were cancelled", cancelled.Load())
 	})
 }
 
@@ -101,20 +101,20 @@
 		sc.users.goroutines.Go(func() {
 			for sc.users.ctx.Err() == nil {
 				sc.sendInvalidRequests(sc.intn(3))
-				sc.pause(sc.duration(0, 700*time.Millisecond))
+				sc.pause(sc.randomDuration(0, 700*time.Millisecond))
 			}
 		})
 		id := sc.submitNext(testJob(0, "a", jobs.KindArray, 2))
-		sc.waitFor(2*time.Minute, "the job done", func() bool { return sc.polled(0, id) == jobs.StatusDone })
+		sc.waitFor(2*time.Minute, "the job done", func() bool { return sc.jobStatusAt(0, id) == jobs.StatusDone })
 		sc.users.goroutines.Go(func() { sc.keepCancellingDoneJob(id) })
-		sc.restartLeader(sc.duration(50*time.Millisecond, 3*time.Second))
-		time.Sleep(sc.duration(0, 3*time.Second))
+		sc.restartLeader(sc.randomDuration(50*time.Millisecond, 3*time.Second))
+		time.Sleep(sc.randomDuration(0, 3*time.Second))
 		sc.state.SetOutage(true)
 		time.Sleep(5 * time.Second)
 		sc.state.SetOutage(false)
 		time.Sleep(5 * time.Second)
 		answered, inconclusive := sc.requestCounts()
-		sc.checkTookPlace(answered > 20 && inconclusive > 5, "%d requests answered, %d inconclusive", answered, inconclusive)
+		sc.checkFaultsOccurred(answered > 20 && inconclusive > 5, "%d requests answered, %d inconclusive", answered, inconclusive)
 	})
 }
 
@@ -126,6 +126,6 @@
 			sc.rules.reportViolation("went_back: cancelling a done job returned %s", status)
 		}
 		sc.queryAllNodes(id)
-		sc.pause(sc.duration(0, time.Second))
+		sc.pause(sc.randomDuration(0, time.Second))
 	}
 }
--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -93,7 +93,7 @@
 
 // onStateChange is the server's ConnState hook. It tracks the open connections, and closes the
 // user connection that has been idle longest when a new connection exceeds
-// constants.SocketsFull.
+// constants.FullSocketShare.
 func (t *connTracker) onStateChange(conn net.Conn, state http.ConnState) {
 	if evicted := t.updateState(conn, state); evicted != nil {
 		// An idle connection has no request in flight, so closing it loses nothing.
@@ -109,7 +109,7 @@
 	switch state {
 	case http.StateNew:
 		t.track(conn)
-		if t.usageAbove(constants.SocketsFull) {
+		if t.usageAbove(constants.FullSocketShare) {
 			evicted = t.evictLongestIdle()
 		}
 	case http.StateActive:
@@ -156,7 +156,7 @@
 func (t *connTracker) scarce() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.usageAbove(constants.SocketsScarce)
+	return t.usageAbove(constants.ScarceSocketShare)
 }
 
 // onUserRequest reports whether to close the connection after the response.
@@ -170,7 +170,7 @@
 	if tracked, ok := ctx.Value(trackedConnKey{}).(*trackedConn); ok {
 		tracked.worker = true
 	}
-	return t.usageAbove(constants.SocketsFull)
+	return t.usageAbove(constants.FullSocketShare)
 }
 
 // SocketUsage counts the connections of users and workers.
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -25,7 +25,7 @@
 // response while sockets are plentiful and are closed once they run short, and that closed
 // connections no longer count.
 func TestUserConnectionsCloseNearSocketLimit(t *testing.T) {
-	n := New(&config.Settings{NodeName: "rig-0"}, config.DefaultOperator(), System{&net.Dialer{}}, slog.New(slog.DiscardHandler))
+	n := New(&config.Settings{NodeName: "rig-0"}, config.DefaultOperator(), OSNetwork{&net.Dialer{}}, slog.New(slog.DiscardHandler))
 	n.userHandler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	n.connections.limit = 20
 	var open []net.Conn
--- a/internal/node/dependencies_input_test.go
+++ b/internal/node/dependencies_input_test.go
@@ -15,7 +15,7 @@
 // none of its tasks ever starts, also if it depends on done and running jobs as well. If a
 // dependency can't be checked, the response is 503 and not that the job is unknown.
 func TestDependencyOnCancelledJob(t *testing.T) {
-	runScenarioOnce(t, smallSite(), 15, nil, func(sc *scenario) {
+	runScenarioOnce(t, smallSiteOptions(), 15, nil, func(sc *scenario) {
 		done := sc.submitNext(testJob(0, "a", jobs.KindArray, 1))
 		running := sc.submitNext(longJob("b", jobs.KindArray, 1, 200))
 		cancelled := sc.submitNext(longJob("a", jobs.KindArray, 1, 200))
@@ -52,7 +52,7 @@
 func (sc *scenario) newDependentJob(number int, upstream ...string) *jobs.Spec {
 	job := testJob(number, "b", jobs.KindArray, 2)
 	job.DependsOn = upstream
-	sc.register(job)
+	sc.registerJob(job)
 	return job
 }
 
@@ -62,18 +62,18 @@
 func (sc *scenario) checkAcceptedAsCancelled(node int, job *jobs.Spec) {
 	sc.t.Helper()
 	sc.waitFor(10*time.Second, job.ID+" accepted", func() bool {
-		code, response := sc.submitAndRead(node, job)
+		code, response := sc.submitWithResponse(node, job)
 		if code == http.StatusCreated && response.Status != jobs.StatusCancelled {
 			sc.t.Errorf("%s was accepted with status %s, want aborted", job.ID, response.Status)
 		}
 		return code == http.StatusCreated
 	})
 	for i := range 3 {
-		if code, response := sc.submitAndRead(i, job); code != http.StatusOK || response.Status != jobs.StatusCancelled {
+		if code, response := sc.submitWithResponse(i, job); code != http.StatusOK || response.Status != jobs.StatusCancelled {
 			sc.t.Errorf("repeated submission at node %d returned %d with status %s, want 200 with aborted", i, code, response.Status)
 		}
 		sc.waitFor(3*time.Second, "a query response that reports the job as cancelled", func() bool {
-			code, status := sc.poll(i, job.ID)
+			code, status := sc.queryStatus(i, job.ID)
 			return code == http.StatusOK && status == jobs.StatusCancelled
 		})
 	}
@@ -82,7 +82,7 @@
 // TestDependencyListInput: any node accepts or rejects dependency lists by the same rules:
 // duplicates and empty lists are valid, unknown jobs and malformed IDs are not.
 func TestDependencyListInput(t *testing.T) {
-	options := smallSite()
+	options := smallSiteOptions()
 	options.params.State.ValueKB, options.params.State.TxnOps = 2, 4
 	runScenarioOnce(t, options, 5, nil, func(sc *scenario) {
 		upstream := sc.submitNext(testJob(0, "a", jobs.KindArray, 1))
@@ -102,7 +102,7 @@
 		if code := sc.submitAt(1, oneTaskDependentJob(500, "j-777777")); code != http.StatusOK {
 			sc.t.Errorf("repeated submission with another dependency returned %d, want 200", code)
 		}
-		sc.waitFor(2*time.Minute, "j-000500 done", func() bool { return sc.polled(0, "j-000500") == jobs.StatusDone })
+		sc.waitFor(2*time.Minute, "j-000500 done", func() bool { return sc.jobStatusAt(0, "j-000500") == jobs.StatusDone })
 		sc.checkLongDependencyList()
 	})
 }
@@ -119,7 +119,7 @@
 // that, only 503 is allowed.
 func (sc *scenario) checkSubmissionCode(job *jobs.Spec, wantCode int) {
 	sc.t.Helper()
-	sc.register(job)
+	sc.registerJob(job)
 	sc.waitFor(5*time.Second, "a response with the wanted status code", func() bool {
 		code := sc.submitAt(sc.intn(3), job)
 		if code != http.StatusServiceUnavailable && code != wantCode {
@@ -151,13 +151,13 @@
 		sc.t.Fatal("the job with the long dependency list was not accepted")
 	}
 	sc.restartLeader(time.Second) // the next leader must read the whole list, too
-	sc.nextLeader("")
-	if status := sc.polled(2, dependent.ID); status != jobs.StatusPending {
+	sc.awaitLeader("")
+	if status := sc.jobStatusAt(2, dependent.ID); status != jobs.StatusPending {
 		sc.t.Errorf("the job with the long dependency list is %s, want pending", status)
 	}
 	sc.cancel(upstreamIDs[len(upstreamIDs)-8])
 	for i := range 3 {
-		sc.waitFor(4*time.Second, "the job with the long dependency list cancelled", func() bool { return sc.polled(i, dependent.ID) == jobs.StatusCancelled })
+		sc.waitFor(4*time.Second, "the job with the long dependency list cancelled", func() bool { return sc.jobStatusAt(i, dependent.ID) == jobs.StatusCancelled })
 	}
 	for _, id := range upstreamIDs {
 		sc.cancelAfter(0, id)
--- a/internal/node/dependencies_test.go
+++ b/internal/node/dependencies_test.go
@@ -35,7 +35,7 @@
 func (sc *scenario) submitFirstStage(chainIndex int) (ids []string) {
 	sc.t.Helper()
 	for i := range 1 + chainIndex%2 {
-		job := testJob(0, teamOf(chainIndex+i), jobs.KindArray, 2)
+		job := testJob(0, alternatingTeam(chainIndex+i), jobs.KindArray, 2)
 		job.ExpectedS = 4 + float64(sc.intn(8))
 		ids = append(ids, sc.submitNext(job))
 	}
@@ -47,7 +47,7 @@
 func (sc *scenario) submitStage(chainIndex, depth int, upstream []string) (ids []string) {
 	sc.t.Helper()
 	for i := range 1 + (chainIndex+depth)%2 {
-		job := testJob(0, teamOf(chainIndex+depth+i), kindOf(depth), 1+sc.intn(3))
+		job := testJob(0, alternatingTeam(chainIndex+depth+i), alternatingKind(depth), 1+sc.intn(3))
 		job.ExpectedS = 3 + float64(sc.intn(5))
 		job.DependsOn = append(slices.Clone(upstream), upstream[0])
 		ids = append(ids, sc.submitNext(job))
@@ -68,8 +68,8 @@
 func TestChainsCompleteDespiteFailovers(t *testing.T) {
 	runChainScenario(t, func(sc *scenario, _, downstream []string) {
 		for range 4 {
-			time.Sleep(sc.duration(0, 12*time.Second))
-			sc.restartLeader(sc.duration(50*time.Millisecond, 4*time.Second))
+			time.Sleep(sc.randomDuration(0, 12*time.Second))
+			sc.restartLeader(sc.randomDuration(50*time.Millisecond, 4*time.Second))
 		}
 		sc.checkOutcome()
 		if counts := sc.countStatuses(downstream); counts[jobs.StatusDone] != len(downstream) {
@@ -83,21 +83,21 @@
 // of a cancelled job must be cancelled, all others done.
 func TestChainsWithCancelledJobs(t *testing.T) {
 	runChainScenario(t, func(sc *scenario, first, downstream []string) {
-		sc.state.SetFate(sc.delayedAndLateWrites)
-		sc.rules.callOnDone(func(task workers.TaskID) {
+		sc.state.SetTxnFaults(sc.delayedAndLateWrites)
+		sc.rules.setOnDone(func(task workers.TaskID) {
 			// All tasks may be done while the job's final record is not written yet.
 			if slices.Contains(first, task.Job) {
-				sc.after(sc.duration(0, 700*time.Millisecond), func() { sc.cancelAt(sc.intn(3), task.Job) })
+				sc.runAfter(sc.randomDuration(0, 700*time.Millisecond), func() { sc.cancelAt(sc.intn(3), task.Job) })
 			}
 		})
 		for i, id := range first {
 			if i%2 == 0 {
-				sc.after(sc.duration(0, 14*time.Second), func() { sc.cancelAndQuery(id, downstream...) })
+				sc.runAfter(sc.randomDuration(0, 14*time.Second), func() { sc.cancelAndQuery(id, downstream...) })
 			}
 		}
-		sc.after(sc.duration(0, 20*time.Second), func() { sc.cancelAndQuery(downstream[0], downstream[1]) })
-		time.Sleep(sc.duration(0, 10*time.Second))
-		sc.restartLeader(sc.duration(50*time.Millisecond, 3*time.Second))
+		sc.runAfter(sc.randomDuration(0, 20*time.Second), func() { sc.cancelAndQuery(downstream[0], downstream[1]) })
+		time.Sleep(sc.randomDuration(0, 10*time.Second))
+		sc.restartLeader(sc.randomDuration(50*time.Millisecond, 3*time.Second))
 		time.Sleep(30 * time.Second)
 		sc.endFaults()
 		sc.checkOutcome()
@@ -108,18 +108,18 @@
 // delayedAndLateWrites chooses the fault of a transaction. Those with more than two writes are
 // the log's: half of them are delayed, so that a cancellation may overtake them. One in eight
 // of the other transactions with writes loses its reply, and half of these are applied late.
-func (sc *scenario) delayedAndLateWrites(_ string, writes int) simulator.Fate {
+func (sc *scenario) delayedAndLateWrites(_ string, writes int) simulator.TxnFault {
 	switch {
 	case writes == 0:
-		return simulator.Fate{}
+		return simulator.TxnFault{}
 	case writes > 2 && sc.intn(2) == 0:
-		return simulator.Fate{Slow: sc.duration(300*time.Millisecond, 1300*time.Millisecond)}
+		return simulator.TxnFault{Delay: sc.randomDuration(300*time.Millisecond, 1300*time.Millisecond)}
 	case sc.intn(8) > 0:
-		return simulator.Fate{}
+		return simulator.TxnFault{}
 	case sc.intn(2) == 0:
-		return simulator.Fate{Lost: true}
+		return simulator.TxnFault{ReplyLost: true}
 	}
-	return simulator.Fate{Lost: true, After: sc.duration(time.Second, 8*time.Second)}
+	return simulator.TxnFault{ReplyLost: true, After: sc.randomDuration(time.Second, 8*time.Second)}
 }
 
 // cancelAndQuery cancels a job and then immediately queries other jobs at all nodes.
@@ -146,7 +146,7 @@
 			sc.t.Errorf("%s is %s; upstream job cancelled: %v", id, known.status, hasCancelledUpstream)
 		}
 	}
-	sc.checkTookPlace(propagated > 0, "no job is downstream of a cancelled one")
+	sc.checkFaultsOccurred(propagated > 0, "no job is downstream of a cancelled one")
 }
 
 // TestChainCancelledThenOutage: after jobs are cancelled, the state service is down for longer
@@ -154,17 +154,17 @@
 // Each node must report the waiting dependents as cancelled from its first response on.
 func TestChainCancelledThenOutage(t *testing.T) {
 	runChainScenario(t, func(sc *scenario, first, downstream []string) {
-		leader := sc.nextLeader("")
+		leader := sc.awaitLeader("")
 		if sc.intn(2) == 0 {
 			sc.killNode(leader) // the jobs are cancelled while there is no leader
 		}
 		for _, id := range first {
-			if status := sc.cancel(id); !isOver(status) {
+			if status := sc.cancel(id); !isFinal(status) {
 				sc.t.Errorf("cancelling %s returned status %q, want a final one", id, status)
 			}
 		}
 		sc.state.SetOutage(true)
-		time.Sleep(sc.duration(time.Second, 5*time.Second))
+		time.Sleep(sc.randomDuration(time.Second, 5*time.Second))
 		sc.killAllNodes()
 		time.Sleep(sc.rules.cancelWithin)
 		sc.startNode(nodeNumber(leader))
@@ -182,15 +182,15 @@
 // waitForAnswer waits until a node answers a status query with 200.
 func (sc *scenario) waitForAnswer(limit time.Duration, node int, id string) {
 	sc.t.Helper()
-	sc.waitFor(limit, id+" to be answered", func() bool { code, _ := sc.poll(node, id); return code == http.StatusOK })
+	sc.waitFor(limit, id+" to be answered", func() bool { code, _ := sc.queryStatus(node, id); return code == http.StatusOK })
 }
 
 // TestWaitingJobReservesNothing: a job that waits for its dependencies uses none of its
 // team's quota or guarantee, and no machine is rented for it.
 func TestWaitingJobReservesNothing(t *testing.T) {
-	runScenarioOnce(t, smallSite(), 3, nil, func(sc *scenario) {
+	runScenarioOnce(t, smallSiteOptions(), 3, nil, func(sc *scenario) {
 		upstreamID := sc.submitNext(longJob("a", jobs.KindArray, 2, 60))
-		sc.waitRunning(upstreamID)
+		sc.waitAllTasksRunning(upstreamID)
 		dependent := longJob("a", jobs.KindGang, 10, 20)
 		dependent.DependsOn = []string{upstreamID}
 		waitingID := sc.submitNext(dependent)
@@ -206,7 +206,7 @@
 // TestCancelLongChain: cancelling one job cancels a chain of 150 jobs and 150 direct
 // dependents, even though this takes many transactions.
 func TestCancelLongChain(t *testing.T) {
-	runScenarioOnce(t, smallSite(), 4, nil, func(sc *scenario) {
+	runScenarioOnce(t, smallSiteOptions(), 4, nil, func(sc *scenario) {
 		first := sc.submitNext(longJob("a", jobs.KindArray, 1, 300))
 		last := first
 		var dependents []string
@@ -218,13 +218,13 @@
 			sc.t.Fatalf("the first job is %s after its cancellation, want aborted", status)
 		}
 		for i := range 3 {
-			if status := sc.polled(i, last); status != jobs.StatusCancelled {
+			if status := sc.jobStatusAt(i, last); status != jobs.StatusCancelled {
 				sc.t.Errorf("node %d reports the last job of the chain as %q right after the cancellation", i, status)
 			}
 		}
 		sc.waitFor(sc.rules.cancelWithin, "final records of all jobs", func() bool { return len(sc.state.Keys(jobs.OpenPrefix)) == 0 })
 		for _, id := range dependents {
-			if status := sc.polled(sc.intn(3), id); status != jobs.StatusCancelled {
+			if status := sc.jobStatusAt(sc.intn(3), id); status != jobs.StatusCancelled {
 				sc.t.Errorf("%s is %s, want aborted", id, status)
 			}
 		}
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -29,7 +29,7 @@
 func (f fleet) submitAllJobs(seconds float64) {
 	f.t.Helper()
 	for n := range f.jobCount {
-		f.mustSubmit(30*time.Second, halfMachineJob(n, f.tasksPerJob, seconds), n%f.siteLayout.nodes)
+		f.mustSubmit(30*time.Second, halfMachineJob(n, f.tasksPerJob, seconds), n%f.siteOptions.nodes)
 	}
 }
 
@@ -42,7 +42,7 @@
 // waitAllWorkersReported waits until the leader has received a heartbeat from every worker.
 func (f fleet) waitAllWorkersReported(limit time.Duration, when string) {
 	f.t.Helper()
-	f.waitFor(limit, "heartbeats of all workers "+when, func() bool { return f.reportedWorkers() == f.siteLayout.machines })
+	f.waitFor(limit, "heartbeats of all workers "+when, func() bool { return f.reportedWorkers() == f.siteOptions.machines })
 }
 
 // reportedWorkers returns the number of workers that have sent the leader a heartbeat in its
@@ -76,11 +76,11 @@
 // After the restart every task must still run on its machine, none may be lost or started
 // twice, and users must get responses.
 func TestFleetSurvivesRestartOfAllNodes(t *testing.T) {
-	options := smallSite()
-	options.nodes, options.machines, options.workerStep = 5, 2100, time.Second
+	options := smallSiteOptions()
+	options.nodes, options.machines, options.workerStepInterval = 5, 2100, time.Second
 	options.params = config.Params{
 		Teams:   []config.Team{{Name: "a", GuaranteedGPUs: 4000, MaxGPUs: 8400}},
-		Workers: config.WorkerTimings{HeartbeatS: 6, LeaseS: 31, GangWaitS: 50, GangPeerS: 4, CancelWithinS: 51},
+		Workers: config.WorkerTimings{HeartbeatS: 6, LeaseS: 31, GangWaitS: 50, GangPeerTimeoutS: 4, CancelWithinS: 51},
 		State:   config.StateLimits{RPS: 180, WriteRPS: 70, ValueKB: 8, TxnOps: 32}, Cloud: config.CloudLimits{RPS: 5, ListLagS: 5},
 		MachineLimits: config.MachineLimits{Sockets: 2500},
 	}
@@ -103,8 +103,8 @@
 			s.waitFor(10*time.Second, "an answer for "+id, func() bool { return s.status(n%options.nodes, id) == jobs.StatusRunning })
 		}
 		time.Sleep(40 * time.Second) // longer than a worker's lease
-		s.checkSameTasks(before)
-		s.checkRules()
+		s.checkTasksUnmoved(before)
+		s.checkNoViolations()
 	})
 }
 
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -33,12 +33,12 @@
 func (n *Node) Healthy() bool { return n.health.healthy() }
 
 func (m *healthMonitor) healthy() bool {
-	return m.store.FailingFor() == 0 && time.Since(m.store.LastSuccess()) < constants.HealthMaxAge
+	return m.store.FailingFor() == 0 && time.Since(m.store.LastSuccess()) < constants.MaxStateResponseAge
 }
 
 // run checks the state service periodically until ctx is done.
 func (m *healthMonitor) run(ctx context.Context) error {
-	ticker := time.NewTicker(constants.HealthCheckInterval)
+	ticker := time.NewTicker(constants.PeerHealthCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -51,10 +51,10 @@
 }
 
 // check queries the peers once the state service has been failing for at least
-// constants.HealthCheckInterval.
+// constants.PeerHealthCheckInterval.
 func (m *healthMonitor) check(ctx context.Context) {
 	failing := m.store.FailingFor()
-	if failing < constants.HealthCheckInterval {
+	if failing < constants.PeerHealthCheckInterval {
 		m.healthyPeers.Store(nil)
 		m.isolated.Store(false)
 		return
--- a/internal/node/heartbeats.go
+++ b/internal/node/heartbeats.go
@@ -46,7 +46,7 @@
 		userapi.WriteJSON(w, http.StatusServiceUnavailable, errorBody{"not able to act now"})
 		return
 	}
-	userapi.WriteJSON(w, http.StatusOK, reply.Answer)
+	userapi.WriteJSON(w, http.StatusOK, reply.Batch)
 }
 
 // redirectWorker responds with the leader's name, if another node is known to lead.
--- a/internal/node/large_fleet_test.go
+++ b/internal/node/large_fleet_test.go
@@ -18,12 +18,12 @@
 
 // largeSiteOptions returns the options of a site with 4,000 machines and three nodes, whose
 // state service allows only small values and few writes per transaction.
-func largeSiteOptions() siteLayout {
-	options := smallSite()
-	options.machines, options.workerStep = 4000, time.Second
+func largeSiteOptions() siteOptions {
+	options := smallSiteOptions()
+	options.machines, options.workerStepInterval = 4000, time.Second
 	options.params = config.Params{
 		Teams:   []config.Team{{Name: "a", GuaranteedGPUs: 8000, MaxGPUs: 16000}},
-		Workers: config.WorkerTimings{HeartbeatS: 6, LeaseS: 31, GangWaitS: 50, GangPeerS: 4, CancelWithinS: 51},
+		Workers: config.WorkerTimings{HeartbeatS: 6, LeaseS: 31, GangWaitS: 50, GangPeerTimeoutS: 4, CancelWithinS: 51},
 		State:   config.StateLimits{RPS: 500, WriteRPS: 200, ValueKB: 2, TxnOps: 10}, Cloud: config.CloudLimits{RPS: 5, ListLagS: 5},
 		MachineLimits: config.MachineLimits{Sockets: 4600},
 	}
@@ -34,10 +34,10 @@
 // large ring while one is down or missing in the settings. That node may run a version that
 // does not report that it can.
 func TestLargeRingNeedsAllNodes(t *testing.T) {
-	runScenarioOnce(t, smallSite(), 13, nil, func(sc *scenario) {
+	runScenarioOnce(t, smallSiteOptions(), 13, nil, func(sc *scenario) {
 		allNodesReadLargeRing := func() bool { return sc.nodes[sc.leader()].node.allReadLargeRing(sc.users.ctx) }
 		sc.waitFor(5*time.Second, "all nodes to report that they read the large ring", allNodesReadLargeRing)
-		sc.killNode(nodeName(nodeAfter(sc.leader())))
+		sc.killNode(nodeName(nextNodeNumber(sc.leader())))
 		if allNodesReadLargeRing() {
 			sc.t.Error("a node that is down was counted as reading the large ring")
 		}
@@ -80,10 +80,10 @@
 		f.restartAllNodes(6 * time.Second)
 		f.waitAllWorkersReported(25*time.Second, "after the restart of all nodes")
 		time.Sleep(40 * time.Second)
-		s.checkSameTasks(before)
+		s.checkTasksUnmoved(before)
 		f.checkCancelHalf()
 
-		s.checkRules()
+		s.checkNoViolations()
 		if refused := s.state.Counts().TooLarge; refused > 0 {
 			s.t.Errorf("%d requests were refused for their size", refused)
 		}
@@ -108,7 +108,7 @@
 	f.waitAllWorkersReported(25*time.Second, "by the next leader")
 	f.startNode(nodeNumber(leader))
 	time.Sleep(40 * time.Second)
-	f.checkSameTasks(before)
+	f.checkTasksUnmoved(before)
 }
 
 // isolateZoneBeyondLease cuts off a zone other than the leader's for longer than the lease.
@@ -116,9 +116,9 @@
 func (f fleet) isolateZoneBeyondLease() {
 	f.t.Helper()
 	f.cloud.SetOutage(true)
-	f.cutZone(nodeName((nodeNumber(f.leader()) + 1) % f.siteLayout.nodes))
+	f.isolateZoneOf(nodeName((nodeNumber(f.leader()) + 1) % f.siteOptions.nodes))
 	time.Sleep(45 * time.Second)
-	f.heal()
+	f.healPartitions()
 	f.cloud.SetOutage(false)
 	f.waitAllWorkersReported(30*time.Second, "after the zone is back")
 	f.waitAllTasksRunning(3*time.Minute, "after the zone is back")
@@ -131,7 +131,7 @@
 	half := f.jobCount / 2
 	confirmed := f.cancelConcurrently(half)
 	time.Sleep(config.Seconds(f.params.Workers.CancelWithinS))
-	f.rules.checkRunning()
+	f.rules.checkCancelDeadlines()
 	if got, want := len(f.rules.runningTasks()), (f.jobCount-half)*f.tasksPerJob; got != want || confirmed != half {
 		f.t.Errorf("%d tasks are running after %d confirmed cancellations, want %d", got, confirmed, want)
 	}
@@ -140,7 +140,7 @@
 		if n < half {
 			want = jobs.StatusCancelled
 		}
-		for node := range f.siteLayout.nodes {
+		for node := range f.siteOptions.nodes {
 			f.waitFor(10*time.Second, "an answer for "+jobID(n), func() bool { return f.status(node, jobID(n)) == want })
 		}
 	}
@@ -156,11 +156,11 @@
 		id := jobID(n)
 		requests.Go(func() {
 			f.waitFor(30*time.Second, "the cancellation of "+id, func() bool {
-				code, response := f.cancelJob(n%f.siteLayout.nodes, id)
+				code, response := f.cancelJob(n%f.siteOptions.nodes, id)
 				if code != http.StatusOK || response.Status != jobs.StatusCancelled {
 					return false
 				}
-				f.rules.noteCancelled(id)
+				f.rules.recordCancelled(id)
 				confirmed.Add(1)
 				return true
 			})
@@ -184,7 +184,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&memory)
 	heapMB := float64(memory.HeapAlloc) / bytesPerMB
-	machines, nodes := f.siteLayout.machines, f.siteLayout.nodes
+	machines, nodes := f.siteOptions.machines, f.siteOptions.nodes
 	nodeLimitMB := float64(nodes) * (constants.BaseMemoryMB + constants.MemoryPerWorkerMB*float64(machines))
 	fakeLimitMB := 0.05 * float64(machines)
 	if heapMB > nodeLimitMB+fakeLimitMB {
--- a/internal/node/network.go
+++ b/internal/node/network.go
@@ -12,10 +12,10 @@
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// System is the operating system's network.
-type System struct{ *net.Dialer }
+// OSNetwork is the operating system's network.
+type OSNetwork struct{ *net.Dialer }
 
 // Listen opens a listener on the given address.
-func (System) Listen(network, address string) (net.Listener, error) {
+func (OSNetwork) Listen(network, address string) (net.Listener, error) {
 	return (&net.ListenConfig{}).Listen(context.Background(), network, address)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -56,7 +56,7 @@
 	}
 	n.store = statestore.New(settings.Services.State, statestore.NewBudget(n.stateRates(false)), network.DialContext)
 	n.store.OnRateLimited = n.onRateLimited
-	n.cloud = autoscaling.NewCloudClient(settings.Services.Cloud, settings.Params.Cloud.RPS*operator.Budgets.Use, network.DialContext)
+	n.cloud = autoscaling.NewCloudClient(settings.Services.Cloud, settings.Params.Cloud.RPS*operator.Budgets.UsableShare, network.DialContext)
 	n.elector = election.New(settings.NodeName, n.store, log)
 	n.peers = peers.NewClient(peerAddresses(settings.Peers), network.DialContext)
 	n.catalog = &catalogCache{cloud: n.cloud, store: n.store, leads: n.leads, log: log}
@@ -99,8 +99,8 @@
 // rateShare returns this node's fraction of a rate of which the leader gets leaderShare and
 // the other nodes split the rest evenly.
 func (n *Node) rateShare(leads bool, leaderShare float64) float64 {
-	use := n.operator.Budgets.Use
-	followers := n.settings.Params.Count - 1
+	use := n.operator.Budgets.UsableShare
+	followers := n.settings.Params.NodeCount - 1
 	switch {
 	case followers <= 0:
 		return use
--- a/internal/node/placement_log_test.go
+++ b/internal/node/placement_log_test.go
@@ -70,15 +70,15 @@
 	c.quarantined[machine] = true
 }
 
-// tasksGivenTo returns the number of tasks placed on a machine.
-func (l placementLog) tasksGivenTo(machine string) int {
+// tasksPlacedOn returns the number of tasks placed on a machine.
+func (l placementLog) tasksPlacedOn(machine string) int {
 	l.counts.mu.Lock()
 	defer l.counts.mu.Unlock()
 	return l.counts.tasksPlaced[machine]
 }
 
-// hasQuarantined reports whether a machine was quarantined.
-func (l placementLog) hasQuarantined(machine string) bool {
+// isQuarantined reports whether a machine was quarantined.
+func (l placementLog) isQuarantined(machine string) bool {
 	l.counts.mu.Lock()
 	defer l.counts.mu.Unlock()
 	return l.counts.quarantined[machine]
--- a/internal/node/resource_usage.go
+++ b/internal/node/resource_usage.go
@@ -20,7 +20,7 @@
 // LimitRuntime sets the Go runtime's memory limit and GOMAXPROCS from the machine's limits.
 func LimitRuntime(limits config.MachineLimits) {
 	if limits.MemMB > 0 {
-		debug.SetMemoryLimit(int64(limits.MemMB * constants.MemoryShare * bytesPerMB))
+		debug.SetMemoryLimit(int64(limits.MemMB * constants.GoMemoryLimitShare * bytesPerMB))
 		// A high GC percentage is safe here: the memory limit above bounds the heap.
 		debug.SetGCPercent(constants.GCPercent)
 	}
@@ -46,22 +46,22 @@
 	if n.connections.scarce() {
 		scarce = append(scarce, "sockets")
 	}
-	if limit := n.settings.Params.MachineLimits.MemMB; limit > 0 && memory > constants.MemoryScarce*limit {
+	if limit := n.settings.Params.MachineLimits.MemMB; limit > 0 && memory > constants.ScarceMemoryShare*limit {
 		scarce = append(scarce, "memory")
 	}
 	requests, writes := n.store.Budget.Available()
 	rps, writeRPS := n.stateRates(n.leads())
-	if requests < constants.TokensScarce*rps {
+	if requests < constants.ScarceTokenShare*rps {
 		scarce = append(scarce, "state service requests")
 	}
-	if writes < constants.TokensScarce*writeRPS {
+	if writes < constants.ScarceTokenShare*writeRPS {
 		scarce = append(scarce, "state service changes")
 	}
 	return scarce
 }
 
 // watchResources logs when a resource becomes scarce and when it recovers, and checks the
-// settings again whenever the expected number of machines has grown by constants.FleetGrowth.
+// settings again whenever the expected number of machines has grown by constants.SizingCheckGrowth.
 func (n *Node) watchResources(ctx context.Context) error {
 	ticker := time.NewTicker(constants.ResourceCheckInterval)
 	defer ticker.Stop()
@@ -73,7 +73,7 @@
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		if expected := n.expectedMachines(); float64(expected) > float64(checkedMachines)*constants.FleetGrowth {
+		if expected := n.expectedMachines(); float64(expected) > float64(checkedMachines)*constants.SizingCheckGrowth {
 			checkedMachines = expected
 			n.checkSizing(expected)
 		}
--- a/internal/node/rule_checker_test.go
+++ b/internal/node/rule_checker_test.go
@@ -178,8 +178,8 @@
 	c.addViolation(format, args...)
 }
 
-// noteCancelled records that a user was told that a job is cancelled.
-func (c *ruleChecker) noteCancelled(job string) {
+// recordCancelled records that a user was told that a job is cancelled.
+func (c *ruleChecker) recordCancelled(job string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if _, ok := c.cancelledAt[job]; !ok {
@@ -187,9 +187,9 @@
 	}
 }
 
-// checkRunning checks that no task is still running whose job was cancelled longer than
+// checkCancelDeadlines checks that no task is still running whose job was cancelled longer than
 // cancelWithin ago.
-func (c *ruleChecker) checkRunning() {
+func (c *ruleChecker) checkCancelDeadlines() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for task, machine := range c.running {
@@ -197,8 +197,8 @@
 	}
 }
 
-// callOnDone makes the checker call f for each task that completes from now on.
-func (c *ruleChecker) callOnDone(f func(workers.TaskID)) {
+// setOnDone makes the checker call f for each task that completes from now on.
+func (c *ruleChecker) setOnDone(f func(workers.TaskID)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.onDone = f
@@ -237,8 +237,8 @@
 	return tasks
 }
 
-// allCompletions returns how often each task has completed.
-func (c *ruleChecker) allCompletions() map[workers.TaskID]int {
+// completionCounts returns how often each task has completed.
+func (c *ruleChecker) completionCounts() map[workers.TaskID]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.completions)
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -110,7 +110,7 @@
 
 // maxPeerConns returns the maximum number of connections from other nodes.
 func (n *Node) maxPeerConns() int {
-	return max(1, len(n.settings.Peers)) * constants.MeshConnsPerNode
+	return max(1, len(n.settings.Peers)) * constants.MaxConnsPerPeer
 }
 
 func (n *Node) logStart() {
