--- a/internal/election/lease_test.go
+++ b/internal/election/lease_test.go
@@ -37,9 +37,9 @@
 	return 2, nil
 }
 
-// TestExpiredLease checks that an expired lease is replaced while the term is the newest one,
-// and that the leader stops leading once another node has started a newer term.
-func TestExpiredLease(t *testing.T) {
+// TestExpiredLeaseIsReplaced checks that an expired lease is replaced while the term is the
+// newest one, and that the leader stops leading once another node has started a newer term.
+func TestExpiredLeaseIsReplaced(t *testing.T) {
 	for name, termSuperseded := range map[string]bool{"term current": false, "term superseded": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/leader/health/machine_test.go
+++ b/internal/leader/health/machine_test.go
@@ -8,9 +8,10 @@
 	"thornnotch/internal/constants"
 )
 
-// TestSuspectMachine checks that a suspect machine gets no tasks until the suspicion expires or
-// is withdrawn, and that failures of FaultyMachineMinJobs different jobs make it faulty.
-func TestSuspectMachine(t *testing.T) {
+// TestSuspectMachineGetsNoTasks checks that a suspect machine gets no tasks until the
+// suspicion expires or is withdrawn, and that failures of FaultyMachineMinJobs different jobs
+// make it faulty.
+func TestSuspectMachineGetsNoTasks(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var machine Machine
 	if !machine.AcceptsTasks(now) {
--- a/internal/leader/scaling_state_test.go
+++ b/internal/leader/scaling_state_test.go
@@ -100,10 +100,10 @@
 	}
 }
 
-// TestUnreachableZones checks that a zone is unreachable if a majority of its machines, and at
-// least UnreachableZoneMinSilent, are silent, and that it remains so for
+// TestUnreachableZoneDetection checks that a zone is unreachable if a majority of its
+// machines, and at least UnreachableZoneMinSilent, are silent, and that it remains so for
 // UnreachableZoneRecovery after they report again.
-func TestUnreachableZones(t *testing.T) {
+func TestUnreachableZoneDetection(t *testing.T) {
 	now := time.Unix(1000, 0)
 	const minSilent = constants.UnreachableZoneMinSilent
 	tests := []struct {
--- a/internal/node/combined_faults_machines_test.go
+++ b/internal/node/combined_faults_machines_test.go
@@ -118,9 +118,9 @@
 	}
 }
 
-// TestCombinedZonedJobsLoseMachines: jobs that are restricted to one zone, arrays as well as
+// TestCombinedZoneBoundJobsLoseMachines: jobs that are restricted to one zone, arrays as well as
 // gangs, lose machines.
-func TestCombinedZonedJobsLoseMachines(t *testing.T) {
+func TestCombinedZoneBoundJobsLoseMachines(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		zone := zones[sc.intn(3)]
 		var ids []string
--- a/internal/node/combined_faults_statestore_test.go
+++ b/internal/node/combined_faults_statestore_test.go
@@ -164,9 +164,9 @@
 	})
 }
 
-// TestCombinedLostReplies: transactions are applied at once and only their replies are lost,
-// while other nodes read what was written.
-func TestCombinedLostReplies(t *testing.T) {
+// TestCombinedLostStateReplies: transactions are applied at once and only their replies are
+// lost, while other nodes read what was written.
+func TestCombinedLostStateReplies(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		losesReply := sc.oneInEvery(3)
 		sc.state.SetTxnFaults(func(_ string, writes int) simulator.TxnFault {
--- a/internal/node/single_faults_machines_test.go
+++ b/internal/node/single_faults_machines_test.go
@@ -97,11 +97,11 @@
 	})
 }
 
-// TestFaultyMachines: two machines fail every task that they start. Jobs of all kinds must
-// complete in time although some of their tasks start there, also across a failover, which
-// loses what the leader knew of machines' failures. A faulty machine must get at most 20 tasks,
-// be quarantined and be returned.
-func TestFaultyMachines(t *testing.T) {
+// TestFaultyMachinesAreQuarantined: two machines fail every task that they start. Jobs of all
+// kinds must complete in time although some of their tasks start there, also across a
+// failover, which loses what the leader knew of machines' failures. A faulty machine must get
+// at most 20 tasks, be quarantined and be returned.
+func TestFaultyMachinesAreQuarantined(t *testing.T) {
 	runSingleFaultScenario(t, nil, func(f *singleFaultScenario) {
 		faulty := f.machineNames()[:2]
 		before := map[string]int{}
