--- a/cmd/thornnotch/overview.go
+++ b/cmd/thornnotch/overview.go
@@ -82,14 +82,14 @@
 		if pool.Spot {
 			kind = "spot"
 		}
-		t.line("%s\t%s\t%s\t%d\t%d\t%.1f\t%.0f\t%d", pool.Type, pool.Zone, kind, pool.Up, pool.Busy, pool.Used, pool.GPUs, pool.Faulty)
+		t.line("%s\t%s\t%s\t%d\t%d\t%.1f\t%.0f\t%d", pool.Type, pool.Zone, kind, pool.Up, pool.Busy, pool.UsedMachines, pool.GPUs, pool.Faulty)
 	}
 }
 
 func (t overviewTable) queue(queues []leader.QueueStatus) {
 	t.line("\nCLASS\tTEAM\tJOBS\tBLOCKED\tWAITING\tRUNNING\tDONE")
 	for _, queue := range queues {
-		t.line("%s\t%s\t%d\t%d\t%d\t%d\t%d", queue.Class, queue.Team, queue.Jobs, queue.Blocked, queue.Waiting, queue.Running, queue.Done)
+		t.line("%s\t%s\t%d\t%d\t%d\t%d\t%d", queue.Class, queue.Team, queue.Jobs, queue.BlockedJobs, queue.WaitingTasks, queue.RunningTasks, queue.DoneTasks)
 	}
 }
 
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -94,7 +94,7 @@
 	c.positive("params.cloud.rps", s.Params.Cloud.RPS)
 	c.amount("params.cloud.list_lag_s", s.Params.Cloud.ListLagS)
 	c.amount("params.machine_limits.cores", s.Params.MachineLimits.Cores)
-	c.amount("params.machine_limits.mem_mb", s.Params.MachineLimits.MemMB)
+	c.amount("params.machine_limits.mem_mb", s.Params.MachineLimits.MemoryMB)
 	c.atLeast("params.machine_limits.sockets", 0, s.Params.MachineLimits.Sockets)
 	return errors.Join(c.problems...)
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -39,12 +39,12 @@
 
 // ScalingSettings configure how many machines are rented.
 type ScalingSettings struct {
-	// Spare is the number of machines rented beyond the present demand, in units of the
+	// ScaleOutSpare is the number of machines rented beyond the present demand, in units of the
 	// square root of the demand that is expected to arrive while a machine boots.
-	Spare float64 `yaml:"spare"`
-	// Keep is the number of idle machines kept beyond the highest recent demand, in the
+	ScaleOutSpare float64 `yaml:"spare"`
+	// ScaleInKeep is the number of idle machines kept beyond the highest recent demand, in the
 	// same units.
-	Keep float64 `yaml:"keep"`
+	ScaleInKeep float64 `yaml:"keep"`
 }
 
 // LogSettings configure the leader's write-ahead log.
@@ -70,7 +70,7 @@
 			LeaderWriteShare: constants.LeaderWriteShare,
 			UsableShare:      constants.UsableBudgetShare,
 		},
-		Scaling: ScalingSettings{Spare: constants.DefaultScaleOutSpare, Keep: constants.DefaultScaleInKeep},
+		Scaling: ScalingSettings{ScaleOutSpare: constants.DefaultScaleOutSpare, ScaleInKeep: constants.DefaultScaleInKeep},
 		Log:     LogSettings{LargeRing: true},
 	}
 }
--- a/internal/config/operator_load.go
+++ b/internal/config/operator_load.go
@@ -77,7 +77,7 @@
 	require("budgets.leader_write_share", writeShare, writeShare > 0 && writeShare < 1, "greater than 0 and less than 1")
 	require("budgets.use", use, use > 0 && use <= 1, "greater than 0 and at most 1")
 
-	spare, keep := o.Scaling.Spare, o.Scaling.Keep
+	spare, keep := o.Scaling.ScaleOutSpare, o.Scaling.ScaleInKeep
 	require("renting.spare", spare, spare >= 0 && spare <= 1000, "from 0 to 1000")
 	require("renting.keep", keep, keep >= 0 && keep <= 1000, "from 0 to 1000")
 	return errors.Join(problems...)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -138,8 +138,8 @@
 type MachineLimits struct {
 	// Cores is the number of CPU cores available to the process, which may be a fraction.
 	Cores float64 `toml:"cores"`
-	// MemMB is the memory limit in MiB. The process is killed if it exceeds it.
-	MemMB float64 `toml:"mem_mb"`
+	// MemoryMB is the memory limit in MiB. The process is killed if it exceeds it.
+	MemoryMB float64 `toml:"mem_mb"`
 	// Sockets is the maximum number of open sockets.
 	Sockets int `toml:"sockets"`
 }
--- a/internal/config/sizing.go
+++ b/internal/config/sizing.go
@@ -33,7 +33,7 @@
 	if sockets := s.SocketLimit(); sockets > 0 {
 		bySockets = max(0, float64(sockets-constants.MinUserConns))
 	}
-	if memMB := s.Params.MachineLimits.MemMB; memMB > 0 {
+	if memMB := s.Params.MachineLimits.MemoryMB; memMB > 0 {
 		byMemory = max(0, math.Floor((memMB-constants.BaseMemoryMB)/constants.MemoryPerWorkerMB))
 	}
 	return bySockets, byMemory
@@ -70,7 +70,7 @@
 	}
 	neededMB := constants.BaseMemoryMB + float64(workers)*constants.MemoryPerWorkerMB
 	return fmt.Sprintf("params.machine_limits.mem_mb: %g are enough for %.0f workers; %d are to be expected: they would take about %.0f",
-		s.Params.MachineLimits.MemMB, byMemory, workers, neededMB)
+		s.Params.MachineLimits.MemoryMB, byMemory, workers, neededMB)
 }
 
 // cloudRateWarning returns a warning if reading the list of machines leaves too little of the
--- a/internal/config/sizing_test.go
+++ b/internal/config/sizing_test.go
@@ -38,11 +38,11 @@
 		t.Errorf("without limits: %v", warnings)
 	}
 
-	settings.Params.MachineLimits = MachineLimits{Sockets: 2500, MemMB: 271}
+	settings.Params.MachineLimits = MachineLimits{Sockets: 2500, MemoryMB: 271}
 	if warnings := settings.SizingWarnings(2100); len(warnings) != 0 {
 		t.Errorf("sufficient for 2,100: %v", warnings)
 	}
-	settings.Params.MachineLimits = MachineLimits{Sockets: 1200, MemMB: 100}
+	settings.Params.MachineLimits = MachineLimits{Sockets: 1200, MemoryMB: 100}
 	text := strings.Join(settings.SizingWarnings(2100), "\n")
 	for _, want := range []string{"params.machine_limits.sockets: 1200 ", "params.machine_limits.mem_mb: 100 ", "2100 are to be expected"} {
 		if !strings.Contains(text, want) {
@@ -61,7 +61,7 @@
 	}
 
 	settings.Params.Cloud = CloudLimits{}
-	settings.Params.MachineLimits = MachineLimits{Sockets: 20, MemMB: 20}
+	settings.Params.MachineLimits = MachineLimits{Sockets: 20, MemoryMB: 20}
 	if warnings := settings.SizingWarnings(constants.MinWorkers); len(warnings) != 2 {
 		t.Errorf("below the minimum capacity: %v", warnings)
 	}
--- a/internal/leader/job_test.go
+++ b/internal/leader/job_test.go
@@ -50,7 +50,7 @@
 	l := testLeader(t)
 	machine := addMachine(l, "m-1", "east", now)
 	addJob(t, l, arraySpec("j-1", 3), now)
-	startAndReport(l, machine, now)
+	startAndSendHeartbeat(l, machine, now)
 	machine.agent.Endpoint = "" // no direct commands
 	l.jobRecordDeleted("j-1", now)
 	if got := l.snapshotForPlacement(now).Teams["a"].Used.GPUs; got != 3 {
--- a/internal/leader/reservation_edges_test.go
+++ b/internal/leader/reservation_edges_test.go
@@ -33,7 +33,7 @@
 	s := dependencyFixture{leader: l, machine: addMachine(l, "m-1", "east", now)}
 	s.machine.agent.Endpoint = ""
 	s.upstream = addJob(t, l, arraySpec("j-1", tasks), now)
-	startAndReport(l, s.machine, now)
+	startAndSendHeartbeat(l, s.machine, now)
 	spec := arraySpec("j-2", tasks)
 	spec.Team, spec.DependsOn = "b", []string{"j-1"}
 	s.downstream = addJob(t, l, spec, now)
@@ -41,8 +41,8 @@
 	return s
 }
 
-// startAndReport runs a scheduling pass and lets the machine report its tasks as running.
-func startAndReport(l *Leader, machine *machineState, now time.Time) {
+// startAndSendHeartbeat runs a scheduling pass and lets the machine report its tasks as running.
+func startAndSendHeartbeat(l *Leader, machine *machineState, now time.Time) {
 	l.runSchedulingPass(now)
 	commitPending(l, 100)
 	machine.agent.Commands(true, now)
@@ -262,7 +262,7 @@
 		l.teams[0].MaxGPUs = 4 // so that the next job waits
 		machine := addMachine(l, "m-1", "east", now)
 		addJob(t, l, arraySpec("j-1", 4), now)
-		startAndReport(l, machine, now)
+		startAndSendHeartbeat(l, machine, now)
 		addJob(t, l, arraySpec("j-2", 4), now)
 		finishAll(l, machine, now.Add(10*time.Second))
 		if got, want := len(l.reservations.All()), map[bool]int{true: 4}[submissionOrder]; got != want {
--- a/internal/leader/scaling_rent.go
+++ b/internal/leader/scaling_rent.go
@@ -24,7 +24,7 @@
 	if l.deps.Catalog() == nil || !l.failover.recordsLoaded() {
 		return autoscaling.RentRequest{}, false
 	}
-	return autoscaling.ScaleOut(l.scalingSnapshot(now), l.deps.Operator.Scaling.Spare)
+	return autoscaling.ScaleOut(l.scalingSnapshot(now), l.deps.Operator.Scaling.ScaleOutSpare)
 }
 
 // rent queues a rent request to the cloud.
--- a/internal/leader/scaling_surplus.go
+++ b/internal/leader/scaling_surplus.go
@@ -13,7 +13,7 @@
 	snapshot := l.scalingSnapshot(now)
 	desired := make(map[string]autoscaling.DesiredCapacity)
 	for _, machineType := range snapshot.Catalog.MachineTypes {
-		desired[machineType.Name] = autoscaling.DesiredFor(snapshot, machineType, l.deps.Operator.Scaling.Keep)
+		desired[machineType.Name] = autoscaling.DesiredFor(snapshot, machineType, l.deps.Operator.Scaling.ScaleInKeep)
 	}
 	keep := l.scaling.demand.Add(now, desired)
 	for _, name := range autoscaling.ScaleIn(snapshot, keep, l.idleMachines(now)) {
--- a/internal/leader/scheduling_log_test.go
+++ b/internal/leader/scheduling_log_test.go
@@ -19,7 +19,7 @@
 	l.deps.Log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	machine := addMachine(l, "m-1", "east", now)
 	addJob(t, l, arraySpec("j-1", 2), now)
-	startAndReport(l, machine, now)
+	startAndSendHeartbeat(l, machine, now)
 	now = now.Add(constants.SummaryLogInterval)
 	machine.agent.LastHeartbeat = now
 	addJob(t, l, arraySpec("j-2", 5), now)
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -32,9 +32,9 @@
 	Up   int     `json:"up"`
 	Busy int     `json:"busy"`
 	GPUs float64 `json:"gpusUsed"`
-	// Used is the utilization in units of whole machines, counting each task by its dominant
-	// resource. It is the meaningful figure for machines without GPUs.
-	Used float64 `json:"machinesUsed"`
+	// UsedMachines is the utilization in units of whole machines, counting each task by its
+	// dominant resource. It is the meaningful figure for machines without GPUs.
+	UsedMachines float64 `json:"machinesUsed"`
 	// Faulty counts machines considered faulty that have not been returned yet.
 	Faulty int `json:"faulty"`
 }
@@ -44,11 +44,11 @@
 	Class string `json:"class"`
 	Team  string `json:"team"`
 	Jobs  int    `json:"jobs"`
-	// Blocked counts the jobs that wait for other jobs.
-	Blocked int `json:"jobsWaitingForOthers"`
-	Waiting int `json:"tasksWaiting"`
-	Running int `json:"tasksRunning"`
-	Done    int `json:"tasksDone"`
+	// BlockedJobs counts the jobs that wait for other jobs.
+	BlockedJobs  int `json:"jobsWaitingForOthers"`
+	WaitingTasks int `json:"tasksWaiting"`
+	RunningTasks int `json:"tasksRunning"`
+	DoneTasks    int `json:"tasksDone"`
 }
 
 // TeamStatus shows a team's resource usage, including its reservations, and its quotas.
--- a/internal/leader/status_view.go
+++ b/internal/leader/status_view.go
@@ -79,7 +79,7 @@
 	total := placement.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}
 	used := l.usedResources(machine)
 	pool.GPUs += used.GPUs
-	pool.Used += used.DominantShare(total)
+	pool.UsedMachines += used.DominantShare(total)
 }
 
 // compareBool orders false before true.
@@ -105,13 +105,13 @@
 		}
 		queue.Jobs++
 		if job.upstreams.blocked() {
-			queue.Blocked++
+			queue.BlockedJobs++
 			continue // its tasks do not wait for a machine
 		}
 		running := startedAttempts(job)
-		queue.Done += job.progress.completed()
-		queue.Running += running
-		queue.Waiting += max(0, job.progress.remaining()-running)
+		queue.DoneTasks += job.progress.completed()
+		queue.RunningTasks += running
+		queue.WaitingTasks += max(0, job.progress.remaining()-running)
 	}
 	for _, queue := range byPipeline {
 		queues = append(queues, *queue)
--- a/internal/leader/team_usage_test.go
+++ b/internal/leader/team_usage_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// report lets a machine report its tasks in a random state, sometimes only half of them.
-func (m *usageModel) report(rt *rapid.T) {
+// sendHeartbeat lets a machine report its tasks in a random state, sometimes only half of them.
+func (m *usageModel) sendHeartbeat(rt *rapid.T) {
 	machine := m.drawMachine(rt)
 	status := rapid.SampledFrom([]workers.TaskStatus{workers.StatusFetching, workers.StatusRunning, workers.StatusExited}).Draw(rt, "status")
 	var cause workers.ExitCause
@@ -141,7 +141,7 @@
 			"job":      func(rt *rapid.T) { m.addJob(t, rt) },
 			"pass":     func(*rapid.T) { m.leader.runSchedulingPass(m.now) },
 			"commit":   func(*rapid.T) { m.revision = commitPending(m.leader, m.revision) },
-			"report":   m.report,
+			"report":   m.sendHeartbeat,
 			"cancel":   m.cancelJob,
 			"epoch":    m.beginEpoch,
 			"returned": m.returnMachine,
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -122,7 +122,7 @@
 		labels := labelSet{[]string{"type", "zone", "kind"}, []string{pool.Type, pool.Zone, kind}}
 		w.gauge("machines_up", "Machines that are up.", float64(pool.Up), labels)
 		w.gauge("machines_busy", "Machines that run tasks.", float64(pool.Busy), labels)
-		w.gauge("machines_used", "Resources used by tasks, in whole machines.", pool.Used, labels)
+		w.gauge("machines_used", "Resources used by tasks, in whole machines.", pool.UsedMachines, labels)
 		w.gauge("machines_faulty", "Quarantined machines that have not been returned yet.", float64(pool.Faulty), labels)
 	}
 	w.gauge("machines_booting", "Rented machines that have not sent a heartbeat yet.", float64(status.Booting), noLabels)
@@ -132,9 +132,9 @@
 func (w metricsWriter) queue(status leader.Status) {
 	for _, queue := range status.Queue {
 		labels := labelSet{[]string{"class", "team"}, []string{queue.Class, queue.Team}}
-		w.gauge("jobs_after_others", "Jobs that wait for their dependencies.", float64(queue.Blocked), labels)
-		w.gauge("tasks_waiting", "Tasks that are not running yet.", float64(queue.Waiting), labels)
-		w.gauge("tasks_running", "Tasks that are running.", float64(queue.Running), labels)
+		w.gauge("jobs_after_others", "Jobs that wait for their dependencies.", float64(queue.BlockedJobs), labels)
+		w.gauge("tasks_waiting", "Tasks that are not running yet.", float64(queue.WaitingTasks), labels)
+		w.gauge("tasks_running", "Tasks that are running.", float64(queue.RunningTasks), labels)
 	}
 }
 
--- a/internal/node/resource_usage.go
+++ b/internal/node/resource_usage.go
@@ -19,8 +19,8 @@
 
 // LimitRuntime sets the Go runtime's memory limit and GOMAXPROCS from the machine's limits.
 func LimitRuntime(limits config.MachineLimits) {
-	if limits.MemMB > 0 {
-		debug.SetMemoryLimit(int64(limits.MemMB * constants.GoMemoryLimitShare * bytesPerMB))
+	if limits.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(limits.MemoryMB * constants.GoMemoryLimitShare * bytesPerMB))
 		// A high GC percentage is safe here: the memory limit above bounds the heap.
 		debug.SetGCPercent(constants.GCPercent)
 	}
@@ -46,7 +46,7 @@
 	if n.connections.scarce() {
 		scarce = append(scarce, "sockets")
 	}
-	if limit := n.settings.Params.MachineLimits.MemMB; limit > 0 && memory > constants.ScarceMemoryShare*limit {
+	if limit := n.settings.Params.MachineLimits.MemoryMB; limit > 0 && memory > constants.ScarceMemoryShare*limit {
 		scarce = append(scarce, "memory")
 	}
 	requests, writes := n.store.Budget.Available()
--- a/internal/node/sizing_test.go
+++ b/internal/node/sizing_test.go
@@ -18,7 +18,7 @@
 func TestUndersizedSettingsAreReported(t *testing.T) {
 	layout := smallSiteOptions()
 	// Enough memory for the minimum of eight workers, but not for the ten that connect.
-	layout.params.MachineLimits = config.MachineLimits{MemMB: constants.BaseMemoryMB + 8.5*constants.MemoryPerWorkerMB}
+	layout.params.MachineLimits = config.MachineLimits{MemoryMB: constants.BaseMemoryMB + 8.5*constants.MemoryPerWorkerMB}
 	layout.params.Teams[0].GuaranteedGPUs, layout.params.Teams[1].GuaranteedGPUs = 0, 0 // no guarantees, so that only the fleet size counts
 	layout.params.Teams[0].MaxGPUs = 40
 	runScenarioOnce(t, layout, 14, nil, func(sc *scenario) {
