--- a/cmd/thornnotch/overview.go
+++ b/cmd/thornnotch/overview.go
@@ -33,7 +33,8 @@
 	_, _ = fmt.Fprintf(t.writer, format+"\n", args...)
 }
 
-// nodes writes a line for each node, followed by their problems and failovers.
+// nodes writes a line for each node, followed by settings that are too small and by failovers
+// in progress.
 func (t overviewTable) nodes(nodes []node.Status) {
 	t.line("NODE\tVERSION\tLEADING\tLEADER SEEN\tTERM\tSTATE REQUESTS LEFT\tSTATE WRITES LEFT\tCLOUD REQUESTS LEFT\tSOCKETS\tMEMORY\tTHREADS\tSCARCE")
 	for _, n := range nodes {
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -10,10 +10,10 @@
 func TestOperatorErrorsNameKeyAndLine(t *testing.T) {
 	operator, err := ParseOperator([]byte("holds:\n  p: 0.5\n"))
 	if err != nil || operator.Reservations.P != 0.5 || operator.Reservations.Alpha != DefaultOperator().Reservations.Alpha {
-		t.Fatalf("%+v, %v", operator, err)
+		t.Fatalf("file with one setting: got %+v, error %v", operator, err)
 	}
 	if operator, err := ParseOperator(nil); err != nil || operator != DefaultOperator() {
-		t.Fatalf("empty file: %+v, %v", operator, err)
+		t.Fatalf("empty file: got %+v, error %v", operator, err)
 	}
 	for text, wantParts := range map[string][]string{
 		"holds:\n  q: 1\n":            {"q", "2"},
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -88,7 +88,7 @@
 	ValueKB float64 `toml:"value_kb"`
 	// TxnOps is the maximum number of writes in a transaction.
 	TxnOps int `toml:"txn_ops"`
-	// Upcoming contains lower limits that take effect at some time without notice; nil if none.
+	// Upcoming contains limits that take effect at some time without notice; nil if none.
 	Upcoming *UpcomingStateLimits `toml:"next"`
 }
 
@@ -113,14 +113,14 @@
 	return l
 }
 
-// Rates returns the allowed requests and writes per second: the present ones, or the upcoming
-// ones if fallen is set.
-func (l StateLimits) Rates(fallen bool) (rps, writeRPS float64) {
+// Rates returns the allowed requests and writes per second: the present ones or, if lowered is
+// set, the smaller of the present and the upcoming ones.
+func (l StateLimits) Rates(lowered bool) (rps, writeRPS float64) {
 	rps, writeRPS = l.RPS, l.WriteRPS
-	if fallen && l.Upcoming != nil && l.Upcoming.RPS != nil {
+	if lowered && l.Upcoming != nil && l.Upcoming.RPS != nil {
 		rps = min(rps, *l.Upcoming.RPS)
 	}
-	if fallen && l.Upcoming != nil && l.Upcoming.WriteRPS != nil {
+	if lowered && l.Upcoming != nil && l.Upcoming.WriteRPS != nil {
 		writeRPS = min(writeRPS, *l.Upcoming.WriteRPS)
 	}
 	return rps, writeRPS
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -53,7 +53,8 @@
 list_lag_s = 10.0
 `
 
-// TestSettingsErrorsNameKey checks that the error contains the key of every invalid setting.
+// TestSettingsErrorsNameKey checks that the error contains the key of an invalid setting, and
+// that one error reports all invalid settings together, in the order of the file.
 func TestSettingsErrorsNameKey(t *testing.T) {
 	if _, err := Parse(validSettings); err != nil {
 		t.Fatalf("valid settings: %v", err)
@@ -79,7 +80,7 @@
 	} {
 		_, err := Parse(strings.Replace(validSettings, test.old, test.replacement, 1))
 		if err == nil || !strings.Contains(err.Error(), test.wantKey) {
-			t.Errorf("%s: %v", test.replacement, err)
+			t.Errorf("%s: error does not contain the key: %v", test.replacement, err)
 		}
 	}
 	_, err := Parse("label = \"x\"\n")
@@ -113,7 +114,7 @@
 	}
 	settings, err := Parse(text)
 	if err != nil || len(settings.Peers) != 4 || settings.Params.NodeCount != 5 || settings.Params.Teams[0].MaxGPUs != 7000 {
-		t.Fatalf("%+v: %v", settings, err)
+		t.Fatalf("large site: got %+v, error %v", settings, err)
 	}
 	if _, err := Parse(strings.Replace(text, `"rig-4"`, `"rig-3"`, 1)); err == nil || !strings.Contains(err.Error(), "known[3].label") {
 		t.Errorf("duplicate peer name: %v", err)
@@ -121,8 +122,8 @@
 }
 
 // TestUpcomingLimits checks that upcoming size limits apply from the start if they are smaller,
-// that upcoming rates apply only after the rates have fallen, that absent limits do not change
-// anything, and that invalid ones are reported.
+// that upcoming rates apply only after the rates have been lowered, that absent limits do not
+// change anything, and that invalid ones are reported.
 func TestUpcomingLimits(t *testing.T) {
 	withNext := func(next string) string {
 		return strings.Replace(validSettings, "[params.cloud]", "[params.state.next]\n"+next+"\n[params.cloud]", 1)
@@ -140,7 +141,7 @@
 	} {
 		settings, err := Parse(withNext(test.next))
 		if err != nil {
-			t.Fatalf("%q: %v", test.next, err)
+			t.Fatalf("%q: not accepted: %v", test.next, err)
 		}
 		limits := settings.Params.State
 		if limits.ValueKB != test.valueKB || limits.TxnOps != test.txnOps {
@@ -158,7 +159,7 @@
 		"write_rps = -1.0": "params.state.next.write_rps", "rps = nan": "params.state.next.rps",
 	} {
 		if _, err := Parse(withNext(next)); err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("%q: %v", next, err)
+			t.Errorf("%q: error does not contain the key: %v", next, err)
 		}
 	}
 }
--- a/internal/config/sizing.go
+++ b/internal/config/sizing.go
@@ -7,8 +7,8 @@
 	"thornnotch/internal/constants"
 )
 
-// internalSockets returns the number of sockets that a node needs for its own calls and those of
-// its peers.
+// internalSockets returns the number of sockets that a node needs in addition to those of users
+// and workers: for its own calls, for the calls of its peers, and constants.SocketMargin.
 func internalSockets(peers int) int {
 	const direct = constants.StateConns + constants.StateLeaseConns + constants.MaxCloudConns +
 		constants.MaxCommandsInFlight + constants.MaxIdleCommandConns
--- a/internal/config/slo.go
+++ b/internal/config/slo.go
@@ -24,8 +24,8 @@
 	DeadlineMultiple *float64 `toml:"times"`
 }
 
-// DeadlineFactor returns the multiple of its deadline within which a job must complete, for
-// SLODeadline.
+// DeadlineFactor returns the multiple of its deadline within which a job must complete to meet
+// an objective of kind SLODeadline.
 func (o SLO) DeadlineFactor() float64 {
 	if o.DeadlineMultiple == nil {
 		return 1
--- a/internal/constants/attestation.go
+++ b/internal/constants/attestation.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Cancellation attestation: all nodes name to the leader the cancellations that they have
-// confirmed to users.
+// Cancellation attestation: while the leader's watch on the open jobs is unanswered, all nodes
+// report to the leader the cancellations that they have confirmed to users.
 const (
 	// AttestationInterval is the time between two attestation rounds. It must be short
 	// compared with certainty.Window, the time for which the leader may acknowledge workers
--- a/internal/constants/log.go
+++ b/internal/constants/log.go
@@ -10,9 +10,9 @@
 	// LogLargeRingSize is the number of keys in the ring for large fleets, which is used only
 	// if every node can read it.
 	LogLargeRingSize = 8192
-	// LargeRingPartsDivisor is the divisor of LogRingSize that gives the number of checkpoint
-	// parts above which the large ring is used. Such a checkpoint would have to be rewritten
-	// every few seconds in the small ring.
+	// LargeRingPartsDivisor determines when the large ring is used: if a checkpoint has more
+	// parts than LogRingSize divided by it. In the small ring, such a checkpoint would have to
+	// be rewritten every few seconds.
 	LargeRingPartsDivisor = 4
 	// LargeRingCheckInterval is the time between two checks of whether all nodes can read
 	// the large ring.
@@ -26,9 +26,9 @@
 	// MinCheckpointEntries is the minimum number of log entries after a checkpoint before the
 	// next one starts. A failover has to replay them.
 	MinCheckpointEntries = 320
-	// CheckpointEntriesPerPart times the number of parts of the last checkpoint is that number
-	// of entries if it is larger. It keeps the writes for checkpoints at half of those for
-	// entries.
+	// CheckpointEntriesPerPart times the number of parts of the last checkpoint replaces
+	// MinCheckpointEntries if it is larger, up to half of the keys that LogMaxFill allows. It
+	// keeps the writes for checkpoints at half of those for entries.
 	CheckpointEntriesPerPart = 2
 )
 
@@ -38,7 +38,7 @@
 	// also writes the log's head, so changes are collected in between.
 	CommitInterval = 60 * time.Millisecond
 	// CheckpointPartInterval is the minimum time before a transaction that only writes part of
-	// a checkpoint. It is not urgent and must not use up the write budget.
+	// a checkpoint. Such a transaction is not urgent and must not use up the write budget.
 	CheckpointPartInterval = 200 * time.Millisecond
 	// CommitBehindAfter is how long transactions must have been too small for the pending
 	// changes before metadata is held back.
--- a/internal/constants/log_encoding.go
+++ b/internal/constants/log_encoding.go
@@ -15,6 +15,6 @@
 	// LogDoneRunOverhead is the size of a run of completed tasks in a checkpoint without the
 	// job's ID and the bitmap.
 	LogDoneRunOverhead = 40
-	// JobWriteOverhead is the size of the write of a job's record without its value.
+	// JobWriteOverhead is the size of one write to a job's records without the value.
 	JobWriteOverhead = 200
 )
--- a/internal/constants/queue.go
+++ b/internal/constants/queue.go
@@ -6,8 +6,8 @@
 const (
 	// LateSlack is the slack of a job that has just missed its last objective.
 	LateSlack = 90 * time.Second
-	// LateSlackDecay is the number of seconds after which the slack of a late job has shrunk
-	// by one second.
+	// LateSlackDecay is the number of seconds of further delay that reduce the slack of a late
+	// job by one second.
 	LateSlackDecay = 2
 )
 
--- a/internal/constants/scheduling.go
+++ b/internal/constants/scheduling.go
@@ -10,7 +10,8 @@
 	// PassIntervalFactor times the duration of the last pass is the minimum time between two
 	// passes if that is longer. It limits placement to a quarter of the CPU time.
 	PassIntervalFactor = 4
-	// MaxPassInterval is the upper limit of that time, however long the last pass took.
+	// MaxPassInterval is the upper limit of the minimum time between two passes, however long
+	// the last pass took.
 	MaxPassInterval = 1200 * time.Millisecond
 	// MaxMachineViewAge is the age at which the placement view of an unchanged machine is
 	// rebuilt, because the remaining run times in it change over time.
@@ -75,7 +76,7 @@
 	// MaxFinalRecordReads is the maximum number of concurrent reads of upstream jobs' final
 	// records.
 	MaxFinalRecordReads = 6
-	// FinalRecordRetryDelay is the delay after such a read has failed.
+	// FinalRecordRetryDelay is the delay before a failed read of a final record is retried.
 	FinalRecordRetryDelay = 500 * time.Millisecond
 )
 
--- a/internal/constants/serving.go
+++ b/internal/constants/serving.go
@@ -34,7 +34,7 @@
 	// state service asks its peers whether they do.
 	PeerHealthCheckInterval = 400 * time.Millisecond
 	// MaxStateResponseAge is the maximum age of the last response of the state service at
-	// which a node is healthy.
+	// which a node still counts as healthy.
 	MaxStateResponseAge = 3 * time.Second
 	// IsolatedAfter is how long a node must have been cut off from the state service and from
 	// all peers before it reports that it is not ready.
--- a/internal/constants/statestore.go
+++ b/internal/constants/statestore.go
@@ -11,7 +11,8 @@
 	// get a response within a second, which leaves time to resend a transaction whose response
 	// was lost. If the service is slow, the timeout grows up to StateTimeout.
 	MinTxnTimeout = 500 * time.Millisecond
-	// TxnTimeoutFactor times the duration of the last transaction is the timeout of the next.
+	// TxnTimeoutFactor times the duration of the last transaction that got a response is the
+	// timeout of the next. The timeout falls by at most half per response.
 	TxnTimeoutFactor = 2
 	// MaxUserTxnAttempts is the maximum number of times that a user's transaction is sent while
 	// it gets no response.
@@ -52,8 +53,8 @@
 	ScarceTokenShare = 0.1
 )
 
-// The fraction of a full rate budget that the calls of each class must leave for more
-// important classes.
+// The fraction of a full rate budget (the calls of one second) that the calls of each class must
+// leave for more important classes.
 const (
 	BudgetReserveLease       = 0.0
 	BudgetReserveCancel      = 0.05
--- a/internal/constants/workers.go
+++ b/internal/constants/workers.go
@@ -69,9 +69,9 @@
 	// MaxCommandsInFlight is the maximum number of concurrent direct commands. To an
 	// unreachable zone each hangs until its timeout and occupies a socket.
 	MaxCommandsInFlight = 96
-	// MaxSilentCommandsInFlight is the maximum number of them to silent workers, to which
-	// commands usually hang. Stops for a gang must reach its reachable workers within
-	// seconds, however many machines are cut off.
+	// MaxSilentCommandsInFlight is the maximum number of concurrent direct commands to silent
+	// workers, to which commands usually hang. Stops for a gang must reach its reachable
+	// workers within seconds, however many machines are cut off.
 	MaxSilentCommandsInFlight = MaxCommandsInFlight / 2
 	// MaxIdleCommandConns is the maximum number of idle connections to all workers together.
 	// One per worker would be too many for a fleet of hundreds.
@@ -80,8 +80,8 @@
 	StopGrace = 2 * time.Second
 	// StopResendInterval is the interval at which a stop is sent directly again.
 	StopResendInterval = 2 * time.Second
-	// SilentStopResendInterval is that interval for a silent worker, to which commands usually
-	// hang.
+	// SilentStopResendInterval is the interval at which a stop is sent directly again to a
+	// silent worker, to which commands usually hang.
 	SilentStopResendInterval = 10 * time.Second
 	// SilentAfterHeartbeats is the number of heartbeat intervals without a heartbeat after
 	// which a worker counts as silent.
--- a/internal/placement/capacitysearch.go
+++ b/internal/placement/capacitysearch.go
@@ -93,7 +93,7 @@
 	return search
 }
 
-// addIfCheapest adds the machine to the cheapest options if its own cost is low enough.
+// addIfCheapest adds the machine's option to the cheapest options if it is among them.
 func (s *capacitySearch) addIfCheapest(machine *Machine) {
 	if !s.canYieldCapacity(machine) || !s.canUseWhenEmpty(machine) {
 		return
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -6,8 +6,9 @@
 	"slices"
 )
 
-// placeGang starts all of the gang's waiting tasks or none. If the gang does not fit, it frees
-// resources for it on machines or, for a boosted gang, within its team's limit.
+// placeGang starts all of the gang's waiting tasks or none. If they do not fit, placeGang tries
+// to free resources on machines or, if the team's limit is too small, earmarks a part of the
+// limit for the gang if it is boosted.
 func (p *pass) placeGang(gang *Job) {
 	machines := p.chooseGangMachines(gang)
 	p.removeEarmark(gang)
--- a/internal/placement/limitearmark.go
+++ b/internal/placement/limitearmark.go
@@ -22,11 +22,11 @@
 	p.earmarks[team] = slices.DeleteFunc(p.earmarks[team], func(earmark limitEarmark) bool { return earmark.job == gang })
 }
 
-// renewEarmarks renews the earmarks of gangs for which machines are being drained. Otherwise,
-// a smaller job of the team takes part of the limit in the meantime, the gang can't start, and
-// the tasks that were preempted for it restart on the same machines and are preempted again a
-// moment later. In one run with a network partition, this preempted 6,000 tasks in half a
-// minute.
+// renewEarmarks renews the earmarks of gangs that can start as soon as the stopping tasks on
+// their machines have ended (Job.Draining). Otherwise, a smaller job of the team takes part of
+// the limit in the meantime, the gang can't start, and the tasks that were preempted for it
+// restart on the same machines and are preempted again a moment later. In one run with a
+// network partition, this preempted 6,000 tasks in half a minute.
 func (p *pass) renewEarmarks() {
 	for _, job := range p.Jobs {
 		if job.Draining && len(job.WaitingTasks) > 0 && !job.Blocked && p.Teams[job.Spec.Team] != nil {
@@ -36,13 +36,14 @@
 }
 
 // earmarkForBoosted earmarks a part of the team's limit for a boosted gang that does not fit
-// into the limit yet. Reservations that the gang overrides are released at once, because the
-// jobs that they are for could not use them. The part of the limit that becomes free is kept
-// for the gang; otherwise, jobs behind it would use it up piece by piece. Lower-priority jobs
-// of the team may use it until preempting their tasks is enough to start the gang: gangs run
-// for minutes, and a tenth of the limit would be unused until enough of it is free. Then as
-// many of the lower-priority tasks as necessary are preempted, and no other job may take their
-// place.
+// into the limit yet, unless the gang exceeds the whole limit or the pass has already
+// earmarked a part of it for another boosted gang. Reservations that the gang overrides are
+// released at once, because the jobs that they are for could not use them. The part of the
+// limit that becomes free is kept for the gang; otherwise, jobs behind it would use it up
+// piece by piece. Lower-priority jobs of the team may use it until preempting their tasks is
+// enough to start the gang: gangs run for minutes, and a tenth of the limit would be unused
+// until enough of it is free. Then as many of the lower-priority tasks as necessary are
+// preempted, and no other job may take their place.
 //
 // A gang that is not boosted waits, and smaller jobs start in the meantime.
 func (p *pass) earmarkForBoosted(gang *Job) {
--- a/internal/placement/limitearmark_test.go
+++ b/internal/placement/limitearmark_test.go
@@ -84,7 +84,7 @@
 		}
 		plan := Schedule(&Snapshot{Machines: machines, Jobs: []*Job{gang}, Teams: teams()})
 		if len(plan.Preemptions) != 2 || len(plan.Draining) != 1 || plan.Draining[0] != gang {
-			t.Fatalf("%s: %d preempted, %d draining", c.name, len(plan.Preemptions), len(plan.Draining))
+			t.Fatalf("%s: %d preempted, %d draining, want 2 and 1", c.name, len(plan.Preemptions), len(plan.Draining))
 		}
 
 		gang.Draining, gang.ClaimedMachines = true, map[string]bool{"m-0": true, "m-1": true}
--- a/internal/placement/overload_test.go
+++ b/internal/placement/overload_test.go
@@ -86,6 +86,6 @@
 	}
 	started := countStartedTasks(Schedule(snapshot))
 	if started["j-2"] != 2 || started["j-1"] != 1 {
-		t.Errorf("started %v", started)
+		t.Errorf("started %v, want 2 tasks of j-2 and 1 of j-1", started)
 	}
 }
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -96,10 +96,10 @@
 	}
 }
 
-// placeRank places the jobs of one rank. If a machine has the image of a later job but would
-// have to fetch that of an earlier one, the later job goes first there, unless the last start
-// of a task of the earlier job is longer ago than the fetch takes. The remaining tasks are
-// then placed in queue order, regardless of images.
+// placeRank places the jobs of one rank. A machine that has the image of a later array, but not
+// that of an earlier one, is used for the later array, unless the earlier array has not started
+// a task for longer than fetching its image takes. The remaining tasks are then placed in queue
+// order, regardless of images.
 func (p *pass) placeRank(rank []*Job) {
 	type partlyPlacedArray struct {
 		job    *Job
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -5,7 +5,8 @@
 	Starts      []Start
 	Preemptions []Preemption
 	Claims      []DrainClaim
-	// Draining lists the gangs whose tasks will all fit once the stopping tasks have ended.
+	// Draining lists the gangs whose tasks will all fit once the stopping tasks have ended, so
+	// that no further machine has to drain for them.
 	Draining []*Job
 	// Released lists reservations that were overridden by other jobs or that no job can use.
 	Released []Release
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -8,7 +8,8 @@
 )
 
 // Before reports whether a precedes b in the queue. Jobs boosted above all come first, then
-// the order is by priority, boost within the priority, guarantee, slack and submission.
+// the order is by priority, boost within the priority, guarantee, slack and submission. Among
+// boosted jobs, submission takes precedence over guarantee and slack.
 func Before(a, b *Job) bool {
 	switch {
 	case (a.Boost == BoostAboveAll) != (b.Boost == BoostAboveAll):
@@ -79,7 +80,7 @@
 //
 // Objectives are measured as shares of each class's jobs, so a missed target counts for more
 // in a class with few jobs. relativeClassCount is the class's number of jobs relative to that
-// of the most frequent class, and scales the time left.
+// of the most frequent class. It scales the time left, so jobs of rare classes go earlier.
 func (j *Job) UpdateSlack(now time.Time, relativeClassCount float64) {
 	age := now.Sub(j.Submitted)
 	for _, target := range j.Targets {
--- a/internal/placement/queue_test.go
+++ b/internal/placement/queue_test.go
@@ -20,6 +20,6 @@
 	late := jobOfAge("j-3", 70*time.Second, 40*time.Second)
 	ancient := jobOfAge("j-4", time.Hour, 40*time.Second)
 	if !Before(tight, loose) || !Before(loose, late) || !Before(ancient, tight) {
-		t.Errorf("slacks %v, %v, %v, %v", tight.Slack, loose.Slack, late.Slack, ancient.Slack)
+		t.Errorf("wrong order of tight, loose, late and ancient with slacks %v, %v, %v, %v", tight.Slack, loose.Slack, late.Slack, ancient.Slack)
 	}
 }
--- a/internal/placement/reserved_test.go
+++ b/internal/placement/reserved_test.go
@@ -90,7 +90,7 @@
 }
 
 // TestReservationsYieldToBoostedGang guards against a deadlock: reservations for a team's job
-// arrays filled its limit. Once its gang was boosted, what was left of the limit was kept for
+// arrays filled its limit. Once its gang was boosted, the unused part of the limit was kept for
 // the gang, so the arrays could not use even their own slots, which stayed reserved as long as
 // the arrays waited. None of the team's tasks ran for the rest of the day.
 func TestReservationsYieldToBoostedGang(t *testing.T) {
@@ -141,7 +141,7 @@
 		snapshot := &Snapshot{Machines: testMachines(7), Jobs: []*Job{job}, Teams: map[string]*Team{"a": team}}
 		for _, machine := range snapshot.Machines[:5] {
 			machine.Reserved = []ReservedSlot{{Pipeline: job.Pipeline(), Priority: 1, Resources: TaskResources(job.Spec)}}
-			machine.Spot = true // reserved earlier, for another job of the pipeline
+			machine.Spot = true // not allowed for the job: reserved earlier, for another job of the pipeline
 		}
 		plan := Schedule(snapshot)
 		if len(plan.Starts) != 2 || len(plan.Released) != 5 || team.Used.GPUs != 8 {
--- a/internal/placement/sizeclass.go
+++ b/internal/placement/sizeclass.go
@@ -6,7 +6,7 @@
 // these use GPUs.
 type sizeClass struct {
 	gpus         bool
-	sizeExponent int // binary exponent of the dominant share of maxTotal
+	sizeExponent int // binary exponent of the request's dominant share of maxTotal
 }
 
 // sizeClassMachines lists the machines with room for the smallest tasks of a class.
@@ -54,8 +54,8 @@
 }
 
 // candidateMachines returns the machines that may have room for a task of the job, in order of
-// name. Free capacity only shrinks during a pass, so a machine that is left out has none
-// later.
+// name. The list is made only once for each size class: free capacity only shrinks during a
+// pass, so a machine without room at that time has none later.
 func (p *pass) candidateMachines(job *Job) []*Machine {
 	class := p.sizeClasses[p.sizeClassOf(TaskResources(job.Spec))]
 	if p.exhaustive || class == nil {
--- a/internal/placement/sizeclass_test.go
+++ b/internal/placement/sizeclass_test.go
@@ -22,7 +22,7 @@
 
 		plan := Schedule(snapshot)
 		if len(plan.Starts) != 1 {
-			t.Errorf("%d machines: %d starts", machines, len(plan.Starts))
+			t.Errorf("%d machines: %d starts, want 1", machines, len(plan.Starts))
 		}
 		examined[machines] = plan.MachinesExamined - machines // the small job examines all machines
 	}
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -95,7 +95,7 @@
 type Job struct {
 	Spec               *jobs.Spec
 	Priority           int
-	SubmissionRevision uint64 // revision of the job's record
+	SubmissionRevision uint64 // revision of the job's record, in the order of submission
 	Submitted          time.Time
 	Guaranteed         bool // fits into its team's guarantee together with the team's earlier jobs
 	WaitingTasks       []int
@@ -109,7 +109,8 @@
 	SinceLastStart time.Duration
 	Blocked        bool // must not start now because it is in backoff
 	// ClaimedMachines names the machines that the previous pass claimed for the job. Draining
-	// is set if they will have room for all of its waiting tasks.
+	// is set if they will have room for all of its waiting tasks once the stopping tasks have
+	// ended.
 	ClaimedMachines map[string]bool
 	Draining        bool
 	// Targets are the latest times after submission at which a start still meets a
--- a/internal/reservations/manager.go
+++ b/internal/reservations/manager.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// Restore adds a reservation that was read from a machine's record.
+// Restore adds a reservation that was read from a machine's record, unless slot reservation is
+// disabled.
 func (m *Manager) Restore(reservation Reservation) {
 	if m.options.Enabled {
 		m.add(reservation)
@@ -59,8 +60,8 @@
 	return false
 }
 
-// ReleaseExcess removes reservations on a machine, lowest priority first, until the rest fits
-// into room, the resources available there. It reports whether it removed any.
+// ReleaseExcess removes reservations on a machine, lowest priority first, until the remaining
+// ones fit into room, the resources available there. It reports whether it removed any.
 func (m *Manager) ReleaseExcess(machine string, room placement.Resources) (changed bool) {
 	for len(m.reservations[machine]) > 0 {
 		var reserved placement.Resources
@@ -89,7 +90,7 @@
 }
 
 // Expire removes the reservations that are past their deadline or whose downstream job is no
-// longer waiting, and returns the names of the machines that they were on.
+// longer waiting, and returns the sorted names of the machines that they were on.
 func (m *Manager) Expire(now time.Time, isWaiting func(job string) bool) (changed []string) {
 	for machine, reservations := range m.reservations {
 		var kept []Reservation
@@ -110,8 +111,9 @@
 	return changed
 }
 
-// removeObsoletePhases removes the phases that can't reserve slots any more: those long past their
-// deadline, and those that pre-reserve slots only for jobs that are no longer waiting.
+// removeObsoletePhases removes the phases that can't reserve slots any more: those past their
+// deadline for longer than ReservationPhaseRetention, and those that pre-reserve slots only for
+// jobs that are no longer waiting.
 func (m *Manager) removeObsoletePhases(now time.Time, isWaiting func(job string) bool) {
 	anyWaiting := func(downstreams []Downstream) bool {
 		return slices.ContainsFunc(downstreams, func(downstream Downstream) bool { return isWaiting(downstream.Job) })
--- a/internal/reservations/manager_test.go
+++ b/internal/reservations/manager_test.go
@@ -209,7 +209,7 @@
 // TestReservationsLimitedToTaskCount guards against more reservations for a job than it has
 // tasks: every upstream job of a pipeline that finished reserved slots for the one gang that
 // still waited, until it had 237 machines for 24 tasks. It checks the limit and the internal
-// count while tasks finish and reservations expire, are used or are lost.
+// count while tasks finish, reservations expire or are used, and machines leave.
 func TestReservationsLimitedToTaskCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		manager := NewManager(testOptions)
--- a/internal/reservations/phase.go
+++ b/internal/reservations/phase.go
@@ -12,7 +12,7 @@
 	releasedSlots int // number of their slots that were released, if m > n
 	// shortestRuntime is the run time of the task that finished first: t_m in the paper.
 	shortestRuntime time.Duration
-	deadline        time.Time
+	deadline        time.Time // when the phase's reservations expire
 	// slotsToPreReserve is the number of slots released by other jobs that are still to be
 	// reserved, if m < n. It is set once, when the threshold is reached.
 	slotsToPreReserve int
@@ -77,7 +77,8 @@
 }
 
 // reserveFor reserves a slot for the first downstream job of the phase that fits there and has
-// fewer reservations than tasks. It reports whether there is one.
+// fewer reservations than tasks. It reports whether there was one. A downstream job of unknown
+// size is assumed to have upstreamTasks tasks.
 //
 // Several upstream jobs may finish while the same downstream job waits. More reservations than
 // tasks would leave slots idle and use up the team's limit: a gang of 24 tasks once had
@@ -106,7 +107,8 @@
 func (m *Manager) OfferFreedSlot(machine string, fits func(Downstream) bool, now time.Time) bool {
 	for _, job := range m.preReservingJobs(now) {
 		upstream := m.phases[job]
-		// An unknown n is taken as m, for which no further slots are pre-reserved: hence 0.
+		// With 0 upstream tasks, no slot is reserved for a downstream job of unknown size: its
+		// n is taken as m, and slots are pre-reserved only if m < n.
 		if m.reserveFor(upstream, job, machine, 0, fits) {
 			upstream.slotsToPreReserve--
 			return true
