--- a/internal/leader/attempt_records.go
+++ b/internal/leader/attempt_records.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// allowForget lets a worker discard an exit once it is recorded or if no record of it is
-// needed.
+// allowForget allows a worker to forget the exit of an attempt. It is called once the exit is
+// recorded, or right away for an exit that needs no record.
 func (l *Leader) allowForget(machine *machineState, attempt *workers.Attempt) {
 	if !attempt.ExitRecorded {
 		attempt.ExitRecorded = true
@@ -54,7 +54,7 @@
 	}
 }
 
-// releaseRecordedExits lets workers discard the exits of a job's tasks whose completion is
+// releaseRecordedExits lets workers forget the exits of a job's tasks whose completion is
 // recorded.
 func (l *Leader) releaseRecordedExits(job *jobState) {
 	for attempt, machine := range job.unrecordedExits {
--- a/internal/leader/attestations.go
+++ b/internal/leader/attestations.go
@@ -13,7 +13,7 @@
 type AttestFunc func(ctx context.Context, span time.Duration) (cancelled []string, ok bool)
 
 // collectAttestations requests attestations from all nodes while the watch on the open jobs is
-// unanswered.
+// unanswered. It returns when ctx is done.
 func (l *Leader) collectAttestations(ctx context.Context) error {
 	ticker := time.NewTicker(constants.AttestationInterval)
 	defer ticker.Stop()
--- a/internal/leader/certainty/certainty.go
+++ b/internal/leader/certainty/certainty.go
@@ -23,7 +23,8 @@
 // was earlier. So its tasks are gone by W + window + lease·(1+drift) + lag, however long the
 // heartbeat or the reply took in transit, and that must be no later than W + cancel·(1−drift).
 // Here lag is [constants.WorkerKillDelay]. TestCancelledTasksEndInTimeDuringOutage checks the
-// bound.
+// bound. The window is at least one second; settings for which this minimum applies are not
+// covered by the bound.
 func Window(w config.WorkerTimings) time.Duration {
 	cancel, lease := config.Seconds(w.CancelWithinS), config.Seconds(w.LeaseS)
 	drift := time.Duration(float64(cancel+lease) * constants.ClockDrift)
--- a/internal/leader/certainty_test.go
+++ b/internal/leader/certainty_test.go
@@ -52,6 +52,8 @@
 	acknowledged int
 }
 
+// newOutageScenario returns a scenario that starts now; the time of the first confirmation
+// depends on the seed.
 func newOutageScenario(t *testing.T, seed uint64) *outageScenario {
 	t.Helper()
 	s := &outageScenario{l: testLeader(t), rng: rand.New(rand.NewPCG(seed, 5)), refusedAt: time.Now()}
--- a/internal/leader/class_stats.go
+++ b/internal/leader/class_stats.go
@@ -25,7 +25,8 @@
 	}
 }
 
-// decay reduces the counts and rates by the elapsed time.
+// decay reduces the weight of earlier arrivals and placements for the time elapsed since the
+// last call.
 func (s *classStats) decay(elapsed time.Duration) {
 	s.arrivals.decay(elapsed)
 	s.placementRates.decay(elapsed)
@@ -36,7 +37,7 @@
 
 func (a classArrivals) add(class string) { a[class]++ }
 
-// decay reduces all counts by the elapsed time.
+// decay reduces all counts by the fraction elapsed/ArrivalWindow.
 func (a classArrivals) decay(elapsed time.Duration) {
 	for class := range a {
 		a[class] *= 1 - elapsed.Seconds()/constants.ArrivalWindow.Seconds()
@@ -62,7 +63,7 @@
 
 func (r placementRates) add(class string) { r[class] += 1 / constants.StartRateWindow.Seconds() }
 
-// decay reduces all rates by the elapsed time.
+// decay reduces all rates by the fraction elapsed/StartRateWindow.
 func (r placementRates) decay(elapsed time.Duration) {
 	for class := range r {
 		r[class] *= 1 - elapsed.Seconds()/constants.StartRateWindow.Seconds()
@@ -73,7 +74,8 @@
 // estimates.
 type runtimeRatios map[string]float64
 
-// record adds the run time of one of the job's tasks. Jobs without an estimate are ignored.
+// record updates the average of the job's class with the run time of one of the job's tasks.
+// Jobs without an estimate are ignored.
 func (r runtimeRatios) record(spec *jobs.Spec, ran time.Duration) {
 	if spec.ExpectedS <= 0 {
 		return
--- a/internal/leader/class_stats_test.go
+++ b/internal/leader/class_stats_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestRelativeClassCount checks that counts are relative to the most frequent class, and are 1
-// for every class before any job has arrived.
+// for every class before any job has arrived. Counts decay with time.
 func TestRelativeClassCount(t *testing.T) {
 	arrivals := make(classArrivals)
 	if got := arrivals.relativeCount("x"); got != 1 {
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -53,10 +53,12 @@
 	return groupCommit{logger: logger, beginCheckpoint: beginCheckpoint, obsoleteKeys: make(map[string]uint64), replacedKeys: make(map[string]uint64)}
 }
 
-// setLog sets the log whose changes are committed.
+// setLog sets the log whose changes are committed, and the maximum number of operations in a
+// transaction.
 func (c *groupCommit) setLog(log *wal.Writer, txnOps int) { c.log, c.txnOps = log, txnOps }
 
-// healthy reports whether commits are succeeding, as far as is known.
+// healthy reports whether commits are succeeding, that is, whether no transaction is in
+// backoff.
 func (c *groupCommit) healthy() bool { return c.backoff == 0 }
 
 // behind reports whether transactions have been full for longer than CommitBehindAfter.
@@ -104,8 +106,8 @@
 // hasRemaining reports whether changes are pending that are not in the transaction in flight.
 func (c *groupCommit) hasRemaining() bool { return c.log.HasQueuedChanges() || c.hasFinalRecords() }
 
-// setLastTxnFull records whether the transaction being sent left changes pending for lack of
-// space.
+// setLastTxnFull records whether changes stay pending because they do not fit into the
+// transaction being sent.
 func (c *groupCommit) setLastTxnFull(full bool, now time.Time) {
 	if full && !c.lastTxnFull {
 		c.fullSince = now
@@ -154,7 +156,8 @@
 }
 
 // largeRingCheckDue reports whether to ask the nodes if they can read the log's large ring. It
-// does so every LargeRingCheckInterval while the fleet is large enough to need that ring.
+// returns true once per LargeRingCheckInterval while the fleet is large enough to need that
+// ring.
 func (c *groupCommit) largeRingCheckDue(now time.Time) bool {
 	if !c.log.WantsLargeRing() || now.Sub(c.largeRingCheckedAt) < constants.LargeRingCheckInterval {
 		return false
--- a/internal/leader/commit_calls.go
+++ b/internal/leader/commit_calls.go
@@ -39,8 +39,8 @@
 	return commitResult{revision: revision, err: err}
 }
 
-// resolveConflict reads the log's head after a conflict, because an earlier attempt that got
-// no answer may have been executed.
+// resolveConflict reads the log's head after a conflict, because the same transaction may have
+// been executed when it was sent before and got no answer.
 func (l *Leader) resolveConflict(ctx context.Context, conflict *statestore.ConflictError) commitResult {
 	row, found, err := l.deps.Store.Get(ctx, statestore.ClassRecord, wal.HeadKey)
 	if err != nil {
--- a/internal/leader/commit_job_writes.go
+++ b/internal/leader/commit_job_writes.go
@@ -8,7 +8,7 @@
 	"thornnotch/internal/statestore"
 )
 
-// Transaction operations besides those of the log's own entries.
+// Operations of a transaction, which jobs' final records share with the log.
 const (
 	// opsPerFinalRecord is the number of operations that move a job from the open to the final
 	// records.
@@ -22,7 +22,7 @@
 type finalRecord struct {
 	// obsolete reports whether the record no longer needs to be written.
 	obsolete func() bool
-	// write returns the write and marks it as in flight.
+	// write returns the write of the record, and marks the record as in flight.
 	write func() wal.JobWrite
 }
 
--- a/internal/leader/commit_result.go
+++ b/internal/leader/commit_result.go
@@ -29,7 +29,7 @@
 	duration time.Duration
 	// endReason is why the term must end; empty if it continues.
 	endReason EndReason
-	// requestPass is set if a scheduling pass may now achieve more than before.
+	// requestPass is set if a scheduling pass may now decide differently.
 	requestPass bool
 }
 
@@ -43,7 +43,7 @@
 	case deposed:
 		outcome.endReason = ErrDeposed
 	case result.conflict != nil && c.log.WroteHead(*result.head):
-		// An earlier attempt that got no answer was executed.
+		// The transaction had been executed when it was sent before and got no answer.
 		c.log.Committed(result.headRevision)
 		outcome.requestPass = c.markHealthy()
 	case result.conflict != nil && result.conflict.HasKey(wal.HeadKey):
--- a/internal/leader/commit_test.go
+++ b/internal/leader/commit_test.go
@@ -78,8 +78,8 @@
 }
 
 // TestUnansweredTransactionIsResolvedByHead checks that a transaction that got no answer is
-// sent again unchanged. If the retry conflicts, the log's head shows whether the first attempt
-// was executed.
+// sent again unchanged. If the retry conflicts, the log's head shows whether the transaction
+// had been executed the first time.
 func TestUnansweredTransactionIsResolvedByHead(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
@@ -101,7 +101,7 @@
 	headConflict := &statestore.ConflictError{FailedKeys: []string{wal.HeadKey}}
 	l.applyCommitResult(commitResult{err: headConflict, conflict: headConflict, head: &head, headRevision: 55})
 	if l.term.err() != nil || len(machine.agent.Commands(true, now)) != 1 {
-		t.Fatalf("the first attempt was executed, but the start command is not sent (term error: %v)", l.term.err())
+		t.Fatalf("the transaction was executed the first time, but the start command is not sent (term error: %v)", l.term.err())
 	}
 	addJob(t, l, arraySpec("j-2", 1), now)
 	l.runSchedulingPass(now)
--- a/internal/leader/demand_propagation.go
+++ b/internal/leader/demand_propagation.go
@@ -7,10 +7,10 @@
 	"thornnotch/internal/jobs"
 )
 
-// Users set a deadline and a priority only on the last job of a chain. The jobs upstream of it
-// inherit both, across all jobs that depend on them directly or indirectly: the highest
-// priority, and the latest start that still lets the rest of the chain finish in time. A job's
-// inherited values change only when its downstream jobs change.
+// Users set a deadline and a priority only on the last job of a chain. Each job upstream of it
+// inherits from all jobs that depend on it, directly or indirectly: the highest priority, and
+// the latest start that still lets all of them finish by their deadlines. A job's inherited
+// values change only when its downstream jobs change.
 
 // demand is what the downstream jobs of a job require of it.
 type demand struct {
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -7,10 +7,10 @@
 )
 
 // Jobs with dependencies. Such a job is hidden from placement and autoscaling until the final
-// record of each job that it names says that the job is done. The log saying that all tasks of
-// the upstream job are done is not enough, because its user's cancellation can still win the
-// race to write the final record. Final records never change, so each has to be read only
-// once. While one can't be read, the job keeps waiting.
+// record of each of its upstream jobs says that this upstream job is done. It is not enough
+// that the log records all tasks of the upstream job as done, because its user's cancellation
+// can still win the race to write the final record. Final records never change, so each has to
+// be read only once. While one can't be read, the job keeps waiting.
 
 // addDependencies registers the dependencies of a new job.
 func (l *Leader) addDependencies(job *jobState, dependencies jobs.Dependencies) {
@@ -81,8 +81,9 @@
 	job.upstreams.markDone(upstream)
 	finishedAt := time.UnixMilli(final.FinishedAtMS)
 	if final.FinishedAtMS > 0 && finishedAt.After(job.view.Submitted) {
-		// The time is from the clock of an earlier leader, which may be ahead of this
-		// leader's. The job has ended by now in any case, so now is the latest possible time.
+		// The time may be from the clock of an earlier leader, which may be ahead of this
+		// leader's. The upstream job has ended by now in any case, so now is the latest
+		// possible time.
 		if finishedAt.After(now) {
 			finishedAt = now
 		}
--- a/internal/leader/dependency_tracker.go
+++ b/internal/leader/dependency_tracker.go
@@ -78,17 +78,18 @@
 
 // takeResolved removes and returns the unlinked jobs whose dependency lists are complete.
 func (d *dependencyTracker) takeResolved() map[*jobState][]string {
-	listed := make(map[*jobState][]string)
+	resolved := make(map[*jobState][]string)
 	for job, dependencies := range d.unlinked {
 		if dependencies.Split == nil {
-			listed[job] = dependencies.DependsOn
+			resolved[job] = dependencies.DependsOn
 			delete(d.unlinked, job)
 		}
 	}
-	return listed
+	return resolved
 }
 
-// startFinalReads selects the final records to read next and marks these reads as in progress.
+// startFinalReads returns the IDs of the jobs whose final records are to be read now, and
+// marks these reads as in progress.
 func (d *dependencyTracker) startFinalReads(isOpen func(id string) bool) (ids []string) {
 	for id := range d.pendingFinals {
 		if d.atReadLimit() {
@@ -113,7 +114,7 @@
 	dependencies jobs.Dependencies
 }
 
-// startListReads selects the dependency lists to read next and marks these reads as in
+// startListReads returns the dependency lists to be read now, and marks these reads as in
 // progress.
 func (d *dependencyTracker) startListReads() (lists []dependencyList) {
 	for job, dependencies := range d.unlinked {
--- a/internal/leader/doc.go
+++ b/internal/leader/doc.go
@@ -25,6 +25,6 @@
 //   - loadLog and status: what operators see
 //
 // Safety depends on records in the state service, not on the lease or on timing: no attempt
-// starts, no worker discards an exit and no user gets an answer before the record that it
+// starts, no worker forgets an exit and no user gets an answer before the record that it
 // depends on is committed. docs/design.md (Safety) gives the argument.
 package leader
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -35,8 +35,8 @@
 func (f *failover) completed() bool { return f.progress == "" }
 
 // reported records how many of the known machines have reported. The failover completes once
-// all have, or once the leases of the others must have expired. It returns the time since the
-// failover started and whether the failover is now complete.
+// all have, or once the leases of those that have not must have expired. It returns the time
+// since the failover started and whether the failover is now complete.
 func (f *failover) reported(reported, total int, lease time.Duration, now time.Time) (took time.Duration, completed bool) {
 	took = now.Sub(f.startedAt)
 	if reported != total && took <= lease {
@@ -47,8 +47,8 @@
 	return took, true
 }
 
-// updateFailover counts which of the recorded machines have reported, and completes the
-// failover when enough have.
+// updateFailover counts the known machines that have reported, and completes the failover once
+// all have or a lease has passed since its start.
 func (l *Leader) updateFailover(now time.Time) {
 	if l.failover.completed() {
 		return
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -69,7 +69,8 @@
 	}
 }
 
-// clearMachineSuspicion withdraws the suspicions against machines that a faulty job raised.
+// clearMachineSuspicion withdraws the suspicions that the failures of a faulty job have raised
+// against machines.
 func (l *Leader) clearMachineSuspicion(job *jobState) {
 	for _, name := range job.failures.SuspectMachines() {
 		if machine := l.fleet.get(name); machine != nil {
--- a/internal/leader/finish_reservations.go
+++ b/internal/leader/finish_reservations.go
@@ -66,6 +66,8 @@
 	return []reservations.Downstream{newDownstream(next, next.view.Pipeline())}
 }
 
+// newDownstream returns a waiting job as the reservation rule sees it; its slots are reserved
+// for the given pipeline.
 func newDownstream(job *jobState, pipeline placement.Pipeline) reservations.Downstream {
 	return reservations.Downstream{
 		Pipeline: pipeline, Job: job.spec.ID, Tasks: job.spec.Tasks,
--- a/internal/leader/gang_recovery.go
+++ b/internal/leader/gang_recovery.go
@@ -55,7 +55,7 @@
 }
 
 // waitsForStart reports whether an attempt, by its last reported status, has not started: it
-// is fetching its image, or waiting for the rest of its gang.
+// is fetching its image, or waiting for the other tasks of its gang.
 func waitsForStart(attempt *workers.Attempt) bool {
 	return attempt.Status == "" || attempt.Status == workers.StatusFetching || attempt.Status == workers.StatusWaiting
 }
--- a/internal/leader/gang_recovery_test.go
+++ b/internal/leader/gang_recovery_test.go
@@ -74,17 +74,17 @@
 	t.Run(string(workers.StatusWaiting), func(t *testing.T) {
 		now := time.Now()
 		l, gang, placed := loseGangTask(t, workers.StatusWaiting, now)
-		rest, lost := placed[0], placed[1]
-		completed := gang.attempts.sorted()
-		if len(completed) != 2 || rest.attempt.StopRequested || gang.gang.replacingTask {
-			t.Fatalf("the lost task is not replaced: %+v", completed)
+		survivor, lost := placed[0], placed[1]
+		repaired := gang.attempts.sorted()
+		if len(repaired) != 2 || survivor.attempt.StopRequested || gang.gang.replacingTask {
+			t.Fatalf("the lost task is not replaced: %+v", repaired)
 		}
-		replacement := completed[1]
-		if replacement.attempt.ID.Number != rest.attempt.ID.Number || replacement.machine == lost.machine ||
-			replacement.machine.agent.Zone != rest.machine.agent.Zone || !replacement.attempt.StartAllowed {
+		replacement := repaired[1]
+		if replacement.attempt.ID.Number != survivor.attempt.ID.Number || replacement.machine == lost.machine ||
+			replacement.machine.agent.Zone != survivor.machine.agent.Zone || !replacement.attempt.StartAllowed {
 			t.Errorf("wrong replacement %+v on %s", replacement.attempt, replacement.machine.agent.Name)
 		}
-		l.applyHeartbeat(rest.machine, nextHeartbeat(l, rest.machine, workers.StatusExited, workers.CauseGangLost), false, now)
+		l.applyHeartbeat(survivor.machine, nextHeartbeat(l, survivor.machine, workers.StatusExited, workers.CauseGangLost), false, now)
 		if len(gang.attempts) != 0 && !gang.attempts.sorted()[0].attempt.StopRequested {
 			t.Errorf("the replacement is not stopped with its gang")
 		}
@@ -92,7 +92,7 @@
 	t.Run(string(workers.StatusRunning), func(t *testing.T) {
 		_, gang, placed := loseGangTask(t, workers.StatusRunning, time.Now())
 		if !placed[0].attempt.StopRequested || len(gang.attempts) != 1 {
-			t.Errorf("the rest of a running gang is not stopped: %v", gang.attempts)
+			t.Errorf("the other task of a running gang is not stopped: %v", gang.attempts)
 		}
 	})
 }
--- a/internal/leader/gang_starvation.go
+++ b/internal/leader/gang_starvation.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// boost returns how far the waiting gangs must be boosted: before other jobs of their priority
-// if too many gangs start late, before all other jobs if the share of late gangs is near one
-// half, the users' bound.
+// boost returns how strongly the waiting gangs must be boosted: before other jobs of their
+// priority if too many gangs start late, before all other jobs if the share of late gangs is
+// near one half, the users' bound.
 func (s *gangWaitStats) boost() placement.Boost {
 	lateShare := 0.0
 	if s.late > 0 {
--- a/internal/leader/health/failures.go
+++ b/internal/leader/health/failures.go
@@ -34,8 +34,8 @@
 	// failedRounds counts the consecutive rounds of failures since the job was found
 	// faulty; zero if the job does not count as faulty.
 	failedRounds int
-	// failuresByTask counts the failures of each task. The job avoids a machine after a
-	// failure, so that each is normally on a different machine.
+	// failuresByTask counts the failures of each task. As the job avoids a machine after a
+	// failure, each failure is normally on a different machine.
 	failuresByTask map[int]int
 }
 
--- a/internal/leader/health/runtimes.go
+++ b/internal/leader/health/runtimes.go
@@ -11,9 +11,10 @@
 //
 // A machine may start to run its tasks much more slowly than others. Heartbeats report no
 // progress and owners' estimates are often wrong by half, so a task is compared with the other
-// tasks of its job instead. The paper runs a second copy of a slow task (section IV-C), which
-// the protocol forbids. Here the tasks of a slow machine are saved, stopped and started
-// elsewhere, and the machine gets no new tasks for a while.
+// tasks of its job instead. The paper on speculative slot reservation (see package
+// reservations) runs a second copy of a slow task (section IV-C), which the protocol forbids.
+// Here the tasks of a slow machine are saved, stopped and started elsewhere, and the machine
+// gets no new tasks for a while.
 type Runtimes struct {
 	samples []time.Duration // the latest, oldest first
 	// median caches the median of the samples; zero means that it must be recomputed.
@@ -32,8 +33,8 @@
 // Samples returns the number of run times.
 func (r *Runtimes) Samples() int { return len(r.samples) }
 
-// Median returns the median run time. It reports false until enough of the job's tasks are
-// done, because the first tasks to finish are the shortest ones.
+// Median returns the median run time of a job with the given number of tasks. It reports false
+// until enough of them are done, because the first tasks to finish are the shortest ones.
 func (r *Runtimes) Median(tasks int) (time.Duration, bool) {
 	if len(r.samples) < constants.MinRuntimeSamples || 2*len(r.samples) < min(tasks, constants.MaxRuntimeSamples) {
 		return 0, false
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -74,9 +74,10 @@
 // holds for an epoch that is proven to have ended, because its tasks may already run
 // elsewhere.
 //
-// The epoch check never applies with the present order of calls: IsDuplicate refuses epochs
-// that had expired before, Observe expires only epochs before the heartbeat's own, and
-// leases expire only in a tick. It protects against a change of that order.
+// The epoch check never applies with the present order of calls: heartbeats of epochs that had
+// expired before are refused because of IsDuplicate, Observe expires only epochs before the
+// heartbeat's own, and leases expire only in a tick. It protects against a change of that
+// order.
 func leaseMustExpire(agent *workers.Agent, heartbeat *workers.Heartbeat) bool {
 	return agent.RepliesLost || heartbeat.Epoch <= agent.ExpiredEpoch
 }
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -105,7 +105,7 @@
 		}
 		l.returnMachines([]string{"m-1"})
 		runUntilIdle(t, l)
-		l.flushReplies(time.Now().Add(constants.ReplyHold)) // the same round of the loop, after the hold time
+		l.flushReplies(time.Now().Add(constants.ReplyHold)) // the same iteration of the loop, after the hold time
 		if n := len(replies); n != 1 {
 			t.Fatalf("%d replies to one heartbeat", n)
 		}
--- a/internal/leader/image_cache.go
+++ b/internal/leader/image_cache.go
@@ -23,9 +23,9 @@
 	return slices.ContainsFunc(c, func(image cachedImage) bool { return image.fetched && image.name == name })
 }
 
-// use marks an image as the most recently used and evicts the least recently used ones
-// until the rest fit the capacity, as the machine itself does. The image just used always
-// stays. A capacity of 0 means unknown: nothing is evicted.
+// use marks an image as the most recently used, adding it if necessary, and evicts the least
+// recently used ones until the images fit the capacity, as the machine itself does. The image
+// just used always stays. A capacity of 0 means unknown: nothing is evicted.
 func (c *imageCache) use(name string, gb float64, fetched bool, capacityGB float64) {
 	images := *c
 	for i, image := range images {
--- a/internal/leader/job_admission.go
+++ b/internal/leader/job_admission.go
@@ -63,8 +63,8 @@
 	l.jobs.clearRemoved(id)
 }
 
-// removeJob removes a job that has ended. Attempts that may still be on machines are stopped,
-// and the job's team and resources are kept until they are proven gone.
+// removeJob removes a job that has ended. Its attempts that may still be on machines are
+// stopped, and its team and resources are kept until these attempts are proven gone.
 func (l *Leader) removeJob(job *jobState, now time.Time) {
 	if job.removed {
 		return
--- a/internal/leader/job_attempts.go
+++ b/internal/leader/job_attempts.go
@@ -47,7 +47,8 @@
 	job.placed = true
 }
 
-// removeAttempt removes an attempt from its job once it is gone or has exited.
+// removeAttempt removes an attempt that is gone or has exited from its job, and logs that it
+// is gone.
 func (l *Leader) removeAttempt(machine *machineState, attempt *workers.Attempt) {
 	machine.markStale()
 	l.wal.AttemptGone(machine.agent.Name, attemptToRecord(attempt))
--- a/internal/leader/job_state.go
+++ b/internal/leader/job_state.go
@@ -13,8 +13,8 @@
 type jobState struct {
 	spec     *jobs.Spec
 	revision uint64 // revision of the job's record, which never changes
-	// acceptedAt is the submission time. The submission time in view moves on to the end of
-	// the last upstream job.
+	// acceptedAt is the submission time. The time in view.Submitted is moved to the end of the
+	// last upstream job instead.
 	acceptedAt time.Time
 
 	// view is the job as shown to placement; stale is set when it has to be rebuilt.
@@ -29,8 +29,8 @@
 	attempts taskAttempts
 	// placed is set once any task has been placed: the job no longer waits to start.
 	placed bool
-	// lastPlacedAt is when a task of the job was last placed. Until then, it is when the job
-	// was added or became eligible to start.
+	// lastPlacedAt is when a task of the job was last placed. Before the first placement, it
+	// is when the job was added or became eligible to start.
 	lastPlacedAt time.Time
 	started      time.Time // when a task was first reported running
 
@@ -73,7 +73,7 @@
 // upstreamState holds the jobs that a job depends on.
 type upstreamState struct {
 	declared bool // the job has dependencies, whether or not they are done
-	unlinked bool // the upstream jobs are not linked yet
+	unlinked bool // the job is not linked to its upstream jobs yet
 	// pending are the upstream jobs that are not known to be done.
 	pending map[string]bool
 }
@@ -98,6 +98,8 @@
 // blocked reports whether any upstream job is not known to be done.
 func (u *upstreamState) blocked() bool { return u.unlinked || len(u.pending) > 0 }
 
+// newJobState returns the state of a job without attempts. submitted is its submission time,
+// now the time at which it is added.
 func newJobState(spec *jobs.Spec, revision uint64, submitted, now time.Time) *jobState {
 	return &jobState{
 		spec: spec, revision: revision, acceptedAt: submitted, lastPlacedAt: now,
--- a/internal/leader/job_table.go
+++ b/internal/leader/job_table.go
@@ -127,11 +127,12 @@
 	return ""
 }
 
-// nextInPipeline returns the earliest other job in the pipeline of an upstream job that has
-// not started and has no dependencies: jobs with dependencies have pipelines of their own.
+// nextInPipeline returns the job that follows an upstream job in its pipeline, or nil if there
+// is none: the earliest other job that has no placed tasks. Jobs with dependencies are
+// skipped, as they have pipelines of their own.
 func (t *jobTable) nextInPipeline(upstream *jobState) *jobState {
 	pipeline := upstream.view.Pipeline()
-	// Jobs are added in the order of their records, except those loaded during the failover.
+	// Jobs are added in the order of their revisions, except those loaded during the failover.
 	var earliest *jobState
 	kept := t.pipelines[pipeline][:0]
 	for _, job := range t.pipelines[pipeline] {
--- a/internal/leader/loop_test.go
+++ b/internal/leader/loop_test.go
@@ -85,7 +85,8 @@
 	}
 }
 
-// heartbeatUntilCommanded sends heartbeats of a machine until it receives commands.
+// heartbeatUntilCommanded sends heartbeats of machine m-1 until a reply carries commands, and
+// returns these. It returns nil if none of nine replies does.
 func heartbeatUntilCommanded(t *testing.T, l *Leader) []workers.Command {
 	t.Helper()
 	for sequence := uint64(1); sequence < 10; sequence++ {
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -98,8 +98,8 @@
 	return sum
 }
 
-// placementMachine returns the fields of the machine that a job's placement constraints
-// refer to.
+// placementMachine returns the machine as the placement package represents it, with only the
+// fields set that a job's placement constraints refer to.
 func (l *Leader) placementMachine(machine *machineState) *placement.Machine {
 	return &placement.Machine{Name: machine.agent.Name, Type: machine.agent.MachineType, Zone: machine.agent.Zone, Spot: machine.agent.Spot}
 }
--- a/internal/leader/machine_view.go
+++ b/internal/leader/machine_view.go
@@ -61,8 +61,8 @@
 	return task
 }
 
-// addActiveFetch adds an image to the view that the machine has been fetching for elapsed,
-// with the expected wait. Concurrent fetches share the machine's bandwidth.
+// addActiveFetch adds an image that the machine has been fetching for the elapsed time to the
+// view, with the expected remaining wait. Concurrent fetches share the machine's bandwidth.
 func addActiveFetch(view *placement.Machine, spec *jobs.Spec, elapsed time.Duration) {
 	if _, shown := view.ImageWait[spec.Image]; shown || view.FetchGBPerS <= 0 {
 		return
--- a/internal/leader/metadata.go
+++ b/internal/leader/metadata.go
@@ -63,7 +63,8 @@
 		}
 		record, differs := changed(machine)
 		if !differs {
-			// Most reservations are consumed before their machine is due.
+			// Most reservations are consumed before their machine is due, so nothing has
+			// changed since the last record.
 			q.remove(machine)
 			continue
 		}
@@ -105,6 +106,8 @@
 	l.logMachine(machine, l.machineMetadata(machine), committed)
 }
 
+// logMachine appends a machine's record to the log and remembers it as the version logged
+// last. committed, if not nil, is called once the record is committed.
 func (l *Leader) logMachine(machine *machineState, record wal.Machine, committed func()) {
 	machine.metadataLogged, machine.loggedMetadata = true, record
 	l.wal.MachineChanged(machine.agent.Name, record, committed)
--- a/internal/leader/recent_arrivals.go
+++ b/internal/leader/recent_arrivals.go
@@ -9,7 +9,7 @@
 	"thornnotch/internal/placement"
 )
 
-// recentArrivals lists the jobs that were submitted or became startable within
+// recentArrivals lists the jobs that were submitted or became eligible to start within
 // ArrivalRateWindow, oldest first.
 type recentArrivals []arrival
 
@@ -47,8 +47,8 @@
 	return int(math.Ceil(machines * constants.GangReserveHorizon.Seconds() / constants.ArrivalRateWindow.Seconds()))
 }
 
-// machinesNeeded returns how many machines a demand fills, of the first machine type that
-// fits one of its tasks.
+// machinesNeeded returns how many machines a demand fills, of the first machine type that fits
+// one of its tasks. It returns 0 if none does.
 func machinesNeeded(catalog *autoscaling.Catalog, demand autoscaling.Demand) float64 {
 	for _, machineType := range catalog.MachineTypes {
 		total := placement.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -21,6 +21,8 @@
 	return wal.Resources{r.CPUs, r.GPUs, r.MemoryGB}
 }
 
+// reservationFromRecord decodes a reservation on a machine. Only a reservation for a job with
+// declared dependencies has a downstream job in its pipeline.
 func reservationFromRecord(record wal.SlotReservation, machine string) reservations.Reservation {
 	pipeline := placement.Pipeline{Team: record.Team, Class: record.Class}
 	if record.UserDeclaredEdge {
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -135,7 +135,8 @@
 	return rows, nil
 }
 
-// getRecord reads a record, retrying until ctx is done.
+// getRecord reads a record, retrying until ctx is done. It returns false if the record does
+// not exist.
 func (l *Leader) getRecord(ctx context.Context, key string) (statestore.KeyValue, bool, error) {
 	for {
 		row, found, err := l.deps.Store.Get(ctx, statestore.ClassLease, key)
--- a/internal/leader/requests.go
+++ b/internal/leader/requests.go
@@ -11,6 +11,8 @@
 	snapshot atomic.Pointer[publishedSnapshot]
 }
 
+// publishedSnapshot is one version of the published state. It is never modified after
+// publication.
 type publishedSnapshot struct {
 	// failover describes the current step of the failover; empty once it is complete.
 	failover string
@@ -70,7 +72,8 @@
 // Progress counts the completed and running tasks of a job.
 type Progress struct{ Done, Running int }
 
-// Progress returns the progress of the given jobs, for display. It omits unknown jobs.
+// Progress returns the progress of the given jobs, for display. It omits unknown jobs, and
+// returns nil if the term or ctx ends first.
 func (l *Leader) Progress(ctx context.Context, ids []string) map[string]Progress {
 	progress, _ := queryLoop(ctx, l, func(reply chan<- map[string]Progress) event { return progressRequested{ids, reply} })
 	return progress
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -51,7 +51,7 @@
 	return true
 }
 
-// scale decides which machines to return and to rent, and makes the next call to the cloud.
+// scale decides which machines to return and to rent, and queues the next call to the cloud.
 func (l *Leader) scale(now time.Time) {
 	for machine := range l.fleet.all() {
 		if len(machine.agent.Attempts) > 0 {
@@ -74,7 +74,8 @@
 	}
 }
 
-// callCloud makes at most one call to the cloud: a return, a list page or a rent request.
+// callCloud queues at most one call to the cloud: a return, a request for a list page or a
+// rent request.
 func (l *Leader) callCloud(now time.Time) {
 	if names := l.machinesToReturn(now); len(names) > 0 {
 		l.returnMachines(names)
--- a/internal/leader/scaling_booting.go
+++ b/internal/leader/scaling_booting.go
@@ -28,10 +28,10 @@
 	b[instance.Name] = bootingMachine{pool, now.Add(-config.Seconds(instance.AgeS)), now}
 }
 
-// overdue reports whether a machine has failed to register within its boot time. A machine
-// rented in an earlier term that has no record may be up and idle, and its worker needs up
-// to a lease to find the new leader. Workers get the same time after the leader's own loop
-// has stalled.
+// overdue reports whether a machine has failed to register within its boot timeout. A machine
+// rented in an earlier term that has no record may be up and idle, and its worker needs up to
+// a lease to find the new leader. Workers get the same time after the leader's own loop has
+// stalled.
 func (b bootingMachine) overdue(boot, lease time.Duration, resumedAt, now time.Time) bool {
 	return now.Sub(b.rentedAt) > boot && now.Sub(b.firstSeenAt) > lease && now.Sub(resumedAt) > lease
 }
--- a/internal/leader/scaling_snapshot.go
+++ b/internal/leader/scaling_snapshot.go
@@ -19,8 +19,8 @@
 		Window:      constants.ArrivalRateWindow,
 	}
 	for job := range l.jobs.all() {
-		if left := job.progress.remaining(); left > 0 && !job.upstreams.blocked() {
-			snapshot.Demand = append(snapshot.Demand, demandOf(job, left))
+		if remainingTasks := job.progress.remaining(); remainingTasks > 0 && !job.upstreams.blocked() {
+			snapshot.Demand = append(snapshot.Demand, demandOf(job, remainingTasks))
 		}
 	}
 	for _, arrival := range l.scaling.recentArrivals {
--- a/internal/leader/scaling_state_test.go
+++ b/internal/leader/scaling_state_test.go
@@ -125,10 +125,10 @@
 			}
 			later := now.Add(constants.UnreachableZoneRecovery)
 			if got := zones.update(machines, nil, later.Add(-1)); got["east"] != test.want {
-				t.Errorf("unreachable just before the end of the hold time: %v", got)
+				t.Errorf("unreachable just before the end of the recovery time: %v", got)
 			}
 			if got := zones.update(machines, nil, later); got["east"] {
-				t.Errorf("unreachable after the hold time: %v", got)
+				t.Errorf("unreachable after the recovery time: %v", got)
 			}
 		})
 	}
--- a/internal/leader/scheduling_log.go
+++ b/internal/leader/scheduling_log.go
@@ -58,6 +58,7 @@
 	used, stopping, reserved float64
 }
 
+// summarizeMachines returns the summary of the schedulable machines.
 func summarizeMachines(machines []*placement.Machine) (summary machineSummary) {
 	for _, machine := range machines {
 		if !machine.Schedulable {
--- a/internal/leader/scheduling_pass.go
+++ b/internal/leader/scheduling_pass.go
@@ -29,7 +29,8 @@
 }
 
 // canRunPass reports whether a pass may run. It may not while decisions can't be committed,
-// or while the state is incomplete or may be as much as half a minute out of date.
+// while the records or the machine catalog are not loaded, or between a stall and the
+// verification of the term, when the state may be half a minute out of date.
 func (l *Leader) canRunPass() bool {
 	return l.failover.recordsLoaded() && l.deps.Catalog() != nil && l.commits.healthy() && l.term.verified()
 }
--- a/internal/leader/start_targets.go
+++ b/internal/leader/start_targets.go
@@ -10,10 +10,10 @@
 
 // startTargets returns, in ascending order, the latest starts at which a job still meets the
 // service-level objectives of its class. They are relative to the time when the job became
-// startable and leave time to fetch its image. A wait or completion objective is a fixed time;
-// a deadline objective is a multiple of the job's deadline, which counts from submission, so
-// the time already waited is subtracted. Without any objective the deadline itself is the
-// target.
+// eligible to start, and leave time to fetch its image. A wait or completion objective is a
+// fixed time; a deadline objective is a multiple of the job's deadline, which counts from
+// submission, so the time already waited is subtracted. Without any objective the deadline
+// itself is the target.
 func (l *Leader) startTargets(spec *jobs.Spec, waited time.Duration) (targets []time.Duration) {
 	fetchS := l.longestFetchS(spec)
 	for _, objective := range l.deps.Settings.Params.SLOs {
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -14,7 +14,8 @@
 	EventsWaiting int                 `json:"callsWaiting"`
 }
 
-// RecordingStatus shows whether state can be written to the state service.
+// RecordingStatus shows whether state can be written to the state service, and for how
+// long cancellations may have been missed.
 type RecordingStatus struct {
 	Healthy     bool    `json:"healthy"`
 	SinceProofS float64 `json:"sureS"` // time since all cancellations were last known for certain
--- a/internal/leader/status_view.go
+++ b/internal/leader/status_view.go
@@ -26,6 +26,8 @@
 	}
 }
 
+// recordingStatus returns the state of the commits and of the proof that all cancellations are
+// known.
 func (l *Leader) recordingStatus(now time.Time) RecordingStatus {
 	return RecordingStatus{
 		Healthy:     l.commits.healthy(),
@@ -162,6 +164,7 @@
 	return teams
 }
 
+// reservationStatus returns all reservations, with the time until each expires.
 func (l *Leader) reservationStatus(now time.Time) (list []ReservationStatus) {
 	for _, reservation := range l.reservations.All() {
 		list = append(list, ReservationStatus{
--- a/internal/leader/stragglers.go
+++ b/internal/leader/stragglers.go
@@ -11,8 +11,8 @@
 // detectStragglers marks slow machines and moves their tasks to others.
 func (l *Leader) detectStragglers(now time.Time) {
 	for _, machine := range l.fleet.sortedByName() {
-		// The tasks of a silent machine may have ended already: a network partition must
-		// not mark all machines behind it as slow.
+		// The tasks of a silent machine may have ended already: after a network partition, not
+		// all machines behind it must be marked as slow.
 		if machine.health.Slow(now) || machine.lifecycle.isLeaving() || l.isSilent(machine, now) {
 			continue
 		}
@@ -61,7 +61,8 @@
 func (j *jobState) saveGrace() float64 { return j.spec.CheckpointSaveS + constants.StopGrace.Seconds() }
 
 // recordTaskRuntime compares a finished task's run time with those of the job's other tasks
-// and then adds it to them.
+// and then adds it to them. It ignores tasks whose whole run time is unknown, and tasks of
+// gangs.
 func (l *Leader) recordTaskRuntime(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
 	// After a gap in the heartbeats the end of the task is unknown.
 	if machine.heartbeatGap || attempt.RunningSince.IsZero() {
--- a/internal/leader/task_events.go
+++ b/internal/leader/task_events.go
@@ -84,7 +84,8 @@
 	case workers.CauseGangIncomplete, workers.CauseGangLost, workers.CauseStopped:
 		job.restartedTasks[attempt.ID.Task.Index] = true
 	default:
-		// The worker refused the start, so its state differs from the leader's: retry soon.
+		// The worker refused the start, so its state differs from what the leader assumed. The
+		// job is retried soon.
 		job.retry.notBefore = now.Add(constants.MinTaskRetryDelay)
 		replace = true
 	}
@@ -137,7 +138,7 @@
 	})
 }
 
-// checkComplete writes a job's final record once all its tasks are done.
+// checkComplete queues the write of a job's final record once all its tasks are done.
 func (l *Leader) checkComplete(job *jobState) {
 	if job.progress.remaining() == 0 && !job.complete && !job.removed {
 		job.complete = true
--- a/internal/leader/term_test.go
+++ b/internal/leader/term_test.go
@@ -71,7 +71,7 @@
 }
 
 // TestTermIsVerifiedAfterEachStall checks that an answer verifies the term only if it was
-// requested after the last stall. One with another revision ends the term.
+// requested after the last stall. An answer with another revision ends the term.
 func TestTermIsVerifiedAfterEachStall(t *testing.T) {
 	start := time.Now()
 	current := newTerm(election.Grant{Term: 3, Revision: 7})
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -53,7 +53,8 @@
 }
 
 // needsToken reports whether to send a worker this term's token directly. The worker then
-// switches to this node sooner and ignores replies of an older leader.
+// switches to this node sooner and ignores replies of an older leader. At most one direct
+// command per half a lease is sent for this.
 func (l *Leader) needsToken(machine *machineState, now time.Time) bool {
 	return machine.agent.Token < l.term.number() && !machine.direct.inFlight && machine.direct.sinceLast(now) >= l.lease/2
 }
