--- a/internal/autoscaling/client.go
+++ b/internal/autoscaling/client.go
@@ -90,8 +90,8 @@
 }
 
 // List reads one page of the rented machines, starting after the name from. next is the value
-// of from for the following page, or empty after the last one. The list lags, and may be
-// older than one read before.
+// of from for the following page, or empty after the last one. The list lags behind the
+// actual machines, and may be older than one that was read earlier.
 func (c *CloudClient) List(ctx context.Context, from string) (instances []Instance, next string, err error) {
 	query := url.Values{"limit": {strconv.Itoa(constants.InstanceListPageSize)}}
 	if from != "" {
--- a/internal/autoscaling/demand.go
+++ b/internal/autoscaling/demand.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// remainingLimit returns how much more a team may use. A resource whose limit is 0 is
-// unlimited, and so is memory.
+// remainingLimit returns how much more a team may use. CPUs and GPUs whose limit is 0 are
+// unlimited; memory is never limited.
 func remainingLimit(limit, used placement.Resources) placement.Resources {
 	remaining := limit.Sub(used)
 	if limit.GPUs <= 0 {
--- a/internal/node/combined_faults_cancellations_test.go
+++ b/internal/node/combined_faults_cancellations_test.go
@@ -43,6 +43,8 @@
 
 // TestCombinedFullQuotaUnreachableMachines: both teams use up their quota. Two running jobs
 // are cancelled while their machines are unreachable or hang, and the leader is restarted.
+// Guards against a leader that no longer counts the tasks of cancelled jobs toward the quota
+// while they may still run.
 func TestCombinedFullQuotaUnreachableMachines(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		ids := sc.fillQuotas()
@@ -66,7 +68,8 @@
 
 // TestCombinedFullQuotaFailover: both teams use up their quota when the leader is killed.
 // Machines of two running jobs are cut off, partly in one direction only, and the jobs are
-// cancelled during or after the failover.
+// cancelled during or after the failover. Guards against a new leader that does not count the
+// tasks of these jobs toward the quota while they may still run.
 func TestCombinedFullQuotaFailover(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		ids := sc.fillQuotas()
@@ -95,7 +98,8 @@
 }
 
 // TestCombinedCancelDuringFailover: jobs are cancelled in the seconds around the leader's
-// crash and the election of the next one.
+// crash and the election of the next one. Guards against a new leader that misses a
+// cancellation recorded while it reads the open jobs.
 func TestCombinedCancelDuringFailover(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		var ids []string
@@ -118,7 +122,8 @@
 }
 
 // TestCombinedCancelAtCompletion: cancellations, status queries and repeated submissions
-// arrive just as a job's last task completes.
+// arrive just as a job's last task completes. Guards against a job that is reported as
+// cancelled and later as done, or the other way round.
 func TestCombinedCancelAtCompletion(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		sc.rules.setOnDone(func(task workers.TaskID) {
--- a/internal/node/combined_faults_leaders_test.go
+++ b/internal/node/combined_faults_leaders_test.go
@@ -12,7 +12,8 @@
 // Tests of leader failovers combined with other faults.
 
 // TestCombinedFailoverUnreachableMachines: the leader is killed while one machine with a
-// long task is unreachable and another one does not receive replies to its heartbeats.
+// long task is unreachable and another one does not receive replies to its heartbeats. Guards
+// against a new leader that starts a task again while the unreachable machine may still run it.
 func TestCombinedFailoverUnreachableMachines(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		array := sc.submitNext(longJob("a", jobs.KindArray, 6, 60))
@@ -53,7 +54,9 @@
 }
 
 // TestCombinedFailoversDuringOutage: the leader, or another node if none leads, is restarted
-// ten times within two minutes, partly during an outage of the state service.
+// ten times within two minutes, partly during an outage of the state service. Guards against a
+// leader that takes the tasks of a silent machine for stopped although an earlier leader may
+// have renewed the machine's lease.
 func TestCombinedFailoversDuringOutage(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		sc.submitNext(longJob("a", jobs.KindArray, 5, 100))
@@ -163,7 +166,8 @@
 
 // TestCombinedIsolatedLeader: the leader is cut off from the state service and the other
 // nodes while workers and users still reach it, and jobs are cancelled through the new
-// leader.
+// leader. Guards against a deposed leader that lets the tasks of these jobs run on or still
+// writes records.
 func TestCombinedIsolatedLeader(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		var ids []string
--- a/internal/node/combined_faults_machines_test.go
+++ b/internal/node/combined_faults_machines_test.go
@@ -13,7 +13,8 @@
 // Tests of faults of machines and their network links, combined with other faults.
 
 // TestCombinedNewMachinesDelayedWrites: new machines boot within two seconds and get tasks
-// at once while writes are delayed or lose their reply, and the leader is restarted.
+// at once while writes are delayed or lose their reply, and the leader is restarted. Guards
+// against a leader that starts a task before the record of its start is written.
 func TestCombinedNewMachinesDelayedWrites(t *testing.T) {
 	options := smallSiteOptions()
 	options.bootTime = 1500 * time.Millisecond
@@ -52,8 +53,9 @@
 	}
 }
 
-// TestCombinedDelayedHeartbeats: heartbeats sent before a failover reach the new leader
-// after it has already changed jobs.
+// TestCombinedDelayedHeartbeats: delayed heartbeats reach a new leader only after it has
+// cancelled a job and accepted new ones. Guards against a leader that acts on the outdated
+// state in them.
 func TestCombinedDelayedHeartbeats(t *testing.T) {
 	runScenario(t, func(s *site) { s.maxKeptHeartbeats = 3 }, func(sc *scenario) {
 		array := sc.submitNext(longJob("a", jobs.KindArray, 5, 25))
@@ -63,13 +65,13 @@
 		names := sc.machineNames()
 		sc.killNode(oldLeader)
 		newLeader := nodeNumber(sc.awaitLeader(oldLeader))
-		// The new leader acts before the old heartbeats arrive: it cancels a job and gets new ones.
+		// Before the old heartbeats arrive, the new leader cancels a job and accepts new ones.
 		sc.cancel(gang)
 		for range 3 {
 			sc.submitNext(testJob(0, "b", jobs.KindArray, 2))
 		}
 		for _, name := range names {
-			sc.worker(name).BlockOutgoing(true) // so that it still keeps the old heartbeats
+			sc.worker(name).BlockOutgoing(true) // so that no further heartbeat reaches the leader
 		}
 		time.Sleep(sc.randomDuration(0, 14*time.Second))
 		sent := 0
@@ -86,7 +88,8 @@
 }
 
 // TestCombinedOldHeartbeatsDuringElection: old heartbeats reach every node while a new
-// leader is elected and starts its term.
+// leader is elected and starts its term. Guards against a new leader that takes them for the
+// machines' current state.
 func TestCombinedOldHeartbeatsDuringElection(t *testing.T) {
 	runScenario(t, func(s *site) { s.maxKeptHeartbeats = 2 }, func(sc *scenario) {
 		id := sc.submitNext(longJob("a", jobs.KindArray, 5, 25))
@@ -119,7 +122,8 @@
 }
 
 // TestCombinedZoneBoundJobsLoseMachines: jobs that are restricted to one zone, arrays as well as
-// gangs, lose machines.
+// gangs, lose machines. Guards against a fault that this test found: such jobs waited forever
+// once there were enough machines in other zones.
 func TestCombinedZoneBoundJobsLoseMachines(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		zone := zones[sc.intn(3)]
@@ -146,7 +150,8 @@
 }
 
 // TestCombinedDuplicateHeartbeats: delayed copies of heartbeats arrive after newer
-// heartbeats, some of them from an earlier epoch or attempt.
+// heartbeats, some of them from an earlier epoch or attempt. Guards against a leader that takes
+// them for the machines' current state.
 func TestCombinedDuplicateHeartbeats(t *testing.T) {
 	duplicateHeartbeats := func(s *site) {
 		s.heartbeatDuplicateDelays = []time.Duration{3 * time.Second, 9 * time.Second, 21 * time.Second}
@@ -174,7 +179,8 @@
 }
 
 // TestCombinedWorkersCannotReachNodes: workers can't connect to any node, while direct
-// commands still reach them.
+// commands still reach them. Guards against a leader that takes their replies to direct commands
+// for lease renewals: a lease counts from the last acknowledged heartbeat.
 func TestCombinedWorkersCannotReachNodes(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		array := sc.submitNext(longJob("a", jobs.KindArray, 6, 30))
@@ -196,7 +202,8 @@
 }
 
 // TestCombinedZonePartition: the leader's zone, with its workers, is cut off for longer than
-// lease_s. A job that runs there is cancelled meanwhile.
+// lease_s. A job that runs there is cancelled meanwhile, and its tasks must stop within
+// cancel_s.
 func TestCombinedZonePartition(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		leader := sc.awaitLeader("")
--- a/internal/node/combined_faults_statestore_test.go
+++ b/internal/node/combined_faults_statestore_test.go
@@ -27,7 +27,8 @@
 // TestCombinedSlowStateRefusalOutage: the state service replies slowly, then refuses only
 // the leader, and then is down for everyone for longer than cancel_s, while users cancel and
 // query jobs. Between refusal and outage, other nodes confirm cancellations that the leader
-// can't read. docs/design.md calls this the gap.
+// can't read ("The gap" in docs/design.md). The tasks of these jobs must still stop within
+// cancel_s.
 func TestCombinedSlowStateRefusalOutage(t *testing.T) {
 	// The longer delays leave time to elect a new leader before the outage.
 	for seed, outageDelay := range []time.Duration{
@@ -99,8 +100,9 @@
 	r.runAfter(r.outageDelay+r.randomDuration(5*time.Second, 30*time.Second), func() { hungWorker.SetHanging(false) })
 }
 
-// restartNodesDuringOutage restarts, depending on the seed, the leader, no node, or the nodes
-// that confirmed cancellations. In the last case no process is left that can attest to them.
+// restartNodesDuringOutage restarts no node, the leader, or the nodes that confirmed
+// cancellations, depending on the seed. In the last case no process can attest to these
+// cancellations any longer.
 func (r *refusalOutageRun) restartNodesDuringOutage() {
 	switch r.seed % 4 {
 	case 2:
@@ -124,9 +126,10 @@
 	r.cancelAll(r.jobIDs)
 }
 
-// TestTasksKeepRunningDuringOutage: the state service is down for far longer than worker
-// leases last and than a leader alone can rule out unseen cancellations. Attestations of the
-// other nodes let it renew leases: running tasks continue and none is restarted.
+// TestTasksKeepRunningDuringOutage: the state service is down for far longer than a worker's
+// lease, and for far longer than a leader by itself can be certain that no cancellation was
+// confirmed. The nodes attest to each other which cancellations they confirmed, so the leader
+// can go on renewing leases: running tasks must continue, and none may be restarted.
 func TestTasksKeepRunningDuringOutage(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		ids := []string{sc.submitNext(longJob("a", jobs.KindArray, 5, 150)), sc.submitNext(longJob("b", jobs.KindGang, 3, 150))}
@@ -146,8 +149,8 @@
 	})
 }
 
-// TestCombinedLateWrites: transactions lose their reply and are applied late, after newer
-// ones of the same node.
+// TestCombinedLateWrites: one in four transactions with writes loses its reply and is applied
+// late, after newer ones of the same node. Guards against late writes that undo newer ones.
 func TestCombinedLateWrites(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		losesReply := sc.oneInEvery(4)
@@ -164,8 +167,9 @@
 	})
 }
 
-// TestCombinedLostStateReplies: transactions are applied at once and only their replies are
-// lost, while other nodes read what was written.
+// TestCombinedLostStateReplies: all transactions are applied at once, but one in three with
+// writes loses its reply, while other nodes read what was written. Guards against a node that
+// takes a transaction without a reply for one that was not applied.
 func TestCombinedLostStateReplies(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		losesReply := sc.oneInEvery(3)
--- a/internal/node/combined_faults_users_test.go
+++ b/internal/node/combined_faults_users_test.go
@@ -12,7 +12,7 @@
 // Tests of high load and many user requests, combined with faults.
 
 // TestCombinedOverloadSlowLinks: more tasks than the machines can hold, in all priority
-// classes, over slow network links.
+// classes, over slow network links. Guards against teams that exceed their quota.
 func TestCombinedOverloadSlowLinks(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		sc.delayAllPackets(2*time.Millisecond, 60*time.Millisecond)
@@ -45,7 +45,8 @@
 
 // TestCombinedFrequentRequests: users query all nodes several times within milliseconds, and
 // repeat the submission, right after a job was accepted, completed or confirmed as cancelled.
-// Some jobs are cancelled immediately after submission.
+// Some jobs are cancelled immediately after submission. Guards against a node that answers with
+// an older state than another node has answered with.
 func TestCombinedFrequentRequests(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		sc.rules.setOnDone(func(task workers.TaskID) {
--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -91,9 +91,9 @@
 	return tracked
 }
 
-// onStateChange is the server's ConnState hook. It tracks the open connections, and closes the
-// user connection that has been idle longest when a new connection exceeds
-// constants.FullSocketShare.
+// onStateChange is the server's ConnState hook. It tracks the open connections. If a new one
+// brings the usage above constants.FullSocketShare, it closes the user connection that has been
+// idle longest.
 func (t *connTracker) onStateChange(conn net.Conn, state http.ConnState) {
 	if evicted := t.updateState(conn, state); evicted != nil {
 		// An idle connection has no request in flight, so closing it loses nothing.
@@ -151,8 +151,8 @@
 	return t.limit > 0 && float64(len(t.open)) > share*float64(t.limit)
 }
 
-// scarce reports whether so many connections are open that users' connections are closed
-// after each response.
+// scarce reports whether the usage is above constants.ScarceSocketShare, so that users'
+// connections are closed after each response.
 func (t *connTracker) scarce() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/node/dependencies_input_test.go
+++ b/internal/node/dependencies_input_test.go
@@ -12,8 +12,9 @@
 
 // TestDependencyOnCancelledJob: a job that depends on a cancelled one, directly or through
 // other jobs, is accepted. From the first response on every node reports it as cancelled, and
-// none of its tasks ever starts, also if it depends on done and running jobs as well. If a
-// dependency can't be checked, the response is 503 and not that the job is unknown.
+// none of its tasks ever starts, even if it also depends on done and running jobs. If a
+// dependency can't be checked, the response must be 503; it must not say that the job is
+// unknown.
 func TestDependencyOnCancelledJob(t *testing.T) {
 	runScenarioOnce(t, smallSiteOptions(), 15, nil, func(sc *scenario) {
 		done := sc.submitNext(testJob(0, "a", jobs.KindArray, 1))
@@ -58,7 +59,7 @@
 
 // checkAcceptedAsCancelled submits a job until the node accepts it. It checks that this
 // response and those to repeated submissions at every node report the job as cancelled, and
-// that status queries at every node do so soon.
+// that status queries at every node do so within 3 s.
 func (sc *scenario) checkAcceptedAsCancelled(node int, job *jobs.Spec) {
 	sc.t.Helper()
 	sc.waitFor(10*time.Second, job.ID+" accepted", func() bool {
--- a/internal/node/dependencies_test.go
+++ b/internal/node/dependencies_test.go
@@ -186,7 +186,8 @@
 }
 
 // TestWaitingJobReservesNothing: a job that waits for its dependencies uses none of its
-// team's quota or guarantee, and no machine is rented for it.
+// team's quota or guarantee, and no machine is rented for it. Another job of the team, which
+// exceeds the quota together with the waiting one, must complete first.
 func TestWaitingJobReservesNothing(t *testing.T) {
 	runScenarioOnce(t, smallSiteOptions(), 3, nil, func(sc *scenario) {
 		upstreamID := sc.submitNext(longJob("a", jobs.KindArray, 2, 60))
@@ -194,7 +195,7 @@
 		dependent := longJob("a", jobs.KindGang, 10, 20)
 		dependent.DependsOn = []string{upstreamID}
 		waitingID := sc.submitNext(dependent)
-		otherID := sc.submitNext(longJob("a", jobs.KindArray, 10, 5)) // exceeds the quota with the waiting job
+		otherID := sc.submitNext(longJob("a", jobs.KindArray, 10, 5)) // exceeds the quota together with the waiting job
 		sc.waitFor(40*time.Second, "the team's other job done", func() bool { return sc.knownStatus(otherID) == jobs.StatusDone })
 		if status := sc.knownStatus(waitingID); status != jobs.StatusPending {
 			sc.t.Errorf("the waiting job is %s, want pending", status)
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -87,7 +87,7 @@
 	addMachines := func(s *site) { s.cloud.AddRunning(options.machines) }
 	runSite(t, options, addMachines, func(s *site) {
 		f := fleet{s, 70, 60}
-		// With 500 open user connections, workers and users need more than all sockets.
+		// 500 user connections and 2,100 workers together need more than the leader's sockets.
 		for i := range 500 {
 			s.goroutines.Go(func() { s.keepUserConnected(i) })
 		}
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -25,7 +25,9 @@
 	// healthyPeers are the peers that the state service answers; nil while it answers this
 	// node.
 	healthyPeers atomic.Pointer[[]string]
-	// isolated is set while neither the state service nor any peer answers.
+	// isolated is set while neither the state service nor any peer answers, once the state
+	// service has been failing for longer than constants.IsolatedAfter. It is never set on a
+	// node without peers.
 	isolated atomic.Bool
 }
 
--- a/internal/node/large_fleet_test.go
+++ b/internal/node/large_fleet_test.go
@@ -31,8 +31,8 @@
 }
 
 // TestLargeRingNeedsAllNodes: a leader must not conclude that all nodes can read the log's
-// large ring while one is down or missing in the settings. That node may run a version that
-// does not report that it can.
+// large ring while one is down or missing in the settings. Such a node may come back with an
+// earlier version, which can't read it.
 func TestLargeRingNeedsAllNodes(t *testing.T) {
 	runScenarioOnce(t, smallSiteOptions(), 13, nil, func(sc *scenario) {
 		allNodesReadLargeRing := func() bool { return sc.nodes[sc.leader()].node.allReadLargeRing(sc.users.ctx) }
@@ -57,9 +57,10 @@
 // TestLargeFleet subjects 4,000 machines to events that affect many of them at once: the
 // leader crashes; a zone with a third of the machines and a node is cut off for longer than
 // the lease and comes back; all nodes crash; half of the jobs are cancelled at the same time.
-// No rule may be violated and no request be refused for its size. Every worker that can reach
-// a leader must get a reply within its lease, and every node must answer for every job.
-// Sockets, memory and goroutines must stay within what settings and number of workers allow.
+// No rule may be violated, and the state service must refuse no request for its size. Every
+// worker that can reach a leader must get a reply within its lease, and every node must answer
+// status queries for every job. Sockets, memory and goroutines must stay within what the
+// settings and the number of workers allow.
 func TestLargeFleet(t *testing.T) {
 	options := largeSiteOptions()
 	prepare := func(s *site) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -78,10 +78,11 @@
 // ready reports whether users may be sent to this node. An outage of the state service alone
 // does not make a node unready: it affects all nodes alike, and a load balancer is slow to
 // bring a removed node back. A node is unready only if it reaches neither the state service
-// nor any peer, or has no catalog yet.
+// nor any peer, or if it has no catalog yet.
 func (n *Node) ready() bool { return n.catalog.load() != nil && !n.health.isolated.Load() }
 
-// onRateLimited handles a response of the state service that rejects a call as one too many.
+// onRateLimited handles the rejection of a call by the state service's rate limit. It reduces
+// the node's own rates if the rejections show that the service has lowered its limits.
 func (n *Node) onRateLimited() {
 	if n.stateLimits.recordRateLimited(time.Now()) {
 		n.log.Info("state service rate limits lowered")
--- a/internal/node/progress.go
+++ b/internal/node/progress.go
@@ -7,7 +7,8 @@
 	"thornnotch/internal/userapi"
 )
 
-// Progress returns the progress of jobs to other nodes if this node leads, and nil otherwise.
+// Progress returns, for other nodes, the progress of jobs by ID, or nil if this node does not
+// lead.
 func (n *Node) Progress(ctx context.Context, jobs []string) map[string]peers.TaskCounts {
 	term := n.leading.Load()
 	if term == nil {
@@ -20,8 +21,9 @@
 	return progress
 }
 
-// progress returns the progress of jobs as the leader knows it. It is nil if the leader cannot
-// be reached, because it is only for display.
+// progress returns the progress of jobs by ID, as the leader knows it. The result is empty or
+// nil if no leader is known or the call to it fails. That is not an error because the progress
+// is only for display.
 func (n *Node) progress(ctx context.Context, jobs []string) map[string]userapi.TaskCounts {
 	var fromLeader map[string]peers.TaskCounts
 	if n.leads() {
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -15,8 +15,8 @@
 // relayedPathPrefix is the path prefix of the user requests that other nodes can serve.
 const relayedPathPrefix = "/work"
 
-// serveUser handles a user's request. While the state service fails this node, it relays the
-// request to a healthy peer and handles it locally only if no peer does.
+// serveUser handles a user's request. While this node's requests to the state service fail, it
+// relays the request to healthy peers, and handles it locally only if none of them serves it.
 func (n *Node) serveUser(w http.ResponseWriter, r *http.Request) {
 	if n.connections.onUserRequest() {
 		w.Header().Set("Connection", "close")
--- a/internal/node/rule_checker_test.go
+++ b/internal/node/rule_checker_test.go
@@ -75,8 +75,8 @@
 // completed. Simulated workers call it.
 func (c *ruleChecker) TaskEnded(machine string, task workers.TaskID, _ uint64, done bool) {
 	if onDone := c.recordEnd(machine, task, done); onDone != nil {
-		// Called without mu: the callback may lock users.mu to draw random numbers, and users
-		// call this checker while they hold users.mu.
+		// mu must not be held here: the callback may lock users.mu to draw random numbers, and
+		// users call this checker while they hold users.mu. The two orders would deadlock.
 		onDone(task)
 	}
 }
@@ -100,7 +100,8 @@
 }
 
 // checkCancelDeadline checks that a task is not on a machine later than cancelWithin after the
-// cancellation of its job. event tells in the violation what the task did. The caller holds mu.
+// cancellation of its job. event is the violation's verb for what the task did. The caller holds
+// mu.
 func (c *ruleChecker) checkCancelDeadline(task workers.TaskID, machine, event string) {
 	if at, ok := c.cancelledAt[task.Job]; ok && time.Since(at) > c.cancelWithin {
 		c.addViolation("ran_cancelled: task %v %s on %s %v after its user was told of the cancellation", task, event, machine, time.Since(at))
@@ -138,8 +139,9 @@
 	}
 }
 
-// checkPlacement records the zone of a started task, and checks that its job allows the zone
-// and, if it is a spot machine, the machine. The caller holds mu.
+// checkPlacement records the zone of a started task, and checks that its job may run in this
+// zone and, if the machine is a spot machine, on spot machines. All tasks of a SameZone job must
+// run in one zone. The caller holds mu.
 func (c *ruleChecker) checkPlacement(task workers.TaskID, job *jobs.Spec, zone string, spot bool) {
 	if c.tasksByZone[task.Job] == nil {
 		c.tasksByZone[task.Job] = make(map[string]int)
--- a/internal/node/scenario_test.go
+++ b/internal/node/scenario_test.go
@@ -39,9 +39,9 @@
 
 // runScenarioOnce runs a scenario with one seed. injectFaults is called while four jobs are
 // queued or running; after it all faults are ended and the outcome is checked.
-func runScenarioOnce(t *testing.T, layout siteOptions, seed uint64, prepare func(*site), injectFaults func(*scenario)) {
+func runScenarioOnce(t *testing.T, options siteOptions, seed uint64, prepare func(*site), injectFaults func(*scenario)) {
 	t.Helper()
-	runSite(t, layout, prepare, func(s *site) {
+	runSite(t, options, prepare, func(s *site) {
 		ctx, stopUsers := context.WithCancel(s.ctx)
 		sc := &scenario{site: s, users: newUsers(ctx, s, rand.New(rand.NewPCG(seed, 16)))}
 		defer sc.users.goroutines.Wait()
@@ -97,8 +97,7 @@
 	return sc.waitForLeader(20*time.Second, except)
 }
 
-// restartLeader kills the leader, for which it waits if there is none, and starts its node again
-// after a pause.
+// restartLeader waits until there is a leader, kills it, and starts its node again after a pause.
 func (sc *scenario) restartLeader(after time.Duration) {
 	sc.t.Helper()
 	sc.restartNode(sc.awaitLeader(""), after)
@@ -109,7 +108,8 @@
 
 // oneInEvery returns a function that reports for each transaction whether to inject a fault
 // into it: into exactly one of every n successive transactions with writes, drawn at random.
-// Independent draws could leave out all of the few transactions that a scenario makes.
+// With independent draws a scenario, which makes only few transactions, could end without any
+// fault.
 func (sc *scenario) oneInEvery(n int) func(writes int) bool {
 	var mu sync.Mutex // guards both counters
 	transactions, faulty := 0, 0
@@ -170,7 +170,8 @@
 
 // checkOutcome checks what must hold after any faults: every node answers a status query for
 // every job within 75 s, each job gets a final status within 4 minutes, and no rule was
-// violated. The users' checks make sure that cancelled jobs stay cancelled and no others are.
+// violated. The users check with every response that cancelled jobs stay cancelled and that no
+// other job is reported as cancelled.
 func (sc *scenario) checkOutcome() {
 	sc.t.Helper()
 	faultsEndedAt := time.Now()
--- a/internal/node/single_faults_machines_test.go
+++ b/internal/node/single_faults_machines_test.go
@@ -39,8 +39,9 @@
 	})
 }
 
-// TestDelayedDuplicateHeartbeats: duplicates of every heartbeat arrive 3 s, about half a lease
-// and about two leases late, also after a failover.
+// TestDelayedDuplicateHeartbeats: duplicates of every heartbeat arrive 3 s, 7 s and 26 s late
+// (the lease is 12 s), also after a failover. Guards against a leader that takes a duplicate
+// for the machine's current state.
 func TestDelayedDuplicateHeartbeats(t *testing.T) {
 	delayDuplicates := func(s *site) {
 		s.heartbeatDuplicateDelays = []time.Duration{3 * time.Second, 7 * time.Second, 26 * time.Second}
@@ -81,7 +82,8 @@
 }
 
 // TestManyMachinesFail: all machines that run tasks, about half of the site's, fail at once.
-// Their tasks must run elsewhere, while the failed machines are replaced and returned.
+// Their tasks must be started again on other machines, while the failed ones are replaced and
+// returned.
 func TestManyMachinesFail(t *testing.T) {
 	runSingleFaultScenario(t, nil, func(f *singleFaultScenario) {
 		names := f.busyMachines()
--- a/internal/node/single_faults_nodes_test.go
+++ b/internal/node/single_faults_nodes_test.go
@@ -12,8 +12,8 @@
 
 // TestSuspendedLeaderHasNoEffect: the leader's process is frozen for longer than its election
 // lease while its clock runs on, and another node becomes the leader. When the process
-// resumes, it first reads the messages buffered in its sockets and acts on plans of its old
-// term. Neither may have an effect that only the current leader may cause, such as renting
+// resumes, it first reads the messages buffered in its sockets and continues the work of its
+// old term. Neither may cause changes that only the current leader may make, such as renting
 // machines.
 func TestSuspendedLeaderHasNoEffect(t *testing.T) {
 	runSingleFaultScenario(t, nil, func(f *singleFaultScenario) {
@@ -99,8 +99,9 @@
 	}
 }
 
-// TestNodesCannotReachEachOther: the nodes can't reach each other, but everything else. The same
-// node must keep the leadership, and every node must be ready and serve users.
+// TestNodesCannotReachEachOther: the nodes can't reach each other, but still reach the state
+// service, the cloud, workers and users. The same node must remain the leader, and every node
+// must be ready and serve users.
 func TestNodesCannotReachEachOther(t *testing.T) {
 	runSingleFaultScenario(t, nil, func(f *singleFaultScenario) {
 		leader := f.leader()
@@ -127,8 +128,8 @@
 	})
 }
 
-// TestImmediateNodeRestarts: node processes end and run again 50 ms to 2.6 s later, also in the
-// middle of the election or the failover that an earlier restart caused.
+// TestImmediateNodeRestarts: node processes are killed and started again 50 ms to 2.6 s later,
+// also in the middle of the election or the failover that an earlier restart caused.
 func TestImmediateNodeRestarts(t *testing.T) {
 	runSingleFaultScenario(t, nil, func(f *singleFaultScenario) {
 		first := f.leader()
@@ -178,7 +179,8 @@
 	})
 }
 
-// checkCancelOfDoneJob checks that a cancellation leaves a job done that is done already.
+// checkCancelOfDoneJob checks that the cancellation of a done job returns the status done, and
+// that the job is still done afterwards.
 func (f *singleFaultScenario) checkCancelOfDoneJob(node int, id string) {
 	f.t.Helper()
 	if code, answer := f.cancelJob(node, id); code != http.StatusOK || answer.Status != jobs.StatusDone {
--- a/internal/node/site_faults_test.go
+++ b/internal/node/site_faults_test.go
@@ -29,19 +29,19 @@
 
 // isolateZoneOf isolates a node together with the machines of its zone: these machines and the
 // other nodes can't reach each other, and no machine of another zone reaches the node. The
-// node still reaches the cloud, and with direct commands the machines of other zones.
+// node still reaches the cloud, and can send direct commands to machines of other zones.
 func (s *site) isolateZoneOf(name string) {
 	s.isolateNode(name)
 	zone := zones[nodeNumber(name)]
-	for _, place := range s.machineLocations() {
-		if place.zone != zone {
-			place.host.Disconnect(nodeAddress(nodeNumber(name)))
+	for _, location := range s.machineLocations() {
+		if location.zone != zone {
+			location.host.Disconnect(nodeAddress(nodeNumber(name)))
 			continue
 		}
 		for other, process := range s.nodes {
 			if other != name {
-				process.host.Disconnect(place.addr)
-				place.host.Disconnect(nodeAddress(nodeNumber(other)))
+				process.host.Disconnect(location.addr)
+				location.host.Disconnect(nodeAddress(nodeNumber(other)))
 			}
 		}
 	}
@@ -51,13 +51,13 @@
 // can't reach them either.
 func (s *site) isolateMachines(names ...string) {
 	for _, name := range names {
-		place := s.machineLocation(name)
-		s.unreachableAddresses[place.addr] = true
+		location := s.machineLocation(name)
+		s.unreachableAddresses[location.addr] = true
 		for i := range s.siteOptions.nodes {
-			place.host.Disconnect(nodeAddress(i))
+			location.host.Disconnect(nodeAddress(i))
 		}
 		for _, process := range s.nodes {
-			process.host.Disconnect(place.addr)
+			process.host.Disconnect(location.addr)
 		}
 	}
 }
@@ -71,10 +71,10 @@
 			side.Addrs = append(side.Addrs, nodeAddress(number), peerAddress(number))
 		}
 	}
-	for _, place := range s.machineLocations() {
-		if place.zone == zone {
-			side.Hosts = append(side.Hosts, place.host)
-			side.Addrs = append(side.Addrs, place.addr)
+	for _, location := range s.machineLocations() {
+		if location.zone == zone {
+			side.Hosts = append(side.Hosts, location.host)
+			side.Addrs = append(side.Addrs, location.addr)
 		}
 	}
 	return side
@@ -86,8 +86,8 @@
 	for _, process := range s.nodes {
 		process.host.Heal()
 	}
-	for _, place := range s.machineLocations() {
-		place.host.Heal()
+	for _, location := range s.machineLocations() {
+		location.host.Heal()
 	}
 }
 
@@ -104,13 +104,13 @@
 	return s.machines[name]
 }
 
-func (s *site) machineLocations() (places []machineLocation) {
+func (s *site) machineLocations() (locations []machineLocation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, place := range s.machines {
-		places = append(places, place)
+	for _, location := range s.machines {
+		locations = append(locations, location)
 	}
-	return places
+	return locations
 }
 
 // machineNames returns the sorted names of all machines rented so far, including those that
--- a/internal/node/site_test.go
+++ b/internal/node/site_test.go
@@ -33,7 +33,7 @@
 	bootTime           time.Duration // time from renting a machine until its worker runs
 }
 
-// smallSiteOptions returns the layout of a site with three nodes, ten machines and two teams.
+// smallSiteOptions returns the options of a site with three nodes, ten machines and two teams.
 func smallSiteOptions() siteOptions {
 	return siteOptions{nodes: 3, machines: 10, bootTime: 5 * time.Second, params: config.Params{
 		Teams:   []config.Team{{Name: "a", GuaranteedGPUs: 8, MaxGPUs: 12}, {Name: "b", GuaranteedGPUs: 4, MaxGPUs: 8}},
@@ -47,7 +47,7 @@
 type site struct {
 	siteOptions
 	t          *testing.T
-	ctx        context.Context //nolint:containedctx // canceled when the test ends
+	ctx        context.Context //nolint:containedctx // cancelled when the test ends
 	goroutines sync.WaitGroup
 
 	network *simulator.Network
@@ -92,11 +92,11 @@
 // runSite runs a simulated site in fake time. It starts all nodes and calls run once there
 // is a leader and the first node is ready to serve users. prepare, if not nil, is called
 // before the nodes start.
-func runSite(t *testing.T, layout siteOptions, prepare, run func(*site)) {
+func runSite(t *testing.T, options siteOptions, prepare, run func(*site)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		s := newSite(ctx, t, layout)
+		s := newSite(ctx, t, options)
 		if prepare != nil {
 			prepare(s)
 		}
@@ -111,14 +111,14 @@
 }
 
 // newSite returns a site whose state service and cloud run, but no node yet.
-func newSite(ctx context.Context, t *testing.T, layout siteOptions) *site {
+func newSite(ctx context.Context, t *testing.T, options siteOptions) *site {
 	t.Helper()
 	s := &site{
-		siteOptions: layout, t: t, ctx: ctx, network: simulator.NewNetwork(), state: simulator.NewStateService(),
+		siteOptions: options, t: t, ctx: ctx, network: simulator.NewNetwork(), state: simulator.NewStateService(),
 		nodes: make(map[string]*nodeProcess), workers: make(map[string]*simulator.Worker), machines: make(map[string]machineLocation),
 		unreachableAddresses: make(map[string]bool),
 	}
-	s.rules = newRuleChecker(layout.params, s.Job, s.state.Get)
+	s.rules = newRuleChecker(options.params, s.Job, s.state.Get)
 	logOutput := io.Discard
 	if testing.Verbose() {
 		logOutput = os.Stderr
@@ -126,10 +126,10 @@
 	s.placementLog = newPlacementLog(slog.NewTextHandler(logOutput, nil))
 	catalog := autoscaling.Catalog{MachineTypes: []autoscaling.MachineType{{
 		Name: "g4", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 80, FetchGBPerS: 1,
-		OnDemandPrice: 10, SpotPrice: 5, BootS: layout.bootTime.Seconds(), Zones: zones,
+		OnDemandPrice: 10, SpotPrice: 5, BootS: options.bootTime.Seconds(), Zones: zones,
 	}}}
 	gangs := simulator.NewGangRegistry()
-	s.cloud = simulator.NewCloud(ctx, catalog, layout.machines, func(ctx context.Context, instance autoscaling.Instance) {
+	s.cloud = simulator.NewCloud(ctx, catalog, options.machines, func(ctx context.Context, instance autoscaling.Instance) {
 		s.runMachine(ctx, instance, gangs)
 	})
 	s.startServer(stateAddress, s.state)
--- a/internal/node/site_users_test.go
+++ b/internal/node/site_users_test.go
@@ -14,7 +14,7 @@
 // Single HTTP requests that users send to a site's nodes. The users type builds on them.
 
 // sendRequest sends a request to a node, and returns the HTTP status code and the decoded
-// response. The code is 0 if there is no response.
+// response. The code is 0 if there is no response within 5 s.
 func (s *site) sendRequest(node int, method, path string, body any) (int, userapi.JobStatus) {
 	raw, err := json.Marshal(body)
 	if err != nil {
--- a/internal/node/sizing_test.go
+++ b/internal/node/sizing_test.go
@@ -16,12 +16,12 @@
 // fleet still serves it, and that its status and metrics report the setting with its actual
 // and its required value.
 func TestUndersizedSettingsAreReported(t *testing.T) {
-	layout := smallSiteOptions()
+	options := smallSiteOptions()
 	// Enough memory for the minimum of eight workers, but not for the ten that connect.
-	layout.params.MachineLimits = config.MachineLimits{MemMB: constants.BaseMemoryMB + 8.5*constants.MemoryPerWorkerMB}
-	layout.params.Teams[0].GuaranteedGPUs, layout.params.Teams[1].GuaranteedGPUs = 0, 0 // no guarantees, so that only the fleet size counts
-	layout.params.Teams[0].MaxGPUs = 40
-	runScenarioOnce(t, layout, 14, nil, func(sc *scenario) {
+	options.params.MachineLimits = config.MachineLimits{MemMB: constants.BaseMemoryMB + 8.5*constants.MemoryPerWorkerMB}
+	options.params.Teams[0].GuaranteedGPUs, options.params.Teams[1].GuaranteedGPUs = 0, 0 // no guarantees, so that only the fleet size counts
+	options.params.Teams[0].MaxGPUs = 40
+	runScenarioOnce(t, options, 14, nil, func(sc *scenario) {
 		id := sc.submitNext(longJob("a", jobs.KindArray, 40, 60)) // fills all ten machines
 		var node *Node
 		sc.waitFor(time.Minute, "a node that reports undersized settings", func() bool {
--- a/internal/node/state_limits.go
+++ b/internal/node/state_limits.go
@@ -21,9 +21,10 @@
 	halvings      int         // how often the transaction size was halved; guarded by mu
 }
 
-// recordRateLimited records a call that the state service rejected as one too many, and
-// reports whether the lower rates apply from now on. A single rejection may be due to nodes
-// whose clocks disagree about when a second begins, but a run of them is not.
+// recordRateLimited records that the state service's rate limit rejected a call, and reports
+// whether this switches to the lower rates, which happens once. A single rejection may be due
+// to nodes whose clocks disagree about when a second begins, but
+// constants.RateLimitedRefusals within constants.RateLimitedWindow are not.
 func (l *stateLimits) recordRateLimited(now time.Time) (lowered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/node/state_limits_fall_test.go
+++ b/internal/node/state_limits_fall_test.go
@@ -18,12 +18,12 @@
 // all jobs must complete.
 func TestStateLimitsLoweredAsAnnounced(t *testing.T) {
 	valueKB, ops, writeRPS := 2.0, 4, 20.0
-	layout := smallSiteOptions()
-	layout.params.State.Upcoming = &config.UpcomingStateLimits{ValueKB: &valueKB, TxnOps: &ops, WriteRPS: &writeRPS}
-	layout.params.State.ValueKB, layout.params.State.TxnOps = valueKB, ops // as config does on loading
+	options := smallSiteOptions()
+	options.params.State.Upcoming = &config.UpcomingStateLimits{ValueKB: &valueKB, TxnOps: &ops, WriteRPS: &writeRPS}
+	options.params.State.ValueKB, options.params.State.TxnOps = valueKB, ops // as config does on loading
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			runScenarioOnce(t, layout, seed, nil, func(sc *scenario) {
+			runScenarioOnce(t, options, seed, nil, func(sc *scenario) {
 				sc.submitChains(3)
 				sc.state.SetLimits(simulator.RequestLimits{ValueBytes: 2048, WritesPerTxn: 4, WritesPerSecond: writeRPS})
 				for n := range 60 {
--- a/internal/node/upgrade_test.go
+++ b/internal/node/upgrade_test.go
@@ -86,7 +86,7 @@
 		if !sc.users.submit(waiting) {
 			sc.t.Fatal("the job that depends on production's jobs was not accepted")
 		}
-		sc.submitAfterCancelled(final)
+		sc.checkDependentOfCancelledJob(final)
 		for id := range open {
 			sc.waitFor(3*time.Minute, id+" to complete", func() bool { return sc.status(0, id) == jobs.StatusDone })
 		}
@@ -114,9 +114,9 @@
 	return ids
 }
 
-// submitAfterCancelled checks that a job that depends on a cancelled one is accepted as
+// checkDependentOfCancelledJob checks that a job that depends on a cancelled one is accepted as
 // cancelled.
-func (sc *scenario) submitAfterCancelled(final map[string]jobs.FinalRecord) {
+func (sc *scenario) checkDependentOfCancelledJob(final map[string]jobs.FinalRecord) {
 	sc.t.Helper()
 	cancelled := ""
 	for id, record := range final {
--- a/internal/node/users_checks_test.go
+++ b/internal/node/users_checks_test.go
@@ -29,8 +29,8 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	known := u.jobs[r.job]
-	// Of two concurrent requests, the one answered last may have the older state, so only what
-	// was known before the request was sent counts.
+	// The responses to two concurrent requests may arrive in either order, and the later one may
+	// report the older state. So only what was known before the request was sent counts.
 	knownBefore := known != nil && known.status != "" && known.statusAt.Before(r.sentAt)
 	switch r.code {
 	case http.StatusOK, http.StatusCreated:
--- a/internal/node/users_invalid_requests_test.go
+++ b/internal/node/users_invalid_requests_test.go
@@ -8,7 +8,7 @@
 )
 
 // invalidRequest is a request that a node must reject with a given status code, regardless of
-// other activity.
+// faults and other requests.
 type invalidRequest struct {
 	name         string
 	method, path string
--- a/internal/node/users_test.go
+++ b/internal/node/users_test.go
@@ -46,7 +46,7 @@
 	return u.rng.IntN(n)
 }
 
-// randomDuration returns a random duration between least and most.
+// randomDuration returns a random duration from least to most, both included.
 func (u *users) randomDuration(least, most time.Duration) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -122,7 +122,7 @@
 // cancelAt requests a cancellation once from a node. The status is empty unless the response
 // is 200.
 func (u *users) cancelAt(node int, id string) (status string) {
-	u.noteCancelRequest(id)
+	u.recordCancelRequest(id)
 	sentAt := time.Now()
 	code, got := u.site.cancelJob(node, id)
 	u.checkResponse(jobResponse{id, "cancellation", node, code, got.Status, sentAt})
@@ -132,7 +132,7 @@
 	return got.Status
 }
 
-func (u *users) noteCancelRequest(id string) {
+func (u *users) recordCancelRequest(id string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if known := u.jobs[id]; known != nil {
@@ -157,7 +157,8 @@
 	}
 }
 
-// cancelAll cancels jobs that would run too long for the scenario to finish.
+// cancelAll cancels the given jobs, each at a random node. Scenarios use it for jobs that would
+// run for too long.
 func (u *users) cancelAll(ids []string) {
 	for _, id := range ids {
 		u.cancel(id)
--- a/internal/simulator/network_faults.go
+++ b/internal/simulator/network_faults.go
@@ -85,7 +85,8 @@
 	}
 }
 
-// Kill closes all listeners and connections of the host and refuses new connections.
+// Kill closes all listeners and connections of the host and refuses new connections. A frozen
+// host resumes, so that its blocked calls return.
 func (h *Host) Kill() {
 	h.mu.Lock()
 	h.killed = true
--- a/internal/simulator/state_faults.go
+++ b/internal/simulator/state_faults.go
@@ -55,8 +55,8 @@
 	s.wakeWatches()
 }
 
-// RefuseHost makes the service fail one host's requests with 503 and hold its pending watches,
-// or ends that. Other hosts are not affected.
+// RefuseHost makes the service refuse one host or serve it again. The requests of a refused host
+// fail with 503 and its pending watches get no reply. Other hosts are not affected.
 func (s *StateService) RefuseHost(host string, refuse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/simulator/state_http.go
+++ b/internal/simulator/state_http.go
@@ -200,7 +200,8 @@
 }
 
 // watch replies once a key with the prefix has changed after the given revision, or on timeout.
-// While the service is unavailable to the host, the watch keeps waiting, even past its timeout.
+// If the service becomes unavailable to the host in the meantime, the watch keeps waiting until
+// it is available again, even past its timeout.
 func (s *StateService) watch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	from, _ := strconv.ParseUint(query.Get("from"), 10, 64)      // 0 if missing: all changes
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -71,7 +71,7 @@
 	observer           Observer
 	gangs              *GangRegistry
 	http               *http.Client
-	heartbeatRequested chan struct{} // holds a value if a heartbeat is due soon
+	heartbeatRequested chan struct{} // holds a value if an early heartbeat was requested
 	stopped            chan struct{} // closed when Run returns; cancels pending duplicates
 
 	mu           sync.Mutex // guards the fields below
--- a/internal/simulator/worker_faults.go
+++ b/internal/simulator/worker_faults.go
@@ -44,7 +44,8 @@
 	return w.hanging
 }
 
-// SetFaulty makes every task that the machine starts from now on fail, or ends that.
+// SetFaulty makes the machine faulty or repairs it. A faulty machine fails every task that it
+// starts; tasks that it has started already are not affected.
 func (w *Worker) SetFaulty(faulty bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/simulator/worker_tasks.go
+++ b/internal/simulator/worker_tasks.go
@@ -27,8 +27,8 @@
 
 func (t *task) gangKey() gangAttempt { return gangAttempt{t.id.Task.Job, t.id.Number} }
 
-// advanceTasks expires the lease and updates the status of all tasks to the given time. The
-// caller must hold w.mu.
+// advanceTasks ends the lease if it has expired, and updates the status of all tasks to the
+// given time. The caller must hold w.mu.
 func (w *Worker) advanceTasks(now time.Time) {
 	w.expireLease(now)
 	if w.hanging {
@@ -58,8 +58,8 @@
 	}
 }
 
-// expireLease applies the protocol's rule for an expired lease: the worker kills and forgets
-// all tasks and starts a new epoch.
+// expireLease applies the protocol's rule for leases: if the lease has expired, the worker kills
+// and forgets all tasks and starts a new epoch.
 func (w *Worker) expireLease(now time.Time) {
 	if now.Sub(w.leaseStart) <= w.options.Lease {
 		return
