--- a/internal/constants/health.go
+++ b/internal/constants/health.go
@@ -15,9 +15,9 @@
 	// fail to count as faulty. Faulty machines are rare, so a job is unlikely to run on three
 	// of them before it runs on a healthy one.
 	FaultyJobMinMachines = 3
-	// FaultyTaskMaxMachines is the number of failures of a task, normally each on another
+	// FaultyTaskMaxFailures is the number of failures of a task, normally each on another
 	// machine, above which the task itself counts as faulty if other tasks of its job succeed.
-	FaultyTaskMaxMachines = 3
+	FaultyTaskMaxFailures = 3
 	// FailureAttributionMargin is how much longer than the failed task another task of the
 	// job must have run elsewhere for the failure to be attributed to the machine. It covers
 	// heartbeat delays and the variation in when a faulty job fails.
--- a/internal/constants/scheduling.go
+++ b/internal/constants/scheduling.go
@@ -59,9 +59,9 @@
 	// RuntimeRatioWeight is the weight of the latest run time in the moving average, from 0
 	// to 1.
 	RuntimeRatioWeight = 0.1
-	// ArrivalWindow is the time constant with which the count of arrived jobs of a class
+	// ArrivalCountDecay is the time constant with which the count of arrived jobs of a class
 	// decays.
-	ArrivalWindow = 5 * time.Minute
+	ArrivalCountDecay = 5 * time.Minute
 	// StartRateWindow is the time constant with which the placement rate of a class decays.
 	// The rate predicts how soon waiting tasks are placed; the window spans a few run times
 	// of short tasks.
--- a/internal/leader/health/failures.go
+++ b/internal/leader/health/failures.go
@@ -62,7 +62,7 @@
 		h.byMachine, h.failuresByTask = make(map[string]failure), make(map[int]int)
 	}
 	h.failuresByTask[task]++
-	if h.succeeded && h.failuresByTask[task] > constants.FaultyTaskMaxMachines {
+	if h.succeeded && h.failuresByTask[task] > constants.FaultyTaskMaxFailures {
 		// Only this task of the job fails on every machine, so the machines are not to
 		// blame.
 		return constants.MaxTaskRetryDelay, true
--- a/internal/leader/health/failures_test.go
+++ b/internal/leader/health/failures_test.go
@@ -16,13 +16,13 @@
 	blamed := 0
 	for i := range 20 {
 		pause, taskOnly := history.Record(fmt.Sprint("m-", i), 7, time.Second, false, now)
-		if taskOnly != (i >= constants.FaultyTaskMaxMachines) || taskOnly && pause != constants.MaxTaskRetryDelay {
+		if taskOnly != (i >= constants.FaultyTaskMaxFailures) || taskOnly && pause != constants.MaxTaskRetryDelay {
 			t.Fatalf("failure %d: pause %v, task only %v", i, pause, taskOnly)
 		}
 		blamed += len(history.TakeFaultyMachines(nil, now))
 		now = now.Add(time.Second)
 	}
-	if blamed != constants.FaultyTaskMaxMachines {
+	if blamed != constants.FaultyTaskMaxFailures {
 		t.Errorf("%d machines are blamed for one task's failures", blamed)
 	}
 }
--- a/internal/leader/scheduling_pass.go
+++ b/internal/leader/scheduling_pass.go
@@ -48,14 +48,14 @@
 }
 
 // setDrainClaims stores the plan's drain claims in the job views for the next pass: the
-// machines that drain for each gang, and the gangs that will fit once the tasks on these
-// machines have ended.
+// machines that are claimed for each job, and the gangs that will fit once the stopping tasks
+// on these machines have ended.
 func setDrainClaims(waiting []*placement.Job, plan *placement.Plan) {
 	for _, job := range waiting {
-		job.ClaimedMachines, job.Draining = nil, false
+		job.ClaimedMachines, job.AwaitingStops = nil, false
 	}
-	for _, job := range plan.Draining {
-		job.Draining = true
+	for _, job := range plan.AwaitingStops {
+		job.AwaitingStops = true
 	}
 	for _, claim := range plan.Claims {
 		if claim.Job.ClaimedMachines == nil {
--- a/internal/placement/capacitysearch.go
+++ b/internal/placement/capacitysearch.go
@@ -68,7 +68,7 @@
 	}
 	if job.isGang() && fitWithoutDrains(options, tasks) {
 		p.earmarkLimit(job)
-		p.plan.Draining = append(p.plan.Draining, job)
+		p.plan.AwaitingStops = append(p.plan.AwaitingStops, job)
 	}
 	for _, option := range options {
 		if tasks <= 0 {
--- a/internal/placement/limitearmark.go
+++ b/internal/placement/limitearmark.go
@@ -23,13 +23,13 @@
 }
 
 // renewEarmarks renews the earmarks of gangs that can start as soon as the stopping tasks on
-// their machines have ended (Job.Draining). Otherwise, a smaller job of the team takes part of
-// the limit in the meantime, the gang can't start, and the tasks that were preempted for it
-// restart on the same machines and are preempted again a moment later. In one run with a
-// network partition, this preempted 6,000 tasks in half a minute.
+// their machines have ended (Job.AwaitingStops). Otherwise, a smaller job of the team takes
+// part of the limit in the meantime, the gang can't start, and the tasks that were preempted
+// for it restart on the same machines and are preempted again a moment later. In one run with
+// a network partition, this preempted 6,000 tasks in half a minute.
 func (p *pass) renewEarmarks() {
 	for _, job := range p.Jobs {
-		if job.Draining && len(job.WaitingTasks) > 0 && !job.Blocked && p.Teams[job.Spec.Team] != nil {
+		if job.AwaitingStops && len(job.WaitingTasks) > 0 && !job.Blocked && p.Teams[job.Spec.Team] != nil {
 			p.earmarkLimit(job)
 		}
 	}
--- a/internal/placement/limitearmark_test.go
+++ b/internal/placement/limitearmark_test.go
@@ -83,11 +83,11 @@
 			}
 		}
 		plan := Schedule(&Snapshot{Machines: machines, Jobs: []*Job{gang}, Teams: teams()})
-		if len(plan.Preemptions) != 2 || len(plan.Draining) != 1 || plan.Draining[0] != gang {
-			t.Fatalf("%s: %d preempted, %d draining, want 2 and 1", c.name, len(plan.Preemptions), len(plan.Draining))
+		if len(plan.Preemptions) != 2 || len(plan.AwaitingStops) != 1 || plan.AwaitingStops[0] != gang {
+			t.Fatalf("%s: %d preempted, %d gangs awaiting stops, want 2 and 1", c.name, len(plan.Preemptions), len(plan.AwaitingStops))
 		}
 
-		gang.Draining, gang.ClaimedMachines = true, map[string]bool{"m-0": true, "m-1": true}
+		gang.AwaitingStops, gang.ClaimedMachines = true, map[string]bool{"m-0": true, "m-1": true}
 		// The gang must not give up its place because it has missed its targets by now.
 		gang.Late, gang.Targets = true, []time.Duration{time.Second}
 		// A small job of the team arrives. It fits on a machine that the gang does not need.
@@ -97,8 +97,8 @@
 		if (len(plan.Starts) == 0) != c.gangKeeps {
 			t.Errorf("%s: small job started: %v", c.name, len(plan.Starts) > 0)
 		}
-		if (len(plan.Draining) == 1) != c.gangKeeps {
-			t.Errorf("%s: %d draining", c.name, len(plan.Draining))
+		if (len(plan.AwaitingStops) == 1) != c.gangKeeps {
+			t.Errorf("%s: %d gangs awaiting stops", c.name, len(plan.AwaitingStops))
 		}
 	}
 }
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -5,9 +5,9 @@
 	Starts      []Start
 	Preemptions []Preemption
 	Claims      []DrainClaim
-	// Draining lists the gangs whose tasks will all fit once the stopping tasks have ended, so
-	// that no further machine has to drain for them.
-	Draining []*Job
+	// AwaitingStops lists the gangs whose waiting tasks will all fit once the stopping tasks
+	// have ended, so that no further machine has to drain for them.
+	AwaitingStops []*Job
 	// Released lists reservations that were overridden by other jobs or that no job can use.
 	Released []Release
 	// Unplaced lists the jobs with tasks that could not be placed, in the order handled.
--- a/internal/placement/quota.go
+++ b/internal/placement/quota.go
@@ -56,8 +56,8 @@
 
 // limitAllows reports whether the job's team may use extra after the reservations that the job
 // overrides have been released. Unless it is boosted, the job can't use the parts of the limit
-// that are earmarked for a boosted gang (see Team.EarmarkMinPriority) or for draining gangs of
-// equal or higher priority, nor the part that lowerPriorityOnTimeDemand returns.
+// that are earmarked for a boosted gang (see Team.EarmarkMinPriority) or for gangs of equal or
+// higher priority that wait for stopping tasks, nor the part that lowerPriorityOnTimeDemand returns.
 func (p *pass) limitAllows(job *Job, extra Resources) bool {
 	team := p.Teams[job.Spec.Team]
 	if job.Boost == NoBoost {
@@ -109,8 +109,8 @@
 // precede it. Otherwise, the preempted job would take the resources back in the next pass, and
 // again in each pass after it.
 func (p *pass) lowerPriorityOnTimeDemand(job *Job) Resources {
-	if !job.missedAllTargets() || job.Draining || !p.demandExceedsLimit(job.Spec.Team) {
-		// A draining gang keeps its earmark. Otherwise, it would leave the limit to a
+	if !job.missedAllTargets() || job.AwaitingStops || !p.demandExceedsLimit(job.Spec.Team) {
+		// A gang that waits for stopping tasks keeps its earmark. Otherwise, it would leave the limit to a
 		// lower-priority job, preempt that job's tasks and start over, pass after pass.
 		return Resources{}
 	}
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -108,11 +108,11 @@
 	// SinceLastStart is the time since a task of the job was last placed.
 	SinceLastStart time.Duration
 	Blocked        bool // must not start now because it is in backoff
-	// ClaimedMachines names the machines that the previous pass claimed for the job. Draining
-	// is set if they will have room for all of its waiting tasks once the stopping tasks have
-	// ended.
+	// ClaimedMachines names the machines that the previous pass claimed for the job.
+	// AwaitingStops is set if they will have room for all of its waiting tasks once the
+	// stopping tasks have ended.
 	ClaimedMachines map[string]bool
-	Draining        bool
+	AwaitingStops   bool
 	// Targets are the latest times after submission at which a start still meets a
 	// service-level objective, in ascending order.
 	Targets []time.Duration
