--- a/internal/autoscaling/capacity.go
+++ b/internal/autoscaling/capacity.go
@@ -20,9 +20,9 @@
 // DesiredFor returns the desired capacity of a machine type: the machines that the current
 // demand needs, plus spare ones for jobs that arrive before another machine could boot. Jobs
 // arrive at random, so the deviation from the mean grows with the square root of the recent
-// arrivals; without any there are no spare machines. Tasks that could use spot machines
-// justify on-demand ones only in part: the higher the on-demand price, the more of them wait
-// for spot machines.
+// arrivals; without recent arrivals there are no spare machines. Tasks that could use spot
+// machines justify on-demand ones only in part: the higher the on-demand price, the more of
+// these tasks wait for spot machines.
 func DesiredFor(s Snapshot, machineType MachineType, spare float64) DesiredCapacity {
 	onDemand, spot := s.machinesNeeded(s.Demand, machineType)
 	recentOnDemand, recentSpot := s.machinesNeeded(s.Recent, machineType)
--- a/internal/autoscaling/client.go
+++ b/internal/autoscaling/client.go
@@ -59,7 +59,7 @@
 // Tokens returns the number of calls that the rate limit allows at this moment.
 func (c *CloudClient) Tokens() float64 { return c.limiter.Tokens() }
 
-// SetRate changes the rate limit, as is done when leadership is gained or lost.
+// SetRate changes the rate limit, for example when the node gains or loses leadership.
 func (c *CloudClient) SetRate(rps float64) { c.limiter.SetLimit(rate.Limit(rps)) }
 
 // Catalog reads the machine types and their current prices.
@@ -91,7 +91,7 @@
 
 // List reads one page of the rented machines, starting after the name from. next is the value
 // of from for the following page, or empty after the last one. The list lags behind the
-// actual machines, and may be older than one that was read earlier.
+// actual machines, and may show an older state than a list that was read earlier.
 func (c *CloudClient) List(ctx context.Context, from string) (instances []Instance, next string, err error) {
 	query := url.Values{"limit": {strconv.Itoa(constants.InstanceListPageSize)}}
 	if from != "" {
--- a/internal/autoscaling/demand.go
+++ b/internal/autoscaling/demand.go
@@ -9,8 +9,8 @@
 	"thornnotch/internal/placement"
 )
 
-// InstancePool identifies a group of interchangeable machines: those of one machine type in
-// one zone, either spot or on demand.
+// InstancePool identifies a group of interchangeable machines: all spot machines, or all
+// on-demand machines, of one type in one zone.
 type InstancePool struct {
 	Type, Zone string
 	Spot       bool
@@ -63,8 +63,8 @@
 }
 
 // machinesNeeded returns how many machines of a type the demand would fill, within the teams'
-// limits: on-demand machines for tasks that can't use spot machines, spot machines for the
-// others.
+// limits: on-demand machines for tasks that can't use spot machines, spot machines for all
+// other tasks.
 func (s Snapshot) machinesNeeded(demand []Demand, machineType MachineType) (onDemand, spot float64) {
 	s.forEachRunnable(demand, machineType, func(d Demand, tasks, perMachine int) {
 		if machines := float64(tasks) / float64(perMachine); d.AllowSpot {
@@ -77,8 +77,8 @@
 }
 
 // forEachRunnable calls visit for each demand that machines of the type can serve. tasks is
-// the number of its tasks that can run at the same time within what earlier demands leave of
-// the team's limit, and perMachine the number of tasks that fit on one machine.
+// the number of its tasks that can run at the same time within the part of the team's limit
+// that earlier demands do not use, and perMachine the number of tasks that fit on one machine.
 func (s Snapshot) forEachRunnable(demand []Demand, machineType MachineType, visit func(d Demand, tasks, perMachine int)) {
 	used := make(map[string]placement.Resources)
 	limits := make(map[string]placement.Resources)
--- a/internal/autoscaling/scalein.go
+++ b/internal/autoscaling/scalein.go
@@ -15,7 +15,7 @@
 }
 
 // ScaleIn returns the names of the idle machines that are no longer needed. The most expensive
-// are returned first, and of equally expensive ones those with the fewest cached images.
+// machines are returned first and, at equal prices, those with the fewest cached images.
 func ScaleIn(s Snapshot, keep map[string]DesiredCapacity, idle []IdleMachine) (names []string) {
 	remaining := remainingMachines{
 		snapshot: s,
--- a/internal/autoscaling/scaleout.go
+++ b/internal/autoscaling/scaleout.go
@@ -7,8 +7,8 @@
 	"thornnotch/internal/constants"
 )
 
-// ScaleOut returns the next rent request, if more machines are needed than there are. Spot
-// machines that are unavailable are replaced in part by on-demand ones.
+// ScaleOut returns the next rent request, if more machines are needed than are usable or
+// booting. Unavailable spot machines are replaced in part by on-demand ones.
 func ScaleOut(s Snapshot, spare float64) (RentRequest, bool) {
 	types := slices.Clone(s.Catalog.MachineTypes)
 	slices.SortFunc(types, func(a, b MachineType) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/autoscaling/zonefloor.go
+++ b/internal/autoscaling/zonefloor.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// zoneFloor is the minimum number of machines of a type in a zone, regardless of how many
-// other zones have.
+// zoneFloor is the minimum number of machines of a type in a zone, regardless of the number
+// in other zones.
 type zoneFloor struct{ onDemand, total int }
 
 // zoneDemand is the number of machines that the demand bound to a zone would fill.
@@ -82,10 +82,10 @@
 // the one with the most machines, present or already required. Zones with too few machines
 // where no more can be rented are skipped.
 func gangZone(zones []string, needed int, machines func(zone string) int, unavailable func(zone string) bool) (best string, found bool) {
-	most := -1
+	bestCount := -1
 	for _, zone := range zones {
-		if count := machines(zone); count > most && (count >= needed || !unavailable(zone)) {
-			best, most = zone, count
+		if count := machines(zone); count > bestCount && (count >= needed || !unavailable(zone)) {
+			best, bestCount = zone, count
 		}
 	}
 	return best, best != ""
--- a/internal/leader/metadata_test.go
+++ b/internal/leader/metadata_test.go
@@ -11,8 +11,8 @@
 
 // TestMetadataWriteBudget checks that metadata records stay within their share of the state
 // service's write rate however many machines change, and that every machine is eventually
-// recorded. In a simulated day with 4,000 machines they used up the writes that the records of
-// starts and exits needed, and starts were delayed by a minute.
+// recorded. In a simulated day with 4,000 machines, metadata records used up the writes that the
+// records of starts and exits needed, and starts were delayed by a minute.
 func TestMetadataWriteBudget(t *testing.T) {
 	for _, c := range []struct {
 		writesPerSecond float64 // accepted by the state service
--- a/internal/leader/placement_snapshot_test.go
+++ b/internal/leader/placement_snapshot_test.go
@@ -21,6 +21,6 @@
 	addJob(t, l, arraySpec("j-1", 3), now)
 	l.runSchedulingPass(now)
 	if len(silent.agent.Attempts) != 0 || len(reporting.agent.Attempts) != 3 {
-		t.Errorf("%d tasks placed on the silent machine, %d on the other; want 0 and 3", len(silent.agent.Attempts), len(reporting.agent.Attempts))
+		t.Errorf("%d tasks placed on the silent machine, %d on the reporting one; want 0 and 3", len(silent.agent.Attempts), len(reporting.agent.Attempts))
 	}
 }
--- a/internal/leader/recent_arrivals_test.go
+++ b/internal/leader/recent_arrivals_test.go
@@ -25,7 +25,7 @@
 	}
 	recent.add(arrival{at: now, demand: gang}, now)
 	if got := recent.expectedGangMachines(catalog, now); got != 0 {
-		t.Errorf("%d machines expected for a job that does not qualify for the gang reserve", got)
+		t.Errorf("%d machines expected for a job that does not qualify for the gang reserve, want 0", got)
 	}
 	gangs := int(constants.ArrivalRateWindow / constants.GangReserveHorizon)
 	for range gangs {
@@ -37,9 +37,9 @@
 	}
 	now = now.Add(constants.ArrivalRateWindow + 1)
 	if got := recent.expectedGangMachines(catalog, now); got != 0 {
-		t.Errorf("%d machines expected after the window", got)
+		t.Errorf("%d machines expected after the window, want 0", got)
 	}
 	if recent.prune(now); len(recent) != 0 {
-		t.Errorf("%d arrivals left after the window", len(recent))
+		t.Errorf("%d arrivals left after the window, want 0", len(recent))
 	}
 }
--- a/internal/leader/reservation_edges_test.go
+++ b/internal/leader/reservation_edges_test.go
@@ -219,7 +219,7 @@
 		return addJob(t, l, spec, now)
 	}
 	late := addDependent("j-4", "standard", 500, "j-1")
-	side := addJob(t, l, arraySpec("j-5", 1), now)
+	secondUpstream := addJob(t, l, arraySpec("j-5", 1), now)
 	soon := addDependent("j-6", "standard", 90, "j-1", "j-5")
 	urgent := addDependent("j-7", "idle", 0, "j-1") // inherits the priority of j-8
 	last := addDependent("j-8", "urgent", 0, "j-7")
@@ -234,11 +234,11 @@
 
 	finishAll(l, s.machine, now.Add(5*time.Second)) // reserves two slots for j-7 and two for j-6
 	l.snapshotForPlacement(now)
-	if !side.view.BelongsTo(soon.view.DependencyPipeline()) {
-		t.Errorf("an upstream job may not use the reservations: %v", side.view.ReservedDownstreams)
+	if !secondUpstream.view.BelongsTo(soon.view.DependencyPipeline()) {
+		t.Errorf("an upstream job may not use the reservations: %v", secondUpstream.view.ReservedDownstreams)
 	}
-	if side.view.BelongsTo(late.view.DependencyPipeline()) {
-		t.Errorf("a job that is not upstream may use the reservations: %v", side.view.ReservedDownstreams)
+	if secondUpstream.view.BelongsTo(late.view.DependencyPipeline()) {
+		t.Errorf("a job that is not upstream may use the reservations: %v", secondUpstream.view.ReservedDownstreams)
 	}
 	if last.view.BelongsTo(urgent.view.DependencyPipeline()) {
 		t.Errorf("a downstream job may use the reservations: %v", last.view.ReservedDownstreams)
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -16,7 +16,7 @@
 	terminated  terminatedMachines
 	unavailable unavailablePools
 	zones       unreachableZones
-	// demand holds the peak of recent demand, so that a short lull returns no machines.
+	// demand holds the peak of recent demand, so that no machines are returned in a short lull.
 	demand *autoscaling.DemandWindow
 	// recentArrivals holds the jobs that arrived recently.
 	recentArrivals recentArrivals
--- a/internal/leader/scaling_list.go
+++ b/internal/leader/scaling_list.go
@@ -59,7 +59,7 @@
 }
 
 // applyInstancePage applies a page of the cloud's list. The list lags and may return to an
-// older state, so the absence of a machine proves nothing.
+// older state, so a machine that is missing from it may still exist.
 func (l *Leader) applyInstancePage(instances []autoscaling.Instance, now time.Time) {
 	for _, instance := range instances {
 		if !l.scaling.isTerminated(instance.Name) {
--- a/internal/leader/scaling_state_test.go
+++ b/internal/leader/scaling_state_test.go
@@ -151,22 +151,22 @@
 }
 
 // TestScalingMakesOneCloudCallAtATime checks that no tick makes a call to the cloud while
-// another is in flight, or during the pause after one that failed.
+// another is in flight, or during the pause after a failed call.
 func TestScalingMakesOneCloudCallAtATime(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := testLeader(t)
 	l.scale(now)
 	l.scale(now.Add(time.Minute))
 	if n := len(l.calls.queued); n != 1 {
-		t.Fatalf("%d calls at the same time", n)
+		t.Fatalf("%d calls at the same time, want 1", n)
 	}
 	l.cloudCallFailed("list", autoscaling.ErrRejected, now)
 	l.scale(now)
 	if n := len(l.calls.queued); n != 1 {
-		t.Errorf("%d calls right after a failed one", n-1)
+		t.Errorf("%d calls right after a failed one, want 0", n-1)
 	}
 	l.scale(now.Add(2 * constants.MaxCloudBackoff))
 	if n := len(l.calls.queued); n != 2 {
-		t.Errorf("%d calls after the pause", n-1)
+		t.Errorf("%d calls after the pause, want 1", n-1)
 	}
 }
--- a/internal/leader/scaling_test.go
+++ b/internal/leader/scaling_test.go
@@ -92,7 +92,7 @@
 			t.Errorf("%d pages read, want %d: %v", pages, want, cloud.calls)
 		}
 		if !slices.Contains(cloud.calls, "rent") || l.scaling.list.completedAt.IsZero() {
-			t.Errorf("list completed at %v, calls %v", l.scaling.list.completedAt, cloud.calls)
+			t.Errorf("list completed at %v, calls %v, want a complete list and at least one rent request", l.scaling.list.completedAt, cloud.calls)
 		}
 		if n := len(l.scaling.booting); n != cloud.machines {
 			t.Errorf("%d machines known, want %d", n, cloud.machines)
@@ -113,7 +113,7 @@
 	for i := range 4 {
 		l.fleet.get(fmt.Sprint("m-w", i)).agent.LastHeartbeat = now
 	}
-	l.fleet.get("m-w0").agent.LastHeartbeat = start // a single machine of the other zone failed
+	l.fleet.get("m-w0").agent.LastHeartbeat = start // a single machine of zone west failed
 	l.retireMachines(now)
 	for name, machine := range l.fleet.byName {
 		if want := name == "m-w0"; machine.lifecycle.leaving != want {
@@ -125,7 +125,7 @@
 		t.Errorf("unavailable pools: %v, want those of the unreachable zone", snapshot.Unavailable)
 	}
 	if n := snapshot.Machines[autoscaling.InstancePool{Type: "g4", Zone: "east"}]; n != 0 {
-		t.Errorf("%d silent machines are counted as usable", n)
+		t.Errorf("%d silent machines are counted as usable, want 0", n)
 	}
 	// The network partition ends: three of the four machines report before the last one does.
 	healed := now.Add(20 * time.Second)
@@ -183,7 +183,7 @@
 		l.cloudCallFailed("rent", autoscaling.ErrRejected, at)
 	}
 	if calls > 20 {
-		t.Errorf("%d calls in a minute of an outage", calls)
+		t.Errorf("%d calls in a minute of an outage, want at most 20", calls)
 	}
 	if l.cloudCallFailed("rent", nil, now) || l.scaling.calls.backoff != 0 {
 		t.Errorf("a successful call does not reset the backoff")
--- a/internal/leader/stragglers.go
+++ b/internal/leader/stragglers.go
@@ -8,11 +8,11 @@
 	"thornnotch/internal/workers"
 )
 
-// detectStragglers marks slow machines and moves their tasks to others.
+// detectStragglers marks slow machines and moves their tasks to other machines.
 func (l *Leader) detectStragglers(now time.Time) {
 	for _, machine := range l.fleet.sortedByName() {
-		// The tasks of a silent machine may have ended already: after a network partition, not
-		// all machines behind it must be marked as slow.
+		// The tasks of a silent machine may have ended already. Without this check, a network
+		// partition would cause all machines behind it to be marked as slow.
 		if machine.health.Slow(now) || machine.lifecycle.isLeaving() || l.isSilent(machine, now) {
 			continue
 		}
--- a/internal/leader/stragglers_test.go
+++ b/internal/leader/stragglers_test.go
@@ -78,35 +78,35 @@
 			now := time.Now()
 			l := testLeader(t)
 			useUnavailableStore(t, l)
-			a, b := addMachine(l, "m-a", "east", now), addMachine(l, "m-b", "west", now)
+			machineA, machineB := addMachine(l, "m-a", "east", now), addMachine(l, "m-b", "west", now)
 			job := addJob(t, l, arraySpec("j-1", 8), now)
 			l.runSchedulingPass(now)
 			commitPending(l, 100)
-			for _, machine := range []*machineState{a, b} {
+			for _, machine := range []*machineState{machineA, machineB} {
 				machine.agent.Commands(true, now)
 				l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusRunning, ""), false, now)
 			}
 			// The tasks of m-a end after 10 s, those of m-b after 60 s.
 			for range 5 {
 				now = now.Add(2 * time.Second)
-				l.applyHeartbeat(a, nextHeartbeat(l, a, workers.StatusRunning, ""), false, now)
-				l.applyHeartbeat(b, nextHeartbeat(l, b, workers.StatusRunning, ""), false, now)
+				l.applyHeartbeat(machineA, nextHeartbeat(l, machineA, workers.StatusRunning, ""), false, now)
+				l.applyHeartbeat(machineB, nextHeartbeat(l, machineB, workers.StatusRunning, ""), false, now)
 			}
-			l.applyHeartbeat(a, nextHeartbeat(l, a, workers.StatusExited, workers.CauseDone), false, now)
+			l.applyHeartbeat(machineA, nextHeartbeat(l, machineA, workers.StatusExited, workers.CauseDone), false, now)
 			if _, ok := job.runtimes.Median(8); !ok {
 				t.Fatal("no median run time")
 			}
 			for range 50 {
 				now = now.Add(time.Second)
 				if !partitioned {
-					l.applyHeartbeat(b, nextHeartbeat(l, b, workers.StatusRunning, ""), false, now)
+					l.applyHeartbeat(machineB, nextHeartbeat(l, machineB, workers.StatusRunning, ""), false, now)
 				}
 				l.detectStragglers(now)
 			}
-			l.applyHeartbeat(b, nextHeartbeat(l, b, workers.StatusExited, workers.CauseDone), false, now)
+			l.applyHeartbeat(machineB, nextHeartbeat(l, machineB, workers.StatusExited, workers.CauseDone), false, now)
 			l.detectStragglers(now)
-			if slow := b.health.Slow(now); slow == partitioned {
-				t.Errorf("machine marked slow: %v", slow)
+			if slow := machineB.health.Slow(now); slow == partitioned {
+				t.Errorf("machine marked slow: %v, want true only without a partition", slow)
 			}
 		})
 	}
--- a/internal/leader/task_attempts_test.go
+++ b/internal/leader/task_attempts_test.go
@@ -20,7 +20,7 @@
 		attempts.remove(placed.attempt)
 	}
 	if len(visited) != 3 || visited[0] != 0 || visited[1] != 1 || visited[2] != 2 || len(attempts) != 0 {
-		t.Errorf("visited %v, left %v", visited, attempts)
+		t.Errorf("visited %v, left %v, want 0, 1 and 2 visited and none left", visited, attempts)
 	}
 }
 
--- a/internal/leader/task_progress.go
+++ b/internal/leader/task_progress.go
@@ -31,8 +31,8 @@
 	done      bitset
 	recorded  bitset
 	doneCount int
-	// firstWaiting is a lower bound of the waiting tasks: no task below it waits for a
-	// machine.
+	// firstWaiting is a lower bound on the indices of waiting tasks: no task with a lower index
+	// waits for a machine.
 	firstWaiting int
 }
 
--- a/internal/leader/term_test.go
+++ b/internal/leader/term_test.go
@@ -75,7 +75,7 @@
 func TestTermIsVerifiedAfterEachStall(t *testing.T) {
 	start := time.Now()
 	current := newTerm(election.Grant{Term: 3, Revision: 7})
-	ours := statestore.KeyValue{Revision: 7}
+	ownRecord := statestore.KeyValue{Revision: 7}
 	stallAt := func(now time.Time) {
 		current.beginIteration(now.Add(-constants.StallAfter - time.Second))
 		if current.beginIteration(now) == 0 || current.verified() {
@@ -92,7 +92,7 @@
 		t.Error("second verification starts while one is in flight")
 	}
 	stallAt(start.Add(time.Minute))
-	if current.finishVerification(resumedAt, ours, true, nil) || current.verified() {
+	if current.finishVerification(resumedAt, ownRecord, true, nil) || current.verified() {
 		t.Error("an answer requested before the stall verifies the term")
 	}
 
@@ -101,7 +101,7 @@
 		t.Errorf("a failed request verifies or ends the term: %v", current.err())
 	}
 	resumedAt, _ = current.beginVerification()
-	if !current.finishVerification(resumedAt, ours, true, nil) || !current.verified() {
+	if !current.finishVerification(resumedAt, ownRecord, true, nil) || !current.verified() {
 		t.Error("the answer does not verify the term")
 	}
 
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -44,8 +44,8 @@
 		case agent.RepliesLost || agent.EpochUnconfirmed:
 			l.probeAgent(machine, now)
 		case tokensPushed < constants.MaxTokenPushesPerTick && l.needsToken(machine, now):
-			// A few per tick, because sending to all machines at once would take too many
-			// sockets and too long.
+			// Only a few tokens are sent per tick, because sending to all machines at once
+			// would take too many sockets and too long.
 			tokensPushed++
 			l.sendDirectCommand(machine, nil, now)
 		}
--- a/internal/leader/watch.go
+++ b/internal/leader/watch.go
@@ -12,7 +12,7 @@
 )
 
 // watchJobs watches the open jobs for submissions and cancellations. It posts all changes
-// after this revision to the loop until ctx is done.
+// after the given revision to the loop until ctx is done.
 func (l *Leader) watchJobs(ctx context.Context, revision uint64) error {
 	block := constants.LeaderWatchWait
 	for ctx.Err() == nil {
--- a/internal/placement/capacitysearch.go
+++ b/internal/placement/capacitysearch.go
@@ -43,8 +43,8 @@
 // preemptOrDrain frees resources for a job with tasks that could not be placed. It claims
 // machines that are about to have free capacity, so that later jobs don't use it, and preempts
 // tasks of other jobs where the rules allow it. It does this only for the first
-// MaxPreemptionAttempts jobs in the queue: they leave little to the others, and the search is
-// slow.
+// MaxPreemptionAttempts jobs in the queue, because these leave little capacity for later jobs
+// and the search is slow.
 func (p *pass) preemptOrDrain(job *Job, tasks int) {
 	clear(p.aboveGuaranteeCache) // invalidated by placements and preemptions since the last call
 	anyPreemptible := p.mayPreemptAny(job)
@@ -129,14 +129,14 @@
 }
 
 // canYieldCapacity reports whether the machine may be an option. Once no further machine may
-// drain, only free capacity, stopping tasks and preemptible tasks make it one.
+// drain, only machines with free capacity, stopping tasks or preemptible tasks can be options.
 func (s *capacitySearch) canYieldCapacity(machine *Machine) bool {
 	return s.allowDrains || machine.state.hadFreeCapacity || machine.usage.stopping != (Resources{}) ||
 		machine.state.classBits&s.preemptibleBits != 0 || s.pass.exhaustive
 }
 
-// canUseWhenEmpty reports whether the job could use the machine if it were empty. A machine
-// that is claimed for another job can be used only by a boosted one.
+// canUseWhenEmpty reports whether the job could use the machine if it were empty. Only a
+// boosted job can use a machine that is claimed for another job.
 func (s *capacitySearch) canUseWhenEmpty(machine *Machine) bool {
 	claimedBy := machine.state.claimedBy
 	if claimedBy != nil && claimedBy != s.job && s.job.Boost == NoBoost {
@@ -146,8 +146,8 @@
 }
 
 // evaluate returns the machine's option and reports whether it costs less than maxCostS, the
-// cost of the worst option kept so far. Every waiting gang evaluates all machines, so evaluate
-// computes and allocates nothing that can't affect the result.
+// cost of the most expensive option kept so far. Every waiting gang evaluates all machines, so
+// evaluate computes and allocates nothing that can't affect the result.
 func (s *capacitySearch) evaluate(machine *Machine, maxCostS float64) (option capacityOption, cheaper bool) {
 	free := machine.freeResourcesFor(s.job).Add(machine.usage.stopping)
 	if tasks := free.Count(s.request, s.tasks); tasks > 0 {
--- a/internal/placement/capacitysearch_test.go
+++ b/internal/placement/capacitysearch_test.go
@@ -32,7 +32,8 @@
 	})
 }
 
-// checkBoundedEvaluation evaluates a machine without a bound and with one around its cost.
+// checkBoundedEvaluation compares the option evaluated without a bound with one evaluated with
+// a bound that is near its cost.
 func checkBoundedEvaluation(t *rapid.T, search capacitySearch, machine *Machine) {
 	t.Helper()
 	unbounded, found := search.evaluate(machine, math.Inf(1))
@@ -66,8 +67,8 @@
 			snapshot.exhaustive = exhaustive
 			return describeDecisions(Schedule(snapshot))
 		}
-		if all, some := decide(true), decide(false); all != some {
-			t.Fatalf("exhaustive search:\n%s\npruned search:\n%s", all, some)
+		if full, pruned := decide(true), decide(false); full != pruned {
+			t.Fatalf("exhaustive search:\n%s\npruned search:\n%s", full, pruned)
 		}
 	})
 }
--- a/internal/placement/eligibility.go
+++ b/internal/placement/eligibility.go
@@ -36,8 +36,8 @@
 	return spec.Tasks
 }
 
-// zoneAllowed reports whether one more task of the job may run in the zone, given its tasks
-// that may already be on machines.
+// zoneAllowed reports whether one more task of the job may run in the zone, given the zones of
+// the job's tasks that may already be on machines.
 func zoneAllowed(job *Job, zone string) bool {
 	if job.Spec.SameZone {
 		for other, tasks := range job.TasksByZone {
--- a/internal/placement/gangorder_test.go
+++ b/internal/placement/gangorder_test.go
@@ -15,14 +15,14 @@
 		boost Boost
 		want  string
 	}{
-		{"short", 16, NoBoost, "j-2 j-3"},
-		{"enough", 32, NoBoost, "j-1 j-2 j-3"},
+		{"limit too small", 16, NoBoost, "j-2 j-3"},
+		{"limit sufficient", 32, NoBoost, "j-1 j-2 j-3"},
 		{"boosted", 16, BoostWithinPriority, "j-1"},
 	} {
-		large, small, other := gangJob("j-1", 1, 4), gangJob("j-2", 1, 1), gangJob("j-3", 1, 1)
+		large, small, secondSmall := gangJob("j-1", 1, 4), gangJob("j-2", 1, 1), gangJob("j-3", 1, 1)
 		large.Boost = c.boost
 		snapshot := &Snapshot{
-			Machines: testMachines(8), Jobs: []*Job{large, small, other},
+			Machines: testMachines(8), Jobs: []*Job{large, small, secondSmall},
 			Teams: map[string]*Team{"a": {Limit: Resources{GPUs: c.limit}}},
 		}
 		for i, job := range snapshot.Jobs {
--- a/internal/placement/overload.go
+++ b/internal/placement/overload.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// chooseDeferred returns the jobs to defer so that as many of the others as possible are
-// placed on time, at a rate of tasks per second. The jobs must be sorted by time left. It uses
+// chooseDeferred returns the jobs to defer so that as many jobs as possible are placed on
+// time, at a rate of tasks per second. The jobs must be sorted by time left. It uses
 // the Moore-Hodgson algorithm: whenever a job would be late, the longest job so far is
 // deferred.
 func chooseDeferred(byTimeLeft []*Job, rate float64) map[*Job]bool {
--- a/internal/placement/overload_test.go
+++ b/internal/placement/overload_test.go
@@ -37,7 +37,7 @@
 }
 
 // maxOnTime returns the largest number of arrays that can be on time, by trying all subsets.
-func maxOnTime(arrays []*Job, rate float64) (most int) {
+func maxOnTime(arrays []*Job, rate float64) (largest int) {
 	for choice := range 1 << len(arrays) {
 		var chosen []*Job
 		for i, job := range arrays {
@@ -45,11 +45,11 @@
 				chosen = append(chosen, job)
 			}
 		}
-		if len(chosen) > most && allOnTime(chosen, rate) {
-			most = len(chosen)
+		if len(chosen) > largest && allOnTime(chosen, rate) {
+			largest = len(chosen)
 		}
 	}
-	return most
+	return largest
 }
 
 // TestDeferralKeepsMostArraysOnTime checks that as many of a class's jobs as possible are kept
@@ -60,8 +60,8 @@
 		arrays := drawArrays(t)
 		deferred := chooseDeferred(arrays, rate)
 		kept := slices.DeleteFunc(slices.Clone(arrays), func(job *Job) bool { return deferred[job] })
-		if most := maxOnTime(arrays, rate); !allOnTime(kept, rate) || len(kept) != most {
-			t.Fatalf("kept %d (all on time: %v), want %d", len(kept), allOnTime(kept, rate), most)
+		if want := maxOnTime(arrays, rate); !allOnTime(kept, rate) || len(kept) != want {
+			t.Fatalf("kept %d (all on time: %v), want %d", len(kept), allOnTime(kept, rate), want)
 		}
 	})
 }
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -2,11 +2,11 @@
 // to make room for them. It works on a snapshot of the cluster and does no I/O.
 //
 // A pass handles the queue rank by rank (queue.go): boosted jobs (starvation.go), jobs of
-// higher priority and jobs within their team's guarantee (quota.go) come before the others.
+// higher priority and jobs within their team's guarantee (quota.go) come before all other jobs.
 // Job arrays (array.go) start as many tasks as fit, gangs (gang.go) all or none. Each task is
 // placed on the eligible machine (eligibility.go) with the best score (binpacking.go). Jobs
-// that can't be placed may preempt others (preemption.go) or claim machines until these have
-// drained (drain.go).
+// that can't be placed may preempt tasks of other jobs (preemption.go) or claim machines until
+// these have drained (drain.go).
 package placement
 
 import (
@@ -55,8 +55,8 @@
 	earmarks map[string][]limitEarmark
 	// demandExceedsLimitCache caches the results of demandExceedsLimit, by team.
 	demandExceedsLimitCache map[string]bool
-	// onTimeDemandCache caches what a team's waiting jobs below a priority request, counting
-	// only jobs that can still meet a target.
+	// onTimeDemandCache caches the resources that a team's waiting jobs below a priority
+	// request, counting only jobs that can still meet a target.
 	onTimeDemandCache map[teamBelowPriority]Resources
 	// stopping is the usage of each team's stopping tasks.
 	stopping map[string]Resources
@@ -123,11 +123,11 @@
 			remaining = append(remaining, partlyPlacedArray{job, placed})
 		}
 	}
-	for _, rest := range remaining {
-		placed := p.placeArray(rest.job, rest.placed, math.Inf(1))
-		if placed < len(rest.job.WaitingTasks) {
-			p.plan.Unplaced = append(p.plan.Unplaced, rest.job)
-			p.preemptOrDrain(rest.job, len(rest.job.WaitingTasks)-placed)
+	for _, array := range remaining {
+		placed := p.placeArray(array.job, array.placed, math.Inf(1))
+		if placed < len(array.job.WaitingTasks) {
+			p.plan.Unplaced = append(p.plan.Unplaced, array.job)
+			p.preemptOrDrain(array.job, len(array.job.WaitingTasks)-placed)
 		}
 	}
 }
--- a/internal/placement/preemption_test.go
+++ b/internal/placement/preemption_test.go
@@ -75,8 +75,9 @@
 
 // TestFreedCapacityGoesToPreemptor guards against a change that reordered a team's jobs
 // without regard to guarantees. A job within its team's guarantee preempted tasks of another
-// team whose jobs preceded it in the queue. These took the resources back at once, 200,000
-// times in one run. Resources freed by preemption must go to the job that they were freed for.
+// team whose jobs preceded it in the queue. The preempted jobs took the resources back at
+// once, 200,000 times in one run. Resources freed by preemption must go to the job that they
+// were freed for.
 func TestFreedCapacityGoesToPreemptor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		snapshot := drawSnapshot(t)
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -30,7 +30,7 @@
 	return a.Spec.ID < b.Spec.ID
 }
 
-// precedesByRank reports whether a precedes b by rank alone, regardless of their slack.
+// precedesByRank reports whether a has a higher rank than b, regardless of slack.
 func precedesByRank(a, b *Job) bool {
 	if a.Boost == BoostAboveAll || b.Boost == BoostAboveAll {
 		return a.Boost > b.Boost
@@ -75,8 +75,8 @@
 
 // UpdateSlack updates the job's slack, by which jobs of one rank are ordered: the job that
 // must start soonest to meet a target goes first. A job that has missed all its targets would
-// only make others miss theirs, so it is placed behind them, but its slack shrinks with age so
-// that it is not postponed forever.
+// only make other jobs miss theirs, so it is placed behind them, but its slack shrinks with age
+// so that it is not postponed forever.
 //
 // Objectives are measured as shares of each class's jobs, so a missed target counts for more
 // in a class with few jobs. relativeClassCount is the class's number of jobs relative to that
@@ -91,11 +91,11 @@
 		}
 	}
 	j.Late, j.TimeToTarget = true, 0
-	var last time.Duration
+	var lastTarget time.Duration
 	if n := len(j.Targets); n > 0 {
-		last = j.Targets[n-1]
+		lastTarget = j.Targets[n-1]
 	}
-	j.Slack = constants.LateSlack - (age-last)/constants.LateSlackDecay
+	j.Slack = constants.LateSlack - (age-lastTarget)/constants.LateSlackDecay
 }
 
 // missedAllTargets reports whether the job had targets and can't meet any of them any more. It
--- a/internal/placement/quota.go
+++ b/internal/placement/quota.go
@@ -15,7 +15,7 @@
 }
 
 // WithinGuarantee reports whether the usage is within the team's guarantee. Only the resources
-// for which a guarantee is set are compared; without any, nothing is within it.
+// for which a guarantee is set are compared. If none is set, no usage is within the guarantee.
 func (t *Team) WithinGuarantee(usage Resources) bool {
 	if t.Guarantee.CPUs <= 0 && t.Guarantee.GPUs <= 0 {
 		return false
@@ -57,7 +57,8 @@
 // limitAllows reports whether the job's team may use extra after the reservations that the job
 // overrides have been released. Unless it is boosted, the job can't use the parts of the limit
 // that are earmarked for a boosted gang (see Team.EarmarkMinPriority) or for gangs of equal or
-// higher priority that wait for stopping tasks, nor the part that lowerPriorityOnTimeDemand returns.
+// higher priority that wait for stopping tasks, nor the part that lowerPriorityOnTimeDemand
+// returns.
 func (p *pass) limitAllows(job *Job, extra Resources) bool {
 	team := p.Teams[job.Spec.Team]
 	if job.Boost == NoBoost {
@@ -102,16 +103,17 @@
 }
 
 // lowerPriorityOnTimeDemand returns the part of its team's limit that a job which has missed
-// all its targets leaves to the team's lower-priority jobs that can still meet one. Using this
-// part itself would not help any job to meet a target.
+// all its targets leaves to the team's lower-priority jobs that can still meet one. If the late
+// job used this part itself, it would still meet no target.
 //
 // The job's position in the queue does not change: a job that may preempt another's tasks must
-// precede it. Otherwise, the preempted job would take the resources back in the next pass, and
-// again in each pass after it.
+// precede that job. Otherwise, the preempted job would take the resources back in the next
+// pass, and again in each pass after it.
 func (p *pass) lowerPriorityOnTimeDemand(job *Job) Resources {
 	if !job.missedAllTargets() || job.AwaitingStops || !p.demandExceedsLimit(job.Spec.Team) {
-		// A gang that waits for stopping tasks keeps its earmark. Otherwise, it would leave the limit to a
-		// lower-priority job, preempt that job's tasks and start over, pass after pass.
+		// A gang that waits for stopping tasks keeps its earmark. Otherwise, it would leave the
+		// limit to a lower-priority job, preempt that job's tasks and start over, pass after
+		// pass.
 		return Resources{}
 	}
 	key := teamBelowPriority{job.Spec.Team, job.Priority}
--- a/internal/placement/reserved.go
+++ b/internal/placement/reserved.go
@@ -20,9 +20,9 @@
 // gang boosted within its priority also overrides reservations of equal priority, and one
 // boosted above all overrides every reservation. The same rule applies to the team's limit.
 //
-// Without it, slots reserved for jobs that may not start, because the team's limit is kept for
-// a boosted gang, would remain until they expire, while the gang waits for the part of the
-// limit that they use: a deadlock for a quarter of an hour.
+// Without this rule, slots reserved for jobs that may not start, because the team's limit is
+// kept for a boosted gang, would remain until they expire, while the gang waits for the part
+// of the limit that they use. This deadlock would last for a quarter of an hour.
 func (s ReservedSlot) overriddenBy(job *Job) bool {
 	switch {
 	case job.BelongsTo(s.Pipeline), job.Boost == BoostAboveAll:
@@ -123,10 +123,10 @@
 	}
 }
 
-// releaseUnusableReservations releases the reservations that no job of their pipeline can use:
-// all its waiting jobs are gangs that would not fit into their team's limit even without any
-// reservations. Reserving slot by slot for a gang of 24 once left the limit unused while the
-// team's other jobs waited for it.
+// releaseUnusableReservations releases the reservations that no job of their pipeline can use,
+// because all its waiting jobs are gangs that would not fit into their team's limit even
+// without any reservations. Reserving slot by slot for a gang of 24 once left the limit unused
+// while the team's other jobs waited for it.
 func (p *pass) releaseUnusableReservations() {
 	if len(p.reserved) == 0 {
 		return
--- a/internal/placement/resources.go
+++ b/internal/placement/resources.go
@@ -51,8 +51,8 @@
 }
 
 // DominantShare returns the largest of r's shares of the total's CPUs, GPUs and memory. Once a
-// machine has run out of one resource, more tasks of the same shape can't use what is left of
-// the others. Resources of which the total has none are ignored.
+// machine has run out of one resource, more tasks of the same shape can't use the remaining
+// amounts of its other resources. Resources of which the total has none are ignored.
 func (r Resources) DominantShare(total Resources) float64 {
 	share := 0.0
 	for _, dimension := range [][2]float64{{r.CPUs, total.CPUs}, {r.GPUs, total.GPUs}, {r.MemoryGB, total.MemoryGB}} {
--- a/internal/placement/sizeclass.go
+++ b/internal/placement/sizeclass.go
@@ -3,7 +3,7 @@
 import "math"
 
 // sizeClass groups jobs by the size of their tasks, within a factor of two, and by whether
-// these use GPUs.
+// the tasks use GPUs.
 type sizeClass struct {
 	gpus         bool
 	sizeExponent int // binary exponent of the request's dominant share of maxTotal
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -18,8 +18,8 @@
 	// gangs that can't use spot machines. It applies only to arrays that may use spot
 	// machines.
 	GangReserve int
-	// StartRate is the recent number of placed tasks per second, by class. Classes without any
-	// are absent.
+	// StartRate is the recent number of placed tasks per second, by class. Classes without
+	// placed tasks are absent.
 	StartRate map[string]float64
 
 	// exhaustive makes a pass examine all machines. Tests compare it with the pruned search.
--- a/internal/placement/starvation.go
+++ b/internal/placement/starvation.go
@@ -29,8 +29,9 @@
 // BoostStarvingGangs boosts a few gangs of the given classes that have at least MinTasks
 // tasks, the longest waiting first, and clears the boost of all other jobs. Users expect most
 // of the largest jobs of a class to start within a few minutes, regardless of the rest of the
-// queue. Boosting is costly for other jobs, because machines stand empty until the last one
-// for a large gang becomes free, so only a few gangs are boosted, and only where it is needed.
+// queue. Boosting is costly for other jobs, because the machines for a large gang stand empty
+// until the last of them becomes free. Therefore, only a few gangs are boosted, and only in
+// classes that need it.
 func BoostStarvingGangs(unfinished []*Job, starving map[string]StarvingClass, now time.Time) {
 	var overdue []*Job
 	for _, job := range unfinished {
--- a/internal/reservations/manager.go
+++ b/internal/reservations/manager.go
@@ -131,8 +131,8 @@
 	m.reservedFor[reservation.Downstream]++
 }
 
-// remove removes one reservation on a machine. It copies the rest to a new slice, since callers
-// may be iterating over the old one.
+// remove removes one reservation on a machine. It copies the remaining ones to a new slice,
+// since callers may be iterating over the old one.
 func (m *Manager) remove(machine string, index int) {
 	reservations := m.reservations[machine]
 	m.decrementReservedFor(reservations[index])
--- a/internal/reservations/manager_test.go
+++ b/internal/reservations/manager_test.go
@@ -153,7 +153,7 @@
 		})
 		got := manager.OfferFreedSlot("m-x", fitsAll, t0.Add(10*time.Second))
 		if got != (i == 8) {
-			t.Errorf("after %d of 10 tasks: pre-reserved %v", i+1, got)
+			t.Errorf("after %d of 10 tasks: pre-reserved %v, want true only after 9", i+1, got)
 		}
 	}
 }
--- a/internal/reservations/phase.go
+++ b/internal/reservations/phase.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// phase tracks the progress of one upstream job (the current phase in the paper).
+// phase tracks the progress of one upstream job (the current phase in the paper). In its
+// comments, m is the number of tasks of the upstream job and n that of the downstream jobs.
 type phase struct {
 	finishedTasks int // number of finished tasks
 	releasedSlots int // number of their slots that were released, if m > n
@@ -102,8 +103,8 @@
 }
 
 // OfferFreedSlot offers a slot that another job has released to the phases that pre-reserve
-// (m < n), highest priority first, and reports whether it is now reserved. The function fits
-// reports whether a task of the downstream job can use the slot.
+// (m < n), highest priority first, and reports whether it is now reserved. fits reports
+// whether a task of the downstream job can use the slot.
 func (m *Manager) OfferFreedSlot(machine string, fits func(Downstream) bool, now time.Time) bool {
 	for _, job := range m.preReservingJobs(now) {
 		upstream := m.phases[job]
