--- a/internal/attestation/attestation_test.go
+++ b/internal/attestation/attestation_test.go
@@ -53,7 +53,7 @@
 	return p.clockAtStart.Add(time.Duration(float64(at.Sub(p.startedAt)) * p.clockRate))
 }
 
-// confirmation is one cancellation confirmed to a user, and when.
+// confirmation is one cancellation and the time at which it was confirmed to a user.
 type confirmation struct {
 	jobID string
 	at    time.Time
@@ -65,7 +65,8 @@
 	processes [modelNodes]*process
 	leader    *process // the process whose clock the leader reads
 	// watchedUntil is the time of the watch's last proof. The leader considers itself to know
-	// all cancellations up to certainUntil; known holds those that it does know.
+	// all cancellations up to certainUntil. known holds the IDs of the jobs whose cancellation
+	// it does know.
 	watchedUntil, certainUntil time.Time
 	known                      map[string]bool
 	confirmations              []confirmation
--- a/internal/config/operator_load.go
+++ b/internal/config/operator_load.go
@@ -22,11 +22,11 @@
 }
 
 func (e *OperatorSettingError) Error() string {
-	place := ""
+	lineSuffix := ""
 	if e.Line > 0 {
-		place = fmt.Sprintf(" (line %d)", e.Line)
+		lineSuffix = fmt.Sprintf(" (line %d)", e.Line)
 	}
-	return fmt.Sprintf("operator settings: %s%s: must be %s, is %v", e.Key, place, e.Range, e.Value)
+	return fmt.Sprintf("operator settings: %s%s: must be %s, is %v", e.Key, lineSuffix, e.Range, e.Value)
 }
 
 // LoadOperator reads and checks the operators' file. It returns the defaults if path is empty.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -39,8 +39,8 @@
 	// NodeCount is the number of nodes.
 	NodeCount int      `toml:"count"`
 	Zones     []string `toml:"zones"`
-	// MaxClockErrorMS is the maximum error of a node's wall clock in milliseconds. It is not
-	// used.
+	// MaxClockErrorMS is the maximum error of a node's wall clock in milliseconds. The node
+	// does not use it.
 	MaxClockErrorMS float64       `toml:"clock_off_ms"`
 	Teams           []Team        `toml:"teams"`
 	SLOs            []SLO         `toml:"objectives"`
@@ -68,10 +68,10 @@
 	HeartbeatS float64 `toml:"report_s"`
 	// LeaseS is how long after its last acknowledged heartbeat a worker kills its tasks.
 	LeaseS float64 `toml:"lease_s"`
-	// GangWaitS is how long a task of a gang waits for the others to start.
+	// GangWaitS is how long a task of a gang waits for the other tasks to start.
 	GangWaitS float64 `toml:"gang_wait_s"`
-	// GangPeerTimeoutS is the time within which a task of a gang detects that another one is
-	// gone, and how long it waits for the others in an orderly stop.
+	// GangPeerTimeoutS is the time within which a task of a gang detects that another task of
+	// the gang is gone, and how long it waits for the other tasks in an orderly stop.
 	GangPeerTimeoutS float64 `toml:"gang_peer_s"`
 	// CancelWithinS is the maximum time between the confirmation of a job's cancellation to
 	// its user and the end of its last task.
@@ -92,8 +92,8 @@
 	Upcoming *UpcomingStateLimits `toml:"next"`
 }
 
-// UpcomingStateLimits contains limits that will replace the present ones. Those that are nil do
-// not change.
+// UpcomingStateLimits contains limits that will replace the present ones. The limit of a nil
+// field does not change.
 type UpcomingStateLimits struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
@@ -113,8 +113,8 @@
 	return l
 }
 
-// Rates returns the allowed requests and writes per second: the present ones or, if lowered is
-// set, the smaller of the present and the upcoming ones.
+// Rates returns the allowed requests and writes per second. If lowered is set, each rate is the
+// smaller of the present and the upcoming one.
 func (l StateLimits) Rates(lowered bool) (rps, writeRPS float64) {
 	rps, writeRPS = l.RPS, l.WriteRPS
 	if lowered && l.Upcoming != nil && l.Upcoming.RPS != nil {
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -89,7 +89,7 @@
 	}
 	var problem *SettingError
 	if !errors.As(err, &problem) || problem.Key != "site" {
-		t.Errorf("first problem is not that of site: %v", err)
+		t.Errorf("first problem is not that of key site: %v", err)
 	}
 }
 
--- a/internal/config/sizing_test.go
+++ b/internal/config/sizing_test.go
@@ -21,12 +21,12 @@
 				t.Errorf("limit of %d of %d sockets is too small or too large for %d workers", limit, test.sockets, test.workers)
 			}
 			if reserved := test.sockets - limit; test.sockets > 1000 && reserved < internalSockets(test.peers) {
-				t.Errorf("%d sockets reserved for the node's own calls", reserved)
+				t.Errorf("%d sockets reserved, fewer than the node's own calls need", reserved)
 			}
 		})
 	}
 	if new(Settings).SocketLimit() != 0 {
-		t.Errorf("socket limit without a limit in the settings")
+		t.Errorf("SocketLimit is not 0 although the settings contain no limit")
 	}
 }
 
@@ -35,12 +35,12 @@
 func TestSizingWarnings(t *testing.T) {
 	settings := &Settings{Peers: make([]Peer, 4)}
 	if warnings := settings.SizingWarnings(100000); len(warnings) != 0 {
-		t.Errorf("without limits: %v", warnings)
+		t.Errorf("without limits: warnings %v, want none", warnings)
 	}
 
 	settings.Params.MachineLimits = MachineLimits{Sockets: 2500, MemoryMB: 271}
 	if warnings := settings.SizingWarnings(2100); len(warnings) != 0 {
-		t.Errorf("sufficient for 2,100: %v", warnings)
+		t.Errorf("sufficient for 2,100 workers: warnings %v, want none", warnings)
 	}
 	settings.Params.MachineLimits = MachineLimits{Sockets: 1200, MemoryMB: 100}
 	text := strings.Join(settings.SizingWarnings(2100), "\n")
@@ -53,16 +53,16 @@
 	settings.Params.MachineLimits = MachineLimits{}
 	settings.Params.Cloud = CloudLimits{RPS: 2, ListLagS: 5}
 	if warnings := settings.SizingWarnings(2000); len(warnings) != 0 {
-		t.Errorf("4 pages in 5 s at 2 requests/s: %v", warnings)
+		t.Errorf("4 pages in 5 s at 2 requests/s: warnings %v, want none", warnings)
 	}
 	text = strings.Join(settings.SizingWarnings(6000), "\n")
 	if !strings.Contains(text, "params.cloud.rps: 2 ") || !strings.Contains(text, "should be 4.8") {
-		t.Errorf("12 pages in 5 s at 2 requests/s: %q", text)
+		t.Errorf("12 pages in 5 s at 2 requests/s: warnings %q, want a rate of 4.8", text)
 	}
 
 	settings.Params.Cloud = CloudLimits{}
 	settings.Params.MachineLimits = MachineLimits{Sockets: 20, MemoryMB: 20}
 	if warnings := settings.SizingWarnings(constants.MinWorkers); len(warnings) != 2 {
-		t.Errorf("below the minimum capacity: %v", warnings)
+		t.Errorf("below the minimum capacity: warnings %v, want one for sockets and one for memory", warnings)
 	}
 }
--- a/internal/config/slo.go
+++ b/internal/config/slo.go
@@ -13,7 +13,7 @@
 type SLO struct {
 	// Kind is one of the SLO constants or an unknown kind.
 	Kind string `toml:"kind"`
-	// Class is the class of the jobs that it applies to; not used by SLOGuarantee.
+	// Class is the class of the jobs that the objective applies to; not used by SLOGuarantee.
 	Class string `toml:"class"`
 	// WithinS is the time in seconds; not used by SLODeadline.
 	WithinS float64 `toml:"within_s"`
--- a/internal/constants/cloud.go
+++ b/internal/constants/cloud.go
@@ -77,7 +77,7 @@
 	// UnreachableZoneMinSilent is the minimum number of silent machines in an unreachable zone.
 	UnreachableZoneMinSilent = 3
 	// UnreachableZoneRecovery is how long a zone still counts as unreachable after most of its
-	// machines are back. The others may need longer, because a worker without a reply tries
-	// all nodes in turn for a few seconds each.
+	// machines are back. The remaining machines may need longer, because a worker without a
+	// reply tries all nodes in turn for a few seconds each.
 	UnreachableZoneRecovery = 40 * time.Second
 )
--- a/internal/constants/health.go
+++ b/internal/constants/health.go
@@ -15,7 +15,7 @@
 	// fail to count as faulty. Faulty machines are rare, so a job is unlikely to run on three
 	// of them before it runs on a healthy one.
 	FaultyJobMinMachines = 3
-	// FaultyTaskMaxMachines is the number of failures of a task, normally each on another
+	// FaultyTaskMaxMachines is the number of failures of a task, normally each on a different
 	// machine, above which the task itself counts as faulty if other tasks of its job succeed.
 	FaultyTaskMaxMachines = 3
 	// FailureAttributionMargin is how much longer than the failed task another task of the
--- a/internal/constants/log.go
+++ b/internal/constants/log.go
@@ -10,9 +10,9 @@
 	// LogLargeRingSize is the number of keys in the ring for large fleets, which is used only
 	// if every node can read it.
 	LogLargeRingSize = 8192
-	// LargeRingPartsDivisor determines when the large ring is used: if a checkpoint has more
-	// parts than LogRingSize divided by it. In the small ring, such a checkpoint would have to
-	// be rewritten every few seconds.
+	// LargeRingPartsDivisor determines when the large ring is used: for checkpoints of more than
+	// LogRingSize / LargeRingPartsDivisor parts. In the small ring, such a checkpoint would have
+	// to be rewritten every few seconds.
 	LargeRingPartsDivisor = 4
 	// LargeRingCheckInterval is the time between two checks of whether all nodes can read
 	// the large ring.
@@ -60,9 +60,9 @@
 	// MetadataDelay is the minimum time between a change of a machine's metadata and its
 	// record. Most reservations are used before that.
 	MetadataDelay = 2500 * time.Millisecond
-	// MetadataWriteShare is the fraction of the leader's write budget for metadata, if that is
-	// more than one value per second. On a large fleet metadata would otherwise take as many
-	// writes as starts and completions together, although checkpoints contain it anyway.
+	// MetadataWriteShare is the fraction of the leader's write budget for metadata. The minimum
+	// is one value per second. On a large fleet metadata would otherwise take as many writes as
+	// starts and completions together, although checkpoints contain it anyway.
 	MetadataWriteShare = 0.1
 	// MetadataBurst is the period for which unused metadata budget accumulates.
 	MetadataBurst = 2 * time.Second
--- a/internal/constants/queue.go
+++ b/internal/constants/queue.go
@@ -24,8 +24,8 @@
 	// LargeGangLateShare is the fraction of late gangs above which a class's largest gangs
 	// are preferred to other jobs of the same priority.
 	LargeGangLateShare = 0.4
-	// LargeGangCriticalShare is the fraction of late gangs above which they are preferred to
-	// all other jobs. The users' limit is one half.
+	// LargeGangCriticalShare is the fraction of late gangs above which a class's largest gangs
+	// are preferred to all other jobs. The users' limit is one half.
 	LargeGangCriticalShare = 0.55
 	// LargeGangWaitDecay is the factor by which each new observation reduces the weight of
 	// the earlier ones.
--- a/internal/constants/scheduling.go
+++ b/internal/constants/scheduling.go
@@ -7,8 +7,8 @@
 	// MinPassInterval is the minimum time between two placement passes: short compared with a
 	// heartbeat interval, but long enough to batch a burst of heartbeats.
 	MinPassInterval = 60 * time.Millisecond
-	// PassIntervalFactor times the duration of the last pass is the minimum time between two
-	// passes if that is longer. It limits placement to a quarter of the CPU time.
+	// PassIntervalFactor times the duration of the last pass replaces MinPassInterval if it is
+	// longer. It limits placement to a quarter of the CPU time.
 	PassIntervalFactor = 4
 	// MaxPassInterval is the upper limit of the minimum time between two passes, however long
 	// the last pass took.
--- a/internal/constants/scoring.go
+++ b/internal/constants/scoring.go
@@ -47,6 +47,6 @@
 	// GangReserveMaxShare is the largest fraction of the on-demand machines that is kept free.
 	GangReserveMaxShare = 0.5
 	// MaxDrainingShare is the largest fraction of all machines that drain for gangs at a time,
-	// as draining machines are partly idle. The first gang may always drain its machines.
+	// as each is about half empty meanwhile. The first gang may always drain its machines.
 	MaxDrainingShare = 0.04
 )
--- a/internal/constants/serving.go
+++ b/internal/constants/serving.go
@@ -31,7 +31,7 @@
 	// turn. The user does not wait for more.
 	MaxRelayTargets = 2
 	// PeerHealthCheckInterval is the interval at which a node that gets no response from the
-	// state service asks its peers whether they do.
+	// state service asks its peers whether they get one.
 	PeerHealthCheckInterval = 400 * time.Millisecond
 	// MaxStateResponseAge is the maximum age of the last response of the state service at
 	// which a node still counts as healthy.
--- a/internal/constants/users.go
+++ b/internal/constants/users.go
@@ -46,7 +46,7 @@
 	// delays an answer by a fraction of a second at most.
 	StatusQueryBatchWindow = 120 * time.Millisecond
 	// StatusQueryQueueSize is the maximum number of status queries that wait for a batch.
-	// Further ones are told to retry later.
+	// Users of further queries are told to retry later.
 	StatusQueryQueueSize = 512
 	// MaxStatusQueryBatches is the maximum number of concurrent batch transactions. The budget
 	// limits their rate, and each may take half a second before it times out.
--- a/internal/constants/workers.go
+++ b/internal/constants/workers.go
@@ -14,8 +14,9 @@
 
 // Validation of what a worker reports about itself.
 const (
-	// MaxMachineNameBytes is the maximum length of a machine's name in bytes: ten times that
-	// of the cloud's names. It keeps oversized names from a faulty worker out of the records.
+	// MaxMachineNameBytes is the maximum length of a machine's name in bytes, ten times the
+	// length of the cloud's names. It keeps oversized names from a faulty worker out of the
+	// records.
 	MaxMachineNameBytes = 100
 )
 
@@ -42,13 +43,13 @@
 // Replies to heartbeats, which are held back so that commands can be sent with them.
 const (
 	// ReplyHold is how long the reply to a heartbeat is held back. Workers report changes
-	// at most every half second, so it delays no report.
+	// at most every half second, so the hold delays no report.
 	ReplyHold = 400 * time.Millisecond
 	// IdleReplyHold is how long the reply to a worker without attempts is held back. Workers
 	// wait at most 4 s for a reply.
 	IdleReplyHold = 2600 * time.Millisecond
 	// PendingStartReplyHold is how long a reply is held back while a start on the machine is
-	// not recorded yet. It is limited by the same 4 s.
+	// not recorded yet. Workers wait at most 4 s for this reply too.
 	PendingStartReplyHold = IdleReplyHold
 	// ReplyFlushInterval is the interval at which held replies are checked for expiry.
 	ReplyFlushInterval = 25 * time.Millisecond
@@ -76,7 +77,7 @@
 	// MaxIdleCommandConns is the maximum number of idle connections to all workers together.
 	// One per worker would be too many for a fleet of hundreds.
 	MaxIdleCommandConns = 32
-	// StopGrace is added to a task's save time (stashS) when it is told to save and stop.
+	// StopGrace is added to a task's save time (stashS) when the task is told to save and stop.
 	StopGrace = 2 * time.Second
 	// StopResendInterval is the interval at which a stop is sent directly again.
 	StopResendInterval = 2 * time.Second
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -38,8 +38,8 @@
 	Revision uint64 // of the term's record; a condition of every write
 }
 
-// LeadFunc leads for one term. It returns when ctx ends, whose cause says why, or when it
-// finds that this node has been deposed. Its error says why the term ended.
+// LeadFunc leads for one term. It returns when ctx ends, for the reason that context.Cause
+// gives, or when it finds that this node has been deposed. Its error says why the term ended.
 type LeadFunc func(ctx context.Context, grant Grant) error
 
 // Elector runs the election on one node.
@@ -57,8 +57,8 @@
 	return &Elector{self: self, store: store, logger: logger}
 }
 
-// Leader returns the node that leads and the newest term, as far as this node knows. The name
-// is empty if no node leads. It is safe for concurrent use.
+// Leader returns the leader and the newest term that this node knows of. The name is empty if
+// no node is known to lead. It is safe for concurrent use.
 func (e *Elector) Leader() (node string, term uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -159,7 +159,7 @@
 	if err != nil {
 		var conflict *statestore.ConflictError
 		if errors.As(err, &conflict) {
-			// Another node won; the next round reads which one. The lease is useless and
+			// Another node won, and the next round reads its name. The lease is useless and
 			// expires by itself if revoking it fails. After any other error the transaction
 			// may still be carried out; the term then ends when the lease expires.
 			_ = e.store.RevokeLease(ctx, lease)
--- a/internal/election/lease.go
+++ b/internal/election/lease.go
@@ -39,8 +39,8 @@
 		case errors.Is(err, errTermSuperseded):
 			return err
 		default:
-			// Not decided: renewing the old lease fails again at the next tick, which retries
-			// this.
+			// The attempt failed or its outcome is unknown. Renewing the old lease fails
+			// again at the next tick, which then retries the replacement.
 		}
 	}
 }
--- a/internal/election/lease_test.go
+++ b/internal/election/lease_test.go
@@ -63,7 +63,7 @@
 	err = elector.runRound(ctx, func(ctx context.Context, grant Grant) error {
 		led = true
 		if grant.Term != 1 || grant.Revision != 2 {
-			t.Errorf("grant %+v", grant)
+			t.Errorf("grant %+v, want term 1 and revision 2", grant)
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/election/view.go
+++ b/internal/election/view.go
@@ -87,7 +87,7 @@
 
 // Campaign returns the transaction that increments the term and names the node as leader for
 // as long as the lease lasts. It is conditioned on the revisions of both records in the view,
-// so it fails if another node has changed either of them, however late it arrives: no term is
+// so it fails if another node has changed either of them, however late it arrives. No term is
 // granted twice.
 func (v View) Campaign(self string, lease uint64) Campaign {
 	term := v.Term + 1
@@ -121,8 +121,8 @@
 		[]statestore.Write{{Put: LeaderKey, Value: encode(v.Leader), Lease: lease}}
 }
 
-// encode returns the stored form of a record. The records hold only plain values, which
-// always encode; a failure is a bug in this package.
+// encode returns the stored form of a record. The records hold only strings and integers,
+// which always encode, so a failure is a bug in this package.
 func encode(record any) json.RawMessage {
 	raw, err := json.Marshal(record)
 	if err != nil {
--- a/internal/election/view_test.go
+++ b/internal/election/view_test.go
@@ -191,7 +191,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			view := test.from
 			if err := view.applyChange(test.change); (err != nil) != test.wantErr {
-				t.Errorf("error %v", err)
+				t.Errorf("applyChange: unexpected result, error %v", err)
 			}
 			if view != test.want {
 				t.Errorf("view %+v, want %+v", view, test.want)
--- a/internal/jobs/admission.go
+++ b/internal/jobs/admission.go
@@ -7,7 +7,7 @@
 	"thornnotch/internal/config"
 )
 
-// MachineType describes a machine type as far as admission needs it.
+// MachineType holds the properties of a machine type that the admission check uses.
 type MachineType struct {
 	Name                 string
 	CPUs, GPUs, MemoryGB float64
@@ -55,8 +55,8 @@
 		s.CPUs <= machine.CPUs && s.GPUs <= machine.GPUs && s.MemoryGB <= machine.MemoryGB
 }
 
-// exceedsQuota reports whether the least that the job must run at the same time exceeds its
-// team's limits: all tasks of a gang, one task of an array.
+// exceedsQuota reports whether the tasks that must run at the same time need more than the
+// team's limits. These are all tasks of a gang, or one task of any other job.
 func (s *Spec) exceedsQuota(team *config.Team) bool {
 	concurrentTasks := 1.0
 	if s.Kind == KindGang {
--- a/internal/jobs/admission_test.go
+++ b/internal/jobs/admission_test.go
@@ -34,7 +34,7 @@
 		test.edit(spec)
 		err = CheckRunnable(spec, teams, types)
 		if (err == nil) != (test.reason == "") || err != nil && !strings.Contains(err.Error(), test.reason) {
-			t.Errorf("want %q, got %v", test.reason, err)
+			t.Errorf("want an error that contains %q, got %v", test.reason, err)
 		}
 	}
 }
--- a/internal/jobs/decode.go
+++ b/internal/jobs/decode.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// spec checks all fields. Their order determines which of several problems is reported to the
-// user; whether values are among the allowed ones is checked last.
+// spec checks all fields and returns the specification. The order of the checks determines
+// which of several problems is reported to the user. Enumerated values are checked last.
 func (v *validator) spec(sub *submission) *Spec {
 	spec := &Spec{
 		ID:                  v.requiredText(fieldID, sub.ID),
@@ -126,7 +126,7 @@
 
 // optionalAmount checks an amount, or a duration in seconds.
 func (v *validator) optionalAmount(field string, value *float64) *float64 {
-	// The comparison is negated because it must also reject NaN, which compares as false.
+	// The comparison is negated so that it also rejects NaN, which compares as false.
 	if value != nil && (!(*value >= 0) || math.IsInf(*value, 0) || *value > constants.MaxAmount) {
 		v.fail(field, fmt.Sprintf("%v is out of range", *value))
 	}
--- a/internal/jobs/decode_test.go
+++ b/internal/jobs/decode_test.go
@@ -29,7 +29,7 @@
 		_, err := DecodeSpec(body)
 		var fieldError *FieldError
 		if !errors.As(err, &fieldError) || fieldError.Field != field {
-			t.Fatalf("%s = %v: %v", field, bad, err)
+			t.Fatalf("%s = %v: error does not name the field: %v", field, bad, err)
 		}
 	})
 	for _, body := range []string{"", "null", "[]", `"x"`, "{", `{"nameId":1}`, `{}`} {
@@ -41,7 +41,7 @@
 		_, err := DecodeSpec(jobstest.Edit(t, func(fields map[string]any) { fields[field] = word }))
 		var fieldError *FieldError
 		if !errors.As(err, &fieldError) || fieldError.Field != field {
-			t.Errorf("%s = %q: %v", field, word, err)
+			t.Errorf("%s = %q: error does not name the field: %v", field, word, err)
 		}
 	}
 	for _, id := range []string{"j-", "k-1", "j-1a", "j-1/2", " j-1", "j--1"} {
@@ -61,7 +61,7 @@
 			t.Fatalf("%s: %v, %v", field, nullErr, omittedErr)
 		}
 		if fromNull, fromOmitted := encode(t, null), encode(t, omitted); fromNull != fromOmitted {
-			t.Errorf("%s: %s differs from %s", field, fromNull, fromOmitted)
+			t.Errorf("%s: null gives %s, omission gives %s", field, fromNull, fromOmitted)
 		}
 	}
 }
--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -13,9 +13,9 @@
 // SplitListPrefix is the key prefix for the parts of split dependency lists.
 const SplitListPrefix = "waits/"
 
-// SplitList identifies values below SplitListPrefix that together hold a list of job IDs. They
-// are written before the record that refers to them, by each submission under an upload ID of
-// its own, so they never change once a record refers to them.
+// SplitList identifies values below SplitListPrefix that together hold a list of job IDs. The
+// values are written before the record that refers to them. Each submission uses its own upload
+// ID, so the values never change once a record refers to them.
 type SplitList struct {
 	// Upload is the random ID of the submission's parts.
 	Upload string `json:"upload"`
@@ -23,7 +23,7 @@
 	Parts int `json:"parts"`
 }
 
-// PartKey returns the key of one part, counted from 0, of the list of the job with this ID.
+// PartKey returns the key of a part, numbered from 0, of the list of the job with this ID.
 func (l SplitList) PartKey(id string, part int) string {
 	return fmt.Sprintf("%s%04d", l.keyPrefix(id), part)
 }
@@ -48,8 +48,8 @@
 // can't be decoded: callers that decode the whole record report that error.
 func DecodeDependencies(record json.RawMessage) Dependencies {
 	var dependencies Dependencies
-	// Most of the many records have no dependencies, and searching for the field names is much
-	// cheaper than decoding.
+	// There are many records, and most have no dependencies. Searching for the field names is
+	// much cheaper than decoding.
 	if bytes.Contains(record, []byte(`"`+FieldDependsOn+`"`)) || bytes.Contains(record, []byte(`"split"`)) {
 		_ = json.Unmarshal(record, &dependencies) // see the doc comment
 	}
--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -19,8 +19,8 @@
 	// Tasks is the number of tasks of a job that is done.
 	Tasks int `json:"pieces"`
 	// FinishedAtMS is when the leader found the job done, in Unix milliseconds; 0 if unknown.
-	// The waiting time of a job that depends on others counts from the latest FinishedAtMS of
-	// those, but its deadline counts from its own submission.
+	// The waiting time of a job with dependencies counts from their latest FinishedAtMS, but
+	// its deadline counts from its own submission.
 	FinishedAtMS int64 `json:"atMs,omitempty"`
 }
 
@@ -36,8 +36,8 @@
 
 // EncodeRecord returns the record of a job accepted at the given time (Unix milliseconds). If
 // the list of dependencies makes the record longer than valueBytes, the list is split into
-// parts. They must be written before the record, in order, under the keys given by the
-// record's SplitList; the upload ID makes these keys unique to the submission.
+// parts. The parts must be written before the record, in order, under the keys given by the
+// record's SplitList. The upload ID makes these keys unique to the submission.
 func EncodeRecord(spec Spec, acceptedAtMS int64, valueBytes int, upload string) (record json.RawMessage, parts []json.RawMessage, err error) {
 	record, err = json.Marshal(Record{Spec: spec, AcceptedAtMS: acceptedAtMS})
 	if err != nil || len(record) <= valueBytes-recordMarginBytes {
--- a/internal/jobs/records_test.go
+++ b/internal/jobs/records_test.go
@@ -18,7 +18,7 @@
 	if err := json.Unmarshal([]byte(recorded), &readBack); err != nil {
 		t.Fatal(err)
 	}
-	if again := encode(t, &readBack); recorded != again || readBack.Tasks != 16 || !readBack.SameZone {
-		t.Errorf("%s became %s", recorded, again)
+	if reencoded := encode(t, &readBack); recorded != reencoded || readBack.Tasks != 16 || !readBack.SameZone {
+		t.Errorf("encoded %s, encoded again after decoding %s", recorded, reencoded)
 	}
 }
--- a/internal/peers/wire.go
+++ b/internal/peers/wire.go
@@ -37,7 +37,7 @@
 	Body         []byte
 }
 
-// RelayReply is the HTTP response for the user. Status 0 means that this node can't serve
+// RelayReply is the HTTP response for the user. Status 0 means that the called node can't serve
 // the request either.
 type RelayReply struct {
 	Status     int
@@ -49,8 +49,8 @@
 // SpanMS milliseconds.
 type VouchArgs struct{ SpanMS int64 }
 
-// VouchReply is the reply to VouchArgs. If OK is false, the node can't give a
-// complete list of the cancellations that it has confirmed.
+// VouchReply is the reply to VouchArgs. If OK is false, the node can't give a complete list of
+// the cancellations that it has confirmed.
 type VouchReply struct {
 	OK        bool
 	Cancelled []string
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -33,8 +33,8 @@
 // once none of the worker's goroutines are running.
 type WorkerRunner func(ctx context.Context, instance autoscaling.Instance)
 
-// Cloud simulates the cloud API. A rented machine takes the boot time that the catalog states
-// for its type.
+// Cloud simulates the cloud API. A rented machine boots in the time that the catalog states for
+// its type.
 type Cloud struct {
 	ctx       context.Context //nolint:containedctx // machines outlive the request that rents them and stop with the cloud
 	catalog   autoscaling.Catalog
--- a/internal/simulator/gang_registry.go
+++ b/internal/simulator/gang_registry.go
@@ -32,7 +32,7 @@
 	g.members[gangKey][t.id.Task.Index] = true
 }
 
-// leave removes a task that has ended; completed means that its gang has completed.
+// leave removes a task that has ended. completed is true if its gang has completed.
 func (g *GangRegistry) leave(t *task, completed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -127,7 +127,7 @@
 	addr   string
 	queue  chan net.Conn
 	closed chan struct{}
-	once   sync.Once // closes closed
+	once   sync.Once // guards the closing of closed
 }
 
 // Accept waits for the next connection.
@@ -190,8 +190,8 @@
 	return n, err
 }
 
-// Write writes to the connection. It blocks while the host is frozen; on the dialling end it
-// also takes the host's packet delay.
+// Write writes to the connection. It blocks while the host is frozen. On the dialling end it
+// also waits for the host's packet delay.
 func (c *conn) Write(data []byte) (int, error) {
 	c.host.waitUntilResumed()
 	if !c.accepted {
--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -104,8 +104,8 @@
 }
 
 // drawLostReplies returns a function that drops the reply to the given share of write
-// transactions, chosen at random. Of these, lateShare are applied some seconds late if their
-// conditions hold then; the others are applied immediately.
+// transactions, chosen at random. The fraction lateShare of these transactions is applied some
+// seconds late if their conditions hold then; the rest are applied immediately.
 func drawLostReplies(share float64, log *slog.Logger) func(caller string, writes int) TxnFault {
 	draw := rand.New(rand.NewPCG(lossSeed, lossSeed))
 	return func(_ string, writes int) TxnFault {
--- a/internal/simulator/state_faults.go
+++ b/internal/simulator/state_faults.go
@@ -15,10 +15,10 @@
 	Delay time.Duration
 }
 
-// FaultCounts counts the faults that took place, so that a test can check that the one it
-// injects did: requests refused with 503, lost replies, transactions that were due late and
-// were applied (LateApplied) or not (LateRejected), and transactions over a size limit or the
-// rate limit.
+// FaultCounts counts the faults that took place, so that a test can check that an injected fault
+// occurred. The faults are requests refused with 503, lost replies, transactions that were due
+// late and were applied (LateApplied) or not (LateRejected), and transactions over a size limit
+// or the rate limit.
 type FaultCounts struct{ Refused, ReplyLost, LateApplied, LateRejected, TooLarge, RateLimited int }
 
 // RequestLimits holds the limits that the service enforces; 0 means no limit.
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -28,7 +28,7 @@
 	counts       FaultCounts
 
 	limits      RequestLimits
-	writeTokens float64 // tokens in the rate limiter's bucket, one per write
+	writeTokens float64 // tokens in the rate limiter's bucket; a write takes one
 	refilledAt  time.Time
 }
 
@@ -94,7 +94,7 @@
 	s.changed = make(chan struct{})
 }
 
-// lease is a lease that keys can be attached to; they are deleted when it ends.
+// lease is a granted lease. The keys attached to it are deleted when it ends.
 type lease struct {
 	ttl   time.Duration
 	timer *time.Timer // ends the lease after ttl
--- a/internal/simulator/wire.go
+++ b/internal/simulator/wire.go
@@ -68,8 +68,8 @@
 	ID uint64 `json:"tenure"`
 }
 
-// machineNames lists machines by name: in a reply the rented ones, in a request the ones to
-// return.
+// machineNames lists the names of the rented machines in a reply, or of the machines to return
+// in a request.
 type machineNames struct {
 	Machines []string `json:"rigs"`
 }
--- a/internal/simulator/worker_heartbeats.go
+++ b/internal/simulator/worker_heartbeats.go
@@ -11,8 +11,8 @@
 	"thornnotch/internal/workers"
 )
 
-// newHeartbeat returns the worker's next status message, with a new sequence number. The caller
-// must hold w.mu.
+// newHeartbeat returns the worker's next heartbeat, with a new sequence number. The caller must
+// hold w.mu.
 func (w *Worker) newHeartbeat() workers.Heartbeat {
 	w.sequence++
 	heartbeat := workers.Heartbeat{
--- a/internal/simulator/worker_tasks.go
+++ b/internal/simulator/worker_tasks.go
@@ -18,9 +18,9 @@
 	cause       workers.ExitCause
 	saved       bool      // a checkpoint was saved at exit
 	statusSince time.Time // when status last changed; shifted during a hang
-	stoppedAt   time.Time // when it began to save a checkpoint because of a stop
-	started     bool      // the observer was notified of its start, but not yet of its end
-	willFail    bool      // it started while the machine was faulty
+	stoppedAt   time.Time // when the task began to save a checkpoint because of a stop
+	started     bool      // the observer was notified of the start, but not yet of the end
+	willFail    bool      // the task started while the machine was faulty
 }
 
 func (t *task) isGang() bool { return t.job != nil && t.job.Kind == jobs.KindGang }
--- a/internal/statestore/budget_test.go
+++ b/internal/statestore/budget_test.go
@@ -52,10 +52,10 @@
 			writes += 3
 		}
 		if writes > 20*10+20 || calls > 50*10+50 {
-			t.Errorf("%d calls and %d writes in 10 s", calls, writes)
+			t.Errorf("%d calls and %d writes in 10 s, want at most 550 and 220", calls, writes)
 		}
 		if writes < 150 {
-			t.Errorf("only %d writes in 10 s", writes)
+			t.Errorf("%d writes in 10 s, want at least 150", writes)
 		}
 	})
 }
@@ -74,10 +74,10 @@
 		}
 		record, statusQuery := budget.Usage(ClassRecord), budget.Usage(ClassStatusQuery)
 		if record.Requests != 2 || record.Writes != 6 || record.WaitSeconds <= 0 {
-			t.Errorf("usage of ClassRecord: %+v", record)
+			t.Errorf("usage of ClassRecord: %+v, want 2 requests, 6 writes and some waiting time", record)
 		}
 		if statusQuery.Requests != 1 || statusQuery.Writes != 0 || statusQuery.WaitSeconds != 0 {
-			t.Errorf("usage of ClassStatusQuery: %+v", statusQuery)
+			t.Errorf("usage of ClassStatusQuery: %+v, want 1 request, no writes and no waiting time", statusQuery)
 		}
 	})
 }
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -19,7 +19,8 @@
 
 	baseURL string
 	// generalHTTPClient is used for all calls except those of ClassLease. Leadership depends
-	// on those, so they use separate connections and never wait for other calls that hang.
+	// on the calls of ClassLease, so they use separate connections and never wait for other
+	// calls that hang.
 	generalHTTPClient, leaseHTTPClient *http.Client
 	health                             health
 	// txnTimeout limits the duration of all transactions except those of ClassLease.
--- a/internal/statestore/txn_timeout_test.go
+++ b/internal/statestore/txn_timeout_test.go
@@ -27,19 +27,19 @@
 			timeout.recordResponse(latency)
 		}
 		if timeouts > 1 {
-			t.Fatalf("latency %v: %d transactions timed out", latency, timeouts)
+			t.Fatalf("latency %v: %d transactions timed out, want at most 1", latency, timeouts)
 		}
 
 		timeout.recordTimeout()
 		if timeout.next() != constants.StateTimeout {
-			t.Fatalf("timeout after a lost response: %v", timeout.next())
+			t.Fatalf("timeout after a lost response: %v, want constants.StateTimeout", timeout.next())
 		}
 
 		shortLatency := time.Duration(rapid.IntRange(1, 200).Draw(t, "shortLatency")) * time.Millisecond
 		timeout.recordResponse(shortLatency)
 		timeout.recordResponse(shortLatency)
 		if timeout.next() != constants.MinTxnTimeout {
-			t.Fatalf("timeout after two responses within %v: %v", shortLatency, timeout.next())
+			t.Fatalf("timeout after two responses within %v: %v, want constants.MinTxnTimeout", shortLatency, timeout.next())
 		}
 	})
 }
--- a/internal/statestore/watch.go
+++ b/internal/statestore/watch.go
@@ -26,7 +26,7 @@
 	}
 	var result watchResponse
 	request := request{
-		// An open watch does not fail when the service has an outage, so one without a
+		// An open watch does not fail when the service has an outage, so a watch without a
 		// timely response must time out and be repeated.
 		class: ClassLease, timeout: maxWait + 2*constants.StateTimeout,
 		method: http.MethodGet, path: pathWatch + "?" + query.Encode(), result: &result,
--- a/internal/userapi/cancellation.go
+++ b/internal/userapi/cancellation.go
@@ -20,12 +20,12 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), constants.UserRequestTimeout)
 	defer cancel()
-	finalState, err := s.cancel(ctx, id)
+	status, err := s.cancel(ctx, id)
 	if err != nil {
 		respondError(w, err)
 		return
 	}
-	WriteJSON(w, http.StatusOK, JobStatus{ID: id, Status: finalState})
+	WriteJSON(w, http.StatusOK, JobStatus{ID: id, Status: status})
 }
 
 // cancel cancels a job and returns its final status, which is StatusDone if the job finished
--- a/internal/userapi/dependencies.go
+++ b/internal/userapi/dependencies.go
@@ -17,9 +17,10 @@
 
 // findUnknownJob returns the first job of the list that was never accepted, or an empty string
 // if all were. A job that was accepted once keeps an open or a final record, so reads are
-// sufficient here and the transaction that creates the new job needs no conditions on these.
-// Most jobs are in the replica or the cache. The others are checked by transactions that
-// require them not to exist, whose conflicts name those that do exist.
+// sufficient here and the transaction that creates the new job needs no conditions on them.
+// Most jobs are in the replica or the cache. The remaining jobs are checked by transactions
+// whose conditions require that the jobs have no records, so a conflict names those that have
+// one.
 func (s *Server) findUnknownJob(ctx context.Context, ids []string) (string, error) {
 	var unconfirmed []string
 	for _, id := range ids {
@@ -56,7 +57,7 @@
 		if conflict.HasKey(jobs.OpenPrefix+id) || conflict.HasKey(jobs.FinalPrefix+id) {
 			continue
 		}
-		// Its conditions held if the conflict lists all failed keys. The protocol doesn't
+		// The job's conditions held if the conflict lists all failed keys. The protocol doesn't
 		// guarantee a complete list, so the records are read before the submission is
 		// rejected.
 		exists, err := s.exists(ctx, id)
@@ -141,7 +142,8 @@
 // cancelledByDependency reports whether an open job, given its record, is cancelled through
 // its dependencies. Proof (docs/design.md, Safety 12): the replica is first brought up to date
 // with a moment after the query arrived. A job that is open in the replica was not cancelled
-// at that moment; a job that is not has a final record, which never changes.
+// at that moment. A job that is not open in the replica has a final record, which never
+// changes.
 func (s *Server) cancelledByDependency(ctx context.Context, id string, record statestore.KeyValue, class statestore.Class) (bool, error) {
 	dependencies := jobs.DecodeDependencies(record.Value)
 	if dependencies.Empty() {
--- a/internal/userapi/replica.go
+++ b/internal/userapi/replica.go
@@ -48,8 +48,8 @@
 // open.
 func (r *openJobsReplica) revisionOf(id string) uint64 { return r.job(id).revision }
 
-// setDependencies replaces the dependencies of a job: by the complete list if its record holds
-// only a part of it, or by none once all of them are done.
+// setDependencies replaces the dependencies of a job. It is called with the complete list if
+// the job's record holds only a part of it, and with none once all dependencies are done.
 func (r *openJobsReplica) setDependencies(id string, dependencies jobs.Dependencies) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/userapi/responses.go
+++ b/internal/userapi/responses.go
@@ -123,8 +123,8 @@
 	_, _ = w.Write(append(raw, '\n')) // a client that misses the response repeats the request
 }
 
-// ReadBody reads a request's body up to the protocol's size limit. If it can't, it writes the
-// error response and returns ok = false.
+// ReadBody reads a request's body. If the body can't be read or exceeds the protocol's size
+// limit, ReadBody writes the error response and returns ok = false.
 func ReadBody(w http.ResponseWriter, r *http.Request) (body []byte, ok bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, constants.MaxBodyBytes))
 	if err != nil {
--- a/internal/userapi/server.go
+++ b/internal/userapi/server.go
@@ -26,8 +26,8 @@
 // TaskCounts holds the number of a job's done and running tasks, for display only.
 type TaskCounts struct{ Done, Running int }
 
-// Progress returns the task counts of the given open jobs by job ID, without those that
-// the leader doesn't know.
+// Progress returns the task counts of the given open jobs by job ID. It omits jobs that the
+// leader doesn't know.
 type Progress func(ctx context.Context, ids []string) map[string]TaskCounts
 
 // Options configures a Server.
--- a/internal/userapi/status_proofs.go
+++ b/internal/userapi/status_proofs.go
@@ -21,8 +21,8 @@
 }
 
 // proveBatch answers the queries of a batch that compare-only transactions can prove. It
-// returns those that need reads of their own: queries whose records differ from what this node
-// knows, and queries for jobs with open dependencies.
+// returns the queries that need reads of their own, because their records differ from the
+// revisions that this node knows or because their jobs have open dependencies.
 func (s *Server) proveBatch(ctx context.Context, batch []statusQuery) (needReads []statusQuery) {
 	for len(batch) > 0 {
 		txn, dependent, rest := s.nextCompareTxn(batch)
@@ -42,9 +42,9 @@
 // dependent holds the queries whose jobs may be cancelled through a dependency, so that their
 // own records prove nothing; rest holds the queries that don't fit.
 //
-// The replica may learn of a job after the batch was collected, or after a conflict. So
-// whether the job has open dependencies is read together with the revision that is compared.
-// When these were read separately, a job could become known between the two reads and was
+// The replica may learn of a job after the batch was collected, or after a conflict. Therefore
+// nextCompareTxn reads a job's open dependencies together with the revision that it compares.
+// When the two were read separately, a job could become known between the reads and was
 // reported as pending after another node had reported it as cancelled.
 func (s *Server) nextCompareTxn(batch []statusQuery) (txn compareTxn, dependent, rest []statusQuery) {
 	txn.revisions = make(map[string]uint64, len(batch))
@@ -96,8 +96,8 @@
 	return nil, nil
 }
 
-// partitionByConflict separates the queries whose records conflicted from the others. The latter
-// are unproven and must be compared again, as only a transaction that succeeds proves anything.
+// partitionByConflict separates the queries whose records conflicted from the unproven queries,
+// which must be compared again, as only a transaction that succeeds proves anything.
 // If the conflict names none of the records, any of them may have caused it, so all queries
 // count as conflicting.
 func (c compareTxn) partitionByConflict(conflict *statestore.ConflictError) (conflicting, unproven []statusQuery) {
--- a/internal/userapi/status_queries.go
+++ b/internal/userapi/status_queries.go
@@ -158,8 +158,9 @@
 }
 
 // answerDependents answers the queries for jobs with open dependencies by one watch for all of
-// them. The synced replica shows a moment after the queries arrived: its jobs were open then,
-// and any dependency that is cancelled was already cancelled then (docs/design.md, Safety 12).
+// them. The synced replica shows the open jobs at a moment after the queries arrived, and any
+// dependency that is cancelled was already cancelled at that moment (docs/design.md, Safety
+// 12).
 func (s *Server) answerDependents(ctx context.Context, batch []statusQuery) {
 	ctx, cancel := context.WithTimeout(ctx, constants.StatusQueryTimeout)
 	defer cancel()
@@ -205,7 +206,8 @@
 	}
 }
 
-// countTasks returns the task counts of the open jobs among these from the leader.
+// countTasks asks the leader for the task counts of the open jobs, whose revision is not 0. It
+// returns nil if there are none or if Options.Progress is nil.
 func (s *Server) countTasks(ctx context.Context, revisions map[string]uint64) map[string]TaskCounts {
 	var open []string
 	for id, revision := range revisions {
--- a/internal/userapi/status_queries_test.go
+++ b/internal/userapi/status_queries_test.go
@@ -93,11 +93,11 @@
 type queryScenario struct {
 	// statuses are the actual statuses of the jobs; empty means never accepted.
 	statuses []string
-	// known determines the revision at which the node knows each job: 0: none, 1: a wrong one,
-	// else: the right one.
+	// known determines the revision at which the node knows each job. 0 stands for no revision,
+	// 1 for a wrong one, and any other number for the right one.
 	known []int
-	// finishing is the index of the job that finishes just before its records are compared;
-	// -1: none.
+	// finishing is the index of the job that finishes just before its records are compared, or
+	// -1 if none does.
 	finishing int
 }
 
--- a/internal/userapi/submission.go
+++ b/internal/userapi/submission.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// acquireSubmissionSlot reports false if as many submissions are in progress as can be
-// recorded before their users give up; further ones are rejected at once. Status queries and
-// cancellations need no slot.
+// acquireSubmissionSlot takes a slot and reports whether one was free. There are only as many
+// slots as submissions that can be recorded before their users give up, and further submissions
+// are rejected at once. Status queries and cancellations need no slot.
 func (s *Server) acquireSubmissionSlot() bool {
 	select {
 	case s.submissionSlots <- struct{}{}:
--- a/internal/userapi/submission_test.go
+++ b/internal/userapi/submission_test.go
@@ -96,7 +96,7 @@
 // them late.
 type lossyStore struct {
 	*memoryStore
-	// outcomes are those of the next transactions; all later ones are executed normally.
+	// outcomes holds the outcomes of the next transactions. Later ones are executed normally.
 	outcomes []string
 	// delayed holds the transactions to be executed late; each may be executed more than once.
 	delayed []func()
--- a/internal/workers/agent.go
+++ b/internal/workers/agent.go
@@ -57,9 +57,9 @@
 	return &Agent{Name: name, Attempts: make(map[AttemptID]*Attempt)}
 }
 
-// Observe applies a message from the worker. fresh is false if the message is outdated, and
-// then nothing changes. direct marks the response to /commands or /status: it may overtake
-// the reply to a heartbeat, so an attempt missing from it proves nothing.
+// Observe applies a message from the worker. fresh is false if the message is outdated and was
+// ignored. direct is set for the response to a request to /commands or /status. This response
+// may overtake the reply to a heartbeat, so an attempt missing from it proves nothing.
 func (agent *Agent) Observe(heartbeat *Heartbeat, term uint64, direct bool, now time.Time) (events []Event, fresh bool) {
 	if agent.isOutdated(heartbeat) {
 		return nil, false
@@ -194,7 +194,7 @@
 	if attempt.FirstReportedAt.IsZero() {
 		attempt.FirstReportedAt = now
 		if !attempt.FromEarlierTerm {
-			agent.markReachable() // it has carried out this term's `run`
+			agent.markReachable() // the worker has carried out this term's `run`
 		}
 	}
 	changed = attempt.Status != report.Status
--- a/internal/workers/lost_replies.go
+++ b/internal/workers/lost_replies.go
@@ -24,7 +24,8 @@
 
 // detectLostReplies sets RepliesLost if the leader's replies evidently do not reach the worker:
 // several consecutive heartbeats do not list a started attempt, or show a stop not carried
-// out. It then cancels the starts that never arrived, which the same heartbeat proves gone.
+// out. It then cancels the starts that never arrived, so that the same heartbeat proves their
+// attempts gone.
 func (agent *Agent) detectLostReplies(heartbeat *Heartbeat, listed map[AttemptID]bool, now time.Time) {
 	agent.countMissedStarts(heartbeat.Sequence, listed)
 	agent.countIgnoredStops(listed, now)
--- a/internal/workers/lost_replies_test.go
+++ b/internal/workers/lost_replies_test.go
@@ -19,7 +19,7 @@
 			t.Fatalf("RepliesLost set after %d heartbeats", missed-1)
 		}
 		if got := agent.Commands(true, now); len(got) != 1 || got[0].Verb != VerbRun {
-			t.Fatalf("commands %v", got)
+			t.Fatalf("commands %v, want one run", got)
 		}
 		now = now.Add(6 * time.Second)
 		if !agent.StartOverdue(now) {
@@ -27,11 +27,11 @@
 		}
 		events, _ := agent.Observe(newHeartbeat(1, uint64(1+missed)), ownTerm, false, now)
 		if gone := len(events) == 1 && events[0].Kind == EventGone; gone != (missed == 2) {
-			t.Fatalf("heartbeat %d: %v", missed, events)
+			t.Fatalf("missed heartbeat %d: events %v, want one EventGone after the second only", missed, events)
 		}
 	}
 	if !agent.RepliesLost || len(agent.Attempts) != 0 {
-		t.Fatalf("replies lost %v, attempts %v", agent.RepliesLost, agent.Attempts)
+		t.Fatalf("replies lost %v, attempts %v, want true and no attempts", agent.RepliesLost, agent.Attempts)
 	}
 
 	agent.Observe(newHeartbeat(1, 8), ownTerm, false, now)
@@ -66,8 +66,8 @@
 }
 
 // TestNewEpochIsUnconfirmed checks that EpochUnconfirmed is set when a worker's epoch ends
-// while it keeps sending heartbeats, and which evidence that the worker receives messages
-// clears it.
+// while it keeps sending heartbeats, and that it is cleared by evidence that the worker
+// receives messages, or once the worker has kept the new epoch for two leases.
 func TestNewEpochIsUnconfirmed(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
--- a/internal/workers/wire.go
+++ b/internal/workers/wire.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"strings"
 
-	// Thousands of heartbeats arrive each second, and to decode one this package takes a sixth of
-	// the time that the standard library takes.
+	// Thousands of heartbeats arrive each second, and this package decodes one in a sixth of the
+	// time that the standard library takes.
 	"github.com/segmentio/encoding/json"
 
 	"thornnotch/internal/constants"
--- a/internal/workers/wire_test.go
+++ b/internal/workers/wire_test.go
@@ -46,13 +46,13 @@
 			t.Fatal(err)
 		}
 		raw = drawCorruption(t, raw)
-		var ours, standard Heartbeat
-		oursErr, standardErr := fast.Unmarshal(raw, &ours), json.Unmarshal(raw, &standard)
-		if (oursErr == nil) != (standardErr == nil) {
-			t.Fatalf("%q: error %v, encoding/json error %v", raw, oursErr, standardErr)
+		var fromFast, fromStandard Heartbeat
+		fastErr, standardErr := fast.Unmarshal(raw, &fromFast), json.Unmarshal(raw, &fromStandard)
+		if (fastErr == nil) != (standardErr == nil) {
+			t.Fatalf("%q: error %v, encoding/json error %v", raw, fastErr, standardErr)
 		}
-		if standardErr == nil && !reflect.DeepEqual(ours, standard) {
-			t.Fatalf("%q: decoded %+v, encoding/json decoded %+v", raw, ours, standard)
+		if standardErr == nil && !reflect.DeepEqual(fromFast, fromStandard) {
+			t.Fatalf("%q: decoded %+v, encoding/json decoded %+v", raw, fromFast, fromStandard)
 		}
 	})
 }
@@ -96,8 +96,8 @@
 		raw[at] = rapid.SampledFrom([]byte(`{}[]",:0-e nt`)).Draw(t, "byte")
 	case 2:
 		at := rapid.IntRange(0, len(raw)).Draw(t, "at")
-		more := rapid.SampledFrom([]string{`"x":1,`, `,`, `null`, `{"a":[1,{}]},`, ` `, "\x00", `"`}).Draw(t, "more")
-		return slices.Concat(raw[:at], []byte(more), raw[at:])
+		fragment := rapid.SampledFrom([]string{`"x":1,`, `,`, `null`, `{"a":[1,{}]},`, ` `, "\x00", `"`}).Draw(t, "more")
+		return slices.Concat(raw[:at], []byte(fragment), raw[at:])
 	}
 	return raw
 }
