--- a/internal/constants/workers.go
+++ b/internal/constants/workers.go
@@ -45,8 +45,8 @@
 	// ReplyHold is how long the reply to a heartbeat is held back. Workers report changes
 	// at most every half second, so the hold delays no report.
 	ReplyHold = 400 * time.Millisecond
-	// IdleReplyHold is how long the reply to a worker without attempts is held back. Workers
-	// wait at most 4 s for a reply.
+	// IdleReplyHold is how long the reply to a worker without attempts is held back. The worker
+	// has nothing to report. Workers wait at most 4 s for a reply.
 	IdleReplyHold = 2600 * time.Millisecond
 	// PendingStartReplyHold is how long a reply is held back while a start on the machine is
 	// not recorded yet. Workers wait at most 4 s for this reply too.
