--- a/internal/leader/attempt_numbers_test.go
+++ b/internal/leader/attempt_numbers_test.go
@@ -9,8 +9,8 @@
 )
 
 // TestAttemptNumbersAreUnique checks that numbers of different terms, and numbers allocated at
-// different times within a term, are distinct, and owns recognizes exactly the numbers of its
-// own term. The carry is reached in practice: a busy fleet of thousands of machines starts a
+// different times within a term, are distinct, and that owns recognizes exactly the numbers of
+// its own term. The carry is reached in practice: a busy fleet of thousands of machines starts a
 // million tasks, the range of the low bits, within an hour.
 func TestAttemptNumbersAreUnique(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -51,14 +51,14 @@
 func TestAttemptNumbersMatchEarlierVersions(t *testing.T) {
 	n := attemptNumbers{term: 7}
 	if number, _ := n.next(); number != 7<<20|1 {
-		t.Errorf("first number: %d", number)
+		t.Errorf("first number: %d, want 7<<20|1", number)
 	}
 	n.used = 1<<20 - 2
 	if number, ok := n.next(); !ok || number != 7<<20|(1<<20-1) {
-		t.Errorf("last number before the carry: %d, ok %v", number, ok)
+		t.Errorf("last number before the carry: %d, ok %v, want 7<<20|(1<<20-1), true", number, ok)
 	}
 	if number, ok := n.next(); !ok || number != 1<<44|7<<20 {
-		t.Errorf("first number with a carry: %d, ok %v", number, ok)
+		t.Errorf("first number with a carry: %d, ok %v, want 1<<44|7<<20, true", number, ok)
 	}
 	large := attemptNumbers{term: 1 << constants.TermBits, used: 1<<20 - 2}
 	if number, ok := large.next(); !ok || !large.owns(number) {
--- a/internal/leader/attempt_records_test.go
+++ b/internal/leader/attempt_records_test.go
@@ -27,10 +27,10 @@
 	for i, p := range placed {
 		p.attempt.Committed = true
 		l.allowStart(p.machine, p.attempt)
-		last := i == tasks-1
+		allCommitted := i == tasks-1
 		for _, other := range placed {
-			if other.attempt.StartAllowed != last {
-				t.Errorf("%d of %d attempts committed: task %d allowed to start: %v", i+1, tasks, other.attempt.ID.Task.Index, !last)
+			if other.attempt.StartAllowed != allCommitted {
+				t.Errorf("%d of %d attempts committed: task %d allowed to start: %v", i+1, tasks, other.attempt.ID.Task.Index, !allCommitted)
 			}
 		}
 	}
--- a/internal/leader/certainty_test.go
+++ b/internal/leader/certainty_test.go
@@ -30,7 +30,7 @@
 				t.Fatalf("seed %d: tasks ended %v too late", seed, gone.Sub(limit))
 			}
 			if scenario.acknowledged < 5 {
-				t.Fatalf("seed %d: only %d heartbeats acknowledged", seed, scenario.acknowledged)
+				t.Fatalf("seed %d: only %d heartbeats acknowledged, want at least 5", seed, scenario.acknowledged)
 			}
 		})
 	}
@@ -87,7 +87,7 @@
 	}
 	s.l.replies.nextFlush = time.Time{}
 	s.l.flushReplies(time.Now().Add(constants.IdleReplyHold))
-	if answer := <-reply; answer.Status == 200 {
+	if received := <-reply; received.Status == 200 {
 		s.renewedAt = sent
 		s.acknowledged++
 	}
@@ -97,8 +97,8 @@
 // short just before the end of the window.
 func (s *outageScenario) pause() time.Duration {
 	pause := s.randomBelow(config.Seconds(s.timings.HeartbeatS) * 5 / 4)
-	if left := certainty.Window(s.timings) - time.Since(s.refusedAt); left > 0 && left < 3*time.Second {
-		pause = min(pause, max(left/2, time.Millisecond))
+	if remaining := certainty.Window(s.timings) - time.Since(s.refusedAt); remaining > 0 && remaining < 3*time.Second {
+		pause = min(pause, max(remaining/2, time.Millisecond))
 	}
 	return pause
 }
@@ -139,10 +139,10 @@
 		ctx, stop := context.WithCancel(t.Context())
 		go func() { _ = l.watchJobs(ctx, 1) }()
 		for range 3 {
-			first := <-requested
+			requestedAt := <-requested
 			(<-l.events).apply(l)
-			if !l.certainty.WatchedUntil().Equal(first) || l.certainty.SinceProof(first) != 0 {
-				t.Errorf("requested at %v, but proof dates from %v earlier", first, l.certainty.SinceProof(first))
+			if !l.certainty.WatchedUntil().Equal(requestedAt) || l.certainty.SinceProof(requestedAt) != 0 {
+				t.Errorf("requested at %v, but proof dates from %v earlier", requestedAt, l.certainty.SinceProof(requestedAt))
 			}
 		}
 		stop()
@@ -162,9 +162,9 @@
 	if job.removed || l.certainty.SinceProof(now) < time.Minute {
 		t.Errorf("stale attestation accepted: job removed %v, proof %v ago", job.removed, l.certainty.SinceProof(now))
 	}
-	asked := now.Add(-constants.AttestationMaxAge / 2)
-	l.applyAttestation([]string{"j-1", "j-2"}, asked, now)
-	if !job.removed || l.certainty.SinceProof(asked) != 0 {
+	askedAt := now.Add(-constants.AttestationMaxAge / 2)
+	l.applyAttestation([]string{"j-1", "j-2"}, askedAt, now)
+	if !job.removed || l.certainty.SinceProof(askedAt) != 0 {
 		t.Errorf("attestation not applied: job removed %v, proof %v ago", job.removed, l.certainty.SinceProof(now))
 	}
 	l.jobRecordDeleted("j-1", now) // the watch reports it later as well
--- a/internal/leader/class_stats.go
+++ b/internal/leader/class_stats.go
@@ -47,14 +47,14 @@
 // relativeCount returns the number of jobs of a class relative to that of the most frequent
 // class. It returns 1 if no jobs have been counted yet.
 func (a classArrivals) relativeCount(class string) float64 {
-	most := 0.0
+	maxCount := 0.0
 	for _, count := range a {
-		most = max(most, count)
+		maxCount = max(maxCount, count)
 	}
-	if most <= 0 {
+	if maxCount <= 0 {
 		return 1
 	}
-	return max(a[class], 0) / most
+	return max(a[class], 0) / maxCount
 }
 
 // placementRates estimates how many tasks of each class are placed per second. Older
--- a/internal/leader/class_stats_test.go
+++ b/internal/leader/class_stats_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestRelativeClassCount checks that counts are relative to the most frequent class, and are 1
-// for every class before any job has arrived. Counts decay with time.
+// for every class before any job has arrived, and that counts decay with time.
 func TestRelativeClassCount(t *testing.T) {
 	arrivals := make(classArrivals)
 	if got := arrivals.relativeCount("x"); got != 1 {
@@ -42,7 +42,7 @@
 		}
 	}
 	if got := rates["x"]; math.Abs(got-3) > 0.01 {
-		t.Errorf("rate of 3 placements per second: %v", got)
+		t.Errorf("rate of 3 placements per second: %v, want about 3", got)
 	}
 }
 
@@ -57,14 +57,14 @@
 	for range 100 {
 		ratios.record(spec, 15*time.Second)
 	}
-	if off := ratios.expectedRuntime(spec) - 15*time.Second; off.Abs() > 100*time.Millisecond {
+	if deviation := ratios.expectedRuntime(spec) - 15*time.Second; deviation.Abs() > 100*time.Millisecond {
 		t.Errorf("corrected run time: %v, want about 15s", ratios.expectedRuntime(spec))
 	}
 	for range 100 {
 		ratios.record(spec, 900*time.Second)
 	}
 	if got := ratios.expectedRuntime(spec); got > 31*time.Second {
-		t.Errorf("corrected run time exceeds its bound: %v", got)
+		t.Errorf("corrected run time exceeds its bound: %v, want at most 31s", got)
 	}
 }
 
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -9,10 +9,10 @@
 )
 
 // commandLimiter limits the number of direct commands in flight, because a node has few
-// sockets besides those that its workers use. Half of the slots are reserved for stops. At
-// most half may be taken by commands to silent workers: most likely these hang until their
-// timeout, and those of a whole unreachable zone would take the slots that stops for other
-// workers need.
+// sockets besides those that its workers use. Half of the slots are reserved for stops.
+// Commands to silent workers may take at most half of the slots, because they most likely hang
+// until their timeout. Without this limit, the commands to an unreachable zone would take the
+// slots that stops for other workers need.
 type commandLimiter struct {
 	inFlight int
 	// silentInFlight counts the commands in flight to silent workers.
--- a/internal/leader/commands_test.go
+++ b/internal/leader/commands_test.go
@@ -27,19 +27,19 @@
 	t.Run("probes leave slots for stops", func(t *testing.T) {
 		var limiter commandLimiter
 		if n := acquire(&limiter, probe, reporting); n != constants.MaxCommandsInFlight/2 {
-			t.Errorf("%d slots for probes", n)
+			t.Errorf("%d slots for probes, want MaxCommandsInFlight/2", n)
 		}
 		if n := acquire(&limiter, stops, reporting); n != constants.MaxCommandsInFlight-constants.MaxCommandsInFlight/2 {
-			t.Errorf("%d slots left for stops", n)
+			t.Errorf("%d slots left for stops, want all that probes can't take", n)
 		}
 	})
 	t.Run("silent workers leave slots for others", func(t *testing.T) {
 		var limiter commandLimiter
 		if n := acquire(&limiter, stops, silent); n != constants.MaxSilentCommandsInFlight {
-			t.Errorf("%d slots for silent workers", n)
+			t.Errorf("%d slots for silent workers, want MaxSilentCommandsInFlight", n)
 		}
 		if n := acquire(&limiter, stops, reporting); n != constants.MaxCommandsInFlight-constants.MaxSilentCommandsInFlight {
-			t.Errorf("%d slots left for other workers", n)
+			t.Errorf("%d slots left for other workers, want all that silent workers can't take", n)
 		}
 		limiter.release(silent)
 		if !limiter.acquire(stops, silent) || limiter.acquire(stops, reporting) {
@@ -53,13 +53,13 @@
 		limiter.release(silent)
 		limiter.release(reporting)
 		if limiter != (commandLimiter{}) {
-			t.Errorf("after the last release: %+v", limiter)
+			t.Errorf("limiter after the last release: %+v, want the zero value", limiter)
 		}
 	})
 }
 
-// TestDirectCommandsAreBounded guards against direct commands that use up the node's
-// sockets: in an unreachable zone each of them hangs. Probes must leave slots for stops.
+// TestDirectCommandsAreBounded guards against direct commands that use up the node's sockets,
+// because every command to an unreachable zone hangs. Probes must leave slots for stops.
 func TestDirectCommandsAreBounded(t *testing.T) { synctest.Test(t, testDirectCommandLimit) }
 
 func testDirectCommandLimit(t *testing.T) {
@@ -74,7 +74,7 @@
 		l.sendDirectCommand(machine, nil, now)
 	}
 	if l.commands.inFlight != constants.MaxCommandsInFlight/2 {
-		t.Errorf("%d probes in flight", l.commands.inFlight)
+		t.Errorf("%d probes in flight, want MaxCommandsInFlight/2", l.commands.inFlight)
 	}
 	addJob(t, l, arraySpec("j-1", 16), now)
 	l.runSchedulingPass(now)
@@ -85,7 +85,7 @@
 	l.jobRecordDeleted("j-1", now)
 	stops := l.commands.inFlight - constants.MaxCommandsInFlight/2
 	if stops < 4 {
-		t.Errorf("only %d stops were sent", stops)
+		t.Errorf("only %d stops were sent, want at least 4", stops)
 	}
 	close(unblock)
 	runUntilIdle(t, l)
@@ -131,11 +131,11 @@
 			task.machine.agent.Commands(true, now)
 		}
 		if len(job.attempts) != gang {
-			t.Fatalf("%d tasks of the gang were placed", len(job.attempts))
+			t.Fatalf("%d tasks of the gang were placed, want all 20", len(job.attempts))
 		}
 		l.jobRecordDeleted("j-1", now)
 		if l.commands.inFlight != constants.MaxSilentCommandsInFlight {
-			t.Errorf("%d commands in flight to unreachable machines", l.commands.inFlight)
+			t.Errorf("%d commands in flight to unreachable machines, want MaxSilentCommandsInFlight", l.commands.inFlight)
 		}
 		l.stopGang(job, 10, now)
 		if sent := l.commands.inFlight - constants.MaxSilentCommandsInFlight; sent != gang {
@@ -182,7 +182,7 @@
 			task.attempt.Committed, task.attempt.StartAllowed = true, true
 		}
 		if n := len(machine.agent.Commands(true, now)); n != 3 {
-			t.Fatalf("%d start commands", n)
+			t.Fatalf("%d start commands, want 3", n)
 		}
 		placed := job.attempts.sorted()
 		placed[0].attempt.StopRequested, placed[0].attempt.StopRequestedAt = true, now
@@ -190,7 +190,7 @@
 		l.sendStops(machine, now)
 		runNextEvent(t, l)
 		if got := <-sent.commands; len(got) != 1 || got[0].Verb != workers.VerbStop {
-			t.Errorf("commands sent directly: %+v", got)
+			t.Errorf("commands sent directly: %+v, want one stop", got)
 		}
 	})
 }
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -13,8 +13,8 @@
 // Every transaction is conditioned on the term record and the log's head, so neither a deposed
 // leader nor a delayed duplicate of an earlier transaction can change anything.
 //
-// It makes no calls itself: beginTxn returns the next transaction, and finishTxn handles its
-// result.
+// groupCommit makes no calls itself: beginTxn returns the next transaction, and finishTxn
+// handles its result.
 type groupCommit struct {
 	log    *wal.Writer
 	logger *slog.Logger
@@ -23,8 +23,9 @@
 	// beginCheckpoint is called when a checkpoint is due, and starts writing it.
 	beginCheckpoint func()
 
-	// completed holds the pending final records of jobs whose tasks are all done; cancelled
-	// those of jobs cancelled because a job that they depend on was cancelled.
+	// completed holds the pending final records of jobs whose tasks are all done. cancelled
+	// holds the writes of the final records of jobs that are cancelled because an upstream job
+	// was cancelled.
 	completed []finalRecord
 	cancelled []func() wal.JobWrite
 	// obsoleteKeys holds keys to delete, with their revisions. replacedKeys holds keys that
--- a/internal/leader/commit_calls.go
+++ b/internal/leader/commit_calls.go
@@ -39,8 +39,8 @@
 	return commitResult{revision: revision, err: err}
 }
 
-// resolveConflict reads the log's head after a conflict, because the same transaction may have
-// been executed when it was sent before and got no answer.
+// resolveConflict reads the log's head after a conflict, because an earlier copy of the same
+// transaction, which got no answer, may have been executed.
 func (l *Leader) resolveConflict(ctx context.Context, conflict *statestore.ConflictError) commitResult {
 	row, found, err := l.deps.Store.Get(ctx, statestore.ClassRecord, wal.HeadKey)
 	if err != nil {
@@ -69,13 +69,14 @@
 	}
 }
 
-// openLog starts the log writer after the given head, whose key has this revision.
+// openLog creates the log writer, which continues after the given head. revision is the
+// revision of the head's key.
 func (l *Leader) openLog(head wal.Head, revision uint64) {
 	state := l.deps.Settings.Params.State
 	l.wal = wal.NewWriter(l.term.number(), wal.Limits{ValueBytes: int(state.ValueKB * 1024), TxnOps: state.TxnOps}, head, revision)
-	// A large ring in use was readable by all nodes when it was chosen. They are not
-	// downgraded to a version that can't read it unless the operators' setting has been turned
-	// off first.
+	// If the large ring is in use, all nodes could read it when it was chosen. Nodes are not
+	// downgraded to a version that can't read it unless operators have turned the setting off
+	// first.
 	l.wal.AllowLargeRing(head.Ring > 0 && l.deps.Operator.Log.LargeRing)
 	l.commits.setLog(l.wal, state.TxnOps)
 }
--- a/internal/leader/commit_job_writes.go
+++ b/internal/leader/commit_job_writes.go
@@ -8,7 +8,7 @@
 	"thornnotch/internal/statestore"
 )
 
-// Operations of a transaction, which jobs' final records share with the log.
+// Final records of jobs share the operations of a transaction with the log.
 const (
 	// opsPerFinalRecord is the number of operations that move a job from the open to the final
 	// records.
@@ -29,8 +29,8 @@
 // queueCompleted queues the final record of a completed job.
 func (c *groupCommit) queueCompleted(record finalRecord) { c.completed = append(c.completed, record) }
 
-// queueCancelled queues the final record of a job cancelled because a job that it depends on
-// was cancelled.
+// queueCancelled queues the write of the final record of a job that is cancelled because an
+// upstream job was cancelled.
 func (c *groupCommit) queueCancelled(write func() wal.JobWrite) {
 	c.cancelled = append(c.cancelled, write)
 }
--- a/internal/leader/commit_result.go
+++ b/internal/leader/commit_result.go
@@ -43,7 +43,7 @@
 	case deposed:
 		outcome.endReason = ErrDeposed
 	case result.conflict != nil && c.log.WroteHead(*result.head):
-		// The transaction had been executed when it was sent before and got no answer.
+		// An earlier copy of the transaction, which got no answer, was executed.
 		c.log.Committed(result.headRevision)
 		outcome.requestPass = c.markHealthy()
 	case result.conflict != nil && result.conflict.HasKey(wal.HeadKey):
--- a/internal/leader/commit_test.go
+++ b/internal/leader/commit_test.go
@@ -40,7 +40,7 @@
 		}
 	}
 	if sent < 3 {
-		t.Errorf("all changes fit into %d transactions", sent+1)
+		t.Errorf("all changes fit into %d transactions, want at least 4", sent+1)
 	}
 	if dueAt := l.commits.dueAt(); !dueAt.IsZero() {
 		t.Errorf("nothing is pending, but a transaction is due at %v", dueAt)
@@ -48,7 +48,7 @@
 
 	logAttemptOnNewMachine(l, 200, now)
 	if dueAt := l.commits.dueAt(); !dueAt.Equal(now.Add(constants.CommitInterval)) {
-		t.Errorf("a single change is delayed by %v", dueAt.Sub(now))
+		t.Errorf("a single change is delayed by %v, want CommitInterval", dueAt.Sub(now))
 	}
 	commitNextTxn(l, now)
 	l.commits.lastTxnFull = true // the remaining changes have become unnecessary
@@ -106,7 +106,7 @@
 	addJob(t, l, arraySpec("j-2", 1), now)
 	l.runSchedulingPass(now)
 	if next := l.commits.next(); next.Conditions[0].Revision != 55 {
-		t.Errorf("the next transaction has conditions %+v", next.Conditions)
+		t.Errorf("the next transaction has conditions %+v, want revision 55 of the head", next.Conditions)
 	}
 	// A head that this leader did not write means that another node writes the log.
 	l.applyCommitResult(commitResult{err: headConflict, conflict: headConflict, head: &wal.Head{Term: 9}, headRevision: 60})
@@ -190,7 +190,8 @@
 
 // TestDeposedLeaderWritesNothing checks that a deposed leader's transactions are refused even
 // before its successor, which has already read the log, writes to it. The condition on the
-// log's head alone would let them through, and the successor would not know of the attempt.
+// log's head alone would let them through, and the successor would not know of the attempt
+// that they record.
 func TestDeposedLeaderWritesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
@@ -203,7 +204,7 @@
 		l.commit(now.Add(time.Second))
 		runNextEvent(t, l)
 		if store.writeCount != 0 || !errors.Is(l.term.err(), ErrDeposed) {
-			t.Errorf("%d writes, term ended: %v", store.writeCount, l.term.err())
+			t.Errorf("%d writes, term ended: %v, want no writes and ErrDeposed", store.writeCount, l.term.err())
 		}
 	})
 }
@@ -222,6 +223,6 @@
 	}
 	l.applyCommitResult(commitResult{err: fmt.Errorf("multi: %w", statestore.ErrRejected)})
 	if !errors.Is(l.term.err(), ErrTxnTooLarge) {
-		t.Errorf("term ended: %v", l.term.err())
+		t.Errorf("term ended: %v, want ErrTxnTooLarge", l.term.err())
 	}
 }
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -6,11 +6,11 @@
 	"thornnotch/internal/jobs"
 )
 
-// Jobs with dependencies. Such a job is hidden from placement and autoscaling until the final
-// record of each of its upstream jobs says that this upstream job is done. It is not enough
-// that the log records all tasks of the upstream job as done, because its user's cancellation
-// can still win the race to write the final record. Final records never change, so each has to
-// be read only once. While one can't be read, the job keeps waiting.
+// A job with dependencies is hidden from placement and autoscaling until the final record of
+// each of its upstream jobs says that the upstream job is done. It is not enough that the log
+// records all tasks of the upstream job as done, because its user's cancellation can still win
+// the race to write the final record. Final records never change, so each has to be read only
+// once. While a final record can't be read, the job keeps waiting.
 
 // addDependencies registers the dependencies of a new job.
 func (l *Leader) addDependencies(job *jobState, dependencies jobs.Dependencies) {
@@ -44,7 +44,7 @@
 }
 
 // upstreamEnded handles the end of a job according to its final record. If the job is done,
-// each of its downstream jobs waits for one job less. Otherwise they are cancelled, and so are
+// each of its downstream jobs waits for one job fewer. Otherwise they are cancelled, and so are
 // all jobs downstream of them. It uses a queue instead of recursion, so long chains can't
 // exhaust the stack.
 func (l *Leader) upstreamEnded(id string, final jobs.FinalRecord, now time.Time) {
@@ -67,15 +67,15 @@
 	}
 }
 
-// cancelWithUpstream cancels a job because one that it depends on will never be done.
+// cancelWithUpstream cancels a job because one of its upstream jobs will never be done.
 func (l *Leader) cancelWithUpstream(job *jobState, upstream string, now time.Time) {
 	l.deps.Log.Debug("job cancelled with upstream", "job", job.spec.ID, "upstream", upstream)
 	l.removeJob(job, now)
 	l.queueCancellationWrite(job)
 }
 
-// upstreamDone handles the completion of a job that this one depends on. This job's wait
-// counts from the recorded end of its last upstream job; its deadline still counts from its
+// upstreamDone handles the completion of one of a job's upstream jobs. The job's wait counts
+// from the recorded end of its last upstream job; its deadline still counts from its
 // submission.
 func (l *Leader) upstreamDone(job *jobState, upstream string, final jobs.FinalRecord, now time.Time) {
 	job.upstreams.markDone(upstream)
--- a/internal/leader/dependency_tracker.go
+++ b/internal/leader/dependency_tracker.go
@@ -7,8 +7,8 @@
 	"thornnotch/internal/jobs"
 )
 
-// dependencyTracker holds the dependencies between jobs, and which records must be read to
-// resolve those of waiting jobs.
+// dependencyTracker holds the dependencies between jobs, and tracks the records that must be
+// read to resolve the dependencies of waiting jobs.
 type dependencyTracker struct {
 	// downstreams are the jobs that depend on a job, by its ID.
 	downstreams map[string][]*jobState
@@ -69,7 +69,7 @@
 	d.unlinked[job] = dependencies
 }
 
-// takeUnlinked removes a job from those not linked yet and reports whether it was among them.
+// takeUnlinked removes a job from the unlinked jobs and reports whether it was one of them.
 func (d *dependencyTracker) takeUnlinked(job *jobState) bool {
 	_, found := d.unlinked[job]
 	delete(d.unlinked, job)
@@ -157,7 +157,7 @@
 	d.reservedUpstreams = d.reservedUpstreams[:0]
 }
 
-// markReservedUpstream marks a job as upstream of one that has reservations. It reports
+// markReservedUpstream marks a job as upstream of a job that has reservations. It reports
 // whether the mark is new.
 func (d *dependencyTracker) markReservedUpstream(upstream *jobState, downstream string) bool {
 	view := &upstream.view
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -28,14 +28,15 @@
 // setProgress sets the description of the current step.
 func (f *failover) setProgress(format string, args ...any) { f.progress = fmt.Sprintf(format, args...) }
 
-// progressText describes the current step to operators; empty once the failover is complete.
+// progressText returns the description of the current step for operators. It is empty once
+// the failover is complete.
 func (f *failover) progressText() string { return f.progress }
 
 // completed reports whether no failover is in progress.
 func (f *failover) completed() bool { return f.progress == "" }
 
 // reported records how many of the known machines have reported. The failover completes once
-// all have, or once the leases of those that have not must have expired. It returns the time
+// all have, or once the leases of the other machines must have expired. It returns the time
 // since the failover started and whether the failover is now complete.
 func (f *failover) reported(reported, total int, lease time.Duration, now time.Time) (took time.Duration, completed bool) {
 	took = now.Sub(f.startedAt)
--- a/internal/leader/failover_test.go
+++ b/internal/leader/failover_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestFailoverCompletesOnHeartbeatsOrLeaseExpiry checks that a failover completes once all
-// machines have reported or the leases of the others have expired, and that it shows its
+// machines have reported or the leases of the other machines have expired, and that it shows its
 // progress until then.
 func TestFailoverCompletesOnHeartbeatsOrLeaseExpiry(t *testing.T) {
 	const lease = 12 * time.Second
@@ -38,11 +38,11 @@
 func TestPublishedStateIsVisible(t *testing.T) {
 	l := testLeader(t)
 	if l.Machines() != 0 || l.FailoverProgress() != "" {
-		t.Errorf("before the first publication: %d machines, progress %q", l.Machines(), l.FailoverProgress())
+		t.Errorf("before the first publication: %d machines, progress %q, want none", l.Machines(), l.FailoverProgress())
 	}
 	addMachine(l, "m-1", "east", time.Now())
 	l.setFailoverProgress("reading the log, %d jobs open", 7)
 	if l.Machines() != 1 || l.FailoverProgress() != "reading the log, 7 jobs open" {
-		t.Errorf("%d machines, progress %q", l.Machines(), l.FailoverProgress())
+		t.Errorf("%d machines, progress %q, want 1 machine and the progress that was set", l.Machines(), l.FailoverProgress())
 	}
 }
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -148,8 +148,8 @@
 	}
 }
 
-// checkMachines checks that no healthy machine is quarantined, that each machine on which a
-// healthy job failed is, and that faulty machines received few tasks.
+// checkMachines checks that no healthy machine is quarantined, that each faulty machine on which
+// a healthy job failed is quarantined, and that faulty machines received few tasks.
 func (s *simulatedCluster) checkMachines(rt *rapid.T) {
 	for machine := range s.leader.fleet.all() {
 		name, quarantined := machine.agent.Name, machine.health.Faulty()
@@ -160,7 +160,7 @@
 			rt.Fatalf("%s failed tasks of a healthy job and is not quarantined", name)
 		}
 		if s.startsByFaultyMachine[name] > 16 {
-			rt.Fatalf("faulty machine %s received %d tasks", name, s.startsByFaultyMachine[name])
+			rt.Fatalf("faulty machine %s received %d tasks, want at most 16", name, s.startsByFaultyMachine[name])
 		}
 	}
 }
--- a/internal/leader/final_records.go
+++ b/internal/leader/final_records.go
@@ -46,8 +46,8 @@
 	})
 }
 
-// readDependencyList reads the dependency list of a job and links the job to those that it
-// names.
+// readDependencyList reads the dependency list of a job and links the job to the upstream jobs
+// that the list names.
 func (l *Leader) readDependencyList(job *jobState, dependencies jobs.Dependencies) {
 	id := job.spec.ID
 	l.calls.queue(func(ctx context.Context) func() {
--- a/internal/leader/gang_recovery.go
+++ b/internal/leader/gang_recovery.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// mayReplaceTask reports whether the other tasks of the gang are still waiting for its start,
-// as far as is known. If they have started after all, they exit because the lost task is
-// missing, and that stops the replacement too. Gangs with attempts of earlier terms get no
+// mayReplaceTask reports whether, by their last reported status, the other tasks of the gang
+// are still waiting for its start. If they have started since, they exit because the lost task
+// is missing, and that stops the replacement too. Gangs with attempts of earlier terms get no
 // replacement, because the last commands of an earlier leader are unknown.
 func (l *Leader) mayReplaceTask(job *jobState, lost *workers.Attempt) bool {
 	if lost.StopRequested || lost.FromEarlierTerm || len(job.attempts) == 0 {
--- a/internal/leader/gang_reserve.go
+++ b/internal/leader/gang_reserve.go
@@ -9,9 +9,9 @@
 	"thornnotch/internal/placement"
 )
 
-// gangReserve returns how many empty on-demand machines other jobs must leave to gangs: as
-// many as the gangs that are expected soon need, up to a share of the schedulable on-demand
-// machines.
+// gangReserve returns how many empty on-demand machines other jobs must leave to gangs. This
+// is the number of machines that the gangs expected soon need, but at most the share
+// GangReserveMaxShare of the schedulable on-demand machines.
 func (l *Leader) gangReserve(machines []*placement.Machine, now time.Time) int {
 	onDemand := 0
 	for _, machine := range machines {
@@ -24,7 +24,7 @@
 
 // qualifiesForGangReserve reports whether whole machines are reserved for jobs like this one.
 // Only gangs that can't use spot machines, have too low a priority to preempt other jobs and
-// are expected to start soon need them.
+// are expected to start soon need reserved machines.
 func (l *Leader) qualifiesForGangReserve(spec *jobs.Spec) bool {
 	if spec.Kind != jobs.KindGang || spec.AllowSpot || jobs.Priority(spec.PriorityClass) > jobs.Priority("standard") {
 		return false
--- a/internal/leader/gang_starvation.go
+++ b/internal/leader/gang_starvation.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// boost returns how strongly the waiting gangs must be boosted: before other jobs of their
-// priority if too many gangs start late, before all other jobs if the share of late gangs is
-// near one half, the users' bound.
+// boost returns the boost for the waiting gangs. They go before other jobs of their priority if
+// too many gangs start late, and before all other jobs if the share of late gangs is near one
+// half, the users' limit.
 func (s *gangWaitStats) boost() placement.Boost {
 	lateShare := 0.0
 	if s.late > 0 {
@@ -52,7 +52,8 @@
 	return placement.NoBoost
 }
 
-// addJob resets the statistics of a class when a gang larger than all before it is submitted.
+// addJob resets the statistics of a class when a gang is submitted that is larger than all
+// earlier gangs of the class.
 func (g gangWaits) addJob(spec *jobs.Spec) {
 	if spec.Kind != jobs.KindGang {
 		return
@@ -65,8 +66,8 @@
 	g[spec.Class] = &gangWaitStats{maxTasks: spec.Tasks, onTime: constants.LargeGangPriorOnTime}
 }
 
-// observe records, once per job, whether one of the largest gangs started in time: when it
-// starts, or when it has waited too long.
+// observe records, once per gang, whether one of the largest gangs started in time. It records
+// a gang when the gang has started or has waited too long.
 func (g gangWaits) observe(job *jobState, now time.Time) {
 	if job.spec.Kind != jobs.KindGang || job.gang.waitCounted || job.upstreams.blocked() {
 		return
--- a/internal/leader/group_commit_test.go
+++ b/internal/leader/group_commit_test.go
@@ -195,7 +195,7 @@
 		t.Fatal("replaced key is not deleted after the checkpoint")
 	}
 	if last := txn.Writes[len(txn.Writes)-1]; last.Delete != "rig/m-1" {
-		t.Errorf("writes %+v", txn.Writes)
+		t.Errorf("writes %+v, want the deletion of rig/m-1 last", txn.Writes)
 	}
 	c.finishTxn(commitResult{revision: 10}, now)
 	if dueAt := c.dueAt(); !dueAt.IsZero() {
--- a/internal/leader/health/failures_test.go
+++ b/internal/leader/health/failures_test.go
@@ -23,7 +23,7 @@
 		now = now.Add(time.Second)
 	}
 	if blamed != constants.FaultyTaskMaxMachines {
-		t.Errorf("%d machines are blamed for one task's failures", blamed)
+		t.Errorf("%d machines are blamed for one task's failures, want FaultyTaskMaxMachines", blamed)
 	}
 }
 
@@ -94,7 +94,7 @@
 	var delays TaskDelays
 	delays.Add(3, now.Add(time.Second))
 	if !delays.IsDelayed(3, now) || delays.IsDelayed(4, now) {
-		t.Error("the wrong task waits")
+		t.Error("task 3 is not delayed, or task 4 is")
 	}
 	if delays.IsDelayed(3, now.Add(time.Second)) || len(delays.delays) != 0 {
 		t.Error("the delay does not end")
--- a/internal/leader/health/machine_test.go
+++ b/internal/leader/health/machine_test.go
@@ -77,20 +77,20 @@
 	var runtimes Runtimes
 	runtimes.Add(time.Second)
 	if _, ok := runtimes.Median(1); ok {
-		t.Error("median run time from one sample")
+		t.Error("median run time reported for one sample")
 	}
 	runtimes.Add(time.Second)
 	if _, ok := runtimes.Median(5); ok {
-		t.Error("median run time from two samples of five tasks")
+		t.Error("median run time reported for two samples of five tasks")
 	}
 	if median, ok := runtimes.Median(4); !ok || median != time.Second {
-		t.Errorf("median run time %v, %v", median, ok)
+		t.Errorf("median run time %v, ok %v, want 1s, true", median, ok)
 	}
 	for range constants.MaxRuntimeSamples {
 		runtimes.Add(10 * time.Second)
 	}
 	if median, ok := runtimes.Median(1000); !ok || median != 10*time.Second || runtimes.Samples() != constants.MaxRuntimeSamples {
-		t.Errorf("median run time %v, %v from %d samples", median, ok, runtimes.Samples())
+		t.Errorf("median run time %v, ok %v from %d samples, want 10s, true from MaxRuntimeSamples", median, ok, runtimes.Samples())
 	}
 	for ratio, want := range map[float64]int{1: 0, constants.StragglerLikelyRatio: 0, 2: 1, constants.StragglerCertainRatio: 1, 2.5: 2} {
 		if got := runtimes.SlowSignals(time.Duration(ratio*10*float64(time.Second)), 1000); got != want {
--- a/internal/leader/health/runtimes.go
+++ b/internal/leader/health/runtimes.go
@@ -16,7 +16,7 @@
 // Here the tasks of a slow machine are saved, stopped and started elsewhere, and the machine
 // gets no new tasks for a while.
 type Runtimes struct {
-	samples []time.Duration // the latest, oldest first
+	samples []time.Duration // the latest run times, oldest first
 	// median caches the median of the samples; zero means that it must be recomputed.
 	median time.Duration
 }
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -27,7 +27,7 @@
 	select {
 	case reply := <-replyCh:
 		if reply.Status != 503 || !machine.agent.LastAcknowledged.Equal(lastAcknowledged) || l.replies.byMachine[machine] != nil {
-			t.Errorf("duplicate heartbeat: status %d, last acknowledged %v", reply.Status, machine.agent.LastAcknowledged)
+			t.Errorf("duplicate heartbeat: status %d, want 503; last acknowledged %v, want no change", reply.Status, machine.agent.LastAcknowledged)
 		}
 	default:
 		t.Errorf("the reply to a duplicate heartbeat is held")
@@ -35,7 +35,7 @@
 	l.scaling.terminated["m-9"] = now
 	l.heartbeat(&workers.Heartbeat{Machine: "m-9", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: 1, Token: 3}, now, replyCh)
 	if reply := <-replyCh; reply.Status != 503 || l.fleet.get("m-9") != nil {
-		t.Errorf("a late heartbeat added a returned machine again: status %d", reply.Status)
+		t.Errorf("a late heartbeat added a returned machine again: status %d, want 503", reply.Status)
 	}
 	l.fleet.remove(machine)
 	job := addJob(t, l, arraySpec("j-1", 1), now)
@@ -68,7 +68,7 @@
 	l.heartbeat(nextHeartbeat(l, machine, "", ""), now.Add(time.Second), replyCh)
 	l.flushReplies(now.Add(3 * time.Second))
 	if reply := <-replyCh; reply.Status != 503 || !machine.agent.LastAcknowledged.Equal(lastAcknowledged) {
-		t.Errorf("status %d; lease start moved by %v", reply.Status, machine.agent.LastAcknowledged.Sub(lastAcknowledged))
+		t.Errorf("status %d, want 503; lease start moved by %v, want 0", reply.Status, machine.agent.LastAcknowledged.Sub(lastAcknowledged))
 	}
 	job := addJob(t, l, arraySpec("j-1", 1), now)
 	l.runSchedulingPass(now)
@@ -107,10 +107,10 @@
 		runUntilIdle(t, l)
 		l.flushReplies(time.Now().Add(constants.ReplyHold)) // the same iteration of the loop, after the hold time
 		if n := len(replies); n != 1 {
-			t.Fatalf("%d replies to one heartbeat", n)
+			t.Fatalf("%d replies to one heartbeat, want 1", n)
 		}
 		if reply := <-replies; reply.Status != http.StatusServiceUnavailable || l.fleet.get("m-1") != nil {
-			t.Errorf("a terminated machine got status %d", reply.Status)
+			t.Errorf("a terminated machine got status %d, want 503, or is still in the fleet", reply.Status)
 		}
 	})
 }
--- a/internal/leader/held_replies.go
+++ b/internal/leader/held_replies.go
@@ -9,7 +9,7 @@
 )
 
 // Reply is the HTTP response to a heartbeat. The zero value means that the term ended before
-// there was one.
+// there was a response.
 type Reply struct {
 	Status int
 	Batch  workers.CommandBatch
--- a/internal/leader/held_replies_test.go
+++ b/internal/leader/held_replies_test.go
@@ -19,7 +19,7 @@
 
 // TestHeldReplies checks that every heartbeat is answered exactly once, that a new heartbeat
 // causes the machine's earlier one to be refused, and that a flush checks woken machines at
-// once but the others only after the flush interval.
+// once but all other machines only after the flush interval.
 func TestHeldReplies(t *testing.T) {
 	now := time.Unix(1000, 0)
 	machine, other := &machineState{}, &machineState{}
@@ -29,15 +29,15 @@
 	}
 	held.flush(now, acknowledge)
 
-	first, second, others := make(chan Reply, 2), make(chan Reply, 2), make(chan Reply, 2)
+	first, second, otherReplies := make(chan Reply, 2), make(chan Reply, 2), make(chan Reply, 2)
 	held.hold(machine, &heldReply{reply: first})
 	held.hold(machine, &heldReply{reply: second})
-	held.hold(other, &heldReply{reply: others})
+	held.hold(other, &heldReply{reply: otherReplies})
 	if len(first) != 1 || (<-first).Status != http.StatusServiceUnavailable || len(second) != 0 {
 		t.Errorf("the earlier heartbeat was not refused, or the later one was answered")
 	}
 	if due := held.nextDue(); !due.Equal(now.Add(constants.ReplyFlushInterval)) {
-		t.Errorf("next flush at %v", due)
+		t.Errorf("next flush at %v, want after ReplyFlushInterval", due)
 	}
 
 	held.wake(machine)
@@ -49,12 +49,12 @@
 	held.wake(machine)
 	held.wake(machine)
 	held.flush(now, acknowledge)
-	if len(second) != 1 || (<-second).Status != http.StatusOK || len(others) != 0 {
-		t.Errorf("woken machine: %d unexpected replies; other machine: %d replies", len(second), len(others))
+	if len(second) != 1 || (<-second).Status != http.StatusOK || len(otherReplies) != 0 {
+		t.Errorf("woken machine: %d unexpected replies; other machine: %d replies", len(second), len(otherReplies))
 	}
 	held.flush(now.Add(constants.ReplyFlushInterval), acknowledge)
-	if len(others) != 1 {
-		t.Errorf("%d replies after the flush interval", len(others))
+	if len(otherReplies) != 1 {
+		t.Errorf("other machine: %d replies after the flush interval, want 1", len(otherReplies))
 	}
 
 	held.hold(machine, &heldReply{reply: second})
--- a/internal/leader/job_admission.go
+++ b/internal/leader/job_admission.go
@@ -73,7 +73,7 @@
 	l.jobs.remove(job, len(placed))
 	l.dependencies.requestFinal(job.spec.ID)
 	if len(job.upstreams.pending) > 0 {
-		l.propagateDemand(slices.Collect(maps.Keys(job.upstreams.pending))) // their demand may drop
+		l.propagateDemand(slices.Collect(maps.Keys(job.upstreams.pending))) // the upstream jobs' inherited demand may drop
 	}
 	for attempt, machine := range job.unrecordedExits {
 		l.allowForget(machine, attempt)
--- a/internal/leader/job_final_writes.go
+++ b/internal/leader/job_final_writes.go
@@ -46,8 +46,8 @@
 	l.commits.queueCancelled(func() wal.JobWrite { return l.cancellationWrite(job) })
 }
 
-// cancellationWrite returns the write that replaces the open record of a job with a final one,
-// for a job that is cancelled because an upstream job was.
+// cancellationWrite returns the write that replaces a job's open record with its final one. It
+// is used for jobs that are cancelled because an upstream job was.
 func (l *Leader) cancellationWrite(job *jobState) wal.JobWrite {
 	write := finalWrite(job, jobs.FinalRecord{Status: jobs.StatusCancelled})
 	write.Retry = func() { l.queueCancellationWrite(job) }
--- a/internal/leader/job_state.go
+++ b/internal/leader/job_state.go
@@ -98,8 +98,8 @@
 // blocked reports whether any upstream job is not known to be done.
 func (u *upstreamState) blocked() bool { return u.unlinked || len(u.pending) > 0 }
 
-// newJobState returns the state of a job without attempts. submitted is its submission time,
-// now the time at which it is added.
+// newJobState returns the state of a job without attempts. submitted is its submission time;
+// now is the time at which it is added.
 func newJobState(spec *jobs.Spec, revision uint64, submitted, now time.Time) *jobState {
 	return &jobState{
 		spec: spec, revision: revision, acceptedAt: submitted, lastPlacedAt: now,
--- a/internal/leader/job_test.go
+++ b/internal/leader/job_test.go
@@ -7,8 +7,8 @@
 	"thornnotch/internal/workers"
 )
 
-// TestCommandsWaitForCommit follows a job through placement, record, start, exit and
-// completion: no command is sent before the record that it depends on is committed.
+// TestCommandsWaitForCommit checks, for a job from its placement to its completion, that no
+// command is sent before the record that it depends on is committed.
 func TestCommandsWaitForCommit(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
--- a/internal/leader/legacy.go
+++ b/internal/leader/legacy.go
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// decodeLegacyDone decodes a record of completed tasks. Its key is PREFIX JOB/CHUNK, and its
-// value is a bitmap of the chunk's tasks.
+// decodeLegacyDone decodes a record of completed tasks. Its key is legacyDonePrefix followed by
+// JOB/CHUNK, and its value is a bitmap of the chunk's tasks.
 func decodeLegacyDone(row statestore.KeyValue) (job string, tasks []int, err error) {
 	job, number, ok := strings.Cut(strings.TrimPrefix(row.Key, legacyDonePrefix), "/")
 	chunk, err := strconv.Atoi(number)
--- a/internal/leader/loop_test.go
+++ b/internal/leader/loop_test.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// heartbeatUntilCommanded sends heartbeats of machine m-1 until a reply carries commands, and
-// returns these. It returns nil if none of nine replies does.
+// heartbeatUntilCommanded sends up to nine heartbeats of machine m-1 until a reply carries
+// commands. It returns these commands, or nil if no reply carries any.
 func heartbeatUntilCommanded(t *testing.T, l *Leader) []workers.Command {
 	t.Helper()
 	for sequence := uint64(1); sequence < 10; sequence++ {
@@ -118,19 +118,19 @@
 
 		commands := heartbeatUntilCommanded(t, l)
 		if len(commands) != 1 || commands[0].Verb != workers.VerbRun {
-			t.Errorf("the machine received commands %+v", commands)
+			t.Errorf("the machine received commands %+v, want one run command", commands)
 		}
 		if !store.hasWritten(wal.HeadKey) {
 			t.Error("commands were sent before anything was committed")
 		}
 		if progress := l.Progress(t.Context(), []string{"j-1", "j-2"}); len(progress) != 1 {
-			t.Errorf("unexpected progress %v", progress)
+			t.Errorf("progress %v, want only that of j-1", progress)
 		}
 		if status, ok := l.Status(t.Context()); !ok || status.Term != 3 || len(status.Queue) != 1 {
 			t.Errorf("status (ok %v): %+v", ok, status)
 		}
 		if err := stop(); !errors.Is(err, context.Canceled) {
-			t.Errorf("Run returned %v", err)
+			t.Errorf("Run returned %v, want context.Canceled", err)
 		}
 		if _, ok := l.Status(t.Context()); ok {
 			t.Error("the leader answers status requests after its end")
@@ -147,7 +147,7 @@
 		l, stop := startRun(t, store)
 		time.Sleep(constants.TickInterval)
 		if err := stop(); !errors.Is(err, ErrDeposed) {
-			t.Errorf("Run returned %v", err)
+			t.Errorf("Run returned %v, want ErrDeposed", err)
 		}
 		if len(store.written) > 0 {
 			t.Errorf("deposed leader wrote %v", store.written)
--- a/internal/leader/wal/checkpoint.go
+++ b/internal/leader/wal/checkpoint.go
@@ -7,8 +7,8 @@
 )
 
 // StateSource provides the contents of a checkpoint. Each part reads the state as it is when
-// that part is written. The source must include everything that may be on machines: whatever
-// is neither in the checkpoint nor in a later entry is lost to the next leader.
+// that part is written. The source must include everything that may be on machines, because the
+// next leader does not learn of anything that is neither in the checkpoint nor in a later entry.
 type StateSource interface {
 	// Machine returns a machine's record; ok is false if the machine no longer exists.
 	Machine(name string) (machine Machine, ok bool)
@@ -23,8 +23,8 @@
 	firstEntry uint64
 	// partsWritten counts the parts that have been put into transactions.
 	partsWritten int
-	// machines and jobs are those still to be written; totalMachines is the number of
-	// machines at the start.
+	// machines and jobs are the names of machines and IDs of jobs still to be written;
+	// totalMachines is the number of machines at the start.
 	machines      []string
 	totalMachines int
 	jobs          []string
--- a/internal/leader/wal/checkpoint_test.go
+++ b/internal/leader/wal/checkpoint_test.go
@@ -160,7 +160,7 @@
 	before := writer.Backlog()
 	commitNext(t, s.store, writer, nil)
 	if writer.Backlog() > constants.LogRingSize-constants.LogFreeKeys {
-		t.Fatalf("term %d: backlog of %d entries", s.term, writer.Backlog())
+		t.Fatalf("term %d: backlog of %d entries, want at most LogRingSize-LogFreeKeys", s.term, writer.Backlog())
 	}
 	if writer.Backlog() == before && writer.Checkpointing() {
 		s.partOnlyTxns++
--- a/internal/leader/wal/head.go
+++ b/internal/leader/wal/head.go
@@ -36,7 +36,7 @@
 
 // Head defines which checkpoint and which entries are live. Every transaction of a leader
 // writes the head and is conditioned on the revision that the previous transaction gave it,
-// so no transaction can be carried out twice or after a later one.
+// so no transaction can be executed twice or after a later one.
 type Head struct {
 	// Term and TxnSeq identify the transaction that wrote the head.
 	Term   uint64 `json:"term"`
--- a/internal/leader/wal/model_test.go
+++ b/internal/leader/wal/model_test.go
@@ -6,7 +6,7 @@
 type leaderModel struct {
 	writer *Writer
 	term   uint64
-	// liveAttempts are the attempts that may be on each machine, as far as the leader knows.
+	// liveAttempts holds the attempts that, to the leader's knowledge, may be on each machine.
 	liveAttempts map[string]map[Attempt]bool
 	// recorded are the attempts whose start is known to be committed, except those whose end
 	// was recorded.
@@ -14,8 +14,8 @@
 	// done holds the completed tasks of each job; doneRecorded those whose completion is
 	// known to be committed.
 	done, doneRecorded map[string]map[int]bool
-	// zone is the last recorded metadata of each machine; zoneRecorded is what is known to be
-	// committed.
+	// zone is the latest zone of each machine that was given to the writer, and stands for all
+	// its metadata. zoneRecorded is the latest zone that is known to be committed.
 	zone, zoneRecorded map[string]string
 }
 
--- a/internal/leader/wal/pending.go
+++ b/internal/leader/wal/pending.go
@@ -22,8 +22,8 @@
 // pendingMachine holds the pending changes of one machine.
 type pendingMachine struct {
 	MachineChange
-	// onCommitted are called once the metadata is committed, each callback in onPlaced once
-	// its attempt is.
+	// onCommitted are called once the metadata is committed. Each callback in onPlaced is
+	// called once its attempt is committed.
 	onCommitted []func()
 	onPlaced    map[Attempt]func()
 	// inCheckpoint is set if a checkpoint part already includes these pending changes.
@@ -51,13 +51,13 @@
 // resources of its job. The attempt must not be started before committed is called
 // (docs/design.md, Safety, 3); otherwise a failover would not know of it. committed may be
 // nil.
-func (w *Writer) AttemptPlaced(machineName string, attempt Attempt, jobID string, use JobUsage, committed func()) {
+func (w *Writer) AttemptPlaced(machineName string, attempt Attempt, jobID string, usage JobUsage, committed func()) {
 	machine := w.pending.machine(machineName)
 	machine.Placed = append(machine.Placed, attempt)
 	if machine.Jobs == nil {
 		machine.Jobs = make(map[string]JobUsage)
 	}
-	machine.Jobs[jobID] = use
+	machine.Jobs[jobID] = usage
 	if committed != nil {
 		if machine.onPlaced == nil {
 			machine.onPlaced = make(map[Attempt]func())
@@ -86,7 +86,7 @@
 }
 
 // MachineChanged records a machine's metadata. The attempts and their jobs are ignored.
-// committed is called once this metadata, or a later one that replaced it before it was
+// committed is called once this metadata, or later metadata that replaced it before it was
 // written, is committed; it may be nil.
 func (w *Writer) MachineChanged(machineName string, metadata Machine, committed func()) {
 	metadata.Attempts, metadata.Jobs = nil, nil
--- a/internal/leader/wal/pending_test.go
+++ b/internal/leader/wal/pending_test.go
@@ -26,7 +26,7 @@
 		commitNext(t, store, writer, nil)
 	}
 	if !reported || transactions < 2 {
-		t.Errorf("reported %v after %d transactions", reported, transactions)
+		t.Errorf("reported %v after %d transactions, want true after at least 2", reported, transactions)
 	}
 	state, _, err := Read(store.failoverRows())
 	if err != nil || !slices.Equal(state.Done["j-1"], completed) {
--- a/internal/leader/wal/replay.go
+++ b/internal/leader/wal/replay.go
@@ -152,15 +152,15 @@
 		machine.removeAttempt(attempt) // the checkpoint may include it already
 		machine.Attempts = append(machine.Attempts, attempt)
 	}
-	for job, use := range change.Jobs {
+	for job, usage := range change.Jobs {
 		if machine.Jobs == nil {
 			machine.Jobs = make(map[string]JobUsage)
 		}
-		machine.Jobs[job] = use
+		machine.Jobs[job] = usage
 	}
 }
 
-// removeAttempt removes the attempt with the task and number of target, whatever its epoch.
+// removeAttempt removes the attempt with the task and number of target, in any epoch.
 func (m *Machine) removeAttempt(target Attempt) {
 	var kept []Attempt
 	for _, attempt := range m.Attempts {
--- a/internal/leader/wal/replay_test.go
+++ b/internal/leader/wal/replay_test.go
@@ -128,7 +128,7 @@
 }
 
 // sendTransaction sends the next transaction, or the one in flight once more. The state
-// service may or may not carry it out, and the response may be lost.
+// service may or may not execute it, and the response may be lost.
 func (r *replayRun) sendTransaction(t *rapid.T) {
 	writer := r.leader.writer
 	if !writer.HasPending() && !writer.Checkpointing() {
@@ -186,11 +186,11 @@
 func checkLimits(t *rapid.T, txn *Txn) {
 	t.Helper()
 	if len(txn.Writes) > replayLimits.TxnOps+1 {
-		t.Fatalf("%d writes in one transaction", len(txn.Writes))
+		t.Fatalf("%d writes in one transaction, want at most Limits.TxnOps+1", len(txn.Writes))
 	}
 	for _, write := range txn.Writes {
 		if len(write.Value) > replayLimits.ValueBytes {
-			t.Fatalf("%s has %d bytes", write.Put, len(write.Value))
+			t.Fatalf("%s has %d bytes, want at most Limits.ValueBytes", write.Put, len(write.Value))
 		}
 	}
 }
--- a/internal/leader/wal/ring.go
+++ b/internal/leader/wal/ring.go
@@ -5,7 +5,7 @@
 // mayAddEntry reports whether the ring has room for one more entry in a transaction that
 // already adds the given number of entries to the committed ones. New entries must never
 // overwrite live ones. No entry is added while the log moves from the large ring back to the
-// small one, so that none is live once the checkpoint is complete.
+// small one, so that no entry in the large ring is live once the checkpoint is complete.
 func (w *Writer) mayAddEntry(next Head, added int) bool {
 	if w.mustLeaveLargeRing(next) {
 		return false
--- a/internal/leader/wal/ring_test.go
+++ b/internal/leader/wal/ring_test.go
@@ -27,7 +27,7 @@
 
 		commitNext(t, store, writer, nil)
 		if writer.Backlog() > constants.LogRingSize-constants.LogFreeKeys {
-			t.Fatalf("backlog of %d entries", writer.Backlog())
+			t.Fatalf("backlog of %d entries, want at most LogRingSize-LogFreeKeys", writer.Backlog())
 		}
 		if writer.Backlog() > constants.LogRingSize-2*constants.LogFreeKeys {
 			writer.BeginCheckpoint(machines, nil, leader, nil) // no effect while one is being written
--- a/internal/leader/wal/store_test.go
+++ b/internal/leader/wal/store_test.go
@@ -20,7 +20,7 @@
 	return &fakeStore{rows: map[string]statestore.KeyValue{}, revisions: map[string]uint64{}}
 }
 
-// commit carries out a transaction, or returns the keys whose conditions failed.
+// commit executes a transaction, or returns the keys whose conditions failed.
 func (s *fakeStore) commit(conditions []statestore.Condition, writes []statestore.Write) (failed []string) {
 	for _, condition := range conditions {
 		if s.revisions[condition.Key] != condition.Revision {
@@ -80,11 +80,11 @@
 		t.Fatal("no transaction to write")
 	}
 	if len(txn.Writes) > writer.limits.TxnOps {
-		t.Fatalf("%d writes in one transaction", len(txn.Writes))
+		t.Fatalf("%d writes in one transaction, want at most Limits.TxnOps", len(txn.Writes))
 	}
 	for _, write := range txn.Writes {
 		if len(write.Value) > writer.limits.ValueBytes {
-			t.Fatalf("%s has %d bytes", write.Put, len(write.Value))
+			t.Fatalf("%s has %d bytes, want at most Limits.ValueBytes", write.Put, len(write.Value))
 		}
 	}
 	if failed := store.commit(txn.Conditions, txn.Writes); failed != nil {
--- a/internal/leader/wal/transaction.go
+++ b/internal/leader/wal/transaction.go
@@ -6,11 +6,11 @@
 )
 
 // JobWrite is a change of other keys that is part of a transaction of the log, such as moving
-// a job to the final jobs. Exactly one of its callbacks is called once its outcome is known;
-// each of them may be nil.
+// a job to the final jobs. Exactly one of its callbacks is called once the outcome is
+// known; each of them may be nil.
 //
 // A condition that has failed must never hold again, as is the case for a condition on a
-// key's revision. Otherwise an earlier copy of the transaction could be carried out after the
+// key's revision. Otherwise an earlier copy of the transaction could be executed after the
 // rest of it was sent without the job write.
 type JobWrite struct {
 	Conditions []statestore.Condition
@@ -18,11 +18,11 @@
 	// Committed is called with the transaction's revision once the transaction is known to be
 	// committed.
 	Committed func(revision uint64)
-	// Conflicted is called if a condition of this job write has failed: it will never be
-	// carried out.
+	// Conflicted is called if a condition of this job write has failed. The job write will
+	// never be executed.
 	Conflicted func()
 	// Retry is called if a condition of another job write in the transaction has failed: this
-	// job write was not carried out either and must be submitted again.
+	// job write was not executed either and must be submitted again.
 	Retry func()
 }
 
@@ -106,9 +106,9 @@
 	}
 }
 
-// addParts adds up to partOps of the next checkpoint parts, or up to one if partOps is 0 and
-// the entries have left room for it. With the last part the head switches to the new
-// checkpoint.
+// addParts adds the next checkpoint parts, at most partOps of them. If partOps is 0, it adds at
+// most one part, provided that the entries have left room for it. With the last part the head
+// switches to the new checkpoint.
 func (w *Writer) addParts(txn *Txn, size *txnSize, partOps int) {
 	c := w.checkpoint
 	for added := 0; added < max(partOps, 1) && size.ops < w.limits.TxnOps && size.bytes < constants.MaxTxnValueBytes && !c.allPartsWritten; added++ {
@@ -142,7 +142,7 @@
 	txn.Writes = append(txn.Writes, txn.logWrites...)
 }
 
-// Committed tells the writer that the transaction in flight was carried out at the given
+// Committed tells the writer that the transaction in flight was executed at the given
 // revision.
 func (w *Writer) Committed(revision uint64) {
 	txn := w.inFlight
@@ -165,14 +165,14 @@
 }
 
 // WroteHead reports whether the given head, as read from the state service, was written by
-// the transaction in flight, which has then been carried out.
+// the transaction in flight, which has then been executed.
 func (w *Writer) WroteHead(head Head) bool {
 	return w.inFlight != nil && head.Term == w.inFlight.head.Term && head.TxnSeq == w.inFlight.head.TxnSeq
 }
 
 // Conflicted tells the writer that the transaction in flight was refused only because of
 // conditions of its job writes; failed reports whether the condition on a key failed. These
-// conditions never hold again, so no copy of the transaction can be carried out later: the
+// conditions never hold again, so no copy of the transaction can be executed later, and the
 // rest of it is sent under a new identity, without the job writes.
 func (w *Writer) Conflicted(failed func(key string) bool) {
 	txn := w.inFlight
--- a/internal/leader/wal/writer.go
+++ b/internal/leader/wal/writer.go
@@ -27,22 +27,22 @@
 //  1. Next returns a transaction, which is in flight and fixed from then on: Next returns the
 //     same one again, and later changes wait for the next transaction.
 //  2. The caller sends it, with the term's record as an additional condition.
-//  3. Once the transaction is known to have been carried out, the caller calls Committed:
+//  3. Once the transaction is known to have been executed, the caller calls Committed:
 //     all its contents are durable, and the next transaction may be sent.
 //  4. While the outcome is unknown (no response, or the service was unavailable), the caller
 //     calls neither Committed nor Conflicted, but gets the transaction from Next again and
-//     resends it with the same contents. It may have been carried out, or may still be. If
-//     its changes were put into another transaction in the meantime, a late copy could be
-//     carried out first, and nobody would know what is committed.
+//     resends it with the same contents. The transaction may have been executed, or may
+//     still be. If its changes were put into another transaction in the meantime, a late copy
+//     could be executed first, and it would be unknown what is committed.
 //  5. A conflict is not conclusive by itself, because an earlier try without a response
-//     may have been carried out. The caller reads the head and calls WroteHead. If it returns
+//     may have been executed. The caller reads the head and calls WroteHead. If it returns
 //     true, the caller calls Committed with the revision of the head. If it returns false and
 //     the condition on HeadKey failed, another leader is writing the log and the term is
 //     over. Otherwise only conditions of job writes failed: the caller calls Conflicted, and
 //     Next returns the rest of the transaction without the job writes, if there is any.
 //
 // Every transaction writes the head and is conditioned on the revision that the previous one
-// gave it, so none can be carried out twice or after a later one.
+// gave it, so none can be executed twice or after a later one.
 type Writer struct {
 	term   uint64
 	limits Limits
