--- a/internal/leader/commit_test.go
+++ b/internal/leader/commit_test.go
@@ -171,8 +171,8 @@
 	return changes
 }
 
-// raisedTermStore is a state service on which another node has raised the term, but not yet
-// written to the log.
+// raisedTermStore is a state service on which another node has started a newer term, but not
+// yet written to the log.
 type raisedTermStore struct {
 	Store
 	writeCount int
--- a/internal/leader/loop_test.go
+++ b/internal/leader/loop_test.go
@@ -139,7 +139,7 @@
 }
 
 // TestRunEndsIfDeposedDuringLoad checks that Run ends with ErrDeposed, without writing
-// anything, if another node raised the term while the records were loaded.
+// anything, if another node started a newer term while the records were loaded.
 func TestRunEndsIfDeposedDuringLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newLoopStore()
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -14,7 +14,7 @@
 
 const (
 	// ErrDeposed means that another node leads.
-	ErrDeposed EndReason = "deposed: another node has raised the term"
+	ErrDeposed EndReason = "deposed: another node has started a newer term"
 	// ErrTxnTooLarge means that the state service refused a transaction as too large. The next
 	// term writes smaller ones, and transactions of this term that are still in flight can no
 	// longer be executed.
