--- a/internal/placement/limitearmark_test.go
+++ b/internal/placement/limitearmark_test.go
@@ -57,11 +57,11 @@
 	}
 }
 
-// TestLimitEarmarkedForDrainingGang guards against a preemption loop: tasks were preempted for
+// TestLimitEarmarkedForGangAwaitingStops guards against a preemption loop: tasks were preempted for
 // a gang, a small job of its team took part of the limit before they had ended, and the gang
 // could not start. The preempted tasks restarted on the same machines and were preempted
 // again, 6,000 tasks in half a minute after a network partition.
-func TestLimitEarmarkedForDrainingGang(t *testing.T) {
+func TestLimitEarmarkedForGangAwaitingStops(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		smallPriority int
