--- a/internal/node/attestations.go
+++ b/internal/node/attestations.go
@@ -9,8 +9,8 @@
 )
 
 // AttestCancellations returns, for the leader, the IDs of the jobs whose cancellation this
-// process has confirmed to users within the last span. It reports false if it can't attest that
-// the list is complete.
+// process has confirmed to users, at most span ago. It reports false if it can't attest that the
+// list is complete.
 func (n *Node) AttestCancellations(span time.Duration) (cancelled []string, ok bool) {
 	if n.userServer == nil {
 		return nil, false // the process is still starting
--- a/internal/node/combined_faults_cancellations_test.go
+++ b/internal/node/combined_faults_cancellations_test.go
@@ -11,8 +11,9 @@
 
 // Tests of cancellations combined with faults.
 
-// fillQuotas runs long jobs that use up the quota of both teams, three of team a and two of
-// team b, and returns their IDs. It then submits more jobs, which have to wait.
+// fillQuotas cancels all jobs of the scenario and starts long ones that use up the quota of both
+// teams, three of team a and two of team b. It returns their IDs. It then submits more jobs,
+// which have to wait.
 func (sc *scenario) fillQuotas() (ids []string) {
 	sc.t.Helper()
 	sc.cancelAll(sc.ids)
--- a/internal/node/combined_faults_leaders_test.go
+++ b/internal/node/combined_faults_leaders_test.go
@@ -11,9 +11,10 @@
 
 // Tests of leader failovers combined with other faults.
 
-// TestCombinedFailoverUnreachableMachines: the leader is killed while one machine with a
-// long task is unreachable and another one does not receive replies to its heartbeats. Guards
-// against a new leader that starts a task again while the unreachable machine may still run it.
+// TestCombinedFailoverUnreachableMachines: the leader is killed while two machines with long
+// tasks are unreachable. One is cut off in both directions. Heartbeats of the other one arrive,
+// but replies and direct commands do not reach it. Guards against a new leader that starts a task
+// again while an unreachable machine may still run it.
 func TestCombinedFailoverUnreachableMachines(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		array := sc.submitNext(longJob("a", jobs.KindArray, 6, 60))
--- a/internal/node/combined_faults_machines_test.go
+++ b/internal/node/combined_faults_machines_test.go
@@ -186,8 +186,8 @@
 		array := sc.submitNext(longJob("a", jobs.KindArray, 6, 30))
 		gang := sc.submitNext(longJob("b", jobs.KindGang, 3, 60))
 		sc.waitAllTasksRunning(array, gang)
-		unreachableMachines := slices.Compact(append(sc.runningMachinesOf(array)[:2], sc.runningMachinesOf(gang)...))
-		for _, name := range unreachableMachines {
+		cutOffMachines := slices.Compact(append(sc.runningMachinesOf(array)[:2], sc.runningMachinesOf(gang)...))
+		for _, name := range cutOffMachines {
 			sc.worker(name).BlockOutgoing(true)
 		}
 		sc.cancelAfter(sc.randomDuration(0, 15*time.Second), gang)
@@ -197,7 +197,7 @@
 		}
 		sc.submitNext(testJob(0, "a", jobs.KindArray, 2))
 		time.Sleep(sc.randomDuration(20*time.Second, 50*time.Second))
-		sc.checkFaultsOccurred(len(unreachableMachines) > 0, "no machine was cut off")
+		sc.checkFaultsOccurred(len(cutOffMachines) > 0, "no machine was cut off")
 	})
 }
 
--- a/internal/node/combined_faults_statestore_test.go
+++ b/internal/node/combined_faults_statestore_test.go
@@ -126,10 +126,10 @@
 	r.cancelAll(r.jobIDs)
 }
 
-// TestTasksKeepRunningDuringOutage: the state service is down for far longer than a worker's
-// lease, and for far longer than a leader by itself can be certain that no cancellation was
-// confirmed. The nodes attest to each other which cancellations they confirmed, so the leader
-// can go on renewing leases. Running tasks must continue, and none may be restarted.
+// TestTasksKeepRunningDuringOutage: the state service is down for much longer than a worker's
+// lease, and for much longer than the leader alone could go on renewing leases, as it can't rule
+// out that another node has confirmed a cancellation. It goes on because all nodes attest which
+// cancellations they have confirmed. Running tasks must continue, and none may be restarted.
 func TestTasksKeepRunningDuringOutage(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		ids := []string{sc.submitNext(longJob("a", jobs.KindArray, 5, 150)), sc.submitNext(longJob("b", jobs.KindGang, 3, 150))}
--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -24,7 +24,7 @@
 	open map[net.Conn]*trackedConn
 	idle *list.List // idle user connections, longest idle first
 	// closedIdle counts the idle user connections that were closed to free sockets. refused
-	// counts the connections that were rejected at the limit.
+	// counts the new connections that were closed at once because the limit was reached.
 	closedIdle, refused uint64
 }
 
@@ -178,7 +178,8 @@
 	Open  int `json:"open"`
 	Limit int `json:"limit"` // 0 means unlimited
 	// ClosedIdle counts the idle user connections that were closed to free sockets since the
-	// process started. Refused counts the connections that were rejected at the limit.
+	// process started. Refused counts the new connections that were closed at once because the
+	// limit was reached.
 	ClosedIdle uint64 `json:"ended"`
 	Refused    uint64 `json:"refused"`
 }
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -49,7 +49,7 @@
 // TestConnTrackerKeepsWorkersConnected runs connections of users and workers through random
 // sequences of requests, responses and disconnects. The tracker must never close a worker's
 // connection or one with a request in flight, and must admit every new connection while a user
-// connection is idle. Otherwise it would be chance whether a worker can connect.
+// connection is idle. Otherwise idle users could keep a worker from connecting.
 func TestConnTrackerKeepsWorkersConnected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		server := &modelServer{t: t, tracker: newConnTracker(40)}
--- a/internal/node/dependencies_input_test.go
+++ b/internal/node/dependencies_input_test.go
@@ -130,9 +130,9 @@
 	})
 }
 
-// checkLongDependencyList submits a job with a dependency list of nearly the greatest length
-// that fits into a request body. It checks that a new leader reads the whole list, and that
-// the job is cancelled when one of the listed jobs is.
+// checkLongDependencyList submits a job whose dependency list is too long for one value of the
+// state service, so that it is stored in parts. It checks that a new leader reads the whole list,
+// and that the job is cancelled when one of the listed jobs is.
 func (sc *scenario) checkLongDependencyList() {
 	sc.t.Helper()
 	var upstreamIDs []string
--- a/internal/node/dependencies_test.go
+++ b/internal/node/dependencies_test.go
@@ -15,9 +15,9 @@
 // jobs that its job depends on are done, and every node reports all jobs downstream of a
 // cancelled job as cancelled.
 
-// submitChains submits n dependency graphs of four stages with one or two jobs each. A job is
-// submitted as soon as the jobs upstream of it are accepted. submitChains returns the IDs of the
-// jobs of the first stages and of all jobs downstream of them.
+// submitChains submits n chains. A chain has four stages of one or two jobs. Each job depends on
+// all jobs of the previous stage and is submitted as soon as they are accepted. submitChains
+// returns the IDs of the jobs of the first stages and of all jobs downstream of them.
 func (sc *scenario) submitChains(n int) (first, downstream []string) {
 	sc.t.Helper()
 	for chainIndex := range n {
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// check queries the peers once the state service has been failing for at least
-// constants.PeerHealthCheckInterval.
+// check queries the peers if the state service has been failing for at least
+// constants.PeerHealthCheckInterval. Otherwise it discards the earlier results.
 func (m *healthMonitor) check(ctx context.Context) {
 	failing := m.store.FailingFor()
 	if failing < constants.PeerHealthCheckInterval {
@@ -88,8 +88,8 @@
 	return healthyPeers, reached
 }
 
-// relayTargets returns the peers that a user's request can be relayed to, at most
-// constants.MaxRelayTargets.
+// relayTargets returns the names of the peers that a user's request can be relayed to, at most
+// constants.MaxRelayTargets. There are none while the state service answers this node.
 func (m *healthMonitor) relayTargets() []string {
 	healthyPeers := m.healthyPeers.Load()
 	if healthyPeers == nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -36,9 +36,9 @@
 	health      *healthMonitor
 	connections *connTracker
 	stateLimits stateLimits
-	// sizingProblems describes the settings that are too small for the fleet; nil until the
-	// first check.
-	sizingProblems atomic.Pointer[[]string]
+	// sizingWarnings has a warning for each setting that is too small for the fleet; nil until
+	// the first check.
+	sizingWarnings atomic.Pointer[[]string]
 	// leading is the leader component of the term that this node holds; nil while it does not
 	// lead.
 	leading atomic.Pointer[leader.Leader]
@@ -113,8 +113,9 @@
 	return (1 - leaderShare) / float64(followers) * usable
 }
 
-// maxConcurrentSubmits returns how many submissions this node can write within the time that a
-// user is kept waiting. Each takes one write.
+// maxConcurrentSubmits returns how many submissions this node can write before they time out, or
+// constants.MinConcurrentSubmits if that is more. Each takes one write. A full budget holds the
+// writes of one second, and more become available until constants.UserRequestTimeout.
 func (n *Node) maxConcurrentSubmits() int {
 	_, writeRPS := n.stateRates(false)
 	return max(constants.MinConcurrentSubmits, int(writeRPS*(1+constants.UserRequestTimeout.Seconds())))
--- a/internal/node/placement_log_test.go
+++ b/internal/node/placement_log_test.go
@@ -6,8 +6,9 @@
 	"sync"
 )
 
-// placementLog is a slog.Handler that counts, from the nodes' log records, the tasks placed on
-// each machine and the quarantined machines. It passes all records on to the wrapped handler.
+// placementLog is a slog.Handler that learns from the nodes' log records how many tasks were
+// placed on each machine and which machines were quarantined. It passes all records on to the
+// wrapped handler.
 type placementLog struct {
 	slog.Handler
 	counts *placementCounts // shared with the handlers that WithAttrs returns
@@ -23,7 +24,7 @@
 	return placementLog{next, &placementCounts{tasksPlaced: make(map[string]int), quarantined: make(map[string]bool)}}
 }
 
-// Enabled accepts all levels, because placements are logged at the lowest one.
+// Enabled accepts all levels, because placements are logged at the debug level.
 func (l placementLog) Enabled(context.Context, slog.Level) bool { return true }
 
 // Handle counts the record and passes it on.
@@ -77,8 +78,8 @@
 	return l.counts.tasksPlaced[machine]
 }
 
-// isQuarantined reports whether a machine was quarantined.
-func (l placementLog) isQuarantined(machine string) bool {
+// wasQuarantined reports whether a machine was quarantined.
+func (l placementLog) wasQuarantined(machine string) bool {
 	l.counts.mu.Lock()
 	defer l.counts.mu.Unlock()
 	return l.counts.quarantined[machine]
--- a/internal/node/rule_checker_test.go
+++ b/internal/node/rule_checker_test.go
@@ -14,8 +14,8 @@
 )
 
 // ruleChecker observes which tasks really run on the simulated machines, and records every
-// violation of a rule of the protocol. A violation begins with the name of its rule, which
-// docs/design.md explains.
+// violation of a rule of the protocol. A violation begins with the name of its rule, if the rule
+// has one. docs/design.md explains these names.
 type ruleChecker struct {
 	maxGPUs      map[string]float64 // by team
 	cancelWithin time.Duration      // how long a task may run on after its user was told of the cancellation
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -141,7 +141,7 @@
 	}()
 	err := term.Run(ctx)
 	if errors.Is(err, leader.ErrTxnTooLarge) {
-		n.stateLimits.halveTransactions()
+		n.stateLimits.halveSizes()
 	}
 	return err
 }
--- a/internal/node/single_fault_scenario_test.go
+++ b/internal/node/single_fault_scenario_test.go
@@ -44,12 +44,12 @@
 // every job gets a final status within 4 minutes, and that no rule was violated.
 func (f *singleFaultScenario) checkOutcome() {
 	f.t.Helper()
-	known := []string{jobs.StatusPending, jobs.StatusRunning, jobs.StatusDone, jobs.StatusCancelled}
+	knownStatuses := []string{jobs.StatusPending, jobs.StatusRunning, jobs.StatusDone, jobs.StatusCancelled}
 	faultEndedAt := time.Now()
 	for i := range 3 {
 		for _, id := range f.ids {
 			f.waitFor(75*time.Second-time.Since(faultEndedAt), fmt.Sprintf("an answer for %s at node %d", id, i), func() bool {
-				return slices.Contains(known, f.status(i, id))
+				return slices.Contains(knownStatuses, f.status(i, id))
 			})
 		}
 	}
--- a/internal/node/single_faults_machines_test.go
+++ b/internal/node/single_faults_machines_test.go
@@ -131,7 +131,7 @@
 			if placed > 0 {
 				usedMachines++
 				f.waitFor(time.Minute, name+" quarantined and returned", func() bool {
-					return f.placementLog.isQuarantined(name) && !f.cloud.IsRented(name)
+					return f.placementLog.wasQuarantined(name) && !f.cloud.IsRented(name)
 				})
 			}
 		}
--- a/internal/node/single_faults_nodes_test.go
+++ b/internal/node/single_faults_nodes_test.go
@@ -10,7 +10,7 @@
 
 // Single faults of nodes and of their connections, each on a whole site in fake time.
 
-// TestSuspendedLeaderHasNoEffect: the leader's process is frozen for longer than its election
+// TestSuspendedLeaderHasNoEffect: the leader's process is suspended for longer than its election
 // lease while its clock runs on, and another node becomes the leader. When the process
 // resumes, it first reads the messages buffered in its sockets and continues the work of its
 // old term. Neither may cause changes that only the current leader may make, such as renting
@@ -45,9 +45,9 @@
 
 // TestLeaderReachesOnlyWorkersAndUsers: a leader is cut off from the state service and from the
 // other nodes, while workers and users still reach it. Another node must become the leader, the
-// workers must follow its higher token, the tasks of a job cancelled meanwhile must stop within
-// cancel_s (37 s), and the isolated node must report that it is not ready, so that users are
-// sent to other nodes.
+// workers must accept its higher fencing token, the tasks of a job cancelled meanwhile must stop
+// within cancel_s (37 s), and the isolated node must report that it is not ready, so that users
+// are sent to other nodes.
 func TestLeaderReachesOnlyWorkersAndUsers(t *testing.T) {
 	runSingleFaultScenario(t, nil, func(f *singleFaultScenario) {
 		cancelledJob := testJob(40, "b", jobs.KindArray, 3)
--- a/internal/node/single_faults_zones_test.go
+++ b/internal/node/single_faults_zones_test.go
@@ -12,9 +12,9 @@
 // Single faults of whole zones, each on a whole site in fake time.
 
 // TestIsolatedZoneOfLeader: the leader and the machines of its zone are cut off together, so
-// the token of the next leader does not reach these machines. The tasks of a job cancelled
-// meanwhile must still stop there within cancel_s: the isolated leader no longer accepts
-// heartbeats, so the workers' leases expire.
+// the fencing token of the next leader does not reach these machines. The tasks of a job
+// cancelled meanwhile must still stop there within cancel_s: the isolated leader no longer
+// accepts heartbeats, so the workers' leases expire.
 func TestIsolatedZoneOfLeader(t *testing.T) {
 	runSingleFaultScenario(t, nil, func(f *singleFaultScenario) {
 		leader := f.leader()
--- a/internal/node/sizing.go
+++ b/internal/node/sizing.go
@@ -7,20 +7,20 @@
 	"thornnotch/internal/constants"
 )
 
-// checkSizing logs which settings are too small for the given number of workers, and stores
-// them for the status.
+// checkSizing logs a warning for each setting that is too small for the given number of workers,
+// and stores the warnings for the status.
 func (n *Node) checkSizing(workers int) {
-	problems := n.settings.SizingWarnings(workers)
-	n.sizingProblems.Store(&problems)
-	for _, problem := range problems {
-		n.log.Warn("settings are too small", "problem", problem)
+	warnings := n.settings.SizingWarnings(workers)
+	n.sizingWarnings.Store(&warnings)
+	for _, warning := range warnings {
+		n.log.Warn("settings are too small", "problem", warning)
 	}
 }
 
-// undersizedSettings returns the settings that the last check found too small.
+// undersizedSettings returns a warning for each setting that the last check found too small.
 func (n *Node) undersizedSettings() []string {
-	if problems := n.sizingProblems.Load(); problems != nil {
-		return *problems
+	if warnings := n.sizingWarnings.Load(); warnings != nil {
+		return *warnings
 	}
 	return nil
 }
--- a/internal/node/sizing_test.go
+++ b/internal/node/sizing_test.go
@@ -28,9 +28,9 @@
 			node = sc.undersizedNode()
 			return node != nil
 		})
-		problem := node.ownStatus().UndersizedSettings[0]
-		if !strings.Contains(problem, "params.machine_limits.mem_mb: 24") || !strings.Contains(problem, "10 are to be expected") {
-			sc.t.Errorf("reported problem is %q, want mem_mb at 24 and 10 expected workers", problem)
+		warning := node.ownStatus().UndersizedSettings[0]
+		if !strings.Contains(warning, "params.machine_limits.mem_mb: 24") || !strings.Contains(warning, "10 are to be expected") {
+			sc.t.Errorf("reported warning is %q, want mem_mb at 24 and 10 expected workers", warning)
 		}
 		if metrics := scrapeMetrics(sc.t, node); !strings.Contains(metrics, "thornnotch_settings_too_small 1") {
 			sc.t.Errorf("thornnotch_settings_too_small is not 1 in the metrics: %s", metrics)
--- a/internal/node/state_limits.go
+++ b/internal/node/state_limits.go
@@ -9,16 +9,17 @@
 	"thornnotch/internal/constants"
 )
 
-// stateLimits tracks reductions of the state service's limits. The service does not tell when it
-// reduces them. Rates fall to the values that the settings announce, which is detected from
-// rejected calls. Sizes may fall below every announced value.
+// stateLimits tracks how far the state service has lowered its limits, which it does without
+// notice. It lowers rates to the values that the settings announce, and a node detects this from
+// rejected calls. It may lower sizes below every announced value, so a leader whose term ends
+// because a transaction was rejected as too large halves the sizes for its next term.
 type stateLimits struct {
 	// ratesLowered is set once the lower rates apply. It is never reset.
 	ratesLowered atomic.Bool
 
 	mu            sync.Mutex
 	rateLimitedAt []time.Time // rejections within constants.RateLimitedWindow; guarded by mu
-	halvings      int         // how often the transaction size was halved; guarded by mu
+	halvings      int         // how often the sizes were halved; guarded by mu
 }
 
 // recordRateLimited records that the state service's rate limit rejected a call, and reports
@@ -35,14 +36,15 @@
 	return len(l.rateLimitedAt) >= constants.RateLimitedRefusals && l.ratesLowered.CompareAndSwap(false, true)
 }
 
-// halveTransactions halves the maximum transaction size from the next term on.
-func (l *stateLimits) halveTransactions() {
+// halveSizes halves the maximum sizes of values and transactions from the next term on.
+func (l *stateLimits) halveSizes() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.halvings++
 }
 
-// apply returns the state limits with the reduced sizes.
+// apply returns the state limits with the sizes of values and transactions halved once for each
+// call of halveSizes, but not below constants.MinValueKB and constants.MinTxnOps.
 func (l *stateLimits) apply(state config.StateLimits) config.StateLimits {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/node/state_limits_fall_test.go
+++ b/internal/node/state_limits_lowered_test.go
@@ -10,7 +10,7 @@
 	"thornnotch/internal/simulator"
 )
 
-// Tests that lower the state service's limits while a site is running.
+// Tests in which the state service lowers its limits while a site is running.
 
 // TestStateLimitsLoweredAsAnnounced lowers the state service's limits without notice to the
 // values that the settings announce, while jobs are submitted and the leader restarts. No
--- a/internal/node/state_limits_test.go
+++ b/internal/node/state_limits_test.go
@@ -9,8 +9,8 @@
 )
 
 // TestRateLimitsAreLoweredOnce checks that a series of rejected calls lowers the rates exactly
-// once, that isolated rejections do not, and that the transaction size is halved down to a
-// minimum.
+// once, that isolated rejections do not, and that the sizes of values and transactions are
+// halved down to a minimum.
 func TestRateLimitsAreLoweredOnce(t *testing.T) {
 	var limits stateLimits
 	now := time.Unix(1000, 0)
@@ -35,12 +35,12 @@
 	if got := limits.apply(settings); got != settings {
 		t.Errorf("limits before any halving are %+v, want them unchanged", got)
 	}
-	limits.halveTransactions()
+	limits.halveSizes()
 	if got := limits.apply(settings); got.ValueKB != 8 || got.TxnOps != 6 {
 		t.Errorf("limits after one halving are %+v, want 8 KB and 6 operations", got)
 	}
 	for range 9 {
-		limits.halveTransactions()
+		limits.halveSizes()
 	}
 	if got := limits.apply(settings); got.ValueKB != constants.MinValueKB || got.TxnOps != constants.MinTxnOps {
 		t.Errorf("limits after ten halvings are %+v, want the minimum sizes", got)
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -122,13 +122,13 @@
 
 // add adds a node's status, or marks the node as unreachable if there is none. If two nodes
 // report as leaders, the cluster status of the newer term is kept.
-func (o *Overview) add(label string, raw []byte, err error) {
+func (o *Overview) add(name string, raw []byte, err error) {
 	var received Overview
 	if err == nil {
 		received, err = decodeStatus(raw)
 	}
 	if err != nil {
-		o.Nodes = append(o.Nodes, Status{Name: label})
+		o.Nodes = append(o.Nodes, Status{Name: name})
 		return
 	}
 	o.Nodes = append(o.Nodes, received.Nodes[0])
--- a/internal/node/upgrade_test.go
+++ b/internal/node/upgrade_test.go
@@ -18,8 +18,8 @@
 // other's records. testdata/production.json holds records that the production version wrote to
 // the state service while in operation: done, cancelled and open jobs, the log's head and
 // entries, and the catalog. These tests check that records are readable in both directions.
-// .ci/versions alternates leadership between real processes of both versions, and the bench's
-// upgrade days run both through outages and refusals.
+// .ci/versions alternates leadership between real processes of both versions, and the benchmark's
+// simulated upgrades run both versions through outages and refusals of the state service.
 
 // storedRow is a key of the state service with its value.
 type storedRow struct {
@@ -59,10 +59,10 @@
 	return records
 }
 
-// TestProductionRecordsAreContinued checks that a site of the new version continues from the
+// TestSiteContinuesFromProductionRecords checks that a site of the new version continues from the
 // production version's records: final jobs keep their status, open jobs complete, and new jobs
 // can depend on either.
-func TestProductionRecordsAreContinued(t *testing.T) {
+func TestSiteContinuesFromProductionRecords(t *testing.T) {
 	rows := productionRecords(t)
 	open := recordsWithPrefix[jobs.Record](t, rows, jobs.OpenPrefix)
 	final := recordsWithPrefix[jobs.FinalRecord](t, rows, jobs.FinalPrefix)
