--- a/internal/leader/reservation_edges.go
+++ b/internal/leader/dependency_reservations.go
@@ -16,8 +16,9 @@
 // upstreams and downstreams. A reservation is made for one downstream job and charged to its
 // team; all direct and indirect upstreams of that job may use it too.
 
-// dependentDownstreams returns the jobs that depend on upstream and have not started, at most
-// MaxDownstreams of them, ordered by priority, then latest start, then submission.
+// dependentDownstreams returns the jobs that depend on upstream and have not started, ordered by
+// priority, then latest start, then submission. If there are more than MaxDownstreams, it returns
+// only those that were linked to upstream first.
 func (l *Leader) dependentDownstreams(upstream *jobState) (downstreams []reservations.Downstream) {
 	var waiting []*jobState
 	for _, job := range l.dependencies.downstreamsOf(upstream.spec.ID) {
--- a/internal/leader/reservation_edges_test.go
+++ b/internal/leader/dependency_reservations_test.go
@@ -30,15 +30,15 @@
 	l.certainty.RecordWatch(now)
 	l.teams = append(l.teams, config.Team{Name: "b", GuaranteedGPUs: 0, MaxGPUs: 12})
 	l.teams[0].GuaranteedGPUs = 0 // guarantees would take precedence over reservations
-	s := dependencyFixture{leader: l, machine: addMachine(l, "m-1", "east", now)}
-	s.machine.agent.Endpoint = ""
-	s.upstream = addJob(t, l, arraySpec("j-1", tasks), now)
-	startAndSendHeartbeat(l, s.machine, now)
+	f := dependencyFixture{leader: l, machine: addMachine(l, "m-1", "east", now)}
+	f.machine.agent.Endpoint = ""
+	f.upstream = addJob(t, l, arraySpec("j-1", tasks), now)
+	startAndSendHeartbeat(l, f.machine, now)
 	spec := arraySpec("j-2", tasks)
 	spec.Team, spec.DependsOn = "b", []string{"j-1"}
-	s.downstream = addJob(t, l, spec, now)
-	s.other = addJob(t, l, arraySpec("j-3", tasks), now)
-	return s
+	f.downstream = addJob(t, l, spec, now)
+	f.other = addJob(t, l, arraySpec("j-3", tasks), now)
+	return f
 }
 
 // startAndSendHeartbeat runs a scheduling pass and lets the machine report its tasks as running.
@@ -55,17 +55,17 @@
 }
 
 // reserved returns the number of reservations.
-func (s dependencyFixture) reserved() int { return len(s.leader.reservations.All()) }
+func (f dependencyFixture) reserved() int { return len(f.leader.reservations.All()) }
 
 // TestReservationsFollowDependencies checks that the resources of a finished task are reserved
 // for the job that depends on it, even one of another team. Other jobs of the same priority
 // can't use them; the downstream job consumes them as soon as it may start.
 func TestReservationsFollowDependencies(t *testing.T) {
 	now := time.Now()
-	s := newDependencyFixture(t, 4, now)
+	f := newDependencyFixture(t, 4, now)
 	now = now.Add(10 * time.Second)
-	finishAll(s.leader, s.machine, now)
-	onMachine := s.leader.reservations.OnMachine("m-1")
+	finishAll(f.leader, f.machine, now)
+	onMachine := f.leader.reservations.OnMachine("m-1")
 	if len(onMachine) != 4 {
 		t.Fatalf("%d reservations, want 4", len(onMachine))
 	}
@@ -75,15 +75,15 @@
 		}
 	}
 
-	s.leader.runSchedulingPass(now)
-	if len(s.other.attempts) != 0 || len(s.downstream.attempts) != 0 {
-		t.Fatalf("before the completion is recorded: %d tasks of the other and %d of the downstream job placed, want none", len(s.other.attempts), len(s.downstream.attempts))
+	f.leader.runSchedulingPass(now)
+	if len(f.other.attempts) != 0 || len(f.downstream.attempts) != 0 {
+		t.Fatalf("before the completion is recorded: %d tasks of the other and %d of the downstream job placed, want none", len(f.other.attempts), len(f.downstream.attempts))
 	}
 
-	commitPending(s.leader, 200)
-	s.leader.runSchedulingPass(now)
-	if len(s.downstream.attempts) != 4 || len(s.other.attempts) != 0 || s.reserved() != 0 {
-		t.Errorf("%d tasks of the downstream and %d of the other job placed, %d reservations left; want 4, 0 and 0", len(s.downstream.attempts), len(s.other.attempts), s.reserved())
+	commitPending(f.leader, 200)
+	f.leader.runSchedulingPass(now)
+	if len(f.downstream.attempts) != 4 || len(f.other.attempts) != 0 || f.reserved() != 0 {
+		t.Errorf("%d tasks of the downstream and %d of the other job placed, %d reservations left; want 4, 0 and 0", len(f.downstream.attempts), len(f.other.attempts), f.reserved())
 	}
 }
 
@@ -92,10 +92,10 @@
 // reservation as blocked until that job may start.
 func TestDependencyReservationsAreConsumed(t *testing.T) {
 	now := time.Now()
-	s := newDependencyFixture(t, 1, now)
-	finishAll(s.leader, s.machine, now.Add(10*time.Second))
+	f := newDependencyFixture(t, 1, now)
+	finishAll(f.leader, f.machine, now.Add(10*time.Second))
 	blocked := func() (blocked []bool) {
-		for _, slot := range s.leader.snapshotForPlacement(now).Machines[0].Reserved {
+		for _, slot := range f.leader.placementSnapshot(now).Machines[0].Reserved {
 			blocked = append(blocked, slot.Blocked)
 		}
 		return blocked
@@ -103,13 +103,13 @@
 	if got := blocked(); !slices.Equal(got, []bool{true}) {
 		t.Errorf("blocked before the job may start: %v, want true", got)
 	}
-	commitPending(s.leader, 200)
+	commitPending(f.leader, 200)
 	if got := blocked(); !slices.Equal(got, []bool{false}) {
 		t.Errorf("blocked once the job may start: %v, want false", got)
 	}
-	s.leader.runSchedulingPass(now)
-	if len(s.downstream.attempts) != 1 || s.reserved() != 0 {
-		t.Errorf("%d tasks placed, %d reservations left; want 1 and 0", len(s.downstream.attempts), s.reserved())
+	f.leader.runSchedulingPass(now)
+	if len(f.downstream.attempts) != 1 || f.reserved() != 0 {
+		t.Errorf("%d tasks placed, %d reservations left; want 1 and 0", len(f.downstream.attempts), f.reserved())
 	}
 }
 
@@ -142,34 +142,34 @@
 func TestDependencyReservationsEnd(t *testing.T) {
 	start := time.Now()
 	finished := start.Add(10 * time.Second)
-	checkOtherStarts := func(t *testing.T, s dependencyFixture, now time.Time) {
+	checkOtherStarts := func(t *testing.T, f dependencyFixture, now time.Time) {
 		t.Helper()
-		for _, name := range s.leader.reservations.Expire(now, s.leader.hasWaitingTasks) {
-			s.leader.metadataChanged(s.leader.fleet.get(name), now)
+		for _, name := range f.leader.reservations.Expire(now, f.leader.hasWaitingTasks) {
+			f.leader.metadataChanged(f.leader.fleet.get(name), now)
 		}
-		s.machine.agent.LastHeartbeat, s.machine.agent.LastAcknowledged = now, now
-		s.leader.certainty.RecordWatch(now)
-		s.leader.runSchedulingPass(now)
-		if s.reserved() != 0 || len(s.other.attempts) != 4 {
-			t.Errorf("%d reservations left, %d tasks of the other job placed; want 0 and 4", s.reserved(), len(s.other.attempts))
+		f.machine.agent.LastHeartbeat, f.machine.agent.LastAcknowledged = now, now
+		f.leader.certainty.RecordWatch(now)
+		f.leader.runSchedulingPass(now)
+		if f.reserved() != 0 || len(f.other.attempts) != 4 {
+			t.Errorf("%d reservations left, %d tasks of the other job placed; want 0 and 4", f.reserved(), len(f.other.attempts))
 		}
 	}
 	t.Run("cancelled", func(t *testing.T) {
-		s := newDependencyFixture(t, 4, start)
-		finishAll(s.leader, s.machine, finished)
-		s.leader.jobRecordDeleted("j-2", finished)
-		checkOtherStarts(t, s, finished)
+		f := newDependencyFixture(t, 4, start)
+		finishAll(f.leader, f.machine, finished)
+		f.leader.jobRecordDeleted("j-2", finished)
+		checkOtherStarts(t, f, finished)
 	})
 	t.Run("expired", func(t *testing.T) {
-		s := newDependencyFixture(t, 4, start)
-		finishAll(s.leader, s.machine, finished)
-		settings := s.leader.deps.Operator.Reservations
+		f := newDependencyFixture(t, 4, start)
+		finishAll(f.leader, f.machine, finished)
+		settings := f.leader.deps.Operator.Reservations
 		expiry := start.Add(reservations.Options{Alpha: settings.Alpha, P: settings.P}.Deadline(10*time.Second, 4))
-		s.leader.reservations.Expire(expiry.Add(-time.Second), s.leader.hasWaitingTasks)
-		if s.reserved() != 4 {
+		f.leader.reservations.Expire(expiry.Add(-time.Second), f.leader.hasWaitingTasks)
+		if f.reserved() != 4 {
 			t.Errorf("reservations expired before their deadline")
 		}
-		checkOtherStarts(t, s, expiry.Add(time.Second))
+		checkOtherStarts(t, f, expiry.Add(time.Second))
 	})
 }
 
@@ -177,9 +177,9 @@
 // for a dependent job as one for that job, not for the next job of its team.
 func TestDependencyReservationsSurviveFailover(t *testing.T) {
 	now := time.Now()
-	s := newDependencyFixture(t, 4, now)
-	finishAll(s.leader, s.machine, now.Add(10*time.Second))
-	raw, err := json.Marshal(s.leader.machineRecord(s.machine))
+	f := newDependencyFixture(t, 4, now)
+	finishAll(f.leader, f.machine, now.Add(10*time.Second))
+	raw, err := json.Marshal(f.leader.machineRecord(f.machine))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -191,7 +191,7 @@
 	if err := next.restoreMachine("m-1", &record, now); err != nil {
 		t.Fatal(err)
 	}
-	restored, original := next.reservations.OnMachine("m-1"), s.leader.reservations.OnMachine("m-1")
+	restored, original := next.reservations.OnMachine("m-1"), f.leader.reservations.OnMachine("m-1")
 	if len(restored) != 4 {
 		t.Fatalf("restored %v, want 4 reservations", restored)
 	}
@@ -208,8 +208,8 @@
 // reservations.
 func TestDownstreamOrder(t *testing.T) {
 	now := time.Now()
-	s := newDependencyFixture(t, 4, now)
-	l := s.leader
+	f := newDependencyFixture(t, 4, now)
+	l := f.leader
 	addDependent := func(id, priorityClass string, deadlineS float64, upstreams ...string) *jobState {
 		spec := arraySpec(id, 2)
 		spec.PriorityClass, spec.DependsOn = priorityClass, upstreams
@@ -225,15 +225,15 @@
 	last := addDependent("j-8", "urgent", 0, "j-7")
 
 	var got []string
-	for _, downstream := range l.downstreams(s.upstream) {
+	for _, downstream := range l.downstreams(f.upstream) {
 		got = append(got, downstream.Job)
 	}
 	if want := []string{"j-7", "j-6", "j-4", "j-2"}; !slices.Equal(got, want) {
 		t.Errorf("downstreams %v, want %v", got, want)
 	}
 
-	finishAll(l, s.machine, now.Add(5*time.Second)) // reserves two slots for j-7 and two for j-6
-	l.snapshotForPlacement(now)
+	finishAll(l, f.machine, now.Add(5*time.Second)) // reserves two slots for j-7 and two for j-6
+	l.placementSnapshot(now)
 	if !secondUpstream.view.BelongsTo(soon.view.DependencyPipeline()) {
 		t.Errorf("an upstream job may not use the reservations: %v", secondUpstream.view.ReservedDownstreams)
 	}
@@ -269,10 +269,10 @@
 			t.Errorf("submission order %v: %d reservations, want %d", submissionOrder, got, want)
 		}
 
-		s := newDependencyFixture(t, 4, now)
-		s.leader.deps.Operator.Reservations.SubmissionOrder = submissionOrder
-		finishAll(s.leader, s.machine, now.Add(10*time.Second))
-		if got := s.reserved(); got != 4 {
+		f := newDependencyFixture(t, 4, now)
+		f.leader.deps.Operator.Reservations.SubmissionOrder = submissionOrder
+		finishAll(f.leader, f.machine, now.Add(10*time.Second))
+		if got := f.reserved(); got != 4 {
 			t.Errorf("submission order %v: %d reservations for the dependent job, want 4", submissionOrder, got)
 		}
 	}
--- a/internal/leader/finish_reservations.go
+++ b/internal/leader/finish_reservations.go
@@ -12,7 +12,7 @@
 // frees.
 func (l *Leader) reserveFreedResources(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
 	finish := reservations.FinishedTask{
-		Job: job.spec.ID, Tasks: job.spec.Tasks, UpstreamStartedAt: job.started, Machine: machine.agent.Name, Downstreams: l.downstreams(job), Now: now,
+		Job: job.spec.ID, Tasks: job.spec.Tasks, UpstreamStartedAt: job.startedAt, Machine: machine.agent.Name, Downstreams: l.downstreams(job), Now: now,
 		Fits: func(downstream reservations.Downstream) bool {
 			return machine.schedulable(now) && l.mayReserve(machine, downstream)
 		},
--- a/internal/leader/gang_starvation.go
+++ b/internal/leader/gang_starvation.go
@@ -72,13 +72,13 @@
 	if job.spec.Kind != jobs.KindGang || job.gang.waitCounted || job.upstreams.blocked() {
 		return
 	}
-	startedBeforeTerm := job.fromEarlierTerm && !job.started.IsZero()
+	startedBeforeTerm := job.fromEarlierTerm && !job.startedAt.IsZero()
 	stats := g[job.spec.Class]
 	if startedBeforeTerm || stats == nil || job.spec.Tasks < stats.maxTasks {
 		return
 	}
 	late := now.Sub(job.view.Submitted) > constants.LargeGangLateAfter
-	if !late && job.started.IsZero() {
+	if !late && job.startedAt.IsZero() {
 		return
 	}
 	job.gang.waitCounted = true
--- a/internal/leader/gang_starvation_test.go
+++ b/internal/leader/gang_starvation_test.go
@@ -25,8 +25,8 @@
 	}
 	observeStartAfter := func(tasks int, wait time.Duration) {
 		gang := addGang(tasks)
-		gang.started = now.Add(wait)
-		waits.observe(gang, gang.started)
+		gang.startedAt = now.Add(wait)
+		waits.observe(gang, gang.startedAt)
 	}
 	observeLate := func(tasks int) {
 		waits.observe(addGang(tasks), now.Add(constants.LargeGangLateAfter+time.Second))
--- a/internal/leader/job_admission.go
+++ b/internal/leader/job_admission.go
@@ -46,15 +46,15 @@
 	return now
 }
 
-// recordArrival counts a job that has become eligible to start among the recent arrivals.
+// recordArrival adds a job that has become eligible to start to the recent arrivals.
 func (l *Leader) recordArrival(job *jobState, now time.Time) {
 	l.scaling.recentArrivals.add(arrival{
 		at: job.view.Submitted, demand: demandOf(job, job.spec.Tasks), forGangReserve: l.qualifiesForGangReserve(job.spec),
 	}, now)
 }
 
-// jobRecordDeleted handles the deletion of a job's open record: either this leader has
-// finished the job, or its user has cancelled it.
+// jobRecordDeleted handles the deletion of a job's open record: either this leader has replaced
+// it with the job's final record, or the user has cancelled the job.
 func (l *Leader) jobRecordDeleted(id string, now time.Time) {
 	if job := l.jobs.get(id); job != nil {
 		l.removeJob(job, now)
--- a/internal/leader/job_attempts.go
+++ b/internal/leader/job_attempts.go
@@ -11,8 +11,8 @@
 // before it is killed.
 func (j *jobState) stopGrace() float64 { return j.spec.CheckpointSaveS + constants.StopGrace.Seconds() }
 
-// stopAttempt requests the stop of an attempt. An attempt whose run command was never sent is
-// removed at once.
+// stopAttempt requests the stop of an attempt, whose task gets grace seconds to save its
+// progress. An attempt whose run command was never sent is removed at once.
 func (l *Leader) stopAttempt(machine *machineState, attempt *workers.Attempt, grace float64, now time.Time) {
 	if machine.agent.RequestStop(attempt, grace, now) {
 		l.removeAttempt(machine, attempt)
@@ -22,7 +22,7 @@
 	l.passes.request()
 }
 
-// stopGang stops all attempts of a gang.
+// stopGang stops all attempts of a gang. Each task gets grace seconds to save its progress.
 func (l *Leader) stopGang(job *jobState, grace float64, now time.Time) {
 	job.gang.replacingTask = false
 	job.markStale()
@@ -35,7 +35,7 @@
 	}
 }
 
-// addAttempt adds an attempt to its job.
+// addAttempt adds an attempt to its job, if the job is open and has the attempt's task.
 func (l *Leader) addAttempt(machine *machineState, attempt *workers.Attempt) {
 	machine.markStale()
 	job := l.jobs.get(attempt.ID.Task.Job)
@@ -47,8 +47,8 @@
 	job.placed = true
 }
 
-// removeAttempt removes an attempt that is gone or has exited from its job, and logs that it
-// is gone.
+// removeAttempt removes an attempt from its job once the attempt is gone or has exited, and
+// adds its removal to the write-ahead log.
 func (l *Leader) removeAttempt(machine *machineState, attempt *workers.Attempt) {
 	machine.markStale()
 	l.wal.AttemptGone(machine.agent.Name, attemptToRecord(attempt))
--- a/internal/leader/job_state.go
+++ b/internal/leader/job_state.go
@@ -13,8 +13,8 @@
 type jobState struct {
 	spec     *jobs.Spec
 	revision uint64 // revision of the job's record, which never changes
-	// acceptedAt is the submission time. The time in view.Submitted is moved to the end of the
-	// last upstream job instead.
+	// acceptedAt is the submission time. Unlike view.Submitted, it does not move when the last
+	// upstream job ends.
 	acceptedAt time.Time
 
 	// view is the job as shown to placement; stale is set when it has to be rebuilt.
@@ -32,7 +32,7 @@
 	// lastPlacedAt is when a task of the job was last placed. Before the first placement, it
 	// is when the job was added or became eligible to start.
 	lastPlacedAt time.Time
-	started      time.Time // when a task was first reported running
+	startedAt    time.Time // when a task was first reported running
 
 	gang      gangState
 	retry     retryState
@@ -52,7 +52,7 @@
 	fromEarlierTerm bool
 
 	complete   bool // all tasks are done; the final record must be written
-	finalizing bool // a transaction with the final record is in progress
+	finalizing bool // a transaction with the final record is in flight
 	removed    bool // cancelled or ended
 }
 
@@ -60,7 +60,7 @@
 // the job's tasks or attempts.
 func (j *jobState) markStale() { j.stale = true }
 
-// gangState is the state of a gang beyond its attempts.
+// gangState is the state that only gangs have, apart from their attempts.
 type gangState struct {
 	// attemptNumber is the number of the gang's current attempt. replacingTask is set while a
 	// task that was lost before the gang started may be replaced under that number.
@@ -74,26 +74,26 @@
 type upstreamState struct {
 	declared bool // the job has dependencies, whether or not they are done
 	unlinked bool // the job is not linked to its upstream jobs yet
-	// pending are the upstream jobs that are not known to be done.
+	// pending are the IDs of the upstream jobs that are not known to be done.
 	pending map[string]bool
 }
 
-// waitFor sets the jobs to wait for. It returns their names without duplicates.
-func (u *upstreamState) waitFor(names []string) []string {
+// waitFor sets the IDs of the jobs to wait for. It returns them without duplicates.
+func (u *upstreamState) waitFor(ids []string) []string {
 	u.unlinked = false
-	u.pending = make(map[string]bool, len(names))
+	u.pending = make(map[string]bool, len(ids))
 	var distinct []string
-	for _, name := range names {
-		if !u.pending[name] {
-			u.pending[name] = true
-			distinct = append(distinct, name)
+	for _, id := range ids {
+		if !u.pending[id] {
+			u.pending[id] = true
+			distinct = append(distinct, id)
 		}
 	}
 	return distinct
 }
 
 // markDone removes an upstream job that is done.
-func (u *upstreamState) markDone(name string) { delete(u.pending, name) }
+func (u *upstreamState) markDone(id string) { delete(u.pending, id) }
 
 // blocked reports whether any upstream job is not known to be done.
 func (u *upstreamState) blocked() bool { return u.unlinked || len(u.pending) > 0 }
--- a/internal/leader/job_table.go
+++ b/internal/leader/job_table.go
@@ -59,8 +59,8 @@
 	t.pipelines[pipeline] = append(t.pipelines[pipeline], job)
 }
 
-// remove removes a job that has ended. If it has attempts that may still be on machines, their
-// team and resources are kept.
+// remove removes a job that has ended. attempts is the number of its attempts that may still be
+// on machines; if there are any, their team and resources are kept.
 func (t *jobTable) remove(job *jobState, attempts int) {
 	id := job.spec.ID
 	job.removed = true
--- a/internal/leader/job_test.go
+++ b/internal/leader/job_test.go
@@ -53,7 +53,7 @@
 	startAndSendHeartbeat(l, machine, now)
 	machine.agent.Endpoint = "" // no direct commands
 	l.jobRecordDeleted("j-1", now)
-	if got := l.snapshotForPlacement(now).Teams["a"].Used.GPUs; got != 3 {
+	if got := l.placementSnapshot(now).Teams["a"].Used.GPUs; got != 3 {
 		t.Errorf("%v GPUs in use after the cancellation, want 3", got)
 	}
 	record := l.machineRecord(machine)
@@ -61,7 +61,7 @@
 		t.Errorf("the record lacks the cancelled job's attempts: %+v", record)
 	}
 	l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusExited, workers.CauseStopped), false, now)
-	if l.snapshotForPlacement(now).Teams["a"].Used.GPUs != 0 {
+	if l.placementSnapshot(now).Teams["a"].Used.GPUs != 0 {
 		t.Errorf("the tasks still count after their exit")
 	}
 }
--- a/internal/leader/job_view.go
+++ b/internal/leader/job_view.go
@@ -30,7 +30,8 @@
 }
 
 // listWaitingGangTasks lists the tasks of a gang that wait for a machine. A gang starts as a
-// whole, and only after all tasks of an earlier attempt are proven gone.
+// whole, and only after all tasks of an earlier attempt are proven gone. While a lost task may be
+// replaced, only the tasks without an attempt are listed.
 func (j *jobState) listWaitingGangTasks() {
 	if len(j.attempts) == 0 {
 		j.gang.replacingTask = false
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -51,8 +51,8 @@
 	// ReadsLargeRing reports whether all nodes can read the log's large ring. Nil means that
 	// they can't.
 	ReadsLargeRing func(ctx context.Context) bool
-	// Usage returns what this node's calls of a class have used of the state service's budget;
-	// may be nil.
+	// Usage returns how much of the state service's budget this node's calls of a class have
+	// used. It may be nil.
 	Usage func(statestore.Class) statestore.Usage
 	Log   *slog.Logger
 }
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -35,8 +35,8 @@
 
 // loadLog periodically logs the leader's load.
 type loadLog struct {
-	// usage returns what this node's calls of a class have used of the state service's budget;
-	// may be nil.
+	// usage returns how much of the state service's budget this node's calls of a class have
+	// used. It may be nil.
 	usage func(statestore.Class) statestore.Usage
 
 	// loggedAt is the time of the last log line, and lastCounts and usageTotals are the totals
--- a/internal/leader/loop.go
+++ b/internal/leader/loop.go
@@ -10,7 +10,7 @@
 	"thornnotch/internal/constants"
 )
 
-// How an event is processed, with the functions involved:
+// How an event is processed, and by which functions:
 //
 //  1. It arrives. A heartbeat is posted by the HTTP handler (Heartbeat), a submission or
 //     cancellation by the watch (watchJobs), and the result of a call by the goroutine that
@@ -117,13 +117,13 @@
 // nextWakeup returns when the loop must wake up even if no event arrives, or the zero time if
 // it need not.
 func (l *Leader) nextWakeup() (at time.Time) {
-	consider := func(t time.Time) {
+	wakeBy := func(t time.Time) {
 		if !t.IsZero() && (at.IsZero() || t.Before(at)) {
 			at = t
 		}
 	}
-	consider(l.passes.nextAt())
-	consider(l.commits.dueAt())
-	consider(l.replies.nextDue())
+	wakeBy(l.passes.nextAt())
+	wakeBy(l.commits.dueAt())
+	wakeBy(l.replies.nextDue())
 	return at
 }
--- a/internal/leader/loop_test.go
+++ b/internal/leader/loop_test.go
@@ -85,9 +85,9 @@
 	}
 }
 
-// heartbeatUntilCommanded sends up to nine heartbeats of machine m-1 until a reply carries
+// sendHeartbeatsUntilCommands sends up to nine heartbeats of machine m-1 until a reply carries
 // commands. It returns these commands, or nil if no reply carries any.
-func heartbeatUntilCommanded(t *testing.T, l *Leader) []workers.Command {
+func sendHeartbeatsUntilCommands(t *testing.T, l *Leader) []workers.Command {
 	t.Helper()
 	for sequence := uint64(1); sequence < 10; sequence++ {
 		heartbeat := &workers.Heartbeat{Machine: "m-1", MachineType: "g4", Zone: "east", Epoch: 1, Sequence: sequence, Token: 3}
@@ -116,7 +116,7 @@
 		}
 		store.changes <- []statestore.Change{{Put: jobs.OpenPrefix + "j-1", Value: record, Revision: 101}}
 
-		commands := heartbeatUntilCommanded(t, l)
+		commands := sendHeartbeatsUntilCommands(t, l)
 		if len(commands) != 1 || commands[0].Verb != workers.VerbRun {
 			t.Errorf("the machine received commands %+v, want one run command", commands)
 		}
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -55,9 +55,9 @@
 	l.setTeamUsage(machine, nil)
 }
 
-// markStale makes the next scheduling pass rebuild the machine's view. It must be called
-// after every change of the machine's attempts, reservations or images, because the teams'
-// usage is also updated from the view.
+// markStale makes the next scheduling pass rebuild the machine's view, which also updates the
+// teams' usage. It must be called after every change of the machine's attempts, reservations or
+// images.
 func (m *machineState) markStale() { m.stale = true }
 
 // pool returns the instance pool that the machine was rented from.
@@ -65,7 +65,8 @@
 	return autoscaling.InstancePool{Type: m.agent.MachineType, Zone: m.agent.Zone, Spot: m.agent.Spot}
 }
 
-// schedulable reports whether new tasks may be placed on the machine.
+// schedulable reports whether the machine's own state allows new tasks. Before a placement,
+// acceptsPlacements makes further checks.
 func (m *machineState) schedulable(now time.Time) bool {
 	if m.lifecycle.isLeaving() || !m.health.AcceptsTasks(now) || m.startOverdue {
 		return false
@@ -75,13 +76,14 @@
 		!agent.RepliesLost && !agent.EpochUnconfirmed
 }
 
-// freeResources returns the machine's resources that neither tasks nor reservations use.
+// freeResources returns the machine's resources that neither tasks nor reservations use, or none
+// if its type is not in the catalog.
 func (l *Leader) freeResources(machine *machineState) placement.Resources {
-	t, ok := l.deps.Catalog().Type(machine.agent.MachineType)
+	machineType, ok := l.deps.Catalog().Type(machine.agent.MachineType)
 	if !ok {
 		return placement.Resources{}
 	}
-	free := placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}.Sub(l.usedResources(machine))
+	free := placement.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}.Sub(l.usedResources(machine))
 	for _, reservation := range l.reservations.OnMachine(machine.agent.Name) {
 		free = free.Sub(reservation.Resources)
 	}
--- a/internal/leader/machine_lifecycle.go
+++ b/internal/leader/machine_lifecycle.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// machineLifecycle tracks the return of a machine to the cloud: the machine is marked as
-// leaving, the mark is recorded, and only then is the cloud asked to take the machine back.
-// So a later leader never relies on a machine that may be gone.
+// machineLifecycle tracks how long a machine has been idle, and its return to the cloud: the
+// machine is marked as leaving, the mark is recorded, and only then is the cloud asked to take
+// the machine back. So a later leader never relies on a machine that may be gone.
 type machineLifecycle struct {
 	leaving bool
 	// leavingRecorded is set once the leaving mark is recorded.
@@ -23,8 +23,8 @@
 // mark is recorded.
 func (m *machineLifecycle) beginLeaving() { m.leaving, m.leavingRecorded = true, false }
 
-// markLeavingRecorded records that the machine's record has been written with its present
-// leaving mark.
+// markLeavingRecorded is called once the machine's record with its current leaving mark is
+// committed.
 func (m *machineLifecycle) markLeavingRecorded() { m.leavingRecorded = m.leaving }
 
 // readyToReturn reports whether the cloud may be asked to take the machine back.
--- a/internal/leader/placement_snapshot.go
+++ b/internal/leader/placement_snapshot.go
@@ -7,9 +7,9 @@
 	"thornnotch/internal/placement"
 )
 
-// snapshotForPlacement returns the current state as the input of a scheduling pass. It reuses
+// placementSnapshot returns the current state as the input of a scheduling pass. It reuses
 // the views of machines and jobs that have not changed.
-func (l *Leader) snapshotForPlacement(now time.Time) *placement.Snapshot {
+func (l *Leader) placementSnapshot(now time.Time) *placement.Snapshot {
 	snapshot := &placement.Snapshot{Now: now, StartRate: l.classes.placementRates}
 	startable := l.startableJobViews(now)
 	// Refreshing the machine views updates the teams' usage, which teamViews reads.
@@ -57,8 +57,9 @@
 	return views
 }
 
-// acceptsPlacements reports whether new tasks may be placed on a machine. Its view must be
-// up to date.
+// acceptsPlacements reports whether new tasks may be placed on a machine: it is schedulable, its
+// type is known, and it has sent this term's token and a recent heartbeat. The machine's view
+// must be up to date.
 func (l *Leader) acceptsPlacements(machine *machineState, now time.Time) bool {
 	if machine.view.Total == (placement.Resources{}) || !machine.schedulable(now) {
 		return false
@@ -69,8 +70,9 @@
 		return false
 	}
 	// A machine that has missed a few heartbeats may be dead or partitioned. Tasks placed
-	// there would be stuck until its lease expires.
-	return l.silentFor(machine, now) <= l.silenceTolerance()+constants.IdleReplyHold
+	// there would be stuck until its lease expires. Replies to idle machines are held, which
+	// delays their heartbeats.
+	return l.silenceDuration(machine, now) <= l.silenceTolerance()+constants.IdleReplyHold
 }
 
 // teamViews returns each team's usage and quota, by name.
--- a/internal/leader/recent_arrivals.go
+++ b/internal/leader/recent_arrivals.go
@@ -10,7 +10,8 @@
 )
 
 // recentArrivals lists the jobs that were submitted or became eligible to start within
-// ArrivalRateWindow, oldest first.
+// ArrivalRateWindow, in the order in which they were added. This is roughly the order of their
+// arrival: jobs loaded during the failover are not sorted by time.
 type recentArrivals []arrival
 
 // arrival is the time and demand of one job's arrival.
@@ -28,7 +29,7 @@
 	}
 }
 
-// prune removes the arrivals that are older than the window.
+// prune removes arrivals that are older than the window, up to the first one that is not.
 func (r *recentArrivals) prune(now time.Time) {
 	for len(*r) > 0 && now.Sub((*r)[0].at) > constants.ArrivalRateWindow {
 		*r = (*r)[1:]
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -24,7 +24,7 @@
 }
 
 // loadRecords loads the records of earlier terms and restores state from them. Since they are
-// read after the term was raised, no older leader can still change them. It returns the
+// read after this term has started, no older leader can still change them. It returns the
 // revision at which the open jobs were read.
 func (l *Leader) loadRecords(ctx context.Context) (revision uint64, err error) {
 	startedAt := time.Now()
--- a/internal/leader/retry_state.go
+++ b/internal/leader/retry_state.go
@@ -12,7 +12,7 @@
 	// delays holds back single tasks that fail repeatedly while the job's other tasks
 	// succeed.
 	delays health.TaskDelays
-	avoid  map[string]time.Time // end of avoidance, by machine
+	avoid  map[string]time.Time // when the job may use each avoided machine again, by name
 }
 
 // backingOff reports whether the whole job is in backoff.
@@ -34,7 +34,7 @@
 	return true
 }
 
-// avoidMachine excludes a machine for the job until the given time.
+// avoidMachine excludes a machine from the job's placements until the given time.
 func (r *retryState) avoidMachine(name string, until time.Time) { r.avoid[name] = until }
 
 // machinesToAvoid returns the set of machines that the job must avoid, or nil if there are
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -63,7 +63,7 @@
 	if l.deps.Catalog() != nil && l.failover.recordsLoaded() && l.scaling.reviewDue(now) {
 		l.detectStragglers(now)
 		l.attributeAllFailures(now)
-		l.releaseSurplus(now)
+		l.retireSurplus(now)
 	}
 	if !l.term.verified() {
 		l.verifyTerm() // the cloud can't check the term of its caller
--- a/internal/leader/scaling_booting.go
+++ b/internal/leader/scaling_booting.go
@@ -32,8 +32,8 @@
 // rented in an earlier term that has no record may be up and idle, and its worker needs up to
 // a lease to find the new leader. Workers get the same time after the leader's own loop has
 // stalled.
-func (b bootingMachine) overdue(boot, lease time.Duration, resumedAt, now time.Time) bool {
-	return now.Sub(b.rentedAt) > boot && now.Sub(b.firstSeenAt) > lease && now.Sub(resumedAt) > lease
+func (b bootingMachine) overdue(bootTimeout, lease time.Duration, resumedAt, now time.Time) bool {
+	return now.Sub(b.rentedAt) > bootTimeout && now.Sub(b.firstSeenAt) > lease && now.Sub(resumedAt) > lease
 }
 
 // bootTimeout returns how long a machine of the given type may take to boot and register.
--- a/internal/leader/scaling_return.go
+++ b/internal/leader/scaling_return.go
@@ -8,8 +8,8 @@
 	"thornnotch/internal/constants"
 )
 
-// retireMachines marks machines as leaving that have been silent for too long, and faulty
-// ones without attempts.
+// retireMachines starts the return of machines that have been silent for too long, and of
+// faulty ones without attempts.
 func (l *Leader) retireMachines(now time.Time) {
 	unreachable := l.updateUnreachableZones(now)
 	for machine := range l.fleet.all() {
@@ -21,7 +21,7 @@
 			returnAfter = constants.UnreachableZoneReturnAfter
 		}
 		switch {
-		case l.silentFor(machine, now) > l.lease+returnAfter:
+		case l.silenceDuration(machine, now) > l.lease+returnAfter:
 			l.beginLeaving(machine, "silent", now)
 		case machine.health.Faulty() && len(machine.agent.Attempts) == 0:
 			l.beginLeaving(machine, "faulty", now)
@@ -60,7 +60,7 @@
 }
 
 // isDraining reports whether a machine to be returned may still run tasks, which must get
-// time to save their state.
+// time to save their progress.
 func (l *Leader) isDraining(machine *machineState, now time.Time) bool {
 	return machine.agent.Registered && !l.isSilentBeyondLease(machine, now) && machine.inUse()
 }
--- a/internal/leader/scaling_state_test.go
+++ b/internal/leader/scaling_state_test.go
@@ -58,7 +58,7 @@
 // TestBootingMachineOverdue checks that a machine is overdue only after its boot timeout, and
 // only if the leader has known it, and has run without a stall, for longer than a lease.
 func TestBootingMachineOverdue(t *testing.T) {
-	const boot, lease = 75 * time.Second, 12 * time.Second
+	const bootTimeout, lease = 75 * time.Second, 12 * time.Second
 	now := time.Unix(1000, 0)
 	longAgo := now.Add(-time.Hour)
 	tests := []struct {
@@ -67,15 +67,15 @@
 		want                           bool
 	}{
 		{"rented just now", now, now, longAgo, false},
-		{"exactly at the boot timeout", now.Add(-boot), longAgo, longAgo, false},
-		{"after the boot timeout", now.Add(-boot - 1), longAgo, longAgo, true},
+		{"exactly at the boot timeout", now.Add(-bootTimeout), longAgo, longAgo, false},
+		{"after the boot timeout", now.Add(-bootTimeout - 1), longAgo, longAgo, true},
 		{"known in this term for exactly a lease", longAgo, now.Add(-lease), longAgo, false},
 		{"stall of the leader ended exactly a lease ago", longAgo, longAgo, now.Add(-lease), false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			machine := bootingMachine{rentedAt: test.rentedAt, firstSeenAt: test.firstSeenAt}
-			if got := machine.overdue(boot, lease, test.resumed, now); got != test.want {
+			if got := machine.overdue(bootTimeout, lease, test.resumed, now); got != test.want {
 				t.Errorf("overdue: %v, want %v", got, test.want)
 			}
 		})
--- a/internal/leader/scaling_surplus.go
+++ b/internal/leader/scaling_surplus.go
@@ -7,9 +7,9 @@
 	"thornnotch/internal/constants"
 )
 
-// releaseSurplus starts the return of idle machines that exceed the peak of the desired
+// retireSurplus starts the return of idle machines that exceed the peak of the desired
 // capacity in the recent past.
-func (l *Leader) releaseSurplus(now time.Time) {
+func (l *Leader) retireSurplus(now time.Time) {
 	snapshot := l.scalingSnapshot(now)
 	desired := make(map[string]autoscaling.DesiredCapacity)
 	for _, machineType := range snapshot.Catalog.MachineTypes {
--- a/internal/leader/scheduling_pass.go
+++ b/internal/leader/scheduling_pass.go
@@ -12,7 +12,7 @@
 	if !l.canRunPass() {
 		return
 	}
-	snapshot := l.snapshotForPlacement(now)
+	snapshot := l.placementSnapshot(now)
 	plan := placement.Schedule(snapshot)
 	l.markPlannedStale(plan)
 	l.releaseReservations(plan.Released, now)
--- a/internal/leader/silence.go
+++ b/internal/leader/silence.go
@@ -7,9 +7,10 @@
 	"thornnotch/internal/constants"
 )
 
-// silentFor returns the time since the machine's last heartbeat in this term, not counting
-// any time before the leader last resumed from a stall.
-func (l *Leader) silentFor(machine *machineState, now time.Time) time.Duration {
+// silenceDuration returns how long the leader has had no heartbeat from a machine: since its last
+// one in this term or, if there was none, since it was added to the fleet. Time before the leader
+// last resumed from a stall does not count.
+func (l *Leader) silenceDuration(machine *machineState, now time.Time) time.Duration {
 	last := machine.addedAt
 	if machine.agent.Registered {
 		last = machine.agent.LastHeartbeat
@@ -28,11 +29,11 @@
 
 // isSilent reports whether a machine has been silent for longer than silenceTolerance.
 func (l *Leader) isSilent(machine *machineState, now time.Time) bool {
-	return l.silentFor(machine, now) > l.silenceTolerance()
+	return l.silenceDuration(machine, now) > l.silenceTolerance()
 }
 
 // isSilentBeyondLease reports whether a machine has been silent for longer than its lease,
 // which has then most likely expired.
 func (l *Leader) isSilentBeyondLease(machine *machineState, now time.Time) bool {
-	return l.silentFor(machine, now) > l.lease
+	return l.silenceDuration(machine, now) > l.lease
 }
--- a/internal/leader/status_view.go
+++ b/internal/leader/status_view.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// machineStatus counts machines by type, zone and whether they are spot machines. It also
-// returns the number of machines being returned.
+// machineStatus counts the machines of each pool. It also returns the number of machines that
+// are being returned, over all pools.
 func (l *Leader) machineStatus() (pools []PoolStatus, leaving int) {
 	type key struct {
 		machineType, zone string
@@ -110,7 +110,7 @@
 			queue.BlockedJobs++
 			continue // its tasks do not wait for a machine
 		}
-		running := startedAttempts(job)
+		running := attemptsPastFetching(job)
 		queue.DoneTasks += job.progress.completed()
 		queue.RunningTasks += running
 		queue.WaitingTasks += max(0, job.progress.remaining()-running)
@@ -124,8 +124,8 @@
 	return queues
 }
 
-// startedAttempts returns the number of a job's attempts whose status is past fetching.
-func startedAttempts(job *jobState) (n int) {
+// attemptsPastFetching returns the number of a job's attempts whose status is past fetching.
+func attemptsPastFetching(job *jobState) (n int) {
 	for _, placed := range job.attempts {
 		for _, p := range placed {
 			if p.attempt.Status != "" && p.attempt.Status != workers.StatusFetching {
--- a/internal/leader/stragglers.go
+++ b/internal/leader/stragglers.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// slowSignals counts the signs that a machine is slow, from tasks that recently finished on
-// it and from those that run on it.
+// slowSignals returns the number of signals that a machine is slow, from tasks that recently
+// finished on it and from those that run on it.
 func (l *Leader) slowSignals(machine *machineState, now time.Time) int {
 	signals := machine.health.SlowSignals(now)
 	for _, attempt := range machine.agent.Attempts {
@@ -57,7 +57,8 @@
 	l.passes.request()
 }
 
-// saveGrace returns the time that one of the job's tasks gets to save and stop, in seconds.
+// saveGrace returns the time, in seconds, that a task of the job has to save its progress
+// before it is killed, as stopGrace does.
 func (j *jobState) saveGrace() float64 { return j.spec.CheckpointSaveS + constants.StopGrace.Seconds() }
 
 // recordTaskRuntime compares a finished task's run time with those of the job's other tasks
--- a/internal/leader/task_events.go
+++ b/internal/leader/task_events.go
@@ -9,8 +9,8 @@
 	"thornnotch/internal/workers"
 )
 
-// applyEvents handles events of a machine's attempts, which a heartbeat, an expired lease or
-// the machine's termination has produced.
+// applyEvents applies events of a machine's attempts, which a heartbeat, an expired lease or the
+// machine's termination has produced.
 func (l *Leader) applyEvents(machine *machineState, events []workers.Event, now time.Time) {
 	if len(events) == 0 {
 		return
@@ -61,8 +61,8 @@
 // taskStatusChanged handles a status change other than an exit.
 func (l *Leader) taskStatusChanged(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
 	l.deps.Log.Debug("task status changed", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.agent.Name, "status", attempt.Status)
-	if job != nil && attempt.Status == workers.StatusRunning && job.started.IsZero() {
-		job.started = now
+	if job != nil && attempt.Status == workers.StatusRunning && job.startedAt.IsZero() {
+		job.startedAt = now
 		l.classes.gangWaits.observe(job, now)
 	}
 }
--- a/internal/leader/team_usage_test.go
+++ b/internal/leader/team_usage_test.go
@@ -122,7 +122,7 @@
 
 // check compares the incremental sums in the placement snapshot with a count from scratch.
 func (m *usageModel) check(rt *rapid.T) {
-	snapshot := m.leader.snapshotForPlacement(m.now)
+	snapshot := m.leader.placementSnapshot(m.now)
 	want := m.countGPUs()
 	for name, team := range snapshot.Teams {
 		if diff := team.Used.GPUs - want[name]; diff > 1e-6 || diff < -1e-6 {
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -34,7 +34,7 @@
 // calls to the cloud are not, so they wait until the term record has been read again.
 type term struct {
 	grant     election.Grant
-	attempts  attemptNumbers
+	numbers   attemptNumbers
 	endReason EndReason // empty while the term lasts
 	// lastIteration is when the last iteration of the loop began. resumed is when the loop
 	// last resumed after a stall.
@@ -45,13 +45,13 @@
 }
 
 func newTerm(grant election.Grant) term {
-	return term{grant: grant, attempts: attemptNumbers{term: grant.Term}}
+	return term{grant: grant, numbers: attemptNumbers{term: grant.Term}}
 }
 
 // number returns the term's number, which is the fencing token of all commands.
 func (t *term) number() uint64 { return t.grant.Term }
 
-// condition returns a condition that holds until another node raises the term.
+// condition returns a condition that holds until another node starts a newer term.
 func (t *term) condition() statestore.Condition {
 	return statestore.Condition{Key: election.TermKey, Revision: t.grant.Revision}
 }
@@ -76,7 +76,7 @@
 
 // nextAttempt allocates an attempt number. If none is left it ends the term and reports false.
 func (t *term) nextAttempt() (number uint64, ok bool) {
-	number, ok = t.attempts.next()
+	number, ok = t.numbers.next()
 	if !ok {
 		t.end(ErrAttemptNumbersExhausted)
 	}
@@ -84,7 +84,7 @@
 }
 
 // ownsAttempt reports whether an attempt number was allocated in this term.
-func (t *term) ownsAttempt(number uint64) bool { return t.attempts.owns(number) }
+func (t *term) ownsAttempt(number uint64) bool { return t.numbers.owns(number) }
 
 // beginIteration records the start of a loop iteration. It returns how long the loop had
 // stalled before it, or zero if it had not.
--- a/internal/leader/term_test.go
+++ b/internal/leader/term_test.go
@@ -61,7 +61,7 @@
 // left.
 func TestTermEndsWhenAttemptNumbersRunOut(t *testing.T) {
 	current := newTerm(election.Grant{Term: 1 << constants.TermBits})
-	current.attempts.used = 1<<constants.AttemptCounterBits - 2
+	current.numbers.used = 1<<constants.AttemptCounterBits - 2
 	if number, ok := current.nextAttempt(); !ok || !current.ownsAttempt(number) {
 		t.Fatalf("last attempt number: %d, ok %v", number, ok)
 	}
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// superviseMachines expires leases, resends stops, and sends this term's token to workers that
-// have not seen it.
+// superviseMachines expires leases, sends stops that are due, probes workers that may not receive
+// the leader's replies, and sends this term's token to workers that have not seen it.
 func (l *Leader) superviseMachines(now time.Time) {
 	tokensPushed := 0
 	for _, machine := range l.fleet.sortedByName() {
@@ -69,8 +69,8 @@
 	}
 }
 
-// updateJobWaits updates the wait statistics of gangs, and makes jobs whose backoff has ended
-// schedulable again.
+// updateJobWaits updates the wait statistics of gangs, and requests a scheduling pass if the
+// backoff of a job has ended.
 func (l *Leader) updateJobWaits(now time.Time) {
 	for job := range l.jobs.all() {
 		l.classes.gangWaits.observe(job, now)
--- a/internal/leader/unreachable_zones.go
+++ b/internal/leader/unreachable_zones.go
@@ -9,9 +9,9 @@
 // unreachableZones holds the time until which each zone counts as unreachable.
 //
 // Machines fail one at a time. If most of a zone falls silent at once, a network partition is
-// the likely cause, and the zone's machines will come back with their cached images. Returning
-// all of them, and renting replacements that have to boot and fetch images in a zone that
-// can't be reached, would be the worst reaction.
+// the likely cause, and the zone's machines will come back with their cached images. They are
+// therefore not returned early: replacements would have to boot and fetch all images again, and
+// those rented in the same zone could not be reached either.
 type unreachableZones map[string]time.Time
 
 // update marks a zone as unreachable for UnreachableZoneRecovery if most of its machines are
