--- a/internal/leader/attempt_numbers.go
+++ b/internal/leader/attempt_numbers.go
@@ -5,7 +5,8 @@
 // attemptNumbers allocates the attempt numbers of one term. Numbers of different terms never
 // collide: from low to high, a number consists of the low bits of a counter, the term, and the
 // high bits of the counter (the carry). Up to the first carry, the numbers are the same as in
-// earlier versions.
+// earlier versions. A term of more than TermBits bits leaves no room for a carry, so it has no
+// further numbers.
 type attemptNumbers struct{ term, used uint64 }
 
 // next allocates a number. It returns false once the term has no numbers left.
--- a/internal/leader/attestations.go
+++ b/internal/leader/attestations.go
@@ -12,8 +12,9 @@
 // past span. It reports false unless every node gave a complete answer.
 type AttestFunc func(ctx context.Context, span time.Duration) (cancelled []string, ok bool)
 
-// collectAttestations requests attestations from all nodes while the watch on the open jobs is
-// unanswered. It returns when ctx is done.
+// collectAttestations requests attestations from all nodes, every AttestationInterval, while the
+// watch on the open jobs has been unanswered for at least AttestationAfter. It returns
+// ctx.Err() once ctx is done.
 func (l *Leader) collectAttestations(ctx context.Context) error {
 	ticker := time.NewTicker(constants.AttestationInterval)
 	defer ticker.Stop()
@@ -34,15 +35,16 @@
 	}
 }
 
-// applyAttestation removes the jobs that the nodes reported as cancelled. Every cancellation
-// confirmed to a user before the request is then known.
+// applyAttestation removes the jobs that the nodes, asked at askedAt, reported as cancelled.
+// Every cancellation confirmed to a user before the request is then known. Answers that arrived
+// too late are ignored.
 func (l *Leader) applyAttestation(cancelled []string, askedAt, now time.Time) {
 	if attestation.AnsweredTooLate(askedAt, now) {
 		return
 	}
 	for _, id := range cancelled {
 		if job := l.jobs.get(id); job != nil {
-			l.deps.Log.Debug("job cancelled", "job", id, "reason", "nodes attest to it")
+			l.deps.Log.Debug("job cancelled", "job", id, "reason", "cancellation attested by a node")
 			l.removeJob(job, now)
 		}
 	}
--- a/internal/leader/backoff.go
+++ b/internal/leader/backoff.go
@@ -10,7 +10,7 @@
 // simultaneously.
 func jitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
 
-// pause sleeps for a jittered d, or until ctx is done.
+// pause sleeps for d with jitter, or until ctx is done.
 func pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(jitter(d))
 	defer t.Stop()
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -183,17 +183,17 @@
 
 // writeCheckpoint writes a checkpoint of the whole cluster into rows. It returns the number of
 // transactions and of operations in them.
-func writeCheckpoint(l *Leader, rows map[string]statestore.KeyValue) (txns, changes int) {
+func writeCheckpoint(l *Leader, rows map[string]statestore.KeyValue) (txns, ops int) {
 	l.beginCheckpoint()
 	for l.wal.Checkpointing() {
 		txns++
-		changes += commitTo(l, rows, uint64(1000+txns))
+		ops += commitTo(l, rows, uint64(1000+txns))
 	}
-	return txns, changes
+	return txns, ops
 }
 
 // commitTo executes the next transaction on rows, and returns its number of operations.
-func commitTo(l *Leader, rows map[string]statestore.KeyValue, revision uint64) (changes int) {
+func commitTo(l *Leader, rows map[string]statestore.KeyValue, revision uint64) (ops int) {
 	txn := l.commits.next()
 	for _, write := range txn.Writes {
 		rows[write.Put] = statestore.KeyValue{Key: write.Put, Value: write.Value}
@@ -210,9 +210,9 @@
 		rows := make(map[string]statestore.KeyValue)
 		b.ResetTimer()
 		for range b.N {
-			txns, changes := writeCheckpoint(l, rows)
+			txns, ops := writeCheckpoint(l, rows)
 			b.ReportMetric(float64(txns), "transactions")
-			b.ReportMetric(float64(changes), "changes")
+			b.ReportMetric(float64(ops), "changes")
 		}
 	})
 }
--- a/internal/leader/certainty_test.go
+++ b/internal/leader/certainty_test.go
@@ -17,7 +17,7 @@
 // TestCancelledTasksEndInTimeDuringOutage checks that tasks of cancelled jobs end in time
 // although, from time W on, the state service refuses the leader while another node confirms
 // cancellations. For any network delays, delays in the leader and clock drift, the last task
-// must end within cancel_s of the first confirmation. Omitting any term of certainty.Window
+// must end within cancel_s of the first confirmation. Omitting any summand in certainty.Window
 // makes this test fail.
 func TestCancelledTasksEndInTimeDuringOutage(t *testing.T) {
 	for seed := range uint64(60) {
--- a/internal/leader/checkpoint.go
+++ b/internal/leader/checkpoint.go
@@ -40,7 +40,7 @@
 	return s.l.machineRecord(machine), true
 }
 
-// DoneTasks returns the completed tasks of a job.
+// DoneTasks returns the completed tasks of a job, or nil if the job is no longer open.
 func (s checkpointSource) DoneTasks(jobID string) []wal.DoneTasks {
 	job := s.l.jobs.get(jobID)
 	if job == nil {
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -66,7 +66,7 @@
 // may arrive minutes late, so only stops are sent this way: a late stop is harmless, as it
 // names an attempt that is never started again. Without stops the command only sends the
 // worker this term's token and asks for its status. sendDirectCommand returns false if no slot
-// is free for the command.
+// is free for the command, but true if there is no need or no address to send it to.
 func (l *Leader) sendDirectCommand(machine *machineState, stops []workers.Command, now time.Time) bool {
 	agent := machine.agent
 	if agent.Endpoint == "" || agent.Epoch == 0 || machine.direct.inFlight && len(stops) == 0 {
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -32,7 +32,9 @@
 	// become obsolete when the next checkpoint, which contains their data, is committed.
 	obsoleteKeys, replacedKeys map[string]uint64
 
-	inFlight bool
+	// sending is set while a transaction that beginTxn returned awaits finishTxn. Between two
+	// tries of a transaction it is not set, although log.InFlight still reports true.
+	sending bool
 	// firstSentAt is when the current transaction was first sent. lastSentAt is when a
 	// transaction was last sent, including retries.
 	firstSentAt, lastSentAt time.Time
@@ -77,9 +79,9 @@
 }
 
 // dueAt returns when the next transaction should be sent, or the zero time if there is none
-// to send.
+// to send or one is being sent.
 func (c *groupCommit) dueAt() time.Time {
-	if c.inFlight {
+	if c.sending {
 		return time.Time{}
 	}
 	var at time.Time
@@ -121,7 +123,7 @@
 func (c *groupCommit) beginTxn(now time.Time) *wal.Txn {
 	dueAt := c.dueAt()
 	if dueAt.IsZero() {
-		if !c.inFlight {
+		if !c.sending {
 			// The changes that could not be written have become unnecessary. Without this
 			// reset, placement would wait forever for a commit to succeed.
 			c.backoff = 0
@@ -140,12 +142,13 @@
 		c.setLastTxnFull(false, now)
 		return nil
 	}
-	c.inFlight, c.lastSentAt = true, now
+	c.sending, c.lastSentAt = true, now
 	c.setLastTxnFull(c.hasRemaining(), now)
 	return txn
 }
 
-// next returns the next transaction, or the same one again if its outcome is unknown.
+// next returns the transaction to send: the previous one again if its outcome is unknown,
+// otherwise a new one, or nil if there is nothing to write. It begins a checkpoint if one is due.
 func (c *groupCommit) next() *wal.Txn {
 	if c.log.CheckpointDue() {
 		c.beginCheckpoint()
@@ -157,8 +160,8 @@
 }
 
 // largeRingCheckDue reports whether to ask the nodes if they can read the log's large ring. It
-// returns true once per LargeRingCheckInterval while the fleet is large enough to need that
-// ring.
+// returns true at most once per LargeRingCheckInterval, and only while the fleet is large enough
+// to need that ring.
 func (c *groupCommit) largeRingCheckDue(now time.Time) bool {
 	if !c.log.WantsLargeRing() || now.Sub(c.largeRingCheckedAt) < constants.LargeRingCheckInterval {
 		return false
--- a/internal/leader/commit_calls.go
+++ b/internal/leader/commit_calls.go
@@ -29,7 +29,8 @@
 	})
 }
 
-// sendTxn executes a transaction on the state service.
+// sendTxn executes a transaction on the state service. After a conflict on keys other than the
+// term record, it also reads the log's head.
 func (l *Leader) sendTxn(ctx context.Context, conditions []statestore.Condition, writes []statestore.Write) commitResult {
 	revision, err := l.deps.Store.Txn(ctx, statestore.ClassRecord, conditions, writes)
 	var conflict *statestore.ConflictError
@@ -92,7 +93,7 @@
 			return nil
 		}
 		return func() {
-			l.deps.Log.Info("switching to the large log ring", "reason", "all nodes read it", "parts", l.wal.Head().Parts)
+			l.deps.Log.Info("switching to the large log ring", "reason", "all nodes can read it", "parts", l.wal.Head().Parts)
 			l.wal.AllowLargeRing(true)
 		}
 	})
--- a/internal/leader/commit_job_writes.go
+++ b/internal/leader/commit_job_writes.go
@@ -53,7 +53,8 @@
 }
 
 // jobWrites collects the writes that share the next transaction with the log's changes: final
-// records of completed jobs first, then those of cancelled jobs, then key deletions.
+// records of completed jobs first, then those of cancelled jobs, then key deletions. Keys are
+// not deleted while final records of completed jobs wait for a later transaction.
 func (c *groupCommit) jobWrites() (writes []wal.JobWrite) {
 	remainingOps := max(c.txnOps-opsReservedForLog, opsPerFinalRecord)
 	add := func(write func() wal.JobWrite) bool {
--- a/internal/leader/commit_result.go
+++ b/internal/leader/commit_result.go
@@ -15,8 +15,9 @@
 	// revision is the state service's revision after the transaction, if it was executed.
 	revision uint64
 	err      error
-	// conflict holds the keys whose conditions failed, if any. In that case the log's head was
-	// read again: head is its value and headRevision its revision.
+	// conflict holds the keys whose conditions failed, unless the term record is among them.
+	// After such a conflict the log's head was read again: head is its value and headRevision
+	// its revision.
 	conflict     *statestore.ConflictError
 	head         *wal.Head
 	headRevision uint64
@@ -25,7 +26,7 @@
 // commitOutcome tells the leader what to do after a transaction, besides the log's own
 // callbacks.
 type commitOutcome struct {
-	// duration is how long the transaction was in flight.
+	// duration is the time since the transaction was last sent.
 	duration time.Duration
 	// endReason is why the term must end; empty if it continues.
 	endReason EndReason
@@ -35,7 +36,7 @@
 
 // finishTxn handles the result of the transaction in flight.
 func (c *groupCommit) finishTxn(result commitResult, now time.Time) commitOutcome {
-	c.inFlight = false
+	c.sending = false
 	outcome := commitOutcome{duration: now.Sub(c.lastSentAt)}
 	var conflict *statestore.ConflictError
 	deposed := errors.As(result.err, &conflict) && conflict.HasKey(election.TermKey)
@@ -65,7 +66,8 @@
 	return outcome
 }
 
-// scheduleRetry delays the next attempt with exponential backoff.
+// scheduleRetry sets when the transaction is sent again, with exponential backoff. It logs only
+// the first of consecutive failures.
 func (c *groupCommit) scheduleRetry(err error, now time.Time) {
 	if c.healthy() {
 		c.logger.Warn("commit failed, retrying", "error", err)
--- a/internal/leader/commit_test.go
+++ b/internal/leader/commit_test.go
@@ -154,21 +154,21 @@
 // commitWithinLimits executes all pending transactions, and fails if one exceeds the state
 // service's limits. It returns the number of their operations, not counting writes of the
 // log's head.
-func commitWithinLimits(t *testing.T, l *Leader, valueBytes, txnOps int) (changes int) {
+func commitWithinLimits(t *testing.T, l *Leader, valueBytes, txnOps int) (ops int) {
 	t.Helper()
 	for txn := l.commits.next(); txn != nil; txn = l.commits.next() {
 		if len(txn.Writes) > txnOps {
 			t.Fatalf("transaction has %d operations", len(txn.Writes))
 		}
-		changes += len(txn.Writes) - 1
+		ops += len(txn.Writes) - 1
 		for _, write := range txn.Writes {
 			if len(write.Value) > valueBytes {
 				t.Fatalf("value of %s has %d bytes", write.Put, len(write.Value))
 			}
 		}
-		l.applyCommitResult(commitResult{revision: uint64(1000 + changes)})
+		l.applyCommitResult(commitResult{revision: uint64(1000 + ops)})
 	}
-	return changes
+	return ops
 }
 
 // raisedTermStore is a state service on which another node has started a newer term, but not
--- a/internal/leader/drain.go
+++ b/internal/leader/drain.go
@@ -7,8 +7,8 @@
 )
 
 // drain stops the attempts on a machine that the cloud reclaims or that is being returned,
-// while there is time for them to save their progress. It acts at once, because the
-// actual notice of a reclaim may be half as long as announced.
+// while there is time for them to save their progress, and removes the machine's reservations.
+// It acts at once, because the actual notice of a reclaim may be half as long as announced.
 func (l *Leader) drain(machine *machineState, now time.Time) {
 	for _, attempt := range machine.agent.SortedAttempts() {
 		if attempt.StopRequested || !attempt.Live() {
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -35,13 +35,13 @@
 // completed reports whether no failover is in progress.
 func (f *failover) completed() bool { return f.progress == "" }
 
-// reported records how many of the known machines have reported. The failover completes once
-// all have, or once the leases of the other machines must have expired. It returns the time
+// machinesReported records how many of the known machines have reported. The failover completes
+// once all have, or once the leases of the other machines must have expired. It returns the time
 // since the failover started and whether the failover is now complete.
-func (f *failover) reported(reported, total int, lease time.Duration, now time.Time) (took time.Duration, completed bool) {
+func (f *failover) machinesReported(machinesReported, total int, lease time.Duration, now time.Time) (took time.Duration, completed bool) {
 	took = now.Sub(f.startedAt)
-	if reported != total && took <= lease {
-		f.setProgress("%d of %d machines heard", reported, total)
+	if machinesReported != total && took <= lease {
+		f.setProgress("%d of %d machines heard", machinesReported, total)
 		return took, false
 	}
 	f.progress = ""
@@ -54,14 +54,14 @@
 	if l.failover.completed() {
 		return
 	}
-	reported, all := 0, l.fleet.len()
+	machinesReported, all := 0, l.fleet.len()
 	for machine := range l.fleet.all() {
 		if machine.agent.Registered {
-			reported++
+			machinesReported++
 		}
 	}
-	if took, completed := l.failover.reported(reported, all, l.lease, now); completed {
-		l.deps.Log.Info("failover complete", "term", l.term.number(), "machines", all, "heard", reported, "took_s", math.Round(took.Seconds()*10)/10)
+	if took, completed := l.failover.machinesReported(machinesReported, all, l.lease, now); completed {
+		l.deps.Log.Info("failover complete", "term", l.term.number(), "machines", all, "heard", machinesReported, "took_s", math.Round(took.Seconds()*10)/10)
 	}
 }
 
--- a/internal/leader/failover_test.go
+++ b/internal/leader/failover_test.go
@@ -12,10 +12,10 @@
 	const lease = 12 * time.Second
 	startedAt := time.Unix(1000, 0)
 	for _, c := range []struct {
-		name            string
-		reported, total int
-		after           time.Duration
-		completed       bool
+		name                    string
+		machinesReported, total int
+		after                   time.Duration
+		completed               bool
 	}{
 		{"machines missing", 2, 3, lease, false},
 		{"all reported", 3, 3, time.Second, true},
@@ -27,7 +27,7 @@
 		}
 		f.start(startedAt)
 		f.setProgress("reading the jobs")
-		took, completed := f.reported(c.reported, c.total, lease, startedAt.Add(c.after))
+		took, completed := f.machinesReported(c.machinesReported, c.total, lease, startedAt.Add(c.after))
 		if completed != c.completed || f.completed() != c.completed || took != c.after {
 			t.Errorf("%s: completed %v after %v, progress %q", c.name, completed, took, f.progressText())
 		}
--- a/internal/leader/fixtures_test.go
+++ b/internal/leader/fixtures_test.go
@@ -97,7 +97,8 @@
 	return revision
 }
 
-// commitEverything also commits checkpoints and key deletions.
+// commitEverything commits like commitPending, and also checkpoints, key deletions and final
+// records of cancelled jobs.
 func commitEverything(l *Leader, revision uint64) {
 	for l.commits.next() != nil {
 		revision++
--- a/internal/leader/gang_recovery.go
+++ b/internal/leader/gang_recovery.go
@@ -54,8 +54,9 @@
 	return true
 }
 
-// waitsForStart reports whether an attempt, by its last reported status, has not started: it
-// is fetching its image, or waiting for the other tasks of its gang.
+// waitsForStart reports whether an attempt, by its last reported status, has not started: its
+// worker has not reported it yet, or it is fetching its image or waiting for the other tasks of
+// its gang.
 func waitsForStart(attempt *workers.Attempt) bool {
 	return attempt.Status == "" || attempt.Status == workers.StatusFetching || attempt.Status == workers.StatusWaiting
 }
--- a/internal/leader/gang_reserve.go
+++ b/internal/leader/gang_reserve.go
@@ -10,7 +10,7 @@
 )
 
 // gangReserve returns how many empty on-demand machines other jobs must leave to gangs. This
-// is the number of machines that the gangs expected soon need, but at most the share
+// is the number of machines that the gangs expected to arrive soon need, but at most the share
 // GangReserveMaxShare of the schedulable on-demand machines.
 func (l *Leader) gangReserve(machines []*placement.Machine, now time.Time) int {
 	onDemand := 0
@@ -22,9 +22,10 @@
 	return min(l.scaling.recentArrivals.expectedGangMachines(l.deps.Catalog(), now), int(float64(onDemand)*constants.GangReserveMaxShare))
 }
 
-// qualifiesForGangReserve reports whether whole machines are reserved for jobs like this one.
-// Only gangs that can't use spot machines, have too low a priority to preempt other jobs and
-// are expected to start soon need reserved machines.
+// qualifiesForGangReserve reports whether whole machines are reserved for jobs like this one:
+// gangs that can't use spot machines and whose class has a wait objective of at most
+// GangReserveMaxWait. Gangs of more than standard priority need no reserved machines, because
+// they can preempt other jobs.
 func (l *Leader) qualifiesForGangReserve(spec *jobs.Spec) bool {
 	if spec.Kind != jobs.KindGang || spec.AllowSpot || jobs.Priority(spec.PriorityClass) > jobs.Priority("standard") {
 		return false
--- a/internal/leader/gang_starvation.go
+++ b/internal/leader/gang_starvation.go
@@ -52,7 +52,7 @@
 	return placement.NoBoost
 }
 
-// addJob resets the statistics of a class when a gang is submitted that is larger than all
+// addJob starts new statistics for the job's class if the job is a gang that is larger than all
 // earlier gangs of the class.
 func (g gangWaits) addJob(spec *jobs.Spec) {
 	if spec.Kind != jobs.KindGang {
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -173,9 +173,9 @@
 	}
 }
 
-// updateReachability handles a change in whether the worker receives the leader's replies,
-// after a heartbeat was applied. The arguments are the agent's values from before that
-// heartbeat.
+// updateReachability handles changes in whether the worker receives the leader's replies and
+// whether its epoch is confirmed, after a heartbeat was applied. While either is in doubt, it
+// probes the worker. The arguments are the agent's values from before that heartbeat.
 func (l *Leader) updateReachability(machine *machineState, repliesWereLost, epochWasUnconfirmed bool, now time.Time) {
 	agent := machine.agent
 	if agent.RepliesLost != repliesWereLost {
--- a/internal/leader/held_replies_test.go
+++ b/internal/leader/held_replies_test.go
@@ -68,9 +68,8 @@
 	}
 }
 
-// TestLeaseMustExpire checks that a worker that does not receive replies gets no 200, and
-// neither does an epoch that is proven to have ended, whether or not the heartbeat is a
-// duplicate.
+// TestLeaseMustExpire checks that a heartbeat gets no 200 if the worker does not receive replies
+// or the heartbeat's epoch is proven to have ended, even if it is not a duplicate.
 func TestLeaseMustExpire(t *testing.T) {
 	tests := []struct {
 		name  string
--- a/internal/leader/image_cache.go
+++ b/internal/leader/image_cache.go
@@ -7,7 +7,7 @@
 	"thornnotch/internal/workers"
 )
 
-// cachedImage is an image that a machine holds or fetches.
+// cachedImage is an image that a machine holds or is fetching.
 type cachedImage struct {
 	name    string
 	gb      float64
