--- a/internal/placement/array.go
+++ b/internal/placement/array.go
@@ -36,7 +36,7 @@
 
 // rescoreBest moves the best candidate that can still run a task to the top of the heap.
 // Placing a task changes the score of its own machine and raises the scores of all empty
-// on-demand machines, so scores further down the heap may be stale.
+// on-demand machines, so the scores of other candidates may be outdated, but only too low.
 func (p *pass) rescoreBest(candidates *arrayCandidates, job *Job, request Resources) {
 	for len(*candidates) > 0 {
 		best := &(*candidates)[0]
@@ -69,7 +69,7 @@
 	score   float64
 }
 
-// arrayCandidates is a heap of machines, the lowest score first.
+// arrayCandidates is a heap of candidates, the lowest score first.
 type arrayCandidates []arrayCandidate
 
 func (c arrayCandidates) Len() int { return len(c) }
--- a/internal/placement/binpacking.go
+++ b/internal/placement/binpacking.go
@@ -50,8 +50,8 @@
 }
 
 // placeTask assigns one waiting task to a machine and updates the usage of the machine and the
-// team.
-func (p *pass) placeTask(job *Job, index int, machine *Machine) {
+// team. If the team then exceeds its limit, reservations that the job overrides are released.
+func (p *pass) placeTask(job *Job, taskIndex int, machine *Machine) {
 	request := TaskResources(job.Spec)
 	team := p.Teams[job.Spec.Team]
 	if machine.emptyOnDemand() {
@@ -75,7 +75,7 @@
 	}
 	job.TasksByZone[machine.Zone]++
 	machine.recordImageFetch(job)
-	p.plan.Starts = append(p.plan.Starts, Start{job, index, machine})
+	p.plan.Starts = append(p.plan.Starts, Start{job, taskIndex, machine})
 }
 
 // recordImageFetch records the image fetch that a task of the job starts on the machine,
--- a/internal/placement/capacitysearch.go
+++ b/internal/placement/capacitysearch.go
@@ -12,13 +12,13 @@
 	machine *Machine
 	victims []RunningTask // tasks to preempt
 	costS   float64       // seconds of delay and of lost work
-	// tasks is the number of the job's tasks that fit once the stopping tasks have ended; 0
-	// means that the machine must drain first.
+	// tasks is the number of the job's tasks that fit once the victims and the tasks that are
+	// already stopping have ended; 0 means that the machine must drain first.
 	tasks int
 }
 
-// countedTasks returns the number of the job's tasks that the search counts for the machine,
-// which is one for a machine that must drain.
+// countedTasks returns the number of the job's tasks for which the search counts the machine
+// as sufficient: one if it must drain, otherwise the number that fits.
 func (o capacityOption) countedTasks() int { return max(1, o.tasks) }
 
 // capacitySearch searches for machines on which resources can be freed or kept for one job.
@@ -26,16 +26,16 @@
 	pass    *pass
 	job     *Job
 	request Resources // per task
-	tasks   int       // tasks without a machine
+	tasks   int       // number of tasks to find machines for
 
 	anyPreemptible  bool   // the job may preempt some running task
 	preemptibleBits uint64 // preemption classes that the job may preempt
 	allowDrains     bool   // further machines may be drained
 	singleZone      bool   // all machines must be in the same zone
 
-	// cheapest lists the cheapest options so far, sorted by cost and at most as many as tasks;
-	// by zone if singleZone is set. zones lists the zones in the order in which they were
-	// found.
+	// cheapest lists the cheapest options so far, sorted by cost, at most one for each task. If
+	// singleZone is set, there is a list for each zone; otherwise, one list under the empty
+	// name. zones lists the keys in the order in which they were added.
 	cheapest map[string][]capacityOption
 	zones    []string
 }
@@ -45,7 +45,7 @@
 // tasks of other jobs where the rules allow it. It does this only for the first
 // MaxPreemptionAttempts jobs in the queue, because these leave little capacity for later jobs
 // and the search is slow.
-func (p *pass) preemptOrDrain(job *Job, tasks int) {
+func (p *pass) preemptOrDrain(job *Job, unplacedTasks int) {
 	clear(p.aboveGuaranteeCache) // invalidated by placements and preemptions since the last call
 	anyPreemptible := p.mayPreemptAny(job)
 	if !p.limitAllows(job, TaskResources(job.Spec)) || !job.isGang() && !anyPreemptible {
@@ -55,7 +55,7 @@
 	if p.preemptionAttempts > constants.MaxPreemptionAttempts {
 		return
 	}
-	search := p.newCapacitySearch(job, tasks, anyPreemptible)
+	search := p.newCapacitySearch(job, unplacedTasks, anyPreemptible)
 	for _, machine := range p.Machines {
 		search.addIfCheapest(machine)
 	}
@@ -66,16 +66,16 @@
 	if !p.admitDrains(options) {
 		return
 	}
-	if job.isGang() && fitWithoutDrains(options, tasks) {
+	if job.isGang() && fitWithoutDrains(options, unplacedTasks) {
 		p.earmarkLimit(job)
 		p.plan.AwaitingStops = append(p.plan.AwaitingStops, job)
 	}
 	for _, option := range options {
-		if tasks <= 0 {
+		if unplacedTasks <= 0 {
 			break
 		}
 		p.applyOption(job, option)
-		tasks -= option.countedTasks()
+		unplacedTasks -= option.countedTasks()
 	}
 }
 
@@ -131,7 +131,7 @@
 // canYieldCapacity reports whether the machine may be an option. Once no further machine may
 // drain, only machines with free capacity, stopping tasks or preemptible tasks can be options.
 func (s *capacitySearch) canYieldCapacity(machine *Machine) bool {
-	return s.allowDrains || machine.state.hadFreeCapacity || machine.usage.stopping != (Resources{}) ||
+	return s.allowDrains || machine.state.hadFreeCapacity || machine.usage.usedByStopping != (Resources{}) ||
 		machine.state.classBits&s.preemptibleBits != 0 || s.pass.exhaustive
 }
 
@@ -149,7 +149,7 @@
 // cost of the most expensive option kept so far. Every waiting gang evaluates all machines, so
 // evaluate computes and allocates nothing that can't affect the result.
 func (s *capacitySearch) evaluate(machine *Machine, maxCostS float64) (option capacityOption, cheaper bool) {
-	free := machine.freeResourcesFor(s.job).Add(machine.usage.stopping)
+	free := machine.freeResourcesFor(s.job).Add(machine.usage.usedByStopping)
 	if tasks := free.Count(s.request, s.tasks); tasks > 0 {
 		option = capacityOption{machine: machine, tasks: tasks, costS: machine.imageDelayS(s.job)}
 		return option, option.costS < maxCostS
--- a/internal/placement/capacitysearch_test.go
+++ b/internal/placement/capacitysearch_test.go
@@ -16,7 +16,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		snapshot := drawSnapshot(t)
 		Schedule(snapshot) // computes the machines' usage and state
-		p := &pass{Snapshot: snapshot, plan: &Plan{}, stopping: map[string]Resources{}, aboveGuaranteeCache: map[string]bool{}}
+		p := &pass{Snapshot: snapshot, plan: &Plan{}, usedByStopping: map[string]Resources{}, aboveGuaranteeCache: map[string]bool{}}
 		for _, job := range snapshot.Jobs {
 			if p.Teams[job.Spec.Team] == nil || len(job.WaitingTasks) == 0 {
 				continue
--- a/internal/placement/drain.go
+++ b/internal/placement/drain.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// releaseClaims drops the claims that the job kept from the previous pass. The caller claims
-// the machines that the job still needs again.
+// releaseClaims releases the claims that the job kept from the previous pass. The caller then
+// makes new claims for the machines that the job still needs.
 func (p *pass) releaseClaims(job *Job) {
 	for _, machine := range p.renewedClaims[job] {
 		machine.state.claimedBy = nil
@@ -40,8 +40,8 @@
 		float64(p.drainingMachines+additional) > constants.MaxDrainingShare*float64(len(p.Machines))
 }
 
-// admitDrains reports whether the drain limit allows draining the machines that the options
-// require, and if so counts them as draining. If not, resources that become free on these
+// admitDrains reports whether the drain limit allows draining the machines that must drain for
+// the options, and if so counts them as draining. If not, resources that become free on these
 // machines go to other jobs. Without the limit, all machines would be half empty while many
 // gangs wait.
 func (p *pass) admitDrains(options []capacityOption) bool {
@@ -58,7 +58,7 @@
 	return true
 }
 
-// drainOption returns the option of keeping the machine for the gang until all its tasks have
+// drainOption returns the option of keeping the machine for the gang until all tasks on it have
 // ended, and reports whether it costs less than maxCostS. It costs more than any option
 // without a drain, and its cost increases with the expected time until the machine is empty.
 // Machines that the gang has already claimed cost less; otherwise, the gang would choose other
@@ -89,7 +89,8 @@
 		return
 	}
 	machine.state.claimedBy = job
-	// Lower jobs can no longer use the slots that are reserved for them here.
+	// The claim keeps other pipelines from the slots that the job may use, so their
+	// reservations are released.
 	for _, slot := range slices.Clone(machine.Reserved) {
 		if !job.BelongsTo(slot.Pipeline) && !slot.unavailableTo(job) {
 			p.releaseReservation(machineReservation{machine, slot})
--- a/internal/placement/gangorder.go
+++ b/internal/placement/gangorder.go
@@ -6,8 +6,9 @@
 )
 
 // orderSmallGangsFirst reorders the gangs of one rank whose team's limit is too small for all
-// its waiting tasks. Each team's gangs are permuted among their own positions: gangs that can
-// still meet a target come first, then gangs that need a smaller share of the limit.
+// its waiting tasks. Each team's gangs are permuted among their own positions: gangs that have
+// missed all their targets go last and, within both groups, gangs that need a smaller share of
+// the limit go first.
 // Objectives count jobs regardless of their size, and a large gang takes the place of several
 // small ones. Boosting ensures that the largest gangs still start in time.
 func (p *pass) orderSmallGangsFirst(rank []*Job) {
@@ -22,7 +23,7 @@
 		gangs := jobsAt(rank, positions)
 		slices.SortStableFunc(gangs, func(a, b *Job) int {
 			if a.missedAllTargets() != b.missedAllTargets() {
-				return falseFirst(a.missedAllTargets())
+				return compareFalseFirst(a.missedAllTargets())
 			}
 			return cmp.Compare(a.waitingResources().DominantShare(limit), b.waitingResources().DominantShare(limit))
 		})
--- a/internal/placement/limitearmark.go
+++ b/internal/placement/limitearmark.go
@@ -5,7 +5,9 @@
 	"slices"
 )
 
-// limitEarmark is a part of a team's limit that is kept for a gang that is about to start.
+// limitEarmark is the part of its team's limit that is kept for a gang that can start as soon
+// as the stopping tasks on its machines have ended (Plan.AwaitingStops). The part that is kept
+// for a boosted gang that does not fit into the limit yet is in Team.Earmarked.
 type limitEarmark struct {
 	job       *Job
 	resources Resources
@@ -38,12 +40,13 @@
 // earmarkForBoosted earmarks a part of the team's limit for a boosted gang that does not fit
 // into the limit yet, unless the gang exceeds the whole limit or the pass has already
 // earmarked a part of it for another boosted gang. Reservations that the gang overrides are
-// released at once, because the jobs that they are for could not use them. The part of the
-// limit that becomes free is kept for the gang; otherwise, jobs behind it would use it up
-// piece by piece. Lower-priority jobs of the team may use it until preempting their tasks is
-// enough to start the gang: gangs run for minutes, and a tenth of the limit would be unused
-// until enough of it is free. Then as many of the lower-priority tasks as necessary are
-// preempted, and no other job may take their place.
+// released as far as the gang needs their part of the limit, because the jobs that they are
+// for could not use them. The part of the limit that becomes free is kept for the gang;
+// otherwise, jobs behind it would use it up piece by piece. Lower-priority jobs of the team may
+// use this part until preempting their tasks is enough to start the gang: gangs run for
+// minutes, and a tenth of the limit would be unused until enough of it is free. Then as many of
+// the lower-priority tasks as necessary are preempted, and no job that is not boosted may take
+// their place.
 //
 // A gang that is not boosted waits, and smaller jobs start in the meantime.
 func (p *pass) earmarkForBoosted(gang *Job) {
@@ -54,7 +57,7 @@
 	if earmarkedForAnother || !fitsAlone {
 		return
 	}
-	stillNeeded := needed.Sub(p.stopping[gang.Spec.Team])
+	stillNeeded := needed.Sub(p.usedByStopping[gang.Spec.Team])
 	p.releaseReservationsForLimit(gang, stillNeeded)
 	team.Earmarked, team.EarmarkMinPriority = needed, 0
 	if !team.Allows(stillNeeded) && !p.preemptWithinTeam(gang, stillNeeded) {
@@ -63,13 +66,13 @@
 }
 
 // preemptWithinTeam preempts lower-priority tasks of the job's own team until the team's limit
-// allows extra once they have ended: lowest priority first, then the least lost work. It
-// preempts nothing if preempting all of them would not be enough.
+// allows extra once they have ended: lowest priority first, then the least lost work. If
+// preempting all of them would not be enough, it preempts nothing and returns false.
 func (p *pass) preemptWithinTeam(job *Job, extra Resources) (enough bool) {
 	type candidate struct {
 		machine *Machine
 		task    RunningTask
-		cost    float64 // seconds of lost work
+		costS   float64 // seconds of lost work
 	}
 	team := p.Teams[job.Spec.Team]
 	var candidates []candidate
@@ -89,7 +92,7 @@
 		return false
 	}
 	slices.SortStableFunc(candidates, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.task.Job.Priority, b.task.Job.Priority), cmp.Compare(a.cost, b.cost))
+		return cmp.Or(cmp.Compare(a.task.Job.Priority, b.task.Job.Priority), cmp.Compare(a.costS, b.costS))
 	})
 	for _, victim := range candidates {
 		if team.Allows(extra) {
--- a/internal/placement/limitearmark_test.go
+++ b/internal/placement/limitearmark_test.go
@@ -63,9 +63,9 @@
 // again, 6,000 tasks in half a minute after a network partition.
 func TestLimitEarmarkedForGangAwaitingStops(t *testing.T) {
 	for _, c := range []struct {
-		name          string
-		smallPriority int
-		gangKeeps     bool
+		name             string
+		smallPriority    int
+		gangKeepsEarmark bool
 	}{{"lower", 0, true}, {"equal", 1, true}, {"higher", 2, false}} {
 		gang := gangJob("j-1", 1, 2)
 		gang.SubmissionRevision = 1
@@ -94,10 +94,10 @@
 		small := arrayJob("j-3", "a", c.smallPriority)
 		small.Spec.GPUs, small.Spec.AllowSpot, small.SubmissionRevision = 1, true, 3
 		plan = Schedule(&Snapshot{Machines: machines, Jobs: []*Job{gang, small}, Teams: teams()})
-		if (len(plan.Starts) == 0) != c.gangKeeps {
+		if (len(plan.Starts) == 0) != c.gangKeepsEarmark {
 			t.Errorf("%s: small job started: %v", c.name, len(plan.Starts) > 0)
 		}
-		if (len(plan.AwaitingStops) == 1) != c.gangKeeps {
+		if (len(plan.AwaitingStops) == 1) != c.gangKeepsEarmark {
 			t.Errorf("%s: %d gangs awaiting stops", c.name, len(plan.AwaitingStops))
 		}
 	}
--- a/internal/placement/overload.go
+++ b/internal/placement/overload.go
@@ -29,7 +29,7 @@
 		}
 		slices.SortStableFunc(arrays, func(a, b *Job) int {
 			if deferred[a] != deferred[b] {
-				return falseFirst(deferred[a])
+				return compareFalseFirst(deferred[a])
 			}
 			return 0
 		})
@@ -38,9 +38,9 @@
 }
 
 // chooseDeferred returns the jobs to defer so that as many jobs as possible are placed on
-// time, at a rate of tasks per second. The jobs must be sorted by time left. It uses
-// the Moore-Hodgson algorithm: whenever a job would be late, the longest job so far is
-// deferred.
+// time, where rate is the number of tasks placed per second. The jobs must be sorted by time
+// left. It uses the Moore-Hodgson algorithm: whenever a job would be late, the job so far that
+// takes longest to place is deferred.
 func chooseDeferred(byTimeLeft []*Job, rate float64) map[*Job]bool {
 	var onTime longestFirst
 	deferred := make(map[*Job]bool)
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -16,7 +16,8 @@
 )
 
 // Schedule runs one pass over the snapshot and returns its plan. It modifies the machines on
-// which it places or preempts tasks; the caller must rebuild them for the next pass.
+// which it places or preempts tasks or releases reservations; the caller must rebuild them for
+// the next pass.
 func Schedule(snapshot *Snapshot) *Plan {
 	p := newPass(snapshot)
 	sortMachines(p.Machines)
@@ -55,11 +56,11 @@
 	earmarks map[string][]limitEarmark
 	// demandExceedsLimitCache caches the results of demandExceedsLimit, by team.
 	demandExceedsLimitCache map[string]bool
-	// onTimeDemandCache caches the resources that a team's waiting jobs below a priority
-	// request, counting only jobs that can still meet a target.
+	// onTimeDemandCache caches the resources requested by a team's waiting jobs that are below a
+	// priority and can still meet a target.
 	onTimeDemandCache map[teamBelowPriority]Resources
-	// stopping is the usage of each team's stopping tasks.
-	stopping map[string]Resources
+	// usedByStopping is the part of each team's usage that is due to stopping tasks.
+	usedByStopping map[string]Resources
 	// aboveGuaranteeCache caches the results of aboveGuarantee, by team, for the current call
 	// of preemptOrDrain. If it is nil, nothing is cached.
 	aboveGuaranteeCache map[string]bool
@@ -70,8 +71,7 @@
 	classBits        map[preemptionClass]uint64
 	// preemptionAttempts counts the jobs for which preemptOrDrain was attempted.
 	preemptionAttempts int
-	// drainingMachines counts the machines that are kept for gangs until their tasks have
-	// ended.
+	// drainingMachines counts the machines that this pass drains for gangs.
 	drainingMachines int
 	// renewedClaims lists the machines that are still claimed from the previous pass.
 	renewedClaims map[*Job][]*Machine
@@ -89,17 +89,18 @@
 		earmarks:                make(map[string][]limitEarmark),
 		demandExceedsLimitCache: make(map[string]bool),
 		onTimeDemandCache:       make(map[teamBelowPriority]Resources),
-		stopping:                make(map[string]Resources),
+		usedByStopping:          make(map[string]Resources),
 		aboveGuaranteeCache:     make(map[string]bool),
 		preemptibleTasks:        make(map[preemptionClass]int),
 		classBits:               make(map[preemptionClass]uint64),
 	}
 }
 
-// placeRank places the jobs of one rank. A machine that has the image of a later array, but not
-// that of an earlier one, is used for the later array, unless the earlier array has not started
-// a task for longer than fetching its image takes. The remaining tasks are then placed in queue
-// order, regardless of images.
+// placeRank places the jobs of one rank. It places arrays in two rounds. The first uses only
+// machines where the wait for the array's image is short, so that a machine that has the image
+// of a later array, but not that of an earlier one, is used for the later one. The longer an
+// array has not started a task, the longer this wait may be. The second round places the
+// remaining tasks in queue order, regardless of images.
 func (p *pass) placeRank(rank []*Job) {
 	type partlyPlacedArray struct {
 		job    *Job
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -20,7 +20,7 @@
 // Start places one task on a machine.
 type Start struct {
 	Job     *Job
-	Index   int
+	Index   int // of the task within the job
 	Machine *Machine
 }
 
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -81,25 +81,25 @@
 	return bits
 }
 
-// preempt adds the preemption of a task to the plan and marks the task as stopping.
-func (p *pass) preempt(job *Job, machine *Machine, victim RunningTask) {
-	p.plan.Preemptions = append(p.plan.Preemptions, Preemption{machine, victim, job})
+// preempt adds the preemption of the victim to the plan and marks the task as stopping.
+func (p *pass) preempt(preemptor *Job, machine *Machine, victim RunningTask) {
+	p.plan.Preemptions = append(p.plan.Preemptions, Preemption{machine, victim, preemptor})
 	for i := range machine.RunningTasks {
 		task := &machine.RunningTasks[i]
 		if task.Attempt == victim.Attempt && task.Index == victim.Index && task.Job == victim.Job {
 			task.Stopping = true
 		}
 	}
-	machine.usage.stopping = machine.usage.stopping.Add(victim.Resources)
+	machine.usage.usedByStopping = machine.usage.usedByStopping.Add(victim.Resources)
 	p.preemptibleTasks[preemptionClassOf(victim.Job)]--
 	// The task counts toward the team's limit until it is proven to have ended. Only the usage
 	// that is compared with the team's guarantee is reduced at once.
 	team := victim.Job.Spec.Team
-	p.stopping[team] = p.stopping[team].Add(victim.Resources)
+	p.usedByStopping[team] = p.usedByStopping[team].Add(victim.Resources)
 }
 
 // mayHavePreemptible reports whether the machine may run tasks that the job can preempt. It
-// uses the machine's totals and does not examine each task.
+// uses summary values of the machine instead of examining each task.
 func (s *capacitySearch) mayHavePreemptible(machine *Machine) bool {
 	return s.anyPreemptible && machine.usage.preemptible && machine.state.classBits&s.preemptibleBits != 0 &&
 		(machine.usage.lowestPriority < s.job.Priority || s.job.Guaranteed)
--- a/internal/placement/preemption_test.go
+++ b/internal/placement/preemption_test.go
@@ -47,7 +47,7 @@
 			job.Guaranteed = rapid.Bool().Draw(t, "guaranteed")
 			queue = append(queue, job)
 		}
-		p := &pass{Snapshot: &Snapshot{Teams: teams}, stopping: map[string]Resources{}}
+		p := &pass{Snapshot: &Snapshot{Teams: teams}, usedByStopping: map[string]Resources{}}
 		for _, job := range queue {
 			if mayPreemptTransitively(p, queue, job, job, len(queue)) {
 				t.Fatalf("%s can preempt itself through a cycle", job.Spec.ID)
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -73,10 +73,10 @@
 	}
 }
 
-// UpdateSlack updates the job's slack, by which jobs of one rank are ordered: the job that
-// must start soonest to meet a target goes first. A job that has missed all its targets would
-// only make other jobs miss theirs, so it is placed behind them, but its slack shrinks with age
-// so that it is not postponed forever.
+// UpdateSlack updates the job's Slack, Late and TimeToTarget. Jobs of one rank are ordered by
+// slack: the job that must start soonest to meet a target goes first. A job that has missed all
+// its targets would only make other jobs miss theirs, so it is placed behind them, but its slack
+// shrinks with age so that it is not postponed forever.
 //
 // Objectives are measured as shares of each class's jobs, so a missed target counts for more
 // in a class with few jobs. relativeClassCount is the class's number of jobs relative to that
--- a/internal/placement/quota.go
+++ b/internal/placement/quota.go
@@ -24,8 +24,8 @@
 		(t.Guarantee.GPUs <= 0 || usage.GPUs <= t.Guarantee.GPUs+constants.ResourceTolerance)
 }
 
-// MarkGuaranteed sets Guaranteed on all unfinished jobs. A job is within its team's guarantee
-// if it fits into it together with the team's earlier jobs.
+// MarkGuaranteed updates Guaranteed of all unfinished jobs, which it sorts by submission. A job
+// is within its team's guarantee if it fits into it together with the team's earlier jobs.
 func MarkGuaranteed(unfinished []*Job, teams map[string]*Team) {
 	sort.Slice(unfinished, func(i, j int) bool { return unfinished[i].SubmissionRevision < unfinished[j].SubmissionRevision })
 	requested := make(map[string]Resources)
@@ -46,7 +46,7 @@
 	above, known := p.aboveGuaranteeCache[name]
 	if !known {
 		team := p.Teams[name]
-		above = team != nil && !team.WithinGuarantee(team.Used.Sub(p.stopping[name]))
+		above = team != nil && !team.WithinGuarantee(team.Used.Sub(p.usedByStopping[name]))
 		if p.aboveGuaranteeCache != nil {
 			p.aboveGuaranteeCache[name] = above
 		}
@@ -102,9 +102,10 @@
 	priority int
 }
 
-// lowerPriorityOnTimeDemand returns the part of its team's limit that a job which has missed
-// all its targets leaves to the team's lower-priority jobs that can still meet one. If the late
-// job used this part itself, it would still meet no target.
+// lowerPriorityOnTimeDemand returns the part of the team's limit that the job must leave to
+// lower-priority jobs of the team. Only a job that has missed all its targets leaves any: the
+// resources requested by the lower-priority jobs that can still meet one. If the late job used
+// this part itself, it would still meet no target.
 //
 // The job's position in the queue does not change: a job that may preempt another's tasks must
 // precede that job. Otherwise, the preempted job would take the resources back in the next
--- a/internal/placement/reserved.go
+++ b/internal/placement/reserved.go
@@ -16,9 +16,10 @@
 }
 
 // overriddenBy reports whether the job may use the reserved slot. Jobs of the slot's own
-// pipeline and jobs of higher priority may (paper, III-B, "Support of priority scheduling"). A
-// gang boosted within its priority also overrides reservations of equal priority, and one
-// boosted above all overrides every reservation. The same rule applies to the team's limit.
+// pipeline and jobs of higher priority may (III-B, "Support of priority scheduling", in the
+// paper that package reservations implements). A gang boosted within its priority also
+// overrides reservations of equal priority, and one boosted above all overrides every
+// reservation. The same rule applies to the team's limit.
 //
 // Without this rule, slots reserved for jobs that may not start, because the team's limit is
 // kept for a boosted gang, would remain until they expire, while the gang waits for the part
@@ -111,7 +112,7 @@
 	}
 	slices.SortStableFunc(overridable, func(a, b machineReservation) int {
 		if aOwn, bOwn := job.BelongsTo(a.slot.Pipeline), job.BelongsTo(b.slot.Pipeline); aOwn != bOwn {
-			return falseFirst(aOwn)
+			return compareFalseFirst(aOwn)
 		}
 		return cmp.Compare(a.slot.Priority, b.slot.Priority)
 	})
@@ -170,8 +171,9 @@
 	return usable
 }
 
-// falseFirst returns the result of comparing a with !a in an order where false comes first.
-func falseFirst(a bool) int {
+// compareFalseFirst compares a with !a in an order where false comes first: it returns -1 if a
+// is false and 1 if a is true.
+func compareFalseFirst(a bool) int {
 	if a {
 		return 1
 	}
--- a/internal/placement/reserved_test.go
+++ b/internal/placement/reserved_test.go
@@ -6,8 +6,8 @@
 	"thornnotch/internal/jobs"
 )
 
-// reservedSlotCase is a job and the only machine, all of whose GPUs are in a reserved slot of
-// priority 1.
+// reservedSlotCase is a job, and the number of tasks that it starts on the only machine, all of
+// whose GPUs are in a reserved slot of priority 1.
 type reservedSlotCase struct {
 	name      string
 	job       *Job
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -64,9 +64,9 @@
 
 // RunningTask is a task that uses resources of a machine.
 type RunningTask struct {
-	Job       *Job
-	Index     int
-	Attempt   uint64
+	Job       *Job   // nil if the job is unknown
+	Index     int    // of the task within the job
+	Attempt   uint64 // attempt number
 	Resources Resources
 	Stopping  bool // a stop was requested
 	// Remaining is the expected time until the task ends, StopCost the work that stopping it
@@ -118,8 +118,9 @@
 	Targets []time.Duration
 	// Boost is set for a few gangs that have waited longest and are hard to place.
 	Boost Boost
-	// Late is set once no target can be met any more. Slack is the time left until the next
-	// target, weighted by class, or, for a late job, a value that orders it among other jobs.
+	// Late is set once no target can be met any more, and always for a job without targets.
+	// Slack is the time left until the next target, weighted by class, or, for a late job, a
+	// value that orders it among other jobs.
 	Late  bool
 	Slack time.Duration
 	// TimeToTarget is the unweighted time left until the next target, or 0 if the job is late.
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -11,10 +11,10 @@
 type machineUsage struct {
 	computed       bool
 	used           Resources
-	stopping       Resources     // part of used, by tasks that were told to stop
+	usedByStopping Resources     // part of used, by stopping tasks
 	maxRemaining   time.Duration // until the last task is expected to end
-	lowestPriority int           // of the tasks not told to stop
-	preemptible    bool          // whether there are tasks not told to stop
+	lowestPriority int           // of the tasks that preemptible refers to; 0 if there are none
+	preemptible    bool          // whether any task of a known job is not stopping
 }
 
 // machineState is the state that a pass keeps for a machine.
@@ -22,13 +22,14 @@
 	position        int  // in the order of names
 	claimedBy       *Job // waiting job for which the machine is kept
 	hadFreeCapacity bool // had room for some waiting task when the pass began
-	// classBits are the preemption classes of the tasks not told to stop when the pass began.
+	// classBits are the preemption classes of the tasks that were not stopping when the pass
+	// began.
 	classBits uint64
 }
 
 // jobState is the state that a pass keeps for a job with running tasks.
 type jobState struct {
-	runningTasks int    // tasks not told to stop; only set while initMachines counts them
+	runningTasks int    // tasks that are not stopping; only set while initMachines counts them
 	classBit     uint64 // bit of the job's preemption class
 }
 
@@ -45,7 +46,7 @@
 		m.usage.maxRemaining = max(m.usage.maxRemaining, task.Remaining)
 		switch {
 		case task.Stopping:
-			m.usage.stopping = m.usage.stopping.Add(task.Resources)
+			m.usage.usedByStopping = m.usage.usedByStopping.Add(task.Resources)
 		case task.Job != nil && (!m.usage.preemptible || task.Job.Priority < m.usage.lowestPriority):
 			m.usage.lowestPriority, m.usage.preemptible = task.Job.Priority, true
 		}
@@ -117,9 +118,10 @@
 	}
 }
 
-// countTasks counts a machine's running tasks by job, because there are many tasks but few
-// preemption classes. It appends jobs with preemptible tasks that are not yet in running and
-// returns the result.
+// countTasks counts the machine's stopping tasks in usedByStopping, and the others in their
+// job's runningTasks and the machine's classBits. Counting by job before summing up by
+// preemption class avoids a map access for each task. It appends the jobs with preemptible
+// tasks that are not yet in running and returns the result.
 func (p *pass) countTasks(machine *Machine, running []*Job) []*Job {
 	for i := range machine.RunningTasks {
 		task := &machine.RunningTasks[i]
@@ -127,7 +129,7 @@
 		switch {
 		case job == nil:
 		case task.Stopping:
-			p.stopping[job.Spec.Team] = p.stopping[job.Spec.Team].Add(task.Resources)
+			p.usedByStopping[job.Spec.Team] = p.usedByStopping[job.Spec.Team].Add(task.Resources)
 		default:
 			if job.state.runningTasks == 0 {
 				running = append(running, job)
