--- a/internal/reservations/manager_test.go
+++ b/internal/reservations/manager_test.go
@@ -201,15 +201,16 @@
 	if changed := manager.Expire(t0.Add(testOptions.Deadline(10*time.Second, 3)+time.Second), always); len(changed) != 3 {
 		t.Errorf("reservations not removed at their deadline: %v", changed)
 	}
-	if off := NewManager(Options{}); finishAllTasks(off, 1, next)[0] {
+	if disabled := NewManager(Options{}); finishAllTasks(disabled, 1, next)[0] {
 		t.Errorf("slot reserved although reservations are disabled")
 	}
 }
 
 // TestReservationsLimitedToTaskCount guards against more reservations for a job than it has
-// tasks: every upstream job of a pipeline that finished reserved slots for the one gang that
-// still waited, until it had 237 machines for 24 tasks. It checks the limit and the internal
-// count while tasks finish, reservations expire or are used, and machines leave.
+// tasks: each upstream job of a pipeline reserved slots, when it finished, for the one gang that
+// still waited, until the gang had reservations on 237 machines for 24 tasks. It checks the
+// limit and the internal count while tasks finish, reservations expire or are used, and machines
+// leave.
 func TestReservationsLimitedToTaskCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		manager := NewManager(testOptions)
--- a/internal/reservations/phase.go
+++ b/internal/reservations/phase.go
@@ -9,20 +9,20 @@
 // phase tracks the progress of one upstream job (the current phase in the paper). In its
 // comments, m is the number of tasks of the upstream job and n that of the downstream jobs.
 type phase struct {
-	finishedTasks int // number of finished tasks
-	releasedSlots int // number of their slots that were released, if m > n
+	finishedTasks int
+	releasedSlots int // number of slots of finished tasks that were released, if m > n
 	// shortestRuntime is the run time of the task that finished first: t_m in the paper.
 	shortestRuntime time.Duration
 	deadline        time.Time // when the phase's reservations expire
-	// slotsToPreReserve is the number of slots released by other jobs that are still to be
-	// reserved, if m < n. It is set once, when the threshold is reached.
+	// slotsToPreReserve is the number of further slots, released by other jobs, that are still
+	// to be reserved, if m < n. It is set to n-m once, when the threshold is exceeded.
 	slotsToPreReserve int
-	thresholdReached  bool
+	thresholdExceeded bool
 	downstreams       []Downstream
 }
 
-// TaskFinished processes the end of a task of an upstream job and reports whether its slot is
-// now reserved (paper, III-B, algorithm 1).
+// TaskFinished records the end of a task of an upstream job, reserves or releases its slot and
+// reports whether the slot is now reserved (paper, III-B, algorithm 1).
 func (m *Manager) TaskFinished(finish FinishedTask) (reserved bool) {
 	if !m.options.Enabled {
 		return false
@@ -63,8 +63,8 @@
 // more tasks (m < n) and the phase has just exceeded the threshold.
 func (m *Manager) startPreReserving(upstream *phase, finish FinishedTask) {
 	missing := finish.downstreamTasks() - finish.Tasks
-	if missing > 0 && !upstream.thresholdReached && float64(upstream.finishedTasks) > m.options.Threshold*float64(finish.Tasks) {
-		upstream.thresholdReached, upstream.slotsToPreReserve = true, missing
+	if missing > 0 && !upstream.thresholdExceeded && float64(upstream.finishedTasks) > m.options.Threshold*float64(finish.Tasks) {
+		upstream.thresholdExceeded, upstream.slotsToPreReserve = true, missing
 	}
 }
 
@@ -77,9 +77,9 @@
 	return n
 }
 
-// reserveFor reserves a slot for the first downstream job of the phase that fits there and has
-// fewer reservations than tasks. It reports whether there was one. A downstream job of unknown
-// size is assumed to have upstreamTasks tasks.
+// reserveFor reserves a slot for the first downstream job of the phase for which fits returns
+// true and that has fewer reservations than tasks. It reports whether there was one. A
+// downstream job whose number of tasks is unknown is assumed to have upstreamTasks tasks.
 //
 // Several upstream jobs may finish while the same downstream job waits. More reservations than
 // tasks would leave slots idle and use up the team's limit: a gang of 24 tasks once had
@@ -108,8 +108,8 @@
 func (m *Manager) OfferFreedSlot(machine string, fits func(Downstream) bool, now time.Time) bool {
 	for _, job := range m.preReservingJobs(now) {
 		upstream := m.phases[job]
-		// With 0 upstream tasks, no slot is reserved for a downstream job of unknown size: its
-		// n is taken as m, and slots are pre-reserved only if m < n.
+		// With 0 upstream tasks, no slot is reserved for a downstream job whose number of tasks
+		// is unknown: its n is taken as m, and slots are pre-reserved only if m < n.
 		if m.reserveFor(upstream, job, machine, 0, fits) {
 			upstream.slotsToPreReserve--
 			return true
