--- a/internal/autoscaling/capacity.go
+++ b/internal/autoscaling/capacity.go
@@ -20,9 +20,10 @@
 // DesiredFor returns the desired capacity of a machine type: the machines that the current
 // demand needs, plus spare ones for jobs that arrive before another machine could boot. Jobs
 // arrive at random, so the deviation from the mean grows with the square root of the recent
-// arrivals; without recent arrivals there are no spare machines. Tasks that could use spot
-// machines justify on-demand ones only in part: the higher the on-demand price, the more of
-// these tasks wait for spot machines.
+// arrivals; without recent arrivals there are no spare machines. spare is the number of spare
+// machines in units of this square root. Tasks that could use spot machines justify on-demand
+// ones only in part (OverflowShare): the higher the on-demand price, the more of these tasks
+// wait for spot machines. The spare on-demand machines are multiplied by the same share.
 func DesiredFor(s Snapshot, machineType MachineType, spare float64) DesiredCapacity {
 	onDemand, spot := s.machinesNeeded(s.Demand, machineType)
 	recentOnDemand, recentSpot := s.machinesNeeded(s.Recent, machineType)
@@ -41,7 +42,7 @@
 }
 
 // overflowShare returns the OverflowShare of a machine type. It is proportional to the ratio
-// of the spot price to the on-demand price, and 1 if either is unknown.
+// of the spot price to the on-demand price, at most 1, and 1 if either price is unknown.
 func overflowShare(machineType MachineType) float64 {
 	if machineType.OnDemandPrice > 0 && machineType.SpotPrice > 0 {
 		return min(1, constants.OverflowPriceFactor*machineType.SpotPrice/machineType.OnDemandPrice)
--- a/internal/autoscaling/scalein.go
+++ b/internal/autoscaling/scalein.go
@@ -74,8 +74,8 @@
 	return counts
 }
 
-// canSpare reports whether a machine can be removed from the pool without falling below the
-// zone's floor or the capacity to keep. Types that are missing in keep are never reduced.
+// canSpare reports whether the zone's floor and the capacity to keep are still met without one
+// of the pool's machines. Machines of types that are missing in keep are never returned.
 func (r *remainingMachines) canSpare(pool InstancePool, keep map[string]DesiredCapacity) bool {
 	counts := r.countsOf(pool.Type)
 	floor := counts.floors[pool.Zone]
--- a/internal/autoscaling/scaleout.go
+++ b/internal/autoscaling/scaleout.go
@@ -7,8 +7,9 @@
 	"thornnotch/internal/constants"
 )
 
-// ScaleOut returns the next rent request, if more machines are needed than are usable or
-// booting. Unavailable spot machines are replaced in part by on-demand ones.
+// ScaleOut returns the next rent request, or false if no more machines are needed than are
+// usable or booting. Unavailable spot machines are replaced in part by on-demand ones. spare is
+// explained at DesiredFor.
 func ScaleOut(s Snapshot, spare float64) (RentRequest, bool) {
 	types := slices.Clone(s.Catalog.MachineTypes)
 	slices.SortFunc(types, func(a, b MachineType) int { return strings.Compare(a.Name, b.Name) })
@@ -66,7 +67,7 @@
 	if missing <= 0 {
 		return RentRequest{}, false
 	}
-	zone, found := s.leastUsedZone(machineType, spot)
+	zone, found := s.zoneWithFewestMachines(machineType, spot)
 	if !found {
 		return RentRequest{}, false
 	}
@@ -77,9 +78,9 @@
 	return RentRequest{MachineType: pool.Type, Zone: pool.Zone, Spot: pool.Spot, Count: min(missing, constants.MaxMachinesPerRent)}
 }
 
-// leastUsedZone returns the available zone with the fewest machines of the type. Spreading
-// machines this way limits the damage when a zone is lost.
-func (s Snapshot) leastUsedZone(machineType MachineType, spot bool) (best string, found bool) {
+// zoneWithFewestMachines returns the available zone with the fewest machines of the type.
+// Spreading machines this way limits the damage when a zone is lost.
+func (s Snapshot) zoneWithFewestMachines(machineType MachineType, spot bool) (best string, found bool) {
 	fewest := 0
 	for _, zone := range machineType.Zones {
 		if s.Unavailable[InstancePool{machineType.Name, zone, spot}] {
