--- a/internal/jobs/admission.go
+++ b/internal/jobs/admission.go
@@ -25,7 +25,7 @@
 func (e *AdmissionError) Error() string { return e.Field + ": " + e.Reason }
 
 // CheckRunnable returns an error if a job can never run on these machine types within its
-// team's quota. Every error is an *AdmissionError.
+// team's limit. Every error is an *AdmissionError.
 func CheckRunnable(spec *Spec, teams []config.Team, types []MachineType) error {
 	team := findTeam(teams, spec.Team)
 	if team == nil {
@@ -34,7 +34,7 @@
 	if !slices.ContainsFunc(types, spec.taskFits) {
 		return &AdmissionError{fieldMachineTypes, "a task fits no allowed machine type"}
 	}
-	if spec.exceedsQuota(team) {
+	if spec.exceedsLimit(team) {
 		return &AdmissionError{fieldTasks, fmt.Sprintf("the job needs more than the limit of team %q", spec.Team)}
 	}
 	return spec.checkZones()
@@ -55,9 +55,9 @@
 		s.CPUs <= machine.CPUs && s.GPUs <= machine.GPUs && s.MemoryGB <= machine.MemoryGB
 }
 
-// exceedsQuota reports whether the tasks that must run at the same time need more than the
-// team's limits. These are all tasks of a gang, or one task of any other job.
-func (s *Spec) exceedsQuota(team *config.Team) bool {
+// exceedsLimit reports whether the tasks that must run at the same time need more than the
+// team's limit. These are all tasks of a gang, or one task of any other job.
+func (s *Spec) exceedsLimit(team *config.Team) bool {
 	concurrentTasks := 1.0
 	if s.Kind == KindGang {
 		concurrentTasks = float64(s.Tasks)
--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -78,7 +78,7 @@
 	for _, row := range rows {
 		var part []string
 		if err := json.Unmarshal(row.Value, &part); err != nil {
-			return nil, fmt.Errorf("record %s: %w", row.Key, err)
+			return nil, fmt.Errorf("record %s: decode list of job IDs: %w", row.Key, err)
 		}
 		all = append(all, part...)
 	}
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -140,8 +140,8 @@
 // ValidID reports whether id has the form of a job ID.
 func ValidID(id string) bool { return idPattern.MatchString(id) }
 
-// Priority returns the rank of a priority class: jobs with a higher rank are scheduled first.
-// An unknown class ranks as PriorityClassIdle.
+// Priority returns the priority of the jobs of a priority class: jobs of higher priority are
+// scheduled first. An unknown class has the priority of PriorityClassIdle.
 func Priority(class string) int {
 	switch class {
 	case PriorityClassProduction:
