--- a/internal/autoscaling/scalein.go
+++ b/internal/autoscaling/scalein.go
@@ -14,8 +14,9 @@
 	Images int // number of images in its cache, which are lost when it is returned
 }
 
-// ScaleIn returns the names of the idle machines that are no longer needed. The most expensive
-// machines are returned first and, at equal prices, those with the fewest cached images.
+// ScaleIn returns the names of the idle machines that are needed neither for the capacity to
+// keep, by machine type, nor for a zone's floor. The most expensive machines are returned first
+// and, at equal prices, those with the fewest cached images.
 func ScaleIn(s Snapshot, keep map[string]DesiredCapacity, idle []IdleMachine) (names []string) {
 	remaining := remainingMachines{
 		snapshot: s,
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -52,7 +52,7 @@
 	overridableFor *Job
 	overridable    Resources
 
-	// earmarks lists the parts of each team's limit that are kept for gangs.
+	// earmarks lists the earmarks for gangs that wait for stopping tasks, by team.
 	earmarks map[string][]limitEarmark
 	// demandExceedsLimitCache caches the results of demandExceedsLimit, by team.
 	demandExceedsLimitCache map[string]bool
