--- a/internal/jobs/decode.go
+++ b/internal/jobs/decode.go
@@ -28,12 +28,12 @@
 // DecodeSpec decodes and validates the body of a submission. As the protocol demands, unknown
 // fields are ignored and null means omitted. Every error is a *FieldError.
 func DecodeSpec(body []byte) (*Spec, error) {
-	sub, err := decodeSubmission(body)
+	decoded, err := decodeSubmission(body)
 	if err != nil {
 		return nil, err
 	}
 	var check validator
-	spec := check.spec(sub)
+	spec := check.spec(decoded)
 	if check.firstProblem != nil {
 		return nil, check.firstProblem
 	}
@@ -45,15 +45,15 @@
 	if trimmed := bytes.TrimSpace(body); len(trimmed) == 0 || trimmed[0] != '{' {
 		return nil, &FieldError{Problem: "the body is not a JSON object"}
 	}
-	var sub submission
-	if err := json.Unmarshal(body, &sub); err != nil {
+	var decoded submission
+	if err := json.Unmarshal(body, &decoded); err != nil {
 		var typeError *json.UnmarshalTypeError
 		if errors.As(err, &typeError) {
 			return nil, &FieldError{typeError.Field, "has the wrong type: " + typeError.Value}
 		}
 		return nil, &FieldError{Problem: "the body is not JSON: " + err.Error()}
 	}
-	return &sub, nil
+	return &decoded, nil
 }
 
 // validator checks a submission field by field. It keeps only the first problem, which is the
@@ -70,29 +70,29 @@
 
 // spec checks all fields and returns the specification. The order of the checks determines
 // which of several problems is reported to the user. Enumerated values are checked last.
-func (v *validator) spec(sub *submission) *Spec {
+func (v *validator) spec(decoded *submission) *Spec {
 	spec := &Spec{
-		ID:                  v.requiredText(fieldID, sub.ID),
-		Class:               v.requiredText(fieldClass, sub.Class),
-		Team:                v.requiredText(fieldTeam, sub.Team),
-		Kind:                v.requiredText(fieldKind, sub.Kind),
-		PriorityClass:       v.requiredText(fieldPriorityClass, sub.PriorityClass),
-		CPUs:                v.requiredAmount(fieldCPUs, sub.CPUs),
-		GPUs:                v.requiredAmount(fieldGPUs, sub.GPUs),
-		MemoryGB:            v.requiredAmount(fieldMemoryGB, sub.MemoryGB),
-		Image:               v.requiredText(fieldImage, sub.Image),
-		ImageGB:             v.requiredAmount(fieldImageGB, sub.ImageGB),
-		SameZone:            v.requiredFlag(fieldSameZone, sub.SameZone),
-		SpreadZones:         v.requiredFlag(fieldSpreadZones, sub.SpreadZones),
-		AllowSpot:           v.requiredFlag(fieldAllowSpot, sub.AllowSpot),
-		ExpectedS:           v.requiredAmount(fieldExpectedS, sub.ExpectedS),
-		CheckpointIntervalS: v.requiredAmount(fieldCheckpointIntervalS, sub.CheckpointIntervalS),
-		CheckpointSaveS:     v.requiredAmount(fieldCheckpointSaveS, sub.CheckpointSaveS),
-		Zone:                v.optionalText(fieldZone, sub.Zone),
-		DeadlineS:           v.optionalAmount(fieldDeadlineS, sub.DeadlineS),
-		MachineTypes:        v.machineTypes(sub.MachineTypes),
-		Tasks:               v.taskCount(sub.Tasks),
-		DependsOn:           v.dependsOn(sub.DependsOn),
+		ID:                  v.requiredText(fieldID, decoded.ID),
+		Class:               v.requiredText(fieldClass, decoded.Class),
+		Team:                v.requiredText(fieldTeam, decoded.Team),
+		Kind:                v.requiredText(fieldKind, decoded.Kind),
+		PriorityClass:       v.requiredText(fieldPriorityClass, decoded.PriorityClass),
+		CPUs:                v.requiredAmount(fieldCPUs, decoded.CPUs),
+		GPUs:                v.requiredAmount(fieldGPUs, decoded.GPUs),
+		MemoryGB:            v.requiredAmount(fieldMemoryGB, decoded.MemoryGB),
+		Image:               v.requiredText(fieldImage, decoded.Image),
+		ImageGB:             v.requiredAmount(fieldImageGB, decoded.ImageGB),
+		SameZone:            v.requiredFlag(fieldSameZone, decoded.SameZone),
+		SpreadZones:         v.requiredFlag(fieldSpreadZones, decoded.SpreadZones),
+		AllowSpot:           v.requiredFlag(fieldAllowSpot, decoded.AllowSpot),
+		ExpectedS:           v.requiredAmount(fieldExpectedS, decoded.ExpectedS),
+		CheckpointIntervalS: v.requiredAmount(fieldCheckpointIntervalS, decoded.CheckpointIntervalS),
+		CheckpointSaveS:     v.requiredAmount(fieldCheckpointSaveS, decoded.CheckpointSaveS),
+		Zone:                v.optionalText(fieldZone, decoded.Zone),
+		DeadlineS:           v.optionalAmount(fieldDeadlineS, decoded.DeadlineS),
+		MachineTypes:        v.machineTypes(decoded.MachineTypes),
+		Tasks:               v.taskCount(decoded.Tasks),
+		DependsOn:           v.dependsOn(decoded.DependsOn),
 	}
 	v.checkAllowedValues(spec)
 	return spec
