--- a/internal/autoscaling/scalein.go
+++ b/internal/autoscaling/scalein.go
@@ -14,8 +14,9 @@
 	Images int // number of images in its cache, which are lost when it is returned
 }
 
-// ScaleIn returns the names of the idle machines that are no longer needed. The most expensive
-// machines are returned first and, at equal prices, those with the fewest cached images.
+// ScaleIn returns the names of the idle machines that are needed neither for the capacity to
+// keep, by machine type, nor for a zone's floor. The most expensive machines are returned first
+// and, at equal prices, those with the fewest cached images.
 func ScaleIn(s Snapshot, keep map[string]DesiredCapacity, idle []IdleMachine) (names []string) {
 	remaining := remainingMachines{
 		snapshot: s,
@@ -74,8 +75,8 @@
 	return counts
 }
 
-// canSpare reports whether a machine can be removed from the pool without falling below the
-// zone's floor or the capacity to keep. Types that are missing in keep are never reduced.
+// canSpare reports whether the zone's floor and the capacity to keep are still met without one
+// of the pool's machines. Machines of types that are missing in keep are never returned.
 func (r *remainingMachines) canSpare(pool InstancePool, keep map[string]DesiredCapacity) bool {
 	counts := r.countsOf(pool.Type)
 	floor := counts.floors[pool.Zone]
