--- a/internal/leader/wal/checkpoint.go
+++ b/internal/leader/wal/checkpoint.go
@@ -7,8 +7,9 @@
 )
 
 // StateSource provides the contents of a checkpoint. Each part reads the state as it is when
-// that part is written. The source must include everything that may be on machines, because the
-// next leader does not learn of anything that is neither in the checkpoint nor in a later entry.
+// that part is written (a fuzzy checkpoint). The source must include everything that may be on
+// machines, because the next leader does not learn of anything that is neither in the checkpoint
+// nor in a later entry.
 type StateSource interface {
 	// Machine returns a machine's record; ok is false if the machine no longer exists.
 	Machine(name string) (machine Machine, ok bool)
@@ -23,17 +24,17 @@
 	firstEntry uint64
 	// partsWritten counts the parts that have been put into transactions.
 	partsWritten int
-	// machines and jobs are the names of machines and IDs of jobs still to be written;
-	// totalMachines is the number of machines at the start.
-	machines      []string
+	// machineNames and jobIDs are the machines and jobs still to be written; totalMachines is
+	// the number of machines at the start.
+	machineNames  []string
 	totalMachines int
-	jobs          []string
-	// nextRun indexes the next run of completed tasks of jobs[0] to be written.
+	jobIDs        []string
+	// nextRun indexes the next run of completed tasks of jobIDs[0] to be written.
 	nextRun int
 	source  StateSource
 	// allPartsWritten is set once the last part has been put into a transaction.
 	allPartsWritten bool
-	// onCommitted, if set, is called once the head names the checkpoint.
+	// onCommitted, if set, is called once a head that refers to the checkpoint is committed.
 	onCommitted func()
 	// onMachineWritten is called for each machine that is put into a part.
 	onMachineWritten func(machine string)
@@ -42,10 +43,11 @@
 // Checkpointing reports whether a checkpoint is being written.
 func (w *Writer) Checkpointing() bool { return w.checkpoint != nil }
 
-// BeginCheckpoint starts a new checkpoint of the whole state; its parts go into the next
-// transactions. committed is called once the checkpoint is complete and committed; it may be
-// nil. BeginCheckpoint does nothing while a checkpoint is being written.
-func (w *Writer) BeginCheckpoint(machines, jobIDs []string, source StateSource, committed func()) {
+// BeginCheckpoint starts a new checkpoint of the whole state: all machines, and the completed
+// tasks of all open jobs that have any. Its parts go into the next transactions. committed is
+// called once the checkpoint is complete and committed; it may be nil. BeginCheckpoint does
+// nothing while a checkpoint is being written.
+func (w *Writer) BeginCheckpoint(machineNames, openJobIDs []string, source StateSource, committed func()) {
 	if w.checkpoint != nil {
 		return
 	}
@@ -61,7 +63,7 @@
 	}
 	w.checkpoint = &checkpoint{
 		area: area, firstEntry: firstEntry,
-		machines: machines, totalMachines: len(machines), jobs: jobIDs, source: source,
+		machineNames: machineNames, totalMachines: len(machineNames), jobIDs: openJobIDs, source: source,
 		onCommitted: committed, onMachineWritten: w.markInCheckpoint,
 	}
 }
@@ -117,12 +119,12 @@
 	if c.partsWritten == 0 {
 		return max(lastParts, 1)
 	}
-	machinesPerPart := max(float64(c.totalMachines-len(c.machines))/float64(c.partsWritten), 1)
-	return int(float64(len(c.machines))/machinesPerPart) + 1
+	machinesPerPart := max(float64(c.totalMachines-len(c.machineNames))/float64(c.partsWritten), 1)
+	return int(float64(len(c.machineNames))/machinesPerPart) + 1
 }
 
 func (c *checkpoint) nothingRemaining() bool {
-	return len(c.machines) == 0 && len(c.jobs) == 0
+	return len(c.machineNames) == 0 && len(c.jobIDs) == 0
 }
 
 // partBuilder assembles one checkpoint part.
@@ -181,28 +183,28 @@
 // addMachines moves machines into the part until it is full. It reports whether all of them
 // fit.
 func (c *checkpoint) addMachines(builder *partBuilder) bool {
-	for len(c.machines) > 0 {
-		name := c.machines[0]
+	for len(c.machineNames) > 0 {
+		name := c.machineNames[0]
 		if machine, ok := c.source.Machine(name); ok {
 			if !builder.addMachine(name, machine) {
 				return false
 			}
 			c.onMachineWritten(name)
 		}
-		c.machines = c.machines[1:]
+		c.machineNames = c.machineNames[1:]
 	}
 	return true
 }
 
 // addJobs moves completed tasks into the part until it is full.
 func (c *checkpoint) addJobs(builder *partBuilder) {
-	for len(c.jobs) > 0 {
-		jobID := c.jobs[0]
+	for len(c.jobIDs) > 0 {
+		jobID := c.jobIDs[0]
 		for runs := c.source.DoneTasks(jobID); c.nextRun < len(runs); c.nextRun++ {
 			if !builder.addDone(jobID, runs[c.nextRun]) {
 				return
 			}
 		}
-		c.jobs, c.nextRun = c.jobs[1:], 0
+		c.jobIDs, c.nextRun = c.jobIDs[1:], 0
 	}
 }
--- a/internal/leader/wal/checkpoint_test.go
+++ b/internal/leader/wal/checkpoint_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// jobEndWrite moves a job from the open jobs to the final ones.
+// jobEndWrite returns the job write that moves a job from the open jobs to the final ones.
 func jobEndWrite(id string) JobWrite {
 	return JobWrite{Writes: []statestore.Write{{Delete: "open/" + id}, {Put: "final/" + id, Value: json.RawMessage(`{}`)}}}
 }
--- a/internal/leader/wal/doc.go
+++ b/internal/leader/wal/doc.go
@@ -3,7 +3,7 @@
 // the caller sends the transactions to the state service (see Writer).
 //
 // Each term's decisions are written as numbered entries. Entries are stored in a ring of
-// keys, so they are overwritten and never need to be removed. From time to time the whole
+// keys, whose slots are reused, so no entry needs to be deleted. From time to time the whole
 // state is written as a checkpoint, alternating between two areas of keys. Once the last part
 // of a checkpoint is committed, the head refers to that checkpoint, and the slots of the
 // entries before it may be reused. The entries after it, which a failover has to replay, are
--- a/internal/leader/wal/model_test.go
+++ b/internal/leader/wal/model_test.go
@@ -56,13 +56,13 @@
 	return attempts
 }
 
-func (m *leaderModel) startAttempt(machine string, attempt Attempt) {
+func (m *leaderModel) addAttempt(machine string, attempt Attempt) {
 	m.addMachine(machine)
 	m.liveAttempts[machine][attempt] = true
 	m.writer.AttemptPlaced(machine, attempt, "j-1", JobUsage{Team: "x"}, func() { m.recorded[attempt] = true })
 }
 
-func (m *leaderModel) finishAttempt(machine string, attempt Attempt) {
+func (m *leaderModel) removeAttempt(machine string, attempt Attempt) {
 	delete(m.liveAttempts[machine], attempt)
 	delete(m.recorded, attempt)
 	m.writer.AttemptGone(machine, attempt)
--- a/internal/leader/wal/pending.go
+++ b/internal/leader/wal/pending.go
@@ -118,9 +118,9 @@
 	}
 }
 
-// takeEntry moves pending changes into one entry of at most valueBytes and returns the
+// nextEntry moves pending changes into one entry of at most valueBytes and returns the
 // callbacks to call once the entry is committed. The entry is nil if nothing is pending.
-func (p *pendingChanges) takeEntry(seq uint64, valueBytes int) (json.RawMessage, []func()) {
+func (p *pendingChanges) nextEntry(seq uint64, valueBytes int) (json.RawMessage, []func()) {
 	if len(p.machineOrder) == 0 && len(p.doneOrder) == 0 {
 		return nil, nil
 	}
@@ -130,8 +130,8 @@
 	if len(p.machineOrder) > 0 {
 		return encode(entry), onCommitted
 	}
-	// Completions come last: a task's exit is committed with its completion or shortly before
-	// it. In between, the worker only has to keep the task a little longer.
+	// Completions come last, so a completion is committed together with the removal of its
+	// attempt or shortly after it. Until then the worker keeps listing the exited attempt.
 	entry.Done = p.takeDone(remaining)
 	if len(p.doneOrder) == 0 {
 		onCommitted = append(onCommitted, p.onDone...)
--- a/internal/leader/wal/record.go
+++ b/internal/leader/wal/record.go
@@ -9,7 +9,7 @@
 // be able to read what earlier ones wrote: fields may be added, but no field may change its
 // name or meaning.
 
-// Attempt is one attempt to run a task, which may be on its machine.
+// Attempt is one attempt to run a task that may be on its machine.
 type Attempt struct {
 	Task string `json:"p"`
 	// Number is unique for a task on a machine; Epoch is the worker's epoch in which the
@@ -55,7 +55,7 @@
 	Endpoint string `json:"e,omitempty"`
 	// Epoch is the worker's newest epoch.
 	Epoch    uint64    `json:"h,omitempty"`
-	Leaving  bool      `json:"l,omitempty"`
+	Leaving  bool      `json:"l,omitempty"` // being returned to the cloud
 	Attempts []Attempt `json:"a,omitempty"`
 	// Jobs holds the jobs of the attempts, by job ID.
 	Jobs         map[string]JobUsage `json:"j,omitempty"`
@@ -72,7 +72,8 @@
 	Gone []Attempt `json:"x,omitempty"`
 	// Jobs holds the jobs of the attempts in Placed, by job ID.
 	Jobs map[string]JobUsage `json:"j,omitempty"`
-	// Removed is set once the cloud has confirmed that the machine was terminated.
+	// Removed is set once the cloud has confirmed that the machine was terminated. It is applied
+	// before the other changes.
 	Removed bool `json:"g,omitempty"`
 }
 
--- a/internal/leader/wal/replay.go
+++ b/internal/leader/wal/replay.go
@@ -19,8 +19,8 @@
 	Done map[string][]int
 }
 
-// Read rebuilds the state from rows, which must include the head and all keys with one of
-// Head.Prefixes.
+// Read rebuilds the state from rows, which must include the head and all keys that begin
+// with one of Head.Prefixes.
 //
 // A record that the head refers to may describe a task that is still running. If such a
 // record can't be read, Read returns a MissingRecordError, UnreadableRecordError or
@@ -47,7 +47,8 @@
 	return state, foreign, state.readEntries(stored)
 }
 
-// isLogKey reports whether any version of the log writes the given key below Prefix.
+// isLogKey reports whether a key that begins with Prefix belongs to the log, in the format of
+// any version.
 func isLogKey(key string) bool {
 	if key == HeadKey {
 		return true
--- a/internal/leader/wal/replay_test.go
+++ b/internal/leader/wal/replay_test.go
@@ -86,7 +86,7 @@
 func (r *replayRun) placeAttempt(t *rapid.T) {
 	machine := r.drawMachine(t)
 	r.lastID++
-	r.leader.startAttempt(machine, Attempt{
+	r.leader.addAttempt(machine, Attempt{
 		Task:   fmt.Sprintf("%s/%d", rapid.SampledFrom(r.jobs).Draw(t, "job"), r.lastID%20),
 		Number: r.lastID, Epoch: 1,
 	})
@@ -98,7 +98,7 @@
 	if len(attempts) == 0 {
 		t.Skip()
 	}
-	r.leader.finishAttempt(machine, rapid.SampledFrom(attempts).Draw(t, "attempt"))
+	r.leader.removeAttempt(machine, rapid.SampledFrom(attempts).Draw(t, "attempt"))
 }
 
 func (r *replayRun) changeMachine(t *rapid.T) {
--- a/internal/leader/wal/ring_test.go
+++ b/internal/leader/wal/ring_test.go
@@ -19,9 +19,9 @@
 	for i := range 3 * constants.LogRingSize {
 		machine := machines[i%len(machines)]
 		attempt := Attempt{Task: "j-1/0", Number: uint64(i), Epoch: 1}
-		leader.startAttempt(machine, attempt)
+		leader.addAttempt(machine, attempt)
 		if i%50 != 0 { // most attempts end before they are written
-			leader.finishAttempt(machine, attempt)
+			leader.removeAttempt(machine, attempt)
 			leader.setZone(machine, fmt.Sprint(i))
 		}
 
--- a/internal/leader/wal/transaction.go
+++ b/internal/leader/wal/transaction.go
@@ -42,7 +42,7 @@
 	completedCheckpoint *checkpoint
 }
 
-// txnSize is the current size of a transaction.
+// txnSize is the size of a transaction that is being assembled.
 type txnSize struct {
 	ops   int // puts and deletes, including that of the head
 	bytes int // total size of the values
@@ -53,6 +53,7 @@
 	s.bytes += len(value)
 }
 
+// sizeOf returns the size of a transaction that contains only the head and the job writes.
 func sizeOf(jobWrites []JobWrite) txnSize {
 	size := txnSize{ops: 1}
 	for _, jobWrite := range jobWrites {
@@ -93,7 +94,7 @@
 	partBytes := (constants.MaxTxnValueBytes - size.bytes) * partOps / max(w.limits.TxnOps-size.ops, 1)
 	maxSize := txnSize{ops: w.limits.TxnOps - partOps, bytes: constants.MaxTxnValueBytes - partBytes}
 	for added := 0; size.ops < maxSize.ops && size.bytes < maxSize.bytes && w.mayAddEntry(txn.head, added); added++ {
-		value, onCommitted := w.pending.takeEntry(txn.head.Next, w.limits.ValueBytes)
+		value, onCommitted := w.pending.nextEntry(txn.head.Next, w.limits.ValueBytes)
 		if value == nil {
 			break
 		}
@@ -188,8 +189,8 @@
 	}
 }
 
-// notifyConflict calls the callback that applies after a conflict on the conditions for which
-// failed returns true.
+// notifyConflict calls Conflicted if a condition of the job write has failed, and otherwise
+// Retry. failed reports whether the condition on a key failed.
 func (j JobWrite) notifyConflict(failed func(key string) bool) {
 	conflicted := false
 	for _, condition := range j.Conditions {
--- a/internal/leader/wal/writer.go
+++ b/internal/leader/wal/writer.go
@@ -32,9 +32,9 @@
 //  4. While the outcome is unknown (no response, or the service was unavailable), the caller
 //     calls neither Committed nor Conflicted, but gets the transaction from Next again and
 //     resends it with the same contents. The transaction may have been executed, or may
-//     still be. If its changes were put into another transaction in the meantime, a late copy
-//     could be executed first, and it would be unknown what is committed.
-//  5. A conflict is not conclusive by itself, because an earlier try without a response
+//     be executed later. If its changes were put into another transaction in the meantime, a
+//     late copy could be executed first, and it would be unknown what is committed.
+//  5. A conflict is not conclusive by itself, because an earlier copy whose response was lost
 //     may have been executed. The caller reads the head and calls WroteHead. If it returns
 //     true, the caller calls Committed with the revision of the head. If it returns false and
 //     the condition on HeadKey failed, another leader is writing the log and the term is
