--- a/internal/leader/health/runtimes.go
+++ b/internal/leader/health/runtimes.go
@@ -10,9 +10,10 @@
 // Runtimes holds the run times of a job's finished tasks, to detect slow machines.
 //
 // A machine may start to run its tasks much more slowly than others. Heartbeats report no
-// progress and owners' estimates are often wrong by half, so a task is compared with the other
+// progress and users' estimates are often wrong by half, so a task is compared with the other
 // tasks of its job instead. The paper on speculative slot reservation (see package
-// reservations) runs a second copy of a slow task (section IV-C), which the protocol forbids.
+// reservations) proposes to run a second copy of a slow task (section IV-C), which the protocol
+// forbids.
 // Here the tasks of a slow machine are saved, stopped and started elsewhere, and the machine
 // gets no new tasks for a while.
 type Runtimes struct {
