--- a/internal/leader/certainty/certainty.go
+++ b/internal/leader/certainty/certainty.go
@@ -38,9 +38,9 @@
 	// watchedUntil is the time up to which the watch on the state service has reported all
 	// cancellations.
 	watchedUntil time.Time
-	// certainUntil is the time up to which all cancellations are known, from the watch or from
+	// knownUntil is the time up to which all cancellations are known, from the watch or from
 	// attestations.
-	certainUntil time.Time
+	knownUntil time.Time
 }
 
 // NewTracker returns a tracker that permits acknowledgements for window after the last proof.
@@ -50,28 +50,30 @@
 // late the answer arrives, it contains all changes up to some moment after the request.
 func (t *Tracker) RecordWatch(askedAt time.Time) {
 	t.watchedUntil = askedAt
-	if askedAt.After(t.certainUntil) {
-		t.certainUntil = askedAt
+	if askedAt.After(t.knownUntil) {
+		t.knownUntil = askedAt
 	}
 }
 
 // RecordAttestation records that all nodes, asked at askedAt, have listed the cancellations they
 // had confirmed to users. It reports whether acknowledgements were forbidden before and are
-// permitted now. The caller must have dropped stale answers.
+// permitted now. The caller must have dropped late answers
+// (attestation.AnsweredTooLate).
 func (t *Tracker) RecordAttestation(askedAt, now time.Time) (restored bool) {
-	if !askedAt.After(t.certainUntil) {
+	if !askedAt.After(t.knownUntil) {
 		return false
 	}
 	restored = !t.MayAcknowledge(now)
-	t.certainUntil = askedAt
+	t.knownUntil = askedAt
 	return restored
 }
 
 // MayAcknowledge reports whether heartbeats may be acknowledged.
-func (t *Tracker) MayAcknowledge(now time.Time) bool { return now.Sub(t.certainUntil) <= t.window }
+func (t *Tracker) MayAcknowledge(now time.Time) bool { return now.Sub(t.knownUntil) <= t.window }
 
-// SinceProof returns the time since all cancellations were last known for certain.
-func (t *Tracker) SinceProof(now time.Time) time.Duration { return now.Sub(t.certainUntil) }
+// SinceProof returns the age of the latest proof: the time since all cancellations were last
+// known.
+func (t *Tracker) SinceProof(now time.Time) time.Duration { return now.Sub(t.knownUntil) }
 
 // WatchedUntil returns the time up to which the watch on the state service has reported all
 // cancellations.
--- a/internal/leader/certainty/certainty_test.go
+++ b/internal/leader/certainty/certainty_test.go
@@ -79,9 +79,9 @@
 			return // at its minimum, the window does not guarantee the bound
 		}
 		stretch := func(seconds, drift float64) time.Duration { return config.Seconds(seconds * (1 + drift)) }
-		gone := window + stretch(timings.LeaseS, constants.ClockDrift) + constants.WorkerKillDelay
-		if limit := stretch(timings.CancelWithinS, -constants.ClockDrift); gone > limit+time.Microsecond {
-			t.Fatalf("tasks end %v after the promised time", gone-limit)
+		tasksEnd := window + stretch(timings.LeaseS, constants.ClockDrift) + constants.WorkerKillDelay
+		if limit := stretch(timings.CancelWithinS, -constants.ClockDrift); tasksEnd > limit+time.Microsecond {
+			t.Fatalf("tasks end %v after the promised time", tasksEnd-limit)
 		}
 	})
 }
