--- a/internal/attestation/attestation.go
+++ b/internal/attestation/attestation.go
@@ -4,10 +4,10 @@
 // A leader learns of cancellations by watching the state service. While the watch is not
 // answered, another node may have confirmed cancellations that the leader does not know of,
 // because the service may be refusing this node alone. The leader therefore has to let the
-// workers' leases expire in time. In an outage of the service that would end the work of the
-// whole fleet, although nobody can cancel anything. Every confirmation is sent by a process
-// of some node, however, so if the processes of all nodes list what they have confirmed since
-// the watch last proved the leader up to date, no cancellation is missing.
+// workers' leases expire in time. In an outage of the service that would stop every task of
+// the fleet, although no job can be cancelled. Every confirmation is sent by a process of some
+// node, however, so if the processes of all nodes list what they have confirmed since the watch
+// last proved the leader up to date, no cancellation is missing.
 //
 // In one round the leader notes the time, asks each node for the cancellations within Window,
 // and combines the answers with Merge. If the result is complete and the answers did not
@@ -22,11 +22,11 @@
 	"thornnotch/internal/constants"
 )
 
-// Window returns how far back from the time of its answer a node must attest so that its
-// attestation reaches back to the watch's last proof. Both times are read from the leader's
-// clock; askedAt is the later one. The window allows for two clocks whose rates differ by
-// constants.ClockDrift and for an answer given up to constants.AttestationMaxAge after the
-// question.
+// Window returns how far back a node must attest, counted from the time of its answer, to cover
+// the time since watchedUntil, up to which the leader's watch has reported all cancellations.
+// Both times are read from the leader's clock; askedAt is the later one. The window allows for
+// two clocks whose rates differ by constants.ClockDrift and for an answer given up to
+// constants.AttestationMaxAge after the question.
 func Window(askedAt, watchedUntil time.Time) time.Duration {
 	return time.Duration(float64(askedAt.Sub(watchedUntil))*(1+constants.ClockDrift)) + constants.AttestationMargin
 }
--- a/internal/attestation/attestation_test.go
+++ b/internal/attestation/attestation_test.go
@@ -11,8 +11,8 @@
 // TestAttestationCoversConfirmedCancellations has nodes confirm cancellations, restart, and
 // answer the leader late or never, with clocks that drift apart. The leader must know, from
 // its watch or from an attestation, every cancellation confirmed to a user before the time up
-// to which it considers itself certain. Removing any one condition of the argument makes this
-// test fail.
+// to which it considers all of them known. Removing any one condition of the argument makes
+// this test fail.
 func TestAttestationCoversConfirmedCancellations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t)
@@ -33,7 +33,7 @@
 			default:
 				s.askNodes(t)
 			}
-			s.checkCertainty(t)
+			s.checkConfirmedAreKnown(t)
 		}
 	})
 }
@@ -65,12 +65,12 @@
 	processes [modelNodes]*process
 	leader    *process // the process whose clock the leader reads
 	// watchedUntil is the time of the watch's last proof. The leader considers itself to know
-	// all cancellations up to certainUntil. known holds the IDs of the jobs whose cancellation
+	// all cancellations up to knownUntil. known holds the IDs of the jobs whose cancellation
 	// it does know.
-	watchedUntil, certainUntil time.Time
-	known                      map[string]bool
-	confirmations              []confirmation
-	jobs                       int
+	watchedUntil, knownUntil time.Time
+	known                    map[string]bool
+	confirmations            []confirmation
+	jobs                     int
 }
 
 func newSimulation(t *rapid.T) *simulation {
@@ -79,7 +79,7 @@
 		s.processes[i] = s.startProcess(t)
 	}
 	s.leader = s.processes[0]
-	s.watchedUntil, s.certainUntil = s.now, s.now
+	s.watchedUntil, s.knownUntil = s.now, s.now
 	return s
 }
 
@@ -114,7 +114,7 @@
 // answerWatch answers the leader's watch with everything recorded before its request.
 func (s *simulation) answerWatch() {
 	s.watchedUntil = s.now
-	s.advanceCertainty(s.now)
+	s.advanceKnownUntil(s.now)
 	for _, confirmed := range s.confirmations {
 		s.known[confirmed.jobID] = true
 	}
@@ -146,23 +146,23 @@
 	for _, id := range cancelled {
 		s.known[id] = true
 	}
-	s.advanceCertainty(askedAt)
+	s.advanceKnownUntil(askedAt)
 }
 
-// advanceCertainty notes that the leader considers itself to know all cancellations up to at.
-func (s *simulation) advanceCertainty(at time.Time) {
-	if at.After(s.certainUntil) {
-		s.certainUntil = at
+// advanceKnownUntil notes that the leader considers itself to know all cancellations up to at.
+func (s *simulation) advanceKnownUntil(at time.Time) {
+	if at.After(s.knownUntil) {
+		s.knownUntil = at
 	}
 }
 
-// checkCertainty fails if the leader does not know a cancellation that was confirmed before
-// certainUntil.
-func (s *simulation) checkCertainty(t *rapid.T) {
+// checkConfirmedAreKnown fails if the leader does not know a cancellation that was confirmed
+// before knownUntil.
+func (s *simulation) checkConfirmedAreKnown(t *rapid.T) {
 	t.Helper()
 	for _, confirmed := range s.confirmations {
-		if confirmed.at.Before(s.certainUntil) && !s.known[confirmed.jobID] {
-			t.Fatalf("certain until %v, but the cancellation of %s, confirmed at %v, is not known", s.certainUntil, confirmed.jobID, confirmed.at)
+		if confirmed.at.Before(s.knownUntil) && !s.known[confirmed.jobID] {
+			t.Fatalf("all cancellations considered known until %v, but that of %s, confirmed at %v, is not", s.knownUntil, confirmed.jobID, confirmed.at)
 		}
 	}
 }
