--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -25,7 +25,7 @@
 // it.
 type Store interface {
 	List(ctx context.Context, class statestore.Class, prefix string) (rows []statestore.KeyValue, revision uint64, err error)
-	Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (revision uint64, changes []statestore.Change, err error)
+	Watch(ctx context.Context, prefix string, fromRevision uint64, maxWait time.Duration) (revision uint64, changes []statestore.Change, err error)
 	Txn(ctx context.Context, class statestore.Class, conditions []statestore.Condition, writes []statestore.Write) (revision uint64, err error)
 	GrantLease(ctx context.Context, ttl time.Duration) (lease uint64, err error)
 	RenewLease(ctx context.Context, lease uint64) error
@@ -38,8 +38,8 @@
 	Revision uint64 // of the term's record; a condition of every write
 }
 
-// LeadFunc leads for one term. It returns when ctx ends, for the reason that context.Cause
-// gives, or when it finds that this node has been deposed. Its error says why the term ended.
+// LeadFunc leads for one term. It returns when ctx ends (context.Cause gives the reason) or
+// when it finds that this node has been deposed. Its error says why the term ended.
 type LeadFunc func(ctx context.Context, grant Grant) error
 
 // Elector runs the election on one node.
@@ -161,7 +161,7 @@
 		if errors.As(err, &conflict) {
 			// Another node won, and the next round reads its name. The lease is useless and
 			// expires by itself if revoking it fails. After any other error the transaction
-			// may still be carried out; the term then ends when the lease expires.
+			// may still be executed; the term then ends when the lease expires.
 			_ = e.store.RevokeLease(ctx, lease)
 		}
 		return View{}, 0, fmt.Errorf("campaign for term %d: %w", campaign.Term, err)
--- a/internal/election/lease.go
+++ b/internal/election/lease.go
@@ -26,8 +26,8 @@
 			return nil
 		case <-ticker.C:
 		}
-		// After any other error the lease may or may not have been renewed; the next tick
-		// shows which.
+		// After any error but ErrLeaseExpired the lease may or may not have been renewed; the
+		// next tick shows which.
 		if err := e.store.RenewLease(ctx, lease); !errors.Is(err, statestore.ErrLeaseExpired) {
 			continue
 		}
@@ -61,7 +61,7 @@
 	if errors.As(err, &conflict) && conflict.HasKey(TermKey) {
 		return 0, errTermSuperseded
 	}
-	// If the transaction was carried out after all, revoking the lease removes the key, so
+	// If the transaction was executed after all, revoking the lease removes the key, so
 	// that the next attempt finds it free. If revoking fails too, the lease expires by
 	// itself.
 	_ = e.store.RevokeLease(ctx, lease)
--- a/internal/election/view.go
+++ b/internal/election/view.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// winnerView returns the view of a node whose campaign was carried out at the given revision.
+// winnerView returns the view of a node whose campaign was executed at the given revision.
 func winnerView(self string, campaign Campaign, revision uint64) View {
 	return View{
 		Leader:         LeaderRecord{Node: self, Term: campaign.Term},
--- a/internal/election/view_test.go
+++ b/internal/election/view_test.go
@@ -38,7 +38,7 @@
 	return View{Leader: s.leader, LeaderRevision: s.leaderRevision, Term: s.term.Term, TermRevision: s.termRevision}
 }
 
-// commit carries out a campaign and reports whether its conditions held.
+// commit executes a campaign and reports whether its conditions held.
 func (s *modelStore) commit(t *rapid.T, campaign Campaign) bool {
 	t.Helper()
 	for _, condition := range campaign.Conditions {
