--- a/internal/statestore/keys.go
+++ b/internal/statestore/keys.go
@@ -13,7 +13,7 @@
 // Get returns the value and revision of a key; found is false if the key does not exist.
 func (c *Client) Get(ctx context.Context, class Class, key string) (row KeyValue, found bool, err error) {
 	if err := c.Budget.Take(ctx, class, 0); err != nil {
-		return KeyValue{}, false, fmt.Errorf("get %s: %w: %w", key, ErrUnavailable, err)
+		return KeyValue{}, false, fmt.Errorf("get %s: wait for request budget: %w: %w", key, ErrUnavailable, err)
 	}
 	request := request{
 		class: class, timeout: constants.StateTimeout,
@@ -54,7 +54,7 @@
 // listPage reads one page of the keys with the given prefix that sort after afterKey.
 func (c *Client) listPage(ctx context.Context, class Class, prefix, afterKey string) (listPage, error) {
 	if err := c.Budget.Take(ctx, class, 0); err != nil {
-		return listPage{}, fmt.Errorf("list %s: %w: %w", prefix, ErrUnavailable, err)
+		return listPage{}, fmt.Errorf("list %s: wait for request budget: %w: %w", prefix, ErrUnavailable, err)
 	}
 	query := url.Values{paramPrefix: {prefix}, paramLimit: {strconv.Itoa(constants.StateListPageSize)}}
 	if afterKey != "" {
--- a/internal/statestore/lease.go
+++ b/internal/statestore/lease.go
@@ -13,7 +13,7 @@
 // ErrOutcomeUnknown a lease may exist whose ID was lost; it expires after ttl.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (lease uint64, err error) {
 	if err := c.Budget.Take(ctx, ClassLease, 0); err != nil {
-		return 0, fmt.Errorf("grant lease: %w: %w", ErrUnavailable, err)
+		return 0, fmt.Errorf("grant lease: wait for request budget: %w: %w", ErrUnavailable, err)
 	}
 	var result leaseResponse
 	request := request{
@@ -35,7 +35,7 @@
 // ended.
 func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
 	if err := c.Budget.Take(ctx, ClassLease, 0); err != nil {
-		return fmt.Errorf("renew lease %d: %w: %w", lease, ErrUnavailable, err)
+		return fmt.Errorf("renew lease %d: wait for request budget: %w: %w", lease, ErrUnavailable, err)
 	}
 	request := request{
 		class: ClassLease, timeout: constants.LeaderLeaseRenewInterval, // by then the next renewal is due
--- a/internal/statestore/transaction.go
+++ b/internal/statestore/transaction.go
@@ -20,7 +20,7 @@
 // executed, or may be executed later.
 func (c *Client) Txn(ctx context.Context, class Class, conditions []Condition, writes []Write) (revision uint64, err error) {
 	if err := c.Budget.Take(ctx, class, len(writes)); err != nil {
-		return 0, fmt.Errorf("execute transaction: %w: %w", ErrUnavailable, err)
+		return 0, fmt.Errorf("execute transaction: wait for request budget: %w: %w", ErrUnavailable, err)
 	}
 	var result txnResponse
 	request := request{
--- a/internal/statestore/watch.go
+++ b/internal/statestore/watch.go
@@ -12,12 +12,12 @@
 )
 
 // Watch waits until a key with the given prefix changes after fromRevision, or until maxWait
-// has passed, which may be at most a minute. It returns all changes since fromRevision, and
+// has passed, which may be at most a minute. It returns all changes after fromRevision, and
 // the revision from which the next watch continues. It returns ErrCompacted if fromRevision
 // is too old.
 func (c *Client) Watch(ctx context.Context, prefix string, fromRevision uint64, maxWait time.Duration) (revision uint64, changes []Change, err error) {
 	if err := c.Budget.Take(ctx, ClassLease, 0); err != nil {
-		return 0, nil, fmt.Errorf("watch %s: %w: %w", prefix, ErrUnavailable, err)
+		return 0, nil, fmt.Errorf("watch %s: wait for request budget: %w: %w", prefix, ErrUnavailable, err)
 	}
 	query := url.Values{
 		paramPrefix:  {prefix},
