--- a/internal/peers/client.go
+++ b/internal/peers/client.go
@@ -32,7 +32,7 @@
 // the current write completes, which is forever if the peer has stopped reading.
 type connection struct {
 	*rpc.Client
-	writeSem chan struct{} // semaphore of one, held while a call is written
+	writeSem chan struct{} // binary semaphore, held while a call is written
 }
 
 // NewClient returns a Client for the nodes with the given addresses, which are keyed by node
@@ -143,8 +143,9 @@
 	return reply.OK, nil
 }
 
-// AttestCancellations returns the jobs whose cancellation a node has confirmed to users
-// within the last span. ok is false if the node can't give a complete list or can't be reached.
+// AttestCancellations returns the jobs whose cancellation a node has confirmed to users within
+// the given span before its answer. ok is false if the node can't give a complete list or can't
+// be reached.
 func (c *Client) AttestCancellations(ctx context.Context, node string, span time.Duration) (cancelled []string, ok bool) {
 	reply := new(VouchReply)
 	// Rounded up, so that the node covers at least the span.
