--- a/internal/workers/agent.go
+++ b/internal/workers/agent.go
@@ -58,8 +58,8 @@
 }
 
 // Observe applies a message from the worker. fresh is false if the message is outdated and was
-// ignored. direct is set for the response to a request to /commands or /status. This response
-// may overtake the reply to a heartbeat, so an attempt missing from it proves nothing.
+// ignored. direct is set for the response to a direct command (CommandClient.Send). This
+// response may overtake the reply to a heartbeat, so an attempt missing from it proves nothing.
 func (agent *Agent) Observe(heartbeat *Heartbeat, term uint64, direct bool, now time.Time) (events []Event, fresh bool) {
 	if agent.isOutdated(heartbeat) {
 		return nil, false
@@ -103,8 +103,9 @@
 // after it has killed and forgotten every task of the previous one.
 func (agent *Agent) beginEpoch(epoch uint64, now time.Time) []Event {
 	if agent.Registered && agent.Epoch > 0 {
-		// No missed command can matter any more, so even a worker whose replies were lost
-		// gets replies again: if it then stays in this epoch, it receives them.
+		// Commands that the worker missed concern only attempts of the old epoch. Even a worker
+		// whose replies were lost is therefore answered again: if it then stays in this epoch,
+		// the replies reach it.
 		agent.EpochUnconfirmed, agent.RepliesLost, agent.EpochUnconfirmedAt = true, false, now
 	}
 	gone := agent.expireEpochs(epoch - 1)
@@ -174,7 +175,7 @@
 	return events
 }
 
-// addUnrecorded adds an attempt that is in no record. It occupies the machine until it is
+// addUnrecorded adds an attempt that no record contains. It occupies the machine until it is
 // proven gone. As it is unknown which leader started it, it is treated as an attempt of an
 // earlier term.
 func (agent *Agent) addUnrecorded(id AttemptID, epoch uint64, now time.Time) *Attempt {
--- a/internal/workers/attempt.go
+++ b/internal/workers/attempt.go
@@ -48,7 +48,7 @@
 	ID AttemptID
 	// Epoch is the worker's epoch in which the attempt was placed.
 	Epoch uint64
-	// Committed is set once the machine's record with this attempt is durable.
+	// Committed is set once the record of the attempt's start is durable.
 	Committed bool
 	// StartAllowed is set by the leader when `run` may be sent. The tasks of a gang wait until
 	// all of them are recorded.
@@ -117,7 +117,7 @@
 	// EventStatusChanged means that the worker lists the attempt with a new status other than
 	// exited.
 	EventStatusChanged
-	// EventUnrecorded means that the worker lists an attempt that is in no record.
+	// EventUnrecorded means that the worker lists an attempt that no record contains.
 	EventUnrecorded
 )
 
--- a/internal/workers/command_client.go
+++ b/internal/workers/command_client.go
@@ -38,7 +38,7 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+endpoint+"/commands", bytes.NewReader(raw))
 	if err != nil {
-		return nil, fmt.Errorf("send commands to %s: %w", endpoint, err)
+		return nil, fmt.Errorf("create command request for %s: %w", endpoint, err)
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
@@ -47,7 +47,7 @@
 	defer func() { _ = response.Body.Close() }() // the body has been read by then
 	body, err := io.ReadAll(io.LimitReader(response.Body, constants.MaxCommandResponseBytes))
 	if err != nil {
-		return nil, fmt.Errorf("send commands to %s: %w", endpoint, err)
+		return nil, fmt.Errorf("read response to commands from %s: %w", endpoint, err)
 	}
 	if response.StatusCode != http.StatusOK && response.StatusCode != http.StatusConflict {
 		return nil, fmt.Errorf("send commands to %s: unexpected status %d", endpoint, response.StatusCode)
--- a/internal/workers/commands.go
+++ b/internal/workers/commands.go
@@ -22,10 +22,11 @@
 	return false
 }
 
-// Commands returns the pending commands for the worker. A `run` is included only in the reply
-// to a heartbeat (replying) of the epoch in which the attempt was placed, and only once the
-// attempt's record is durable; Commands marks it as sent. A `run` in a direct command could be
-// executed late (protocol, "Delayed messages"), while a worker drops late replies.
+// Commands returns the pending commands for the worker, for the reply to its newest heartbeat
+// (replying) or for a direct command. A `run` is included only in a reply, only in the epoch in
+// which the attempt was placed, and only once the attempt's record is durable; Commands marks
+// it as sent. In a direct command a `run` could be executed late (protocol, "Delayed
+// messages"), while a worker drops late replies.
 func (agent *Agent) Commands(replying bool, now time.Time) []Command {
 	var commands []Command
 	for _, attempt := range agent.SortedAttempts() {
--- a/internal/workers/lost_replies_test.go
+++ b/internal/workers/lost_replies_test.go
@@ -65,10 +65,10 @@
 	}
 }
 
-// TestNewEpochIsUnconfirmed checks that EpochUnconfirmed is set when a worker's epoch ends
-// while it keeps sending heartbeats, and that it is cleared by evidence that the worker
-// receives messages, or once the worker has kept the new epoch for two leases.
-func TestNewEpochIsUnconfirmed(t *testing.T) {
+// TestReachabilityUnconfirmedAfterNewEpoch checks that EpochUnconfirmed is set when a worker's
+// epoch ends while it keeps sending heartbeats, and that it is cleared by evidence that the
+// worker receives messages, or once the worker has kept the new epoch for two leases.
+func TestReachabilityUnconfirmedAfterNewEpoch(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
 		name      string
--- a/internal/workers/gone.go
+++ b/internal/workers/removal.go
@@ -6,9 +6,9 @@
 	"thornnotch/internal/constants"
 )
 
-// This file contains the proofs that an attempt is gone: that it is not on its machine and
-// never will be. Its task may start elsewhere only after such a proof, as it could otherwise
-// run twice. The proofs are:
+// This file removes attempts that are proven gone: that are not on their machine and never
+// will be. A task may start elsewhere only after such a proof, as it could otherwise run
+// twice. The proofs are:
 //
 //   - never sent: no node can have sent a `run` for it (RequestStop);
 //   - absence: a heartbeat of its epoch does not list it (removeAbsent);
