--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -12,7 +12,7 @@
 	"thornnotch/internal/autoscaling"
 )
 
-// Statuses of machines in the cloud's machine list (protocol).
+// Machine statuses that the protocol defines for the cloud's machine list.
 const (
 	statusStarting = "starting"
 	statusRunning  = "running"
@@ -20,10 +20,12 @@
 )
 
 const (
-	// maxRentCount is the maximum number of machines in one rent request (protocol).
+	// maxRentCount is the maximum number of machines that the protocol allows in one rent
+	// request.
 	maxRentCount = 50
-	// failureListDelay is how long a failed machine is still listed as running (protocol).
-	failureListDelay = 30 * time.Second
+	// failureReportDelay is how long the cloud still lists a failed machine as running, by the
+	// protocol.
+	failureReportDelay = 30 * time.Second
 	// firstWorkerPort is the port of the first machine's worker. Each further machine uses
 	// the next port.
 	firstWorkerPort = 21000
@@ -86,7 +88,7 @@
 }
 
 // FailMachine stops a machine and everything that runs on it. The cloud still lists the
-// machine as running for failureListDelay, and then as failed.
+// machine as running for failureReportDelay, and then as failed.
 func (c *Cloud) FailMachine(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,7 +99,7 @@
 	machine.stop()
 	go func() {
 		<-machine.stopped
-		timer := time.NewTimer(failureListDelay)
+		timer := time.NewTimer(failureReportDelay)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
@@ -132,7 +134,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.outage {
-		writeError(w, http.StatusServiceUnavailable, outageReason)
+		writeError(w, http.StatusServiceUnavailable, unavailableReason)
 		return
 	}
 	switch r.Method + " " + r.URL.Path {
@@ -179,7 +181,7 @@
 }
 
 // returnMachines stops the machines named in the request. It replies only after the machines
-// and everything on them have stopped, as the protocol promises.
+// and everything on them have stopped, as the protocol requires. It releases c.mu meanwhile.
 func (c *Cloud) returnMachines(w http.ResponseWriter, r *http.Request) {
 	var request machineNames
 	if json.NewDecoder(r.Body).Decode(&request) != nil {
@@ -212,8 +214,8 @@
 	writeReply(w, http.StatusOK, page)
 }
 
-// addMachine adds a machine that runs after its boot time and returns its name. The caller
-// must hold c.mu.
+// addMachine adds a machine that starts its worker after bootTime, and returns its name. The
+// caller must hold c.mu.
 func (c *Cloud) addMachine(machineType autoscaling.MachineType, zone string, spot bool, bootTime time.Duration) string {
 	ctx, stop := context.WithCancel(c.ctx)
 	machine := &rentedMachine{
--- a/internal/simulator/doc.go
+++ b/internal/simulator/doc.go
@@ -1,6 +1,7 @@
 // Package simulator implements in-process fakes of the external systems that a controller
-// node talks to, written from their protocol. The tests of a node and `thornnotch demo` use
-// them together; each can also be used alone to test a client of its system:
+// node talks to. They follow the protocol of these systems. The tests of a node and
+// `thornnotch demo` use them together; each can also be used alone to test a client of its
+// system:
 //
 //   - StateService is the consensus-backed key-value store, an http.Handler;
 //   - Cloud rents and returns machines, an http.Handler;
@@ -8,7 +9,7 @@
 //   - Network connects hosts within one process, and can break and delay their connections;
 //   - ServeSite serves a whole site on loopback.
 //
-// The fakes keep all state in memory and enforce rate limits only if a test sets them. Their
-// interface includes fault injection: outages, lost replies, network partitions, and hanging
+// The fakes keep all state in memory, and enforce size and rate limits only if a test sets them.
+// Tests can inject faults: outages, lost and delayed replies, network partitions, and hanging
 // and faulty machines.
 package simulator
--- a/internal/simulator/gang_registry.go
+++ b/internal/simulator/gang_registry.go
@@ -21,7 +21,7 @@
 	return &GangRegistry{members: make(map[gangAttempt]map[int]bool), completed: make(map[gangAttempt]bool)}
 }
 
-// join adds a task that waits for the rest of its gang.
+// join adds a task that starts to wait for the rest of its gang.
 func (g *GangRegistry) join(t *task) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -32,7 +32,7 @@
 	g.members[gangKey][t.id.Task.Index] = true
 }
 
-// leave removes a task that has ended. completed is true if its gang has completed.
+// leave removes a task that has ended. If completed is true, it marks the gang as completed.
 func (g *GangRegistry) leave(t *task, completed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -42,8 +42,8 @@
 	}
 }
 
-// state reports whether all tasks of t's gang have joined, and whether the gang has completed.
-func (g *GangRegistry) state(t *task) (allPresent, completed bool) {
+// progress reports whether all tasks of t's gang have joined, and whether the gang has completed.
+func (g *GangRegistry) progress(t *task) (allPresent, completed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.members[t.gangKey()]) == t.job.Tasks, g.completed[t.gangKey()]
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -25,7 +25,7 @@
 	name    string
 
 	mu           sync.Mutex       // guards the fields below
-	conns        map[*conn]string // open connections and the address dialled; empty if accepted
+	conns        map[*conn]string // dialled address of each open connection; empty if accepted
 	listeners    []*listener
 	unreachable  map[string]bool // addresses that the host can't reach
 	killed       bool
@@ -46,7 +46,7 @@
 
 // Listen announces on addr.
 func (h *Host) Listen(_, addr string) (net.Listener, error) {
-	l := &listener{host: h, addr: addr, queue: make(chan net.Conn), closed: make(chan struct{})}
+	l := &listener{host: h, addr: addr, incoming: make(chan net.Conn), closed: make(chan struct{})}
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
 	if h.network.listeners[addr] != nil {
@@ -70,7 +70,7 @@
 	dialled, accepted := h.newConnPair(l)
 	if h.addConn(dialled, addr) && l.host.addConn(accepted, "") {
 		select {
-		case l.queue <- accepted:
+		case l.incoming <- accepted:
 			return dialled, nil
 		case <-l.closed:
 		case <-ctx.Done():
@@ -81,11 +81,11 @@
 	return nil, errRefused
 }
 
-// newConnPair returns both ends of a new connection to a listener.
+// newConnPair returns both ends of a new connection from h to a listener.
 func (h *Host) newConnPair(l *listener) (dialled, accepted *conn) {
 	dialledEnd, acceptedEnd := net.Pipe()
-	return &conn{Conn: dialledEnd, host: h, peer: l.host.name, sender: l.host},
-		&conn{Conn: acceptedEnd, host: l.host, peer: h.name, accepted: true}
+	return &conn{Conn: dialledEnd, host: h, remoteName: l.host.name, sender: l.host},
+		&conn{Conn: acceptedEnd, host: l.host, remoteName: h.name, accepted: true}
 }
 
 func (h *Host) isUnreachable(addr string) bool {
@@ -123,17 +123,17 @@
 
 // listener implements net.Listener for one address.
 type listener struct {
-	host   *Host
-	addr   string
-	queue  chan net.Conn
-	closed chan struct{}
-	once   sync.Once // guards the closing of closed
+	host     *Host
+	addr     string
+	incoming chan net.Conn
+	closed   chan struct{}
+	once     sync.Once // guards the closing of closed
 }
 
 // Accept waits for the next connection.
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.queue:
+	case c := <-l.incoming:
 		return c, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
@@ -164,23 +164,23 @@
 // conn is one host's end of a connection.
 type conn struct {
 	net.Conn
-	host *Host
-	peer string
-	// sender is the peer whose packet delay is applied when this end reads; it is set on the
-	// dialling end only. The delay of packets from the accepting host can't be applied when
-	// that host writes: net/rpc writes its responses under a mutex, and goroutines blocked on
-	// a mutex whose holder sleeps keep the clock of a synctest bubble from advancing, so the
-	// test would hang.
+	host       *Host
+	remoteName string
+	// sender is the accepting host, and nil on the accepting end. The packet delay of the
+	// accepting host is applied when the dialling end reads and not when the accepting host
+	// writes, because net/rpc writes its responses under a mutex: goroutines blocked on a mutex
+	// whose holder sleeps keep the clock of a synctest bubble from advancing, and the test
+	// would hang.
 	sender *Host
-	// accepted is true on the listener's end.
+	// accepted is true on the accepting end.
 	accepted bool
 }
 
 // RemoteAddr returns the name of the host at the other end.
-func (c *conn) RemoteAddr() net.Addr { return address(c.peer) }
+func (c *conn) RemoteAddr() net.Addr { return address(c.remoteName) }
 
-// Read reads from the connection. It returns after the sender's packet delay, and not while
-// the host is frozen.
+// Read reads from the connection. Once data has arrived, the dialling end waits for the sender's
+// packet delay. Read does not return while the host is frozen.
 func (c *conn) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer)
 	if c.sender != nil {
@@ -190,8 +190,8 @@
 	return n, err
 }
 
-// Write writes to the connection. It blocks while the host is frozen. On the dialling end it
-// also waits for the host's packet delay.
+// Write writes to the connection. It blocks while the host is frozen. The dialling end also
+// waits for the host's packet delay.
 func (c *conn) Write(data []byte) (int, error) {
 	c.host.waitUntilResumed()
 	if !c.accepted {
--- a/internal/simulator/network_faults.go
+++ b/internal/simulator/network_faults.go
@@ -28,12 +28,12 @@
 	}
 }
 
-// DelayPackets delays each packet that the host sends by a duration obtained from draw; nil
-// removes the delay.
-func (h *Host) DelayPackets(draw func() time.Duration) {
+// DelayPackets delays each packet that the host sends by the duration that nextDelay returns for
+// it. A nil nextDelay removes the delay.
+func (h *Host) DelayPackets(nextDelay func() time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.packetDelay = draw
+	h.packetDelay = nextDelay
 }
 
 // sleepPacketDelay sleeps for the delay of one packet sent by the host.
@@ -46,7 +46,8 @@
 	}
 }
 
-// Disconnect resets the host's connections to the given addresses and refuses new ones.
+// Disconnect resets the host's connections to the given addresses. New connections to them are
+// refused until Heal is called. Connections that the host accepts are not affected.
 func (h *Host) Disconnect(addrs ...string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -19,7 +19,7 @@
 
 const (
 	siteMachineCount      = 12          // machines that the simulated cloud can rent out
-	siteFetchTime         = time.Second // time to fetch any image
+	siteFetchTime         = time.Second // time that a worker takes to fetch an image
 	siteReadHeaderTimeout = 10 * time.Second
 
 	// lossSeed is fixed, so that every run draws the same sequence of lost replies.
@@ -34,12 +34,13 @@
 // ServeSite serves a simulated site on loopback until ctx is done: a state service and a cloud
 // at the addresses in settings, and the workers of the cloud's machines. The workers connect
 // to nodes, which maps node labels to user API addresses. lossShare is the fraction of write
-// transactions whose reply the state service drops.
+// transactions whose reply the state service drops. ServeSite returns an error if an address is
+// not on loopback or a server fails, and nil once ctx is done.
 func ServeSite(ctx context.Context, settings *config.Settings, nodes map[string]string, lossShare float64, log *slog.Logger) error {
 	state := NewStateService()
 	defer state.Close()
 	if lossShare > 0 {
-		state.SetTxnFaults(drawLostReplies(lossShare, log))
+		state.SetTxnFaults(randomLostReplies(lossShare, log))
 	}
 	cloud := NewCloud(ctx, siteCatalog(settings.Params.Zones), siteMachineCount, siteWorkerRunner(settings, nodes, state, log))
 	serveErrors := make(chan error, 2)
@@ -103,21 +104,21 @@
 	}
 }
 
-// drawLostReplies returns a function that drops the reply to the given share of write
-// transactions, chosen at random. The fraction lateShare of these transactions is applied some
-// seconds late if their conditions hold then; the rest are applied immediately.
-func drawLostReplies(share float64, log *slog.Logger) func(caller string, writes int) TxnFault {
-	draw := rand.New(rand.NewPCG(lossSeed, lossSeed))
+// randomLostReplies returns a function for SetTxnFaults that drops the reply to the fraction
+// lossShare of write transactions, chosen at random. The fraction lateShare of these transactions
+// is applied some seconds late if their conditions hold then; the rest are applied immediately.
+func randomLostReplies(lossShare float64, log *slog.Logger) func(caller string, writes int) TxnFault {
+	random := rand.New(rand.NewPCG(lossSeed, lossSeed))
 	return func(_ string, writes int) TxnFault {
-		if writes == 0 || draw.Float64() >= share {
+		if writes == 0 || random.Float64() >= lossShare {
 			return TxnFault{}
 		}
-		late := draw.Float64() < lateShare
+		late := random.Float64() < lateShare
 		log.Info("reply dropped", "late", late)
 		if !late {
 			return TxnFault{ReplyLost: true}
 		}
-		return TxnFault{ReplyLost: true, After: config.Seconds(minLateDelayS + draw.Float64()*lateDelaySpreadS)}
+		return TxnFault{ReplyLost: true, After: config.Seconds(minLateDelayS + random.Float64()*lateDelaySpreadS)}
 	}
 }
 
@@ -136,8 +137,8 @@
 	return dialer.DialContext(ctx, network, addr)
 }
 
-// submittedJobs implements JobSource with the records of open jobs that the nodes keep in the
-// state service.
+// submittedJobs implements JobSource. It reads the records of open jobs that the nodes write to
+// the state service.
 type submittedJobs struct{ state *StateService }
 
 // Job returns the specification of an open job, and false if no such job is open.
--- a/internal/simulator/state_faults.go
+++ b/internal/simulator/state_faults.go
@@ -7,18 +7,20 @@
 
 // TxnFault is the fault injected into one transaction. The zero value injects none.
 type TxnFault struct {
-	// ReplyLost drops the reply. The transaction is applied after the delay After, if its
-	// conditions hold then.
+	// ReplyLost drops the reply. The transaction is applied when the time After has passed, if
+	// its conditions hold then.
 	ReplyLost bool
 	After     time.Duration
-	// Delay delays the transaction and its reply, unless the reply is lost.
+	// Delay is how long the service waits before it applies the transaction and replies. It is
+	// ignored if ReplyLost is set.
 	Delay time.Duration
 }
 
-// FaultCounts counts the faults that took place, so that a test can check that an injected fault
-// occurred. The faults are requests refused with 503, lost replies, transactions that were due
-// late and were applied (LateApplied) or not (LateRejected), and transactions over a size limit
-// or the rate limit.
+// FaultCounts counts the faults that occurred, so that a test can check that an injected fault
+// took effect. Refused counts requests that failed with 503 on arrival, and ReplyLost transactions
+// without a reply. LateApplied and LateRejected count the transactions to be applied after a delay
+// that were applied or rejected then. TooLarge and RateLimited count the transactions over a size
+// limit and over the rate limit.
 type FaultCounts struct{ Refused, ReplyLost, LateApplied, LateRejected, TooLarge, RateLimited int }
 
 // RequestLimits holds the limits that the service enforces; 0 means no limit.
@@ -27,12 +29,12 @@
 	WritesPerSecond          float64 // with a burst of one second's writes
 }
 
-// conditionsPerWrite is the ratio of the limit on a transaction's conditions to the limit on its
-// writes (protocol).
+// conditionsPerWrite is the ratio, by the protocol, of the limit on a transaction's conditions to
+// the limit on its writes.
 const conditionsPerWrite = 4
 
-// SetLimits makes the service reject transactions over the size limits with 400, and writes
-// over the rate limit with 429. Values that are already stored stay readable.
+// SetLimits makes the service reject transactions over the size limits with 400, and those over
+// the rate limit with 429. Values that are already stored stay readable.
 func (s *StateService) SetLimits(limits RequestLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,32 +69,34 @@
 	s.wakeWatches()
 }
 
-// SetTxnFaults sets the function that chooses the fault of each transaction; nil injects none.
-func (s *StateService) SetTxnFaults(draw func(caller string, writes int) TxnFault) {
+// SetTxnFaults sets the function that chooses the fault of each transaction from the caller's
+// remote address and the number of writes. If it is nil, no faults are injected.
+func (s *StateService) SetTxnFaults(choose func(caller string, writes int) TxnFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fault = draw
+	s.fault = choose
 }
 
-// Counts returns the faults counted so far.
+// Counts returns the numbers of faults that have occurred so far.
 func (s *StateService) Counts() FaultCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.counts
+	return s.faultCounts
 }
 
-// isUnavailable reports whether requests of the host fail with 503.
+// isUnavailable reports whether requests of the host fail with 503. The caller must hold s.mu.
 func (s *StateService) isUnavailable(host string) bool { return s.outage || s.refusedHosts[host] }
 
-// limitStatus returns the HTTP status with which the limits reject a transaction, or 0 if they
-// allow it.
-func (s *StateService) limitStatus(txn storeTransaction) int {
+// enforceLimits checks a transaction against the limits, takes its write tokens, and counts a
+// rejection. It returns the HTTP status of the rejection, or 0 if the limits allow the
+// transaction. The caller must hold s.mu.
+func (s *StateService) enforceLimits(txn storeTransaction) int {
 	if s.exceedsSizeLimits(txn) {
-		s.counts.TooLarge++
+		s.faultCounts.TooLarge++
 		return http.StatusBadRequest
 	}
 	if s.limits.WritesPerSecond > 0 && !s.takeWriteTokens(float64(len(txn.Writes))) {
-		s.counts.RateLimited++
+		s.faultCounts.RateLimited++
 		return http.StatusTooManyRequests
 	}
 	return 0
--- a/internal/simulator/state_http.go
+++ b/internal/simulator/state_http.go
@@ -18,8 +18,8 @@
 	maxLeaseMs  = 600000
 )
 
-// ServeHTTP implements http.Handler with the state service's API. Handlers run with s.mu held
-// and release it only while they wait; watch locks it itself.
+// ServeHTTP implements http.Handler with the state service's API. It holds s.mu while a handler
+// runs, and a handler releases s.mu only while it waits. Only watch locks s.mu itself.
 func (s *StateService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/follow" {
 		s.watch(w, r)
@@ -28,8 +28,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.isUnavailable(r.RemoteAddr) {
-		s.counts.Refused++
-		writeError(w, http.StatusServiceUnavailable, outageReason)
+		s.faultCounts.Refused++
+		writeError(w, http.StatusServiceUnavailable, unavailableReason)
 		return
 	}
 	switch path := r.URL.Path; {
@@ -103,14 +103,15 @@
 	}
 }
 
-// handleTransaction checks a transaction against the limits, injects its fault, and applies it.
+// handleTransaction checks a transaction against the limits, chooses the fault to inject, and
+// applies the transaction as the fault requires.
 func (s *StateService) handleTransaction(w http.ResponseWriter, r *http.Request) {
 	var txn storeTransaction
 	if json.NewDecoder(r.Body).Decode(&txn) != nil {
 		writeError(w, http.StatusBadRequest, "malformed")
 		return
 	}
-	if status := s.limitStatus(txn); status != 0 {
+	if status := s.enforceLimits(txn); status != 0 {
 		writeError(w, status, "limit")
 		return
 	}
@@ -127,7 +128,7 @@
 		time.Sleep(fault.Delay)
 		s.mu.Lock()
 		if s.isUnavailable(r.RemoteAddr) {
-			writeError(w, http.StatusServiceUnavailable, outageReason)
+			writeError(w, http.StatusServiceUnavailable, unavailableReason)
 			return
 		}
 	}
@@ -135,10 +136,10 @@
 	writeReply(w, status, body)
 }
 
-// loseReply applies a transaction immediately or after a delay, and sends no reply: it blocks
-// until the client gives up.
+// loseReply applies a transaction immediately, or after the given delay, and sends no reply: it
+// blocks until the client cancels the request.
 func (s *StateService) loseReply(r *http.Request, txn storeTransaction, after time.Duration) {
-	s.counts.ReplyLost++
+	s.faultCounts.ReplyLost++
 	if after == 0 {
 		s.apply(txn)
 	} else {
@@ -156,13 +157,14 @@
 		return
 	}
 	if status, _ := s.apply(txn); status == http.StatusOK {
-		s.counts.LateApplied++
+		s.faultCounts.LateApplied++
 	} else {
-		s.counts.LateRejected++
+		s.faultCounts.LateRejected++
 	}
 }
 
-// apply applies a transaction if its conditions hold, and returns the response.
+// apply applies a transaction if its conditions hold and the leases of its writes exist, and
+// returns the status and body of the response. The caller must hold s.mu.
 func (s *StateService) apply(txn storeTransaction) (status int, body any) {
 	failed := []string{}
 	for _, condition := range txn.Conditions {
@@ -200,23 +202,23 @@
 }
 
 // watch replies once a key with the prefix has changed after the given revision, or on timeout.
-// If the service becomes unavailable to the host in the meantime, the watch keeps waiting until
-// it is available again, even past its timeout.
+// While the service is unavailable to the host, a pending watch gets no reply, even after its
+// timeout.
 func (s *StateService) watch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	from, _ := strconv.ParseUint(query.Get("from"), 10, 64)      // 0 if missing: all changes
+	after, _ := strconv.ParseUint(query.Get("from"), 10, 64)     // 0 if missing: all changes
 	blockMs, _ := strconv.ParseInt(query.Get("blockMs"), 10, 64) // 0 if missing: no wait
 	timer := time.NewTimer(time.Duration(blockMs) * time.Millisecond)
 	defer timer.Stop()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.isUnavailable(r.RemoteAddr) {
-		s.counts.Refused++
-		writeError(w, http.StatusServiceUnavailable, outageReason)
+		s.faultCounts.Refused++
+		writeError(w, http.StatusServiceUnavailable, unavailableReason)
 		return
 	}
 	for timedOut := false; ; {
-		changes := s.changesAfter(from, query.Get("prefix"))
+		changes := s.changesAfter(after, query.Get("prefix"))
 		if !s.isUnavailable(r.RemoteAddr) && (len(changes) > 0 || timedOut) {
 			writeReply(w, http.StatusOK, watchReply{s.revision, changes})
 			return
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -15,7 +15,7 @@
 	revision  uint64
 	items     map[string]storeItem
 	changeLog []storeChange // all changes since the start, oldest first
-	changed   chan struct{} // closed and replaced to wake the watches
+	changed   chan struct{} // closed and replaced to wake the pending watches
 	closed    bool
 
 	leases      map[uint64]*lease
@@ -23,19 +23,20 @@
 
 	// Fault injection.
 	outage       bool
-	refusedHosts map[string]bool // hosts whose requests fail
-	fault        func(caller string, writes int) TxnFault
-	counts       FaultCounts
+	refusedHosts map[string]bool                          // hosts whose requests fail
+	fault        func(caller string, writes int) TxnFault // chooses a transaction's fault; nil: none
+	faultCounts  FaultCounts
 
 	limits      RequestLimits
 	writeTokens float64 // tokens in the rate limiter's bucket; a write takes one
 	refilledAt  time.Time
 }
 
+// storeItem is the value of one key.
 type storeItem struct {
 	value    json.RawMessage
-	revision uint64
-	lease    uint64
+	revision uint64 // revision of the last write to the key
+	lease    uint64 // ID of the lease that the key is attached to, or 0
 }
 
 // NewStateService returns an empty state service.
@@ -43,7 +44,7 @@
 	return &StateService{items: make(map[string]storeItem), leases: make(map[uint64]*lease), changed: make(chan struct{})}
 }
 
-// Close stops the timers of all leases and drops the transactions that wait to be applied late.
+// Close stops the timers of all leases and drops transactions that are still to be applied late.
 func (s *StateService) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +83,8 @@
 	return keys
 }
 
-// recordChange appends a change at the current revision to the log and wakes the watches.
+// recordChange appends a change at the current revision to the change log and wakes the pending
+// watches. The caller must hold s.mu.
 func (s *StateService) recordChange(change storeChange) {
 	change.Revision = s.revision
 	s.changeLog = append(s.changeLog, change)
@@ -94,13 +96,14 @@
 	s.changed = make(chan struct{})
 }
 
-// lease is a granted lease. The keys attached to it are deleted when it ends.
+// lease holds the TTL and the timer of a granted lease. When the lease ends, the keys attached to
+// it are deleted.
 type lease struct {
 	ttl   time.Duration
 	timer *time.Timer // ends the lease after ttl
 }
 
-// addLease grants a lease and returns its ID. The caller must hold s.mu.
+// addLease creates a lease and returns its ID. The caller must hold s.mu.
 func (s *StateService) addLease(ttl time.Duration) (id uint64) {
 	s.lastLeaseID++
 	id = s.lastLeaseID
--- a/internal/simulator/wire.go
+++ b/internal/simulator/wire.go
@@ -8,9 +8,9 @@
 	"thornnotch/internal/statestore"
 )
 
-// The protocol messages below are not declared by the client packages, or are declared there
-// only for the opposite direction. The JSON tags hold the protocol's names; the Go code uses
-// the project's terms.
+// The client packages do not declare the protocol messages below, or declare them only for the
+// opposite direction. The JSON tags hold the protocol's names; the Go names are the project's
+// terms.
 
 // errorReply is the body of an error response.
 type errorReply struct {
@@ -20,7 +20,8 @@
 // emptyReply is the body of a successful response without data.
 type emptyReply struct{}
 
-// storeChange is a change of one key, as reported by a watch: either Put or Delete is set.
+// storeChange is a change of one key, as reported by a watch. Either Put or Delete holds the
+// key.
 type storeChange struct {
 	Put      string          `json:"set,omitempty"`
 	Value    json.RawMessage `json:"v,omitempty"`
@@ -39,7 +40,7 @@
 	Revision uint64 `json:"epoch"`
 }
 
-// conflictReply lists the keys whose conditions do not hold.
+// conflictReply lists the keys whose conditions did not hold.
 type conflictReply struct {
 	Failed   []string `json:"failed"`
 	Revision uint64   `json:"epoch"`
@@ -55,7 +56,7 @@
 // watchReply lists the changes after the requested revision.
 type watchReply struct {
 	Revision uint64        `json:"epoch"`
-	Log      []storeChange `json:"log"`
+	Changes  []storeChange `json:"log"`
 }
 
 // leaseRequest requests a new lease.
@@ -80,7 +81,7 @@
 	HasNext  bool                   `json:"hasNext"`
 }
 
-// redirectReply tells a worker the label of the leading node.
+// redirectReply tells a worker the label of the leader.
 type redirectReply struct {
 	Leader string `json:"foreman"`
 }
@@ -95,5 +96,5 @@
 	writeReply(w, status, errorReply{reason})
 }
 
-// outageReason is the error text of the 503 response during an outage.
-const outageReason = "trouble"
+// unavailableReason is the error text of the 503 response during an outage or to a refused host.
+const unavailableReason = "trouble"
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -36,14 +36,15 @@
 	Spot                          bool
 
 	Nodes       []string          // addresses of the nodes
-	NodeByLabel map[string]string // address by label, to follow redirects
+	NodeByLabel map[string]string // addresses of the nodes by label, to follow redirects
 
 	HeartbeatInterval, Lease time.Duration
-	FetchTime                time.Duration // time to fetch any image
+	FetchTime                time.Duration // time that the worker takes to fetch an image
 	GangWait                 time.Duration // how long a task waits for the rest of its gang
 	// StepInterval is the interval at which the worker updates its tasks; 0 means 100 ms.
 	StepInterval time.Duration
-	// RunTime returns how long a task runs; nil means the job's expected run time.
+	// RunTime returns how long the task with the given index runs; nil means the job's expected
+	// run time.
 	RunTime func(job *jobs.Spec, index int) time.Duration
 
 	// DuplicateDelays lists the delays after which a copy of every heartbeat is sent again.
@@ -55,15 +56,15 @@
 const (
 	// FaultyRunTime is how long a task runs on a faulty machine before it fails.
 	FaultyRunTime = 500 * time.Millisecond
-	// replyTimeout is the timeout of a heartbeat request (protocol).
+	// replyTimeout is the timeout of a heartbeat request, by the protocol.
 	replyTimeout = 4 * time.Second
 	// defaultStepInterval is the default of WorkerOptions.StepInterval.
 	defaultStepInterval = 100 * time.Millisecond
 )
 
-// Worker simulates a machine and its worker process, which follows the protocol for tokens,
-// leases and commands. A task runs for its expected run time; tasks of a gang find each other
-// through a GangRegistry.
+// Worker simulates a machine and its worker process, which follows the protocol for fencing
+// tokens, leases and commands. A task only takes time, as set by WorkerOptions.RunTime. Tasks of a
+// gang find each other through a GangRegistry.
 type Worker struct {
 	options            WorkerOptions
 	transport          Transport
@@ -72,13 +73,13 @@
 	gangs              *GangRegistry
 	http               *http.Client
 	heartbeatRequested chan struct{} // holds a value if an early heartbeat was requested
-	stopped            chan struct{} // closed when Run returns; cancels pending duplicates
+	stopped            chan struct{} // closed when Run returns, to end pending waits
 
 	mu           sync.Mutex // guards the fields below
-	epoch        uint64
-	sequence     uint64
-	token        uint64
-	leaseStart   time.Time // when the last acknowledged heartbeat was sent
+	epoch        uint64     // incremented when the lease expires
+	sequence     uint64     // sequence number of the last heartbeat
+	token        uint64     // highest fencing token accepted so far
+	leaseStart   time.Time  // when the last acknowledged heartbeat was sent
 	tasks        map[workers.AttemptID]*task
 	cachedImages map[string]bool
 	nodeIndex    int // index into options.Nodes, modulo its length
@@ -105,7 +106,8 @@
 	}
 }
 
-// Run runs the worker until ctx is done, and then kills all its tasks.
+// Run runs the worker until ctx is done, and then kills all its tasks. It returns ctx's error, or
+// an error if the worker can't listen on its address.
 func (w *Worker) Run(ctx context.Context) error {
 	stop, err := w.serveCommands(ctx)
 	if err != nil {
@@ -125,7 +127,8 @@
 	return w.runLoop(ctx)
 }
 
-// serveCommands starts the HTTP server for direct commands, which runs until ctx is done.
+// serveCommands starts the HTTP server for direct commands and status requests, which runs until
+// ctx is done. After a call of stop, the end of ctx no longer closes the server.
 func (w *Worker) serveCommands(ctx context.Context) (stop func() bool, err error) {
 	listener, err := w.transport.Listen("tcp", w.options.Addr)
 	if err != nil {
@@ -159,8 +162,8 @@
 		case <-sendFinished:
 			sending = false
 		case <-w.heartbeatRequested:
-			if soon := time.Now().Add(w.options.HeartbeatInterval / 4); soon.Before(nextHeartbeat) {
-				nextHeartbeat = soon
+			if early := time.Now().Add(w.options.HeartbeatInterval / 4); early.Before(nextHeartbeat) {
+				nextHeartbeat = early
 			}
 		case <-step.C:
 			w.mu.Lock()
--- a/internal/simulator/worker_faults.go
+++ b/internal/simulator/worker_faults.go
@@ -25,7 +25,7 @@
 // and sends and receives nothing, but its lease keeps running.
 //
 // Direct commands that arrive during the hang are executed when the machine resumes, even if
-// the sender has given up.
+// the sender's request has timed out.
 func (w *Worker) SetHanging(hanging bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/simulator/worker_heartbeats.go
+++ b/internal/simulator/worker_heartbeats.go
@@ -11,8 +11,8 @@
 	"thornnotch/internal/workers"
 )
 
-// newHeartbeat returns the worker's next heartbeat, with a new sequence number. The caller must
-// hold w.mu.
+// newHeartbeat returns a heartbeat with the worker's current status and the next sequence number.
+// The caller must hold w.mu.
 func (w *Worker) newHeartbeat() workers.Heartbeat {
 	w.sequence++
 	heartbeat := workers.Heartbeat{
@@ -29,8 +29,8 @@
 	return heartbeat
 }
 
-// sendHeartbeat sends one heartbeat and handles the reply. Without a reply it blocks until the
-// timeout and switches to the next node.
+// sendHeartbeat sends one heartbeat and handles the reply. If blocked traffic or a hang keeps the
+// reply from the worker, it waits for the timeout and switches to the next node.
 func (w *Worker) sendHeartbeat(ctx context.Context) {
 	w.mu.Lock()
 	heartbeat := w.newHeartbeat()
@@ -43,13 +43,13 @@
 	w.keepHeartbeat(heartbeat)
 	if w.isOutgoingBlocked() {
 		<-ctx.Done() // no reply: wait for the timeout
-		w.tryNextNode()
+		w.switchToNextNode()
 		return
 	}
 	status, body := w.post(ctx, addr, &heartbeat)
 	if !w.handleReply(status, body, addr, heartbeat.Epoch, sentAt) {
 		<-ctx.Done() // no reply: wait for the timeout
-		w.tryNextNode()
+		w.switchToNextNode()
 	}
 }
 
@@ -69,14 +69,16 @@
 	return w.outgoingBlocked
 }
 
-func (w *Worker) tryNextNode() {
+func (w *Worker) switchToNextNode() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.nodeIndex++
 }
 
-// handleReply handles a node's reply to a heartbeat that was sent in the given epoch. It reports
-// false if blocked traffic or a hang keeps the worker from receiving the reply.
+// handleReply applies a node's reply to a heartbeat that was sent in the given epoch: it executes
+// the commands or follows the redirect, and on any other status, including 0 for a failed request,
+// switches to the next node. It reports false and does nothing if blocked traffic or a hang keeps
+// the worker from receiving the reply.
 func (w *Worker) handleReply(status int, body []byte, from string, epoch uint64, sentAt time.Time) (received bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -110,8 +112,9 @@
 	}
 }
 
-// applyCommandBatch renews the lease and executes the commands of a reply, unless its token is
-// outdated or the worker's epoch has changed (protocol). The caller must hold w.mu.
+// applyCommandBatch renews the lease from sentAt and executes the commands of a reply. By the
+// protocol it ignores the reply if its token is outdated or the worker's epoch has changed. The
+// caller must hold w.mu.
 func (w *Worker) applyCommandBatch(body []byte, epoch uint64, sentAt time.Time) {
 	var batch workers.CommandBatch
 	if json.Unmarshal(body, &batch) != nil || batch.Token < w.token || epoch != w.epoch {
@@ -121,8 +124,8 @@
 	w.executeCommands(batch.Commands, time.Now())
 }
 
-// followRedirect switches to the leader named in a redirect, or else to the next node. The
-// caller must hold w.mu.
+// followRedirect switches to the leader named in a redirect and requests an early heartbeat. If
+// the redirect names no other known node, it switches to the next node. The caller must hold w.mu.
 func (w *Worker) followRedirect(body []byte, from string) {
 	var target redirectReply
 	_ = json.Unmarshal(body, &target) // a malformed redirect names no leader
--- a/internal/simulator/worker_tasks.go
+++ b/internal/simulator/worker_tasks.go
@@ -10,7 +10,7 @@
 	"thornnotch/internal/workers"
 )
 
-// task is an attempt of a task on the machine.
+// task is one attempt to run a task on the machine.
 type task struct {
 	id          workers.AttemptID
 	job         *jobs.Spec // nil if the job is unknown
@@ -27,8 +27,8 @@
 
 func (t *task) gangKey() gangAttempt { return gangAttempt{t.id.Task.Job, t.id.Number} }
 
-// advanceTasks ends the lease if it has expired, and updates the status of all tasks to the
-// given time. The caller must hold w.mu.
+// advanceTasks applies the expiry of the lease and updates the status of all tasks at the given
+// time. The caller must hold w.mu.
 func (w *Worker) advanceTasks(now time.Time) {
 	w.expireLease(now)
 	if w.hanging {
@@ -58,8 +58,8 @@
 	}
 }
 
-// expireLease applies the protocol's rule for leases: if the lease has expired, the worker kills
-// and forgets all tasks and starts a new epoch.
+// expireLease applies the protocol's rule for leases: once the lease has expired, the worker kills
+// and forgets all tasks and starts a new epoch with a new lease.
 func (w *Worker) expireLease(now time.Time) {
 	if now.Sub(w.leaseStart) <= w.options.Lease {
 		return
@@ -86,7 +86,7 @@
 }
 
 func (w *Worker) advanceWaiting(t *task, now time.Time) {
-	allPresent, _ := w.gangs.state(t)
+	allPresent, _ := w.gangs.progress(t)
 	switch {
 	case allPresent:
 		w.setStatus(t, workers.StatusRunning, now)
@@ -101,9 +101,9 @@
 		return
 	}
 	if t.isGang() {
-		allPresent, done := w.gangs.state(t)
+		allPresent, completed := w.gangs.progress(t)
 		switch {
-		case done:
+		case completed:
 			w.exitTask(t, workers.CauseDone, false, now)
 			return
 		case !allPresent:
@@ -137,9 +137,9 @@
 // endTask notifies the observer and the gang registry that a task has ended.
 func (w *Worker) endTask(t *task, done bool) {
 	if t.started && t.isGang() {
-		// A gang completes as a whole, even if this machine's task did not report it.
-		_, gangDone := w.gangs.state(t)
-		done = done || gangDone
+		// A gang completes as a whole, even if this machine's task has not reached its end.
+		_, completed := w.gangs.progress(t)
+		done = done || completed
 	}
 	if t.started {
 		t.started = false
@@ -211,8 +211,9 @@
 }
 
 // stopTask applies the protocol's rules for `stop`: a running task that takes checkpoints saves
-// one if the grace period is long enough. Any other task exits immediately, including one that
-// is already saving if the new grace period is zero.
+// one if the grace period is long enough, and a task that is already saving continues unless the
+// new grace period is zero. Any other task exits immediately. A missing grace period counts as
+// zero.
 func (w *Worker) stopTask(t *task, graceS *float64, now time.Time) {
 	grace := 0.0
 	if graceS != nil {
@@ -229,7 +230,9 @@
 	}
 }
 
-// handleDirectCommands handles POST /commands.
+// handleDirectCommands handles POST /commands. It executes the commands unless the fencing token
+// is outdated or the epoch is not the worker's, and replies with the worker's status. While
+// incoming traffic is blocked it sends no reply.
 func (w *Worker) handleDirectCommands(rw http.ResponseWriter, r *http.Request) {
 	var batch workers.CommandBatch
 	if json.NewDecoder(r.Body).Decode(&batch) != nil || batch.Token == 0 || batch.Epoch == 0 {
