--- a/cmd/thornnotch/client.go
+++ b/cmd/thornnotch/client.go
@@ -26,8 +26,9 @@
 	body       []byte
 }
 
-// request sends a request to the node and returns the body of the response. A response whose
-// status is not one of accepted is an error, which names the subject: a job's ID or "status".
+// request sends a request to the node and returns the body of the response. If the response's
+// status is not one of accepted, it returns an error that begins with subject, which is a job's
+// ID or "status".
 func (c client) request(subject, method, path string, body []byte, accepted ...int) ([]byte, error) {
 	resp, err := c.send(method, path, body)
 	if err != nil {
@@ -62,13 +63,14 @@
 	return response{resp.StatusCode, resp.Header.Get("Retry-After"), raw}, nil
 }
 
-// toError returns a one-line error for a response with a status that was not accepted.
+// toError returns a one-line error, which begins with subject, for a response whose status was not
+// accepted.
 func (r response) toError(subject string) error {
 	var errorBody struct {
 		Error string `json:"error"`
 		Field string `json:"field"`
 	}
-	// If the body is not JSON, the reason stays empty and the status has to suffice.
+	// If the body is not JSON, the reason stays empty.
 	_ = json.Unmarshal(r.body, &errorBody)
 	reason := errorBody.Error
 	if errorBody.Field != "" {
--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -114,9 +114,9 @@
 
 const moduleRoot = ".."
 
-// TestPagesNameWhatExists checks that each test and each qualified or mixed-case Go name in the
+// TestDocumentedNamesExist checks that each test and each qualified or mixed-case Go name in the
 // documentation exists, as well as each package and file in architecture.md.
-func TestPagesNameWhatExists(t *testing.T) {
+func TestDocumentedNamesExist(t *testing.T) {
 	declared := parseModule(t, moduleRoot)
 	for _, page := range []string{"architecture.md", "design.md", "operations.md", "../CONTRIBUTING.md"} {
 		text := readPage(t, page)
