--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
-# Each step of .ci/run, which holds the commands, is a target. `make` without a target runs
-# all steps, as CI does.
+# Each target named after a step runs that step of .ci/run. `make` without a target runs all
+# steps, as CI does.
 STEPS := prerequisites format vet staticcheck lint build cli versions race test
 
 .PHONY: all fix $(STEPS)
