--- a/internal/constants/attestation.go
+++ b/internal/constants/attestation.go
@@ -15,9 +15,9 @@
 	// AttestationMargin is added to the age of the watch's last answer to get the period
 	// that the nodes attest to.
 	AttestationMargin = 2 * time.Second
-	// AttestationMaxAge is the largest age of a question at which its answers are accepted.
-	// A node counts the period back from the time of its answer, so the period of a late
-	// answer might not reach back to the watch's last answer.
+	// AttestationMaxAge is how long after the leader's question the nodes' attestations are
+	// accepted. A node counts the period back from the time of its attestation, so the period
+	// of a late one might not reach back to the watch's last answer.
 	AttestationMaxAge = 1500 * time.Millisecond
 	// CancellationLogWindow is the period for which a node remembers the cancellations that
 	// it has confirmed, even if every write that the state service allows is a cancellation.
--- a/internal/constants/health.go
+++ b/internal/constants/health.go
@@ -35,7 +35,9 @@
 const (
 	// MaxRuntimeSamples is the maximum number of run times kept per job.
 	MaxRuntimeSamples = 64
-	// MinRuntimeSamples is the minimum number of run times from which a median is taken.
+	// MinRuntimeSamples is the minimum number of run times from which a median is taken. For a
+	// large job the minimum is half the number of its tasks or half of MaxRuntimeSamples,
+	// whichever is smaller.
 	MinRuntimeSamples = 2
 	// StragglerLikelyRatio and StragglerCertainRatio are the ratios of a task's run time to
 	// the median of its job above which the task gives one signal, or two, against its
--- a/internal/constants/log.go
+++ b/internal/constants/log.go
@@ -34,11 +34,13 @@
 
 // Group commit.
 const (
-	// CommitInterval is the minimum time between two of the leader's transactions. Each one
-	// also writes the log's head, so changes are collected in between.
+	// CommitInterval is the minimum time between two of the leader's transactions, unless the
+	// first one is full. Each one also writes the log's head, so changes are collected in
+	// between.
 	CommitInterval = 60 * time.Millisecond
-	// CheckpointPartInterval is the minimum time before a transaction that only writes part of
-	// a checkpoint. Such a transaction is not urgent and must not use up the write budget.
+	// CheckpointPartInterval replaces CommitInterval before a transaction that only writes
+	// part of a checkpoint or deletes obsolete keys. Such a transaction is not urgent and must
+	// not use up the write budget.
 	CheckpointPartInterval = 200 * time.Millisecond
 	// CommitBehindAfter is how long transactions must have been too small for the pending
 	// changes before metadata is held back.
--- a/internal/constants/scheduling.go
+++ b/internal/constants/scheduling.go
@@ -33,11 +33,11 @@
 
 // The cost of preemption.
 const (
-	// RestartCost is the time that a stopped task loses beyond saving its state: it queues
-	// again and may have to fetch its image again.
+	// RestartCost is the time that a stopped task loses in addition to saving its state or
+	// repeating its work: it queues again and may have to fetch its image again.
 	RestartCost = 10 * time.Second
-	// GangRestartFactor multiplies RestartCost for gangs, which need several whole machines
-	// at once.
+	// GangRestartFactor times the number of tasks multiplies RestartCost for gangs. All tasks
+	// of a gang restart, and it needs several whole machines at once.
 	GangRestartFactor = 3
 	// StartCountsAfter is how long a task must run for its start to count (protocol).
 	StartCountsAfter = 30 * time.Second
@@ -46,8 +46,9 @@
 	// MinRemainingEstimate is the minimum estimate of a task's remaining run time, used when
 	// the task has run for as long as expected.
 	MinRemainingEstimate = 5 * time.Second
-	// StopLossWeight is the weight of a second of a whole machine's lost work relative to a
-	// second of waiting for an image on that machine.
+	// StopLossWeight is the weight, when tasks are preempted, of each second for which a whole
+	// machine's work is lost or waits for an image. Without preemption, a second of waiting
+	// for an image has a weight of 1.
 	StopLossWeight = 8.0
 )
 
@@ -63,15 +64,15 @@
 	// decays.
 	ArrivalCountDecay = 5 * time.Minute
 	// StartRateWindow is the time constant with which the placement rate of a class decays.
-	// The rate predicts how soon waiting tasks are placed; the window spans a few run times
-	// of short tasks.
+	// The rate predicts how soon waiting tasks are placed. The time constant spans a few run
+	// times of short tasks.
 	StartRateWindow = 30 * time.Second
 )
 
 // Dependencies between jobs.
 const (
 	// DownstreamStartDelay is the time between the end of a job and the start of its
-	// downstream job: a heartbeat, two records and a command.
+	// downstream job. It covers a heartbeat, the writes of two records and a command.
 	DownstreamStartDelay = 3 * time.Second
 	// MaxFinalRecordReads is the maximum number of concurrent reads of upstream jobs' final
 	// records.
--- a/internal/constants/scoring.go
+++ b/internal/constants/scoring.go
@@ -18,11 +18,12 @@
 	// after another and leaves others whole for gangs.
 	UnusedCapacityPenaltyS = 10.0
 	// LastWholeMachinePenaltyS divided by the number of empty on-demand machines is the penalty
-	// of placing a task that could use a spot machine on one of them, since gangs that can't
-	// use spot machines need them whole.
+	// of placing an array's task that could use a spot machine on one of them, since gangs that
+	// can't use spot machines need them whole.
 	LastWholeMachinePenaltyS = 30.0
-	// LocalImageMaxWaitS is the longest wait for an image, in seconds, at which the image
-	// counts as present.
+	// LocalImageMaxWaitS plus the time since the job's last start is the longest wait for an
+	// image, in seconds, on the machines that the tasks of an array get first. Other machines
+	// are used only after all jobs of the same rank have been considered.
 	LocalImageMaxWaitS = 0.5
 	// ClaimedMachineBonusS is how much sooner, in seconds, another machine must be empty for
 	// a waiting gang to give up a machine that it has claimed.
--- a/internal/constants/serving.go
+++ b/internal/constants/serving.go
@@ -5,13 +5,14 @@
 // HTTP connections of users and workers.
 const (
 	// HeaderTimeout is the timeout for reading a request's header. It ends slow connections.
+	// It is also how long the leader keeps an idle connection to a worker open.
 	HeaderTimeout = 10 * time.Second
 	// MaxHeaderBytes is the maximum size of a request's header in bytes. Headers of workers
 	// and users are normally a few hundred bytes long.
 	MaxHeaderBytes = 16 << 10
 	// IdleTimeout is how long a connection without a request is kept open.
 	IdleTimeout = 120 * time.Second
-	// BodyTimeout is the timeout for reading a whole request.
+	// BodyTimeout is the timeout for reading a whole request, header included.
 	BodyTimeout = 15 * time.Second
 	// ShutdownGrace is how long an orderly shutdown waits for requests in flight.
 	ShutdownGrace = 3 * time.Second
--- a/internal/constants/statestore.go
+++ b/internal/constants/statestore.go
@@ -35,13 +35,15 @@
 
 // The rate budget. All nodes share the rate limits of the state service.
 const (
-	// LeaderShare and LeaderWriteShare are the fractions of the request and write rates that
-	// the leader uses; the other nodes share the rest. The leader records every start and
-	// completion, while all nodes answer status queries.
+	// LeaderShare and LeaderWriteShare are the defaults of the operator settings
+	// budgets.leader_share and budgets.leader_write_share: the fractions of the request and
+	// write rates that the leader uses; the other nodes share the rest. The leader records
+	// every start and completion, while all nodes answer status queries.
 	LeaderShare      = 0.45
 	LeaderWriteShare = 0.72
-	// UsableBudgetShare is the fraction of the allowed rates that is used. The rest allows for
-	// clocks that disagree about when a second begins.
+	// UsableBudgetShare is the default of the operator setting budgets.use: the fraction of
+	// the allowed rates that is used. The rest allows for clocks that disagree about when a
+	// second begins.
 	UsableBudgetShare = 0.94
 	// BudgetRetryInterval is the interval at which a call that waits for budget checks again.
 	BudgetRetryInterval = 15 * time.Millisecond
@@ -67,7 +69,8 @@
 // Sizes of values and transactions.
 const (
 	// MinValueKB (in KiB) and MinTxnOps (in writes) are the sizes below which values and
-	// transactions are not reduced further when the state service rejects larger ones.
+	// transactions are not reduced further when the state service rejects larger ones. The
+	// setting txn_ops must be at least MinTxnOps.
 	MinValueKB = 1.0
 	MinTxnOps  = 4
 	// ConditionsPerOp times the setting txn_ops is the maximum number of conditions of a
--- a/internal/constants/users.go
+++ b/internal/constants/users.go
@@ -11,15 +11,15 @@
 	MaxTextBytes = 200
 	// MaxTasks is the maximum number of tasks of a job (protocol).
 	MaxTasks = 100000
-	// MaxAmount is the largest accepted amount, in its unit, and the longest accepted
-	// duration in seconds.
+	// MaxAmount is the largest accepted amount of a job, in its unit, and its longest accepted
+	// duration in seconds. Amounts, rates and durations in the settings must be below it.
 	MaxAmount = 1e9
 )
 
 // User requests.
 const (
-	// RetryAfterSeconds is the value of the Retry-After header, in seconds, while the state
-	// service is unavailable.
+	// RetryAfterSeconds is the value of the Retry-After header of 503 responses to users, in
+	// seconds.
 	RetryAfterSeconds = 2
 	// UserRequestTimeout is the timeout for a submission or cancellation. Users give up
 	// after 5 s.
@@ -42,8 +42,8 @@
 
 // Status queries, whose answers are proven by transactions on the state service.
 const (
-	// StatusQueryBatchWindow is how long status queries are collected for one transaction. It
-	// delays an answer by a fraction of a second at most.
+	// StatusQueryBatchWindow is how long status queries are collected for one transaction.
+	// Collecting delays an answer by at most this time.
 	StatusQueryBatchWindow = 120 * time.Millisecond
 	// StatusQueryQueueSize is the maximum number of status queries that wait for a batch.
 	// Users of further queries are told to retry later.
--- a/internal/constants/workers.go
+++ b/internal/constants/workers.go
@@ -45,8 +45,9 @@
 	// ReplyHold is how long the reply to a heartbeat is held back. Workers report changes
 	// at most every half second, so the hold delays no report.
 	ReplyHold = 400 * time.Millisecond
-	// IdleReplyHold is how long the reply to a worker without attempts is held back. The worker
-	// has nothing to report. Workers wait at most 4 s for a reply.
+	// IdleReplyHold is how long the reply to a worker without attempts is held back, or a
+	// quarter of the lease if that is shorter. The worker has nothing to report. Workers wait
+	// at most 4 s for a reply.
 	IdleReplyHold = 2600 * time.Millisecond
 	// PendingStartReplyHold is how long a reply is held back while a start on the machine is
 	// not recorded yet. Workers wait at most 4 s for this reply too.
@@ -67,8 +68,9 @@
 	MaxCommandResponseBytes = 16 * MaxBodyBytes
 	// MaxCommandConnsPerWorker is the maximum number of connections to one worker.
 	MaxCommandConnsPerWorker = 2
-	// MaxCommandsInFlight is the maximum number of concurrent direct commands. To an
-	// unreachable zone each hangs until its timeout and occupies a socket.
+	// MaxCommandsInFlight is the maximum number of concurrent direct commands. Those that stop
+	// no task may use half of it. To an unreachable zone each hangs until its timeout and
+	// occupies a socket.
 	MaxCommandsInFlight = 96
 	// MaxSilentCommandsInFlight is the maximum number of concurrent direct commands to silent
 	// workers, to which commands usually hang. Stops for a gang must reach its reachable
