--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// amount checks that a quantity is at least 0 and below MaxAmount. It rejects NaN.
-func (c *checker) amount(key string, value float64) {
+// nonNegative checks that a quantity is at least 0 and below MaxAmount. It rejects NaN.
+func (c *checker) nonNegative(key string, value float64) {
 	if !(value >= 0 && value < constants.MaxAmount) {
 		c.fail(key, "must be at least 0, is %v", value)
 	}
@@ -74,7 +74,8 @@
 	}
 }
 
-// check returns all problems of the settings as one joined error, in the order of the file.
+// check returns all problems of the settings as one joined error, in the order of the file, or
+// nil if there are none.
 func (s *Settings) check() error {
 	var c checker
 	c.nonEmpty("label", s.NodeName)
@@ -92,9 +93,9 @@
 	c.workerTimings(s.Params.Workers)
 	c.stateLimits(s.Params.State)
 	c.positive("params.cloud.rps", s.Params.Cloud.RPS)
-	c.amount("params.cloud.list_lag_s", s.Params.Cloud.ListLagS)
-	c.amount("params.machine_limits.cores", s.Params.MachineLimits.Cores)
-	c.amount("params.machine_limits.mem_mb", s.Params.MachineLimits.MemoryMB)
+	c.nonNegative("params.cloud.list_lag_s", s.Params.Cloud.ListLagS)
+	c.nonNegative("params.machine_limits.cores", s.Params.MachineLimits.Cores)
+	c.nonNegative("params.machine_limits.mem_mb", s.Params.MachineLimits.MemoryMB)
 	c.atLeast("params.machine_limits.sockets", 0, s.Params.MachineLimits.Sockets)
 	return errors.Join(c.problems...)
 }
@@ -118,10 +119,10 @@
 		key := fmt.Sprintf("params.teams[%d]", i)
 		c.nonEmpty(key+".name", team.Name)
 		c.unique(key+".name", team.Name, seen)
-		c.amount(key+".cpus", team.GuaranteedCPUs)
-		c.amount(key+".cpus_max", team.MaxCPUs)
-		c.amount(key+".gpus", team.GuaranteedGPUs)
-		c.amount(key+".gpus_max", team.MaxGPUs)
+		c.nonNegative(key+".cpus", team.GuaranteedCPUs)
+		c.nonNegative(key+".cpus_max", team.MaxCPUs)
+		c.nonNegative(key+".gpus", team.GuaranteedGPUs)
+		c.nonNegative(key+".gpus_max", team.MaxGPUs)
 		if team.MaxCPUs > 0 && team.GuaranteedCPUs > team.MaxCPUs {
 			c.fail(key+".cpus", "must not be greater than cpus_max")
 		}
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -16,8 +16,8 @@
 
 func (e *SyntaxError) Error() string { return fmt.Sprintf("settings: line %d: %s", e.Line, e.Problem) }
 
-// Load reads and checks a settings file. If values are invalid, the error joins a
-// *SettingError for each of them.
+// Load reads and checks a settings file. A line that can't be decoded is reported as a
+// *SyntaxError. If values are invalid, the error joins a *SettingError for each of them.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return Parse(string(raw))
 }
 
-// Parse decodes and checks the text of a settings file.
+// Parse decodes and checks the text of a settings file. It reports the same errors as Load.
 func Parse(text string) (*Settings, error) {
 	settings, err := decode(text)
 	if err != nil {
--- a/internal/config/operator_load.go
+++ b/internal/config/operator_load.go
@@ -58,7 +58,8 @@
 	return operator, nil
 }
 
-// check returns an error for every value that is out of range; raw is the content of the file.
+// check returns an error that joins an *OperatorSettingError for each value that is out of
+// range, or nil if there are none; raw is the content of the file.
 func (o Operator) check(raw []byte) error {
 	var problems []error
 	// NaN fails every comparison, so valid is false for it.
@@ -72,10 +73,10 @@
 	require("holds.p", p, p > 0 && p < 1, "greater than 0 and less than 1")
 	require("holds.threshold", threshold, threshold >= 0 && threshold <= 1, "from 0 to 1")
 
-	share, writeShare, use := o.Budgets.LeaderShare, o.Budgets.LeaderWriteShare, o.Budgets.UsableShare
+	share, writeShare, usableShare := o.Budgets.LeaderShare, o.Budgets.LeaderWriteShare, o.Budgets.UsableShare
 	require("budgets.leader_share", share, share > 0 && share < 1, "greater than 0 and less than 1")
 	require("budgets.leader_write_share", writeShare, writeShare > 0 && writeShare < 1, "greater than 0 and less than 1")
-	require("budgets.use", use, use > 0 && use <= 1, "greater than 0 and at most 1")
+	require("budgets.use", usableShare, usableShare > 0 && usableShare <= 1, "greater than 0 and at most 1")
 
 	spare, keep := o.Scaling.ScaleOutSpare, o.Scaling.ScaleInKeep
 	require("renting.spare", spare, spare >= 0 && spare <= 1000, "from 0 to 1000")
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -93,9 +93,9 @@
 	}
 }
 
-// TestSettingsOfLargeSiteAreAccepted checks that the settings of a large cluster are accepted:
+// TestSettingsOfLargeClusterAreAccepted checks that the settings of a large cluster are accepted:
 // five nodes, thousands of GPUs, small values and large transactions.
-func TestSettingsOfLargeSiteAreAccepted(t *testing.T) {
+func TestSettingsOfLargeClusterAreAccepted(t *testing.T) {
 	text := strings.Replace(validSettings, "[services]", `[[known]]
 label = "rig-2"
 addr = "10.0.0.3:8081"
@@ -114,7 +114,7 @@
 	}
 	settings, err := Parse(text)
 	if err != nil || len(settings.Peers) != 4 || settings.Params.NodeCount != 5 || settings.Params.Teams[0].MaxGPUs != 7000 {
-		t.Fatalf("large site: got %+v, error %v", settings, err)
+		t.Fatalf("large cluster: got %+v, error %v", settings, err)
 	}
 	if _, err := Parse(strings.Replace(text, `"rig-4"`, `"rig-3"`, 1)); err == nil || !strings.Contains(err.Error(), "known[3].label") {
 		t.Errorf("duplicate peer name: %v", err)
