--- a/internal/userapi/dependencies.go
+++ b/internal/userapi/dependencies.go
@@ -140,10 +140,10 @@
 }
 
 // cancelledByDependency reports whether an open job, given its record, is cancelled through
-// its dependencies. Proof (docs/design.md, Safety 12): the replica is first brought up to date
-// with a moment after the query arrived. A job that is open in the replica was not cancelled
-// at that moment. A job that is not open in the replica has a final record, which never
-// changes.
+// its dependencies. Proof (docs/design.md, Safety 12): the replica is synced first, so it shows
+// which jobs were open at some moment after the query arrived. A job that is open in the replica
+// was not cancelled at that moment. A job that is not open in the replica has a final record,
+// which never changes.
 func (s *Server) cancelledByDependency(ctx context.Context, id string, record statestore.KeyValue, class statestore.Class) (bool, error) {
 	dependencies := jobs.DecodeDependencies(record.Value)
 	if dependencies.Empty() {
--- a/internal/userapi/records.go
+++ b/internal/userapi/records.go
@@ -75,7 +75,7 @@
 	}
 	var final jobs.FinalRecord
 	if err := json.Unmarshal(record.Value, &final); err != nil {
-		return JobStatus{}, false, fmt.Errorf("record %s%s: %w", jobs.FinalPrefix, id, err)
+		return JobStatus{}, false, fmt.Errorf("decode record %s%s: %w", jobs.FinalPrefix, id, err)
 	}
 	s.cacheFinalRecord(id, final)
 	return finalStatus(id, final), true, nil
--- a/internal/userapi/replica.go
+++ b/internal/userapi/replica.go
@@ -48,8 +48,8 @@
 // open.
 func (r *openJobsReplica) revisionOf(id string) uint64 { return r.job(id).revision }
 
-// setDependencies replaces the dependencies of a job. It is called with the complete list if
-// the job's record holds only a part of it, and with none once all dependencies are done.
+// setDependencies replaces the dependencies of an open job. It is called with the complete list
+// once the parts of a split list have been read, and with none once all dependencies are done.
 func (r *openJobsReplica) setDependencies(id string, dependencies jobs.Dependencies) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -65,7 +65,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if job, ok := r.jobs[id]; ok && job.revision == revision {
-		return // its dependencies may have been completed or cleared since
+		return // keeps its dependencies, which setDependencies may have replaced
 	}
 	if r.appliedRevision > 0 && revision <= r.appliedRevision {
 		return // that revision is already applied, so the record has been deleted since
@@ -90,7 +90,7 @@
 	}
 }
 
-// load replaces the content of the replica by all open records, listed at the given store
+// load replaces the content of the replica with all open records, listed at the given store
 // revision.
 func (r *openJobsReplica) load(records []statestore.KeyValue, revision uint64) {
 	r.mu.Lock()
@@ -109,9 +109,10 @@
 	return r.appliedRevision
 }
 
-// apply applies all changes between two store revisions. Concurrent watches may deliver the
-// same changes, so changes that are already applied are skipped: reapplying an old one would
-// restore a deleted job. It reports false if changes before the from revision are missing.
+// apply applies all changes after revision from, up to revision to. Concurrent watches may
+// deliver the same changes, so changes that are already applied are skipped: reapplying an old one
+// would restore a deleted job. It applies nothing and returns false if the replica must be
+// reloaded or lacks changes up to revision from.
 func (r *openJobsReplica) apply(changes []statestore.Change, from, to uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -135,7 +136,7 @@
 	}
 	id := openJobID(change.Put)
 	if job, ok := r.jobs[id]; ok && job.revision == change.Revision {
-		return // its dependencies may have been completed or cleared since
+		return // keeps its dependencies, which setDependencies may have replaced
 	}
 	r.jobs[id] = openJob{change.Revision, jobs.DecodeDependencies(change.Value)}
 }
@@ -149,7 +150,8 @@
 
 func openJobID(key string) string { return strings.TrimPrefix(key, jobs.OpenPrefix) }
 
-// FollowOpenJobs keeps the replica of the open jobs up to date until ctx ends.
+// FollowOpenJobs keeps the replica of the open jobs up to date until ctx ends. It returns the
+// error of ctx.
 func (s *Server) FollowOpenJobs(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := s.loadReplica(ctx); err != nil {
@@ -194,8 +196,8 @@
 // errReplicaNotLoaded means that the replica hasn't been loaded yet or must be reloaded.
 var errReplicaNotLoaded = errors.New("replica of the open jobs is not loaded")
 
-// syncReplica brings the replica up to date with a moment after the call, by a watch that
-// returns at once (docs/design.md, Safety 12).
+// syncReplica updates the replica with a watch that returns at once. Afterwards the replica
+// reflects the store at some moment after the call (docs/design.md, Safety 12).
 func (s *Server) syncReplica(ctx context.Context) error {
 	from := s.replica.revision()
 	if from == 0 {
--- a/internal/userapi/server.go
+++ b/internal/userapi/server.go
@@ -20,7 +20,7 @@
 	Get(ctx context.Context, class statestore.Class, key string) (statestore.KeyValue, bool, error)
 	Txn(ctx context.Context, class statestore.Class, conditions []statestore.Condition, writes []statestore.Write) (uint64, error)
 	List(ctx context.Context, class statestore.Class, prefix string) ([]statestore.KeyValue, uint64, error)
-	Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (uint64, []statestore.Change, error)
+	Watch(ctx context.Context, prefix string, fromRevision uint64, maxWait time.Duration) (uint64, []statestore.Change, error)
 }
 
 // TaskCounts holds the number of a job's done and running tasks, for display only.
@@ -42,7 +42,7 @@
 	// MachineTypes returns the machine types that the cloud offers, or none while they aren't
 	// known yet.
 	MachineTypes func() []jobs.MachineType
-	// Progress may be nil; responses then show no task counts.
+	// Progress may be nil; every open job is then reported as pending, with task counts of 0.
 	Progress Progress
 	// Ready reports whether the load balancer may route users to this node.
 	Ready func() bool
--- a/internal/userapi/status_queries.go
+++ b/internal/userapi/status_queries.go
@@ -75,9 +75,9 @@
 	}
 }
 
-// ServeStatusQueries answers status queries until ctx ends. It processes several batches
-// concurrently, because a transaction has room for few conditions and its response may be slow
-// or lost.
+// ServeStatusQueries answers status queries until ctx ends, and returns the error of ctx. It
+// processes several batches concurrently, because a transaction has room for few conditions and
+// its response may be slow or lost.
 func (s *Server) ServeStatusQueries(ctx context.Context) error {
 	batches, ctx := errgroup.WithContext(ctx)
 	batches.SetLimit(1 + constants.MaxStatusQueryBatches)
@@ -102,9 +102,9 @@
 	return err
 }
 
-// maxBatch returns the maximum number of queries that one transaction can prove. Each query
+// maxBatchSize returns the maximum number of queries that one transaction can prove. Each query
 // takes one condition, or two if its job is not known to be open.
-func (s *Server) maxBatch() int { return max(s.maxConditions, 1) }
+func (s *Server) maxBatchSize() int { return max(s.maxConditions, 1) }
 
 // nextBatch collects queries for a short window, or until one transaction is full.
 func (s *Server) nextBatch(ctx context.Context) ([]statusQuery, error) {
@@ -117,7 +117,7 @@
 	}
 	window := time.NewTimer(constants.StatusQueryBatchWindow)
 	defer window.Stop()
-	for len(batch) < s.maxBatch() {
+	for len(batch) < s.maxBatchSize() {
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -130,8 +130,8 @@
 	return batch, nil
 }
 
-// answerBatch answers the queries of a batch. It drops those whose users have given up, which
-// then cost no call.
+// answerBatch answers the queries of a batch. It drops the queries whose users have given up, so
+// that no calls are made for them.
 func (s *Server) answerBatch(ctx context.Context, batch []statusQuery, reads *errgroup.Group) {
 	var provable, dependent []statusQuery
 	for _, query := range batch {
--- a/internal/userapi/status_queries_test.go
+++ b/internal/userapi/status_queries_test.go
@@ -68,7 +68,7 @@
 			t.Errorf("%d of %d status queries failed", n, jobCount)
 		}
 		// Each query takes one condition, and the last batch of a window may not be full.
-		maxTxns := jobCount/server.maxBatch() + int(interval/constants.StatusQueryBatchWindow) + 1
+		maxTxns := jobCount/server.maxBatchSize() + int(interval/constants.StatusQueryBatchWindow) + 1
 		if store.transactions > maxTxns || store.gets > 0 {
 			t.Errorf("%d transactions and %d reads, want at most %d transactions and no reads", store.transactions, store.gets, maxTxns)
 		}
@@ -201,9 +201,9 @@
 
 // TestDependentJobIsNotProvenByOwnRecord guards against a fault seen in a simulated upgrade: a
 // job was reported as pending after another node had reported it as cancelled through a
-// dependency. The node didn't know the job when the query arrived, so it treated its own
-// record as sufficient proof, and learned of the job afterwards. Whenever the node learns of a
-// job, its own record must prove its status only if the job has no dependencies.
+// dependency. The node didn't know the job when the query arrived, so it treated the job's
+// own record as sufficient proof, and learned of the job afterwards. Whenever the node learns of
+// a job, the job's own record must prove its status only if the job has no dependencies.
 func TestDependentJobIsNotProvenByOwnRecord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &hookedStore{memoryStore: newMemoryStore()}
--- a/internal/userapi/store_test.go
+++ b/internal/userapi/store_test.go
@@ -21,7 +21,8 @@
 	mu       sync.Mutex
 	records  map[string]statestore.KeyValue
 	revision uint64
-	// unavailable makes all calls fail, as if the service responded with 503.
+	// unavailable makes all calls fail. The outcome of transactions is then unknown, as if
+	// their responses were lost.
 	unavailable bool
 	// gets and transactions count calls. beforeTxn, if set, runs before each transaction.
 	gets, transactions int
--- a/internal/userapi/submission.go
+++ b/internal/userapi/submission.go
@@ -100,8 +100,8 @@
 	return status, false, nil
 }
 
-// createJob writes the open record of a job, or its final record if it is already cancelled,
-// on the condition that the job has no record. So only one of several submissions of a job
+// createJob writes the open record of a job, or the final record of a cancelled job if cancelled
+// is set, on the condition that the job has no record. So only one of several submissions of a job
 // takes effect, whichever nodes handle them and however late they are executed.
 func (s *Server) createJob(ctx context.Context, spec *jobs.Spec, cancelled bool) (status JobStatus, isNew bool, err error) {
 	value, parts, err := jobs.EncodeRecord(*spec, time.Now().UnixMilli(), s.maxValueBytes, newUploadID())
--- a/internal/userapi/submission_test.go
+++ b/internal/userapi/submission_test.go
@@ -19,15 +19,15 @@
 	"thornnotch/internal/statestore"
 )
 
-// gatedStore blocks the transactions of submissions until the gate is closed.
-type gatedStore struct {
+// blockingStore blocks the transactions of submissions until the channel unblocked is closed.
+type blockingStore struct {
 	*memoryStore
-	gate chan struct{}
+	unblocked chan struct{}
 }
 
-func (s *gatedStore) Txn(ctx context.Context, class statestore.Class, conditions []statestore.Condition, writes []statestore.Write) (uint64, error) {
+func (s *blockingStore) Txn(ctx context.Context, class statestore.Class, conditions []statestore.Condition, writes []statestore.Write) (uint64, error) {
 	if class == statestore.ClassSubmit {
-		<-s.gate
+		<-s.unblocked
 	}
 	return s.memoryStore.Txn(ctx, class, conditions, writes)
 }
@@ -37,7 +37,7 @@
 func TestSubmissionLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const limit = 4
-		store := &gatedStore{memoryStore: newMemoryStore(), gate: make(chan struct{})}
+		store := &blockingStore{memoryStore: newMemoryStore(), unblocked: make(chan struct{})}
 		server := newTestServer(t, store, func(options *Options) {
 			options.MaxSubmissions = limit
 			options.Progress = nil
@@ -72,7 +72,7 @@
 			t.Errorf("cancellation at the limit: %d", cancellation.Code)
 		}
 
-		close(store.gate)
+		close(store.unblocked)
 		users.Wait()
 		for _, response := range accepted {
 			if response.Code != http.StatusCreated {
