--- a/internal/constants/scheduling.go
+++ b/internal/constants/scheduling.go
@@ -63,10 +63,10 @@
 	// ArrivalCountDecay is the time constant with which the count of arrived jobs of a class
 	// decays.
 	ArrivalCountDecay = 5 * time.Minute
-	// StartRateWindow is the time constant with which the placement rate of a class decays.
-	// The rate predicts how soon waiting tasks are placed. The time constant spans a few run
-	// times of short tasks.
-	StartRateWindow = 30 * time.Second
+	// PlacementRateTimeConstant is the time constant with which the placement rate of a class
+	// decays. The rate predicts how soon waiting tasks are placed. The time constant spans a
+	// few run times of short tasks.
+	PlacementRateTimeConstant = 30 * time.Second
 )
 
 // Dependencies between jobs.
--- a/internal/leader/class_stats.go
+++ b/internal/leader/class_stats.go
@@ -61,12 +61,14 @@
 // placements weigh less.
 type placementRates map[string]float64
 
-func (r placementRates) add(class string) { r[class] += 1 / constants.StartRateWindow.Seconds() }
+func (r placementRates) add(class string) {
+	r[class] += 1 / constants.PlacementRateTimeConstant.Seconds()
+}
 
-// decay reduces all rates by the fraction elapsed/StartRateWindow.
+// decay reduces all rates by the fraction elapsed/PlacementRateTimeConstant.
 func (r placementRates) decay(elapsed time.Duration) {
 	for class := range r {
-		r[class] *= 1 - elapsed.Seconds()/constants.StartRateWindow.Seconds()
+		r[class] *= 1 - elapsed.Seconds()/constants.PlacementRateTimeConstant.Seconds()
 	}
 }
 
