--- a/internal/constants/scheduling.go
+++ b/internal/constants/scheduling.go
@@ -60,9 +60,9 @@
 	// RuntimeRatioWeight is the weight of the latest run time in the moving average, from 0
 	// to 1.
 	RuntimeRatioWeight = 0.1
-	// ArrivalCountDecay is the time constant with which the count of arrived jobs of a class
-	// decays.
-	ArrivalCountDecay = 5 * time.Minute
+	// ArrivalCountTimeConstant is the time constant with which the count of arrived jobs of a
+	// class decays.
+	ArrivalCountTimeConstant = 5 * time.Minute
 	// PlacementRateTimeConstant is the time constant with which the placement rate of a class
 	// decays. The rate predicts how soon waiting tasks are placed. The time constant spans a
 	// few run times of short tasks.
--- a/internal/leader/class_stats.go
+++ b/internal/leader/class_stats.go
@@ -37,10 +37,10 @@
 
 func (a classArrivals) add(class string) { a[class]++ }
 
-// decay reduces all counts by the fraction elapsed/ArrivalCountDecay.
+// decay reduces all counts by the fraction elapsed/ArrivalCountTimeConstant.
 func (a classArrivals) decay(elapsed time.Duration) {
 	for class := range a {
-		a[class] *= 1 - elapsed.Seconds()/constants.ArrivalCountDecay.Seconds()
+		a[class] *= 1 - elapsed.Seconds()/constants.ArrivalCountTimeConstant.Seconds()
 	}
 }
 
--- a/internal/leader/class_stats_test.go
+++ b/internal/leader/class_stats_test.go
@@ -25,9 +25,9 @@
 			t.Errorf("relative count of class %s: %v, want %v", class, got, want)
 		}
 	}
-	arrivals.decay(constants.ArrivalCountDecay / 4)
+	arrivals.decay(constants.ArrivalCountTimeConstant / 4)
 	if got := arrivals["x"]; math.Abs(got-3) > 1e-9 {
-		t.Errorf("count of 4 jobs after a quarter of ArrivalCountDecay: %v, want 3", got)
+		t.Errorf("count of 4 jobs after a quarter of ArrivalCountTimeConstant: %v, want 3", got)
 	}
 }
 
