--- a/internal/constants/serving.go
+++ b/internal/constants/serving.go
@@ -12,8 +12,8 @@
 	MaxHeaderBytes = 16 << 10
 	// IdleTimeout is how long a connection without a request is kept open.
 	IdleTimeout = 120 * time.Second
-	// BodyTimeout is the timeout for reading a whole request, header included.
-	BodyTimeout = 15 * time.Second
+	// RequestReadTimeout is the timeout for reading a whole request, header included.
+	RequestReadTimeout = 15 * time.Second
 	// ShutdownGrace is how long an orderly shutdown waits for requests in flight.
 	ShutdownGrace = 3 * time.Second
 )
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -85,7 +85,7 @@
 	mux.HandleFunc("POST /hello", n.serveHeartbeat)
 	n.registerOperatorEndpoints(mux)
 	return &http.Server{
-		Handler: mux, ReadHeaderTimeout: constants.HeaderTimeout, ReadTimeout: constants.BodyTimeout,
+		Handler: mux, ReadHeaderTimeout: constants.HeaderTimeout, ReadTimeout: constants.RequestReadTimeout,
 		IdleTimeout: constants.IdleTimeout, MaxHeaderBytes: constants.MaxHeaderBytes,
 		ErrorLog:  slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
 		ConnState: n.connections.onStateChange, ConnContext: n.connections.connContext,
