--- a/internal/constants/serving.go
+++ b/internal/constants/serving.go
@@ -4,8 +4,9 @@
 
 // HTTP connections of users and workers.
 const (
-	// HeaderTimeout is the timeout for reading a request's header. It ends slow connections.
-	// It is also how long the leader keeps an idle connection to a worker open.
+	// HeaderTimeout is the timeout for reading a request's header, so that slow clients can't
+	// hold connections open. It is also the time after which the leader closes an idle
+	// connection to a worker.
 	HeaderTimeout = 10 * time.Second
 	// MaxHeaderBytes is the maximum size of a request's header in bytes. Headers of workers
 	// and users are normally a few hundred bytes long.
