--- a/internal/constants/users.go
+++ b/internal/constants/users.go
@@ -29,8 +29,8 @@
 	MaxCancelAttempts = 3
 	// StatusQueryTimeout is the timeout for a status query. Users give up after 2 s.
 	StatusQueryTimeout = 1700 * time.Millisecond
-	// MinConcurrentSubmits is the minimum limit on concurrent submissions per node.
-	MinConcurrentSubmits = 8
+	// MinConcurrentSubmissions is the minimum limit on concurrent submissions per node.
+	MinConcurrentSubmissions = 8
 	// FinalRecordCacheSize is the number of final job states kept in memory.
 	FinalRecordCacheSize = 20000
 	// ClientTimeout is the timeout of a request from the command line to a node.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -113,10 +113,10 @@
 	return (1 - leaderShare) / float64(followers) * usable
 }
 
-// maxConcurrentSubmits returns how many submissions this node can write before they time out, or
-// constants.MinConcurrentSubmits if that is more. Each takes one write. A full budget holds the
-// writes of one second, and more become available until constants.UserRequestTimeout.
-func (n *Node) maxConcurrentSubmits() int {
+// maxConcurrentSubmissions returns how many submissions this node can write before they time
+// out, or constants.MinConcurrentSubmissions if that is more. Each takes one write. A full budget
+// holds the writes of one second, and more become available until constants.UserRequestTimeout.
+func (n *Node) maxConcurrentSubmissions() int {
 	_, writeRPS := n.stateRates(false)
-	return max(constants.MinConcurrentSubmits, int(writeRPS*(1+constants.UserRequestTimeout.Seconds())))
+	return max(constants.MinConcurrentSubmissions, int(writeRPS*(1+constants.UserRequestTimeout.Seconds())))
 }
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -60,7 +60,7 @@
 		Store:          n.store,
 		Teams:          n.settings.Params.Teams,
 		Limits:         n.settings.Params.State,
-		MaxSubmissions: n.maxConcurrentSubmits(),
+		MaxSubmissions: n.maxConcurrentSubmissions(),
 		MachineTypes:   func() []jobs.MachineType { return n.catalog.load().JobMachineTypes() },
 		Progress:       n.progress,
 		Ready:          n.ready,
