--- a/internal/constants/statestore.go
+++ b/internal/constants/statestore.go
@@ -47,10 +47,10 @@
 	UsableBudgetShare = 0.94
 	// BudgetRetryInterval is the interval at which a call that waits for budget checks again.
 	BudgetRetryInterval = 15 * time.Millisecond
-	// RateLimitedRefusals is the number of calls rejected by the rate limit within
+	// MinRateLimitRejections is the minimum number of calls rejected by the rate limit within
 	// RateLimitedWindow that shows that the service has lowered its rates.
-	RateLimitedRefusals = 5
-	RateLimitedWindow   = 4 * time.Second
+	MinRateLimitRejections = 5
+	RateLimitedWindow      = 4 * time.Second
 	// ScarceTokenShare is the fraction of the budget left below which it is reported as scarce.
 	ScarceTokenShare = 0.1
 )
--- a/internal/node/state_limits.go
+++ b/internal/node/state_limits.go
@@ -25,7 +25,7 @@
 // recordRateLimited records that the state service's rate limit rejected a call, and reports
 // whether this switches to the lower rates, which happens once. A single rejection may be due
 // to nodes whose clocks disagree about when a second begins, but
-// constants.RateLimitedRefusals rejections within constants.RateLimitedWindow are not.
+// constants.MinRateLimitRejections rejections within constants.RateLimitedWindow are not.
 func (l *stateLimits) recordRateLimited(now time.Time) (lowered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -33,7 +33,7 @@
 	for len(l.rateLimitedAt) > 0 && now.Sub(l.rateLimitedAt[0]) > constants.RateLimitedWindow {
 		l.rateLimitedAt = l.rateLimitedAt[1:]
 	}
-	return len(l.rateLimitedAt) >= constants.RateLimitedRefusals && l.ratesLowered.CompareAndSwap(false, true)
+	return len(l.rateLimitedAt) >= constants.MinRateLimitRejections && l.ratesLowered.CompareAndSwap(false, true)
 }
 
 // halveSizes halves the maximum sizes of values and transactions from the next term on.
