--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -79,7 +79,7 @@
 func (s *Settings) check() error {
 	var c checker
 	c.nonEmpty("label", s.NodeName)
-	c.nonEmpty("site", s.Site)
+	c.nonEmpty("site", s.Zone)
 	c.address("listen", s.Listen)
 	c.address("mesh_addr", s.PeerListen)
 	c.address("services.cloud", s.Services.Cloud)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -7,8 +7,8 @@
 type Settings struct {
 	// NodeName is this node's name.
 	NodeName string `toml:"label"`
-	// Site is the zone of this node.
-	Site string `toml:"site"`
+	// Zone is the zone that this node runs in.
+	Zone string `toml:"site"`
 	// Listen is the HOST:PORT on which the node serves users, workers and health checks.
 	Listen string `toml:"listen"`
 	// PeerListen is the HOST:PORT on which the node serves its peers.
@@ -22,8 +22,8 @@
 // Peer is another controller node.
 type Peer struct {
 	Name string `toml:"label"`
-	// Site is the zone of the peer.
-	Site string `toml:"site"`
+	// Zone is the zone that the peer runs in.
+	Zone string `toml:"site"`
 	// Addr is the HOST:PORT of its PeerListen.
 	Addr string `toml:"addr"`
 }
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -114,7 +114,7 @@
 }
 
 func (n *Node) logStart() {
-	attrs := []any{"node", n.settings.NodeName, "zone", n.settings.Site, "listen", n.settings.Listen}
+	attrs := []any{"node", n.settings.NodeName, "zone", n.settings.Zone, "listen", n.settings.Listen}
 	bySockets, byMemory := n.settings.WorkerCapacity()
 	if !math.IsInf(bySockets, 1) {
 		attrs = append(attrs, "room_for_workers_by_sockets", bySockets)
--- a/internal/node/site_test.go
+++ b/internal/node/site_test.go
@@ -193,7 +193,7 @@
 // settings returns the settings of the node with this number.
 func (s *site) settings(number int) *config.Settings {
 	settings := &config.Settings{
-		NodeName: nodeName(number), Site: zones[number%len(zones)], Listen: nodeAddress(number), PeerListen: peerAddress(number),
+		NodeName: nodeName(number), Zone: zones[number%len(zones)], Listen: nodeAddress(number), PeerListen: peerAddress(number),
 		Services: config.Services{Cloud: cloudAddress, State: stateAddress},
 		Params:   s.params,
 	}
