--- a/internal/node/combined_faults_machines_test.go
+++ b/internal/node/combined_faults_machines_test.go
@@ -33,7 +33,7 @@
 					sc.cancel(gang)
 				}
 				time.Sleep(20 * time.Second)
-				machines, counts := len(sc.machineNames()), sc.state.Counts()
+				machines, counts := len(sc.machineNames()), sc.state.CountFaults()
 				sc.checkFaultsOccurred(machines > machinesBefore && counts.LateApplied+counts.LateRejected > 0, "%d machines, %d before; %+v", machines, machinesBefore, counts)
 			})
 		})
--- a/internal/node/combined_faults_statestore_test.go
+++ b/internal/node/combined_faults_statestore_test.go
@@ -49,7 +49,7 @@
 				time.Sleep(sc.rules.cancelWithin + sc.randomDuration(4*time.Second, 20*time.Second) - time.Since(run.refusedAt) + outageDelay)
 				sc.rules.checkCancelDeadlines()
 				sc.checkFaultsOccurred(confirmed > 0 || outageDelay < time.Second || delayed, "no cancellation was confirmed before the outage")
-				sc.checkFaultsOccurred(sc.state.Counts().Refused > 0, "the state service refused no request")
+				sc.checkFaultsOccurred(sc.state.CountFaults().Refused > 0, "the state service refused no request")
 				run.endOutage()
 			})
 		})
@@ -162,7 +162,7 @@
 		})
 		sc.runJobsWithLostReplies()
 		time.Sleep(13 * time.Second)
-		counts := sc.state.Counts()
+		counts := sc.state.CountFaults()
 		sc.checkFaultsOccurred(counts.LateApplied+counts.LateRejected > 10, "%+v", counts)
 	})
 }
@@ -177,7 +177,7 @@
 			return simulator.TxnFault{ReplyLost: losesReply(writes)}
 		})
 		sc.runJobsWithLostReplies()
-		counts := sc.state.Counts()
+		counts := sc.state.CountFaults()
 		sc.checkFaultsOccurred(counts.ReplyLost > 10, "%+v", counts)
 	})
 }
--- a/internal/node/large_fleet_test.go
+++ b/internal/node/large_fleet_test.go
@@ -85,7 +85,7 @@
 		f.checkCancelHalf()
 
 		s.checkNoViolations()
-		if refused := s.state.Counts().TooLarge; refused > 0 {
+		if refused := s.state.CountFaults().TooLarge; refused > 0 {
 			s.t.Errorf("%d requests were refused for their size", refused)
 		}
 		f.checkResources()
--- a/internal/node/state_limits_lowered_test.go
+++ b/internal/node/state_limits_lowered_test.go
@@ -36,7 +36,7 @@
 					time.Sleep(sc.randomDuration(0, 300*time.Millisecond))
 				}
 				time.Sleep(10 * time.Second)
-				if refused := sc.state.Counts().TooLarge; refused > 0 {
+				if refused := sc.state.CountFaults().TooLarge; refused > 0 {
 					sc.t.Errorf("%d requests exceeded the size limits", refused)
 				}
 			})
@@ -57,7 +57,7 @@
 			sc.submitNext(testJob(0, alternatingTeam(n), jobs.KindArray, 6))
 		}
 		time.Sleep(40 * time.Second)
-		sc.checkFaultsOccurred(sc.state.Counts().TooLarge > 0, "no request exceeded the size limits")
+		sc.checkFaultsOccurred(sc.state.CountFaults().TooLarge > 0, "no request exceeded the size limits")
 		sc.state.SetTxnFaults(nil)
 	})
 }
--- a/internal/simulator/state_faults.go
+++ b/internal/simulator/state_faults.go
@@ -77,8 +77,8 @@
 	s.fault = choose
 }
 
-// Counts returns the numbers of faults that have occurred so far.
-func (s *StateService) Counts() FaultCounts {
+// CountFaults returns how many faults of each kind have occurred so far.
+func (s *StateService) CountFaults() FaultCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faultCounts
