--- a/internal/node/site_test.go
+++ b/internal/node/site_test.go
@@ -145,16 +145,16 @@
 	host := s.network.Host(instance.Name)
 	defer host.Kill()
 	var addresses []string
-	labels := map[string]string{}
+	addressByLabel := map[string]string{}
 	for i := range s.siteOptions.nodes {
 		addresses = append(addresses, nodeAddress(i))
-		labels[nodeName(i)] = nodeAddress(i)
+		addressByLabel[nodeName(i)] = nodeAddress(i)
 	}
 	timings := s.params.Workers
 	worker := simulator.NewWorker(simulator.WorkerOptions{
 		Name: instance.Name, Addr: instance.Endpoint, MachineType: instance.MachineType, Zone: instance.Zone, Spot: instance.Spot,
-		Nodes: addresses, NodeByLabel: labels, FetchTime: 3 * time.Second, StepInterval: s.workerStepInterval,
-		HeartbeatInterval: config.Seconds(timings.HeartbeatS), Lease: config.Seconds(timings.LeaseS), GangWait: config.Seconds(timings.GangWaitS),
+		NodeAddrs: addresses, NodeAddrByLabel: addressByLabel, FetchTime: 3 * time.Second, StepInterval: s.workerStepInterval,
+		HeartbeatInterval: config.Seconds(timings.HeartbeatS), LeaseDuration: config.Seconds(timings.LeaseS), GangWait: config.Seconds(timings.GangWaitS),
 		DuplicateDelays: s.heartbeatDuplicateDelays, MaxKeptHeartbeats: s.maxKeptHeartbeats, RunTime: s.taskDuration,
 	}, host, s, s.rules, gangs)
 	s.mu.Lock()
--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -32,17 +32,17 @@
 )
 
 // ServeSite serves a simulated site on loopback until ctx is done: a state service and a cloud
-// at the addresses in settings, and the workers of the cloud's machines. The workers connect
-// to nodes, which maps node labels to user API addresses. lossShare is the fraction of write
+// at the addresses in settings, and the workers of the cloud's machines. nodeAddrByLabel maps
+// node labels to the addresses that the workers connect to. lossShare is the fraction of write
 // transactions whose reply the state service drops. ServeSite returns an error if an address is
 // not on loopback or a server fails, and nil once ctx is done.
-func ServeSite(ctx context.Context, settings *config.Settings, nodes map[string]string, lossShare float64, log *slog.Logger) error {
+func ServeSite(ctx context.Context, settings *config.Settings, nodeAddrByLabel map[string]string, lossShare float64, log *slog.Logger) error {
 	state := NewStateService()
 	defer state.Close()
 	if lossShare > 0 {
 		state.SetTxnFaults(randomLostReplies(lossShare, log))
 	}
-	cloud := NewCloud(ctx, siteCatalog(settings.Params.Zones), siteMachineCount, siteWorkerRunner(settings, nodes, state, log))
+	cloud := NewCloud(ctx, siteCatalog(settings.Params.Zones), siteMachineCount, siteWorkerRunner(settings, nodeAddrByLabel, state, log))
 	serveErrors := make(chan error, 2)
 	for addr, handler := range map[string]http.Handler{settings.Services.State: state, settings.Services.Cloud: cloud} {
 		if err := serveLoopback(ctx, addr, handler, serveErrors); err != nil {
@@ -83,19 +83,19 @@
 }
 
 // siteWorkerRunner returns a function that runs the worker of one of the site's machines.
-func siteWorkerRunner(settings *config.Settings, nodes map[string]string, state *StateService, log *slog.Logger) WorkerRunner {
+func siteWorkerRunner(settings *config.Settings, nodeAddrByLabel map[string]string, state *StateService, log *slog.Logger) WorkerRunner {
 	timings := settings.Params.Workers
 	gangs := NewGangRegistry()
 	var addrs []string
-	for _, addr := range nodes {
+	for _, addr := range nodeAddrByLabel {
 		addrs = append(addrs, addr)
 	}
 	return func(ctx context.Context, instance autoscaling.Instance) {
 		worker := NewWorker(WorkerOptions{
 			Name: instance.Name, Addr: instance.Endpoint, MachineType: instance.MachineType,
 			Zone: instance.Zone, Spot: instance.Spot,
-			Nodes: addrs, NodeByLabel: nodes,
-			HeartbeatInterval: config.Seconds(timings.HeartbeatS), Lease: config.Seconds(timings.LeaseS),
+			NodeAddrs: addrs, NodeAddrByLabel: nodeAddrByLabel,
+			HeartbeatInterval: config.Seconds(timings.HeartbeatS), LeaseDuration: config.Seconds(timings.LeaseS),
 			FetchTime: siteFetchTime, GangWait: config.Seconds(timings.GangWaitS),
 		}, systemNetwork{}, submittedJobs{state}, logObserver{log}, gangs)
 		if err := worker.Run(ctx); err != nil && ctx.Err() == nil {
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -35,12 +35,12 @@
 	Name, Addr, MachineType, Zone string
 	Spot                          bool
 
-	Nodes       []string          // addresses of the nodes
-	NodeByLabel map[string]string // addresses of the nodes by label, to follow redirects
+	NodeAddrs       []string          // HOST:PORT of each node
+	NodeAddrByLabel map[string]string // the same addresses by node label, to follow redirects
 
-	HeartbeatInterval, Lease time.Duration
-	FetchTime                time.Duration // time that the worker takes to fetch an image
-	GangWait                 time.Duration // how long a task waits for the rest of its gang
+	HeartbeatInterval, LeaseDuration time.Duration
+	FetchTime                        time.Duration // time that the worker takes to fetch an image
+	GangWait                         time.Duration // how long a task waits for the rest of its gang
 	// StepInterval is the interval at which the worker updates its tasks; 0 means 100 ms.
 	StepInterval time.Duration
 	// RunTime returns how long the task with the given index runs; nil means the job's expected
@@ -82,7 +82,7 @@
 	leaseStart   time.Time  // when the last acknowledged heartbeat was sent
 	tasks        map[workers.AttemptID]*task
 	cachedImages map[string]bool
-	nodeIndex    int // index into options.Nodes, modulo its length
+	nodeIndex    int // index into options.NodeAddrs, modulo its length
 
 	// Fault injection.
 	incomingBlocked bool
--- a/internal/simulator/worker_heartbeats.go
+++ b/internal/simulator/worker_heartbeats.go
@@ -34,7 +34,7 @@
 func (w *Worker) sendHeartbeat(ctx context.Context) {
 	w.mu.Lock()
 	heartbeat := w.newHeartbeat()
-	addr := w.options.Nodes[w.nodeIndex%len(w.options.Nodes)]
+	addr := w.options.NodeAddrs[w.nodeIndex%len(w.options.NodeAddrs)]
 	w.mu.Unlock()
 	sentAt := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, replyTimeout)
@@ -129,8 +129,8 @@
 func (w *Worker) followRedirect(body []byte, from string) {
 	var target redirectReply
 	_ = json.Unmarshal(body, &target) // a malformed redirect names no leader
-	for i, addr := range w.options.Nodes {
-		if target.Leader != "" && addr == w.options.NodeByLabel[target.Leader] && addr != from {
+	for i, addr := range w.options.NodeAddrs {
+		if target.Leader != "" && addr == w.options.NodeAddrByLabel[target.Leader] && addr != from {
 			w.nodeIndex = i
 			w.requestHeartbeat()
 			return
--- a/internal/simulator/worker_tasks.go
+++ b/internal/simulator/worker_tasks.go
@@ -61,7 +61,7 @@
 // expireLease applies the protocol's rule for leases: once the lease has expired, the worker kills
 // and forgets all tasks and starts a new epoch with a new lease.
 func (w *Worker) expireLease(now time.Time) {
-	if now.Sub(w.leaseStart) <= w.options.Lease {
+	if now.Sub(w.leaseStart) <= w.options.LeaseDuration {
 		return
 	}
 	w.killAllTasks()
