--- a/internal/peers/client.go
+++ b/internal/peers/client.go
@@ -144,12 +144,12 @@
 }
 
 // AttestCancellations returns the jobs whose cancellation a node has confirmed to users within
-// the given span before its answer. ok is false if the node can't give a complete list or can't
-// be reached.
-func (c *Client) AttestCancellations(ctx context.Context, node string, span time.Duration) (cancelled []string, ok bool) {
+// the window before its answer. ok is false if the node can't give a complete list or can't be
+// reached.
+func (c *Client) AttestCancellations(ctx context.Context, node string, window time.Duration) (cancelled []string, ok bool) {
 	reply := new(VouchReply)
-	// Rounded up, so that the node covers at least the span.
-	args := VouchArgs{SpanMS: span.Milliseconds() + 1}
+	// Rounded up, so that the node covers at least the window.
+	args := VouchArgs{SpanMS: window.Milliseconds() + 1}
 	if err := c.call(ctx, constants.PeerTimeout, node, methodVouch, args, reply); err != nil {
 		return nil, false
 	}
--- a/internal/peers/wire.go
+++ b/internal/peers/wire.go
@@ -45,8 +45,8 @@
 	Body       []byte
 }
 
-// VouchArgs requests the cancellations that the node has confirmed to users within the last
-// SpanMS milliseconds.
+// VouchArgs requests the cancellations that the node has confirmed to users within the window of
+// SpanMS milliseconds before its answer.
 type VouchArgs struct{ SpanMS int64 }
 
 // VouchReply is the reply to VouchArgs. If OK is false, the node can't give a complete list of
--- a/internal/userapi/server.go
+++ b/internal/userapi/server.go
@@ -124,8 +124,8 @@
 }
 
 // AttestCancellations returns all jobs that this process reported to users as cancelled within
-// the last span, and possibly further cancelled jobs. It returns ok = false if the list may be
-// incomplete.
-func (s *Server) AttestCancellations(span time.Duration) (ids []string, ok bool) {
-	return s.cancellationLog.Since(span, time.Now())
+// the window before now, and possibly further cancelled jobs. It returns ok = false if the list
+// may be incomplete.
+func (s *Server) AttestCancellations(window time.Duration) (ids []string, ok bool) {
+	return s.cancellationLog.Since(window, time.Now())
 }
