--- a/internal/constants/serving.go
+++ b/internal/constants/serving.go
@@ -4,16 +4,17 @@
 
 // HTTP connections of users and workers.
 const (
-	// HeaderTimeout is the timeout for reading a request's header. It ends slow connections.
-	// It is also how long the leader keeps an idle connection to a worker open.
+	// HeaderTimeout is the timeout for reading a request's header, so that slow clients can't
+	// hold connections open. It is also the time after which the leader closes an idle
+	// connection to a worker.
 	HeaderTimeout = 10 * time.Second
 	// MaxHeaderBytes is the maximum size of a request's header in bytes. Headers of workers
 	// and users are normally a few hundred bytes long.
 	MaxHeaderBytes = 16 << 10
 	// IdleTimeout is how long a connection without a request is kept open.
 	IdleTimeout = 120 * time.Second
-	// BodyTimeout is the timeout for reading a whole request, header included.
-	BodyTimeout = 15 * time.Second
+	// RequestReadTimeout is the timeout for reading a whole request, header included.
+	RequestReadTimeout = 15 * time.Second
 	// ShutdownGrace is how long an orderly shutdown waits for requests in flight.
 	ShutdownGrace = 3 * time.Second
 )
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -60,7 +60,7 @@
 		Store:          n.store,
 		Teams:          n.settings.Params.Teams,
 		Limits:         n.settings.Params.State,
-		MaxSubmissions: n.maxConcurrentSubmits(),
+		MaxSubmissions: n.maxConcurrentSubmissions(),
 		MachineTypes:   func() []jobs.MachineType { return n.catalog.load().JobMachineTypes() },
 		Progress:       n.progress,
 		Ready:          n.ready,
@@ -85,7 +85,7 @@
 	mux.HandleFunc("POST /hello", n.serveHeartbeat)
 	n.registerOperatorEndpoints(mux)
 	return &http.Server{
-		Handler: mux, ReadHeaderTimeout: constants.HeaderTimeout, ReadTimeout: constants.BodyTimeout,
+		Handler: mux, ReadHeaderTimeout: constants.HeaderTimeout, ReadTimeout: constants.RequestReadTimeout,
 		IdleTimeout: constants.IdleTimeout, MaxHeaderBytes: constants.MaxHeaderBytes,
 		ErrorLog:  slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
 		ConnState: n.connections.onStateChange, ConnContext: n.connections.connContext,
@@ -114,7 +114,7 @@
 }
 
 func (n *Node) logStart() {
-	attrs := []any{"node", n.settings.NodeName, "zone", n.settings.Site, "listen", n.settings.Listen}
+	attrs := []any{"node", n.settings.NodeName, "zone", n.settings.Zone, "listen", n.settings.Listen}
 	bySockets, byMemory := n.settings.WorkerCapacity()
 	if !math.IsInf(bySockets, 1) {
 		attrs = append(attrs, "room_for_workers_by_sockets", bySockets)
