--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -13,9 +13,10 @@
 // SplitListPrefix is the key prefix for the parts of split dependency lists.
 const SplitListPrefix = "waits/"
 
-// SplitList identifies values below SplitListPrefix that together hold a list of job IDs. The
-// values are written before the record that refers to them. Each submission uses its own upload
-// ID, so the values never change once a record refers to them.
+// SplitList identifies the parts of a list of job IDs that is too long for one value. Each part is
+// stored as a value of its own, under a key that starts with SplitListPrefix. The parts are written
+// before the record that refers to them. Each submission uses its own upload ID, so the parts never
+// change once a record refers to them.
 type SplitList struct {
 	// Upload is the random ID of the submission's parts.
 	Upload string `json:"upload"`
@@ -61,8 +62,8 @@
 	List(ctx context.Context, class statestore.Class, prefix string) ([]statestore.KeyValue, uint64, error)
 }
 
-// Load returns the complete list for the job with this ID. It reads the parts of a split list
-// from the store.
+// Load returns the IDs of all jobs that the job with this ID depends on. It reads the parts of a
+// split list from the store.
 func (d Dependencies) Load(ctx context.Context, store lister, class statestore.Class, id string) ([]string, error) {
 	if d.Split == nil {
 		return d.DependsOn, nil
--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -35,8 +35,8 @@
 }
 
 // EncodeRecord returns the record of a job accepted at the given time (Unix milliseconds). If
-// the list of dependencies makes the record longer than valueBytes, the list is split into
-// parts. The parts must be written before the record, in order, under the keys given by the
+// the record is longer than valueBytes less recordMarginBytes, its list of dependencies is split
+// into parts. The parts must be written before the record, in order, under the keys given by the
 // record's SplitList. The upload ID makes these keys unique to the submission.
 func EncodeRecord(spec Spec, acceptedAtMS int64, valueBytes int, upload string) (record json.RawMessage, parts []json.RawMessage, err error) {
 	record, err = json.Marshal(Record{Spec: spec, AcceptedAtMS: acceptedAtMS})
