--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -73,8 +73,8 @@
 	// GangPeerTimeoutS is the time within which a task of a gang detects that another task of
 	// the gang is gone, and how long it waits for the other tasks in an orderly stop.
 	GangPeerTimeoutS float64 `toml:"gang_peer_s"`
-	// CancelWithinS is the maximum time between the confirmation of a job's cancellation to
-	// its user and the end of its last task.
+	// CancelWithinS is the maximum time from when a user is told that a job is cancelled until
+	// the job's last task ends.
 	CancelWithinS float64 `toml:"cancel_s"`
 }
 
--- a/internal/config/sizing.go
+++ b/internal/config/sizing.go
@@ -16,7 +16,8 @@
 }
 
 // SocketLimit returns the maximum number of connections of users and workers together: all
-// sockets except those reserved for the node's own calls. It returns 0 if there is no limit.
+// sockets except the reserved ones, which are those that internalSockets counts, but at most
+// constants.MaxReservedSocketShare of all. It returns 0 if there is no limit.
 func (s *Settings) SocketLimit() int {
 	total := s.Params.MachineLimits.Sockets
 	if total <= 0 {
@@ -26,8 +27,9 @@
 	return max(constants.MinSocketLimit, total-reserved)
 }
 
-// WorkerCapacity returns how many workers one node can serve, in addition to some users, with
-// its sockets and with its memory. It returns infinity where there is no limit.
+// WorkerCapacity returns how many workers one node can serve with its sockets, in addition to
+// constants.MinUserConns connections of users, and how many with its memory. It returns infinity
+// where there is no limit.
 func (s *Settings) WorkerCapacity() (bySockets, byMemory float64) {
 	bySockets, byMemory = math.Inf(1), math.Inf(1)
 	if sockets := s.SocketLimit(); sockets > 0 {
