--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -86,7 +86,8 @@
 	return ctx.Err()
 }
 
-// sleepJittered waits for between 0.5 and 1.5 times d, so that nodes do not act in lockstep.
+// sleepJittered waits for 0.5 to 1.5 times d, chosen at random so that nodes do not act in
+// lockstep, or until ctx ends.
 func sleepJittered(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d/2 + rand.N(d))
 	defer timer.Stop()
--- a/internal/election/lease.go
+++ b/internal/election/lease.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// reacquireLease names the leader of the view again, under a new lease that it returns. The
-// error is errTermSuperseded if another node leads or has led since.
+// reacquireLease grants a new lease, writes the leader record of the view again under it, and
+// returns the lease. The error is errTermSuperseded if another node has started a newer term.
 func (e *Elector) reacquireLease(ctx context.Context, view View) (lease uint64, err error) {
 	lease, err = e.store.GrantLease(ctx, constants.LeaderLeaseTTL)
 	if err != nil {
--- a/internal/election/view.go
+++ b/internal/election/view.go
@@ -114,8 +114,9 @@
 	}
 }
 
-// reacquireLease returns the transaction that names the leader of the view again, under
-// another lease. It fails if a leader is named or the term has increased.
+// reacquireLease returns the conditions and writes of the transaction that writes the leader
+// record of the view again, under another lease. The transaction fails if there is a leader record
+// or if the term has increased.
 func (v View) reacquireLease(lease uint64) ([]statestore.Condition, []statestore.Write) {
 	return []statestore.Condition{{Key: LeaderKey}, {Key: TermKey, Revision: v.TermRevision}},
 		[]statestore.Write{{Put: LeaderKey, Value: encode(v.Leader), Lease: lease}}
--- a/internal/statestore/budget.go
+++ b/internal/statestore/budget.go
@@ -100,7 +100,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	// Lease calls never wait: a lease that is not renewed in time ends the leader's term.
+	// Lease calls never wait: if the leader's lease is not renewed in time, another node may start
+	// a new term.
 	if class != ClassLease {
 		if !hasTokens(b.requests, now, 1, class) || writes > 0 && !hasTokens(b.writes, now, writes, class) {
 			return false
