--- a/internal/userapi/status_queries.go
+++ b/internal/userapi/status_queries.go
@@ -158,9 +158,9 @@
 }
 
 // answerDependents answers the queries for jobs with open dependencies by one watch for all of
-// them. The synced replica shows the open jobs at a moment after the queries arrived, and any
-// dependency that is cancelled was already cancelled at that moment (docs/design.md, Safety
-// 12).
+// them. The synced replica shows which jobs were open at a moment after the queries arrived. A
+// dependency that is not open in it has a final record, which never changes (docs/design.md,
+// Safety 12).
 func (s *Server) answerDependents(ctx context.Context, batch []statusQuery) {
 	ctx, cancel := context.WithTimeout(ctx, constants.StatusQueryTimeout)
 	defer cancel()
--- a/internal/userapi/status_queries_test.go
+++ b/internal/userapi/status_queries_test.go
@@ -32,7 +32,7 @@
 // TestStatusQueryThroughput checks that one node answers the status queries for thousands of
 // jobs within their timeout, with as few transactions as possible, when transactions are
 // limited to the minimum size. Processing one batch at a time answered only about 60 queries a
-// second, which the users of 300 open jobs generate.
+// second, which is what the users of 300 open jobs send.
 func TestStatusQueryThroughput(t *testing.T) {
 	const jobCount, interval = 2000, 5 * time.Second
 	synctest.Test(t, func(t *testing.T) {
