--- a/internal/simulator/state_http.go
+++ b/internal/simulator/state_http.go
@@ -14,8 +14,8 @@
 // Limits of the protocol.
 const (
 	maxListRows = 1000
-	minLeaseMs  = 100
-	maxLeaseMs  = 600000
+	minLeaseMS  = 100
+	maxLeaseMS  = 600000
 )
 
 // ServeHTTP implements http.Handler with the state service's API. It holds s.mu while a handler
@@ -80,11 +80,11 @@
 
 func (s *StateService) grantLease(w http.ResponseWriter, r *http.Request) {
 	var request leaseRequest
-	if json.NewDecoder(r.Body).Decode(&request) != nil || request.TTLMs < minLeaseMs || request.TTLMs > maxLeaseMs {
+	if json.NewDecoder(r.Body).Decode(&request) != nil || request.TTLMS < minLeaseMS || request.TTLMS > maxLeaseMS {
 		writeError(w, http.StatusBadRequest, "ttlMs")
 		return
 	}
-	writeReply(w, http.StatusOK, leaseReply{s.addLease(time.Duration(request.TTLMs) * time.Millisecond)})
+	writeReply(w, http.StatusOK, leaseReply{s.addLease(time.Duration(request.TTLMS) * time.Millisecond)})
 }
 
 func (s *StateService) renewOrEndLease(w http.ResponseWriter, path string) {
@@ -207,8 +207,8 @@
 func (s *StateService) watch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, _ := strconv.ParseUint(query.Get("from"), 10, 64)     // 0 if missing: all changes
-	blockMs, _ := strconv.ParseInt(query.Get("blockMs"), 10, 64) // 0 if missing: no wait
-	timer := time.NewTimer(time.Duration(blockMs) * time.Millisecond)
+	blockMS, _ := strconv.ParseInt(query.Get("blockMs"), 10, 64) // 0 if missing: no wait
+	timer := time.NewTimer(time.Duration(blockMS) * time.Millisecond)
 	defer timer.Stop()
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/simulator/wire.go
+++ b/internal/simulator/wire.go
@@ -61,7 +61,7 @@
 
 // leaseRequest requests a new lease.
 type leaseRequest struct {
-	TTLMs int64 `json:"ttlMs"`
+	TTLMS int64 `json:"ttlMs"`
 }
 
 // leaseReply carries the ID of a lease that was granted or renewed.
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -128,7 +128,8 @@
 }
 
 // serveCommands starts the HTTP server for direct commands and status requests, which runs until
-// ctx is done. After a call of stop, the end of ctx no longer closes the server.
+// ctx is done. The returned stop function is that of the context.AfterFunc that closes the server
+// when ctx is done.
 func (w *Worker) serveCommands(ctx context.Context) (stop func() bool, err error) {
 	listener, err := w.transport.Listen("tcp", w.options.Addr)
 	if err != nil {
--- a/internal/simulator/worker_tasks.go
+++ b/internal/simulator/worker_tasks.go
@@ -232,7 +232,7 @@
 
 // handleDirectCommands handles POST /commands. It executes the commands unless the fencing token
 // is outdated or the epoch is not the worker's, and replies with the worker's status. While
-// incoming traffic is blocked it sends no reply.
+// incoming traffic is blocked it ignores the commands and sends no reply.
 func (w *Worker) handleDirectCommands(rw http.ResponseWriter, r *http.Request) {
 	var batch workers.CommandBatch
 	if json.NewDecoder(r.Body).Decode(&batch) != nil || batch.Token == 0 || batch.Epoch == 0 {
