--- a/internal/node/combined_faults_cancellations_test.go
+++ b/internal/node/combined_faults_cancellations_test.go
@@ -31,7 +31,7 @@
 	return ids
 }
 
-// hangMachine suspends a machine's worker for the duration, starting now.
+// hangMachine makes a machine's worker hang for the duration, starting now.
 func (sc *scenario) hangMachine(machine string, duration time.Duration) {
 	sc.worker(machine).SetHanging(true)
 	sc.runAfter(duration, func() { sc.worker(machine).SetHanging(false) })
@@ -171,6 +171,6 @@
 			sc.restartLeader(sc.randomDuration(100*time.Millisecond, 3*time.Second))
 		}
 		sc.sleepPastCancelDeadline()
-		sc.checkFaultsOccurred(hungMachines == 4, "%d machines were suspended", hungMachines)
+		sc.checkFaultsOccurred(hungMachines == 4, "%d machines hung", hungMachines)
 	})
 }
--- a/internal/node/combined_faults_statestore_test.go
+++ b/internal/node/combined_faults_statestore_test.go
@@ -12,7 +12,7 @@
 
 // Tests of state service faults combined with other faults.
 
-// refusalOutageRun holds the state of one run of TestCombinedSlowStateRefusalOutage.
+// refusalOutageRun is one run of TestCombinedSlowStateRefusalOutage.
 type refusalOutageRun struct {
 	*scenario
 	seed          uint64
@@ -127,9 +127,10 @@
 }
 
 // TestTasksKeepRunningDuringOutage: the state service is down for much longer than a worker's
-// lease, and for much longer than the leader alone could go on renewing leases, as it can't rule
-// out that another node has confirmed a cancellation. It goes on because all nodes attest which
-// cancellations they have confirmed. Running tasks must continue, and none may be restarted.
+// lease, and for much longer than the leader alone could go on renewing leases: another node may
+// have confirmed a cancellation that the leader can't read. The leader goes on because all nodes
+// attest which cancellations they have confirmed. Running tasks must continue, and none may be
+// restarted.
 func TestTasksKeepRunningDuringOutage(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		ids := []string{sc.submitNext(longJob("a", jobs.KindArray, 5, 150)), sc.submitNext(longJob("b", jobs.KindGang, 3, 150))}
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -22,8 +22,8 @@
 func (c *fakeConn) Close() error { c.closed = true; return nil }
 
 // TestUserConnectionsCloseNearSocketLimit checks that user connections stay open after a
-// response while sockets are plentiful and are closed once they run short, and that closed
-// connections no longer count.
+// response while sockets are plentiful and are closed after it once sockets run short, and that
+// closed connections no longer count.
 func TestUserConnectionsCloseNearSocketLimit(t *testing.T) {
 	n := New(&config.Settings{NodeName: "rig-0"}, config.DefaultOperator(), OSNetwork{&net.Dialer{}}, slog.New(slog.DiscardHandler))
 	n.userHandler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
--- a/internal/node/dependencies_input_test.go
+++ b/internal/node/dependencies_input_test.go
@@ -13,7 +13,7 @@
 // TestDependencyOnCancelledJob: a job that depends on a cancelled one, directly or through
 // other jobs, is accepted. From the first response on every node reports it as cancelled, and
 // none of its tasks ever starts, even if it also depends on done and running jobs. If a
-// dependency can't be checked, the response must be 503; it must not say that the job is
+// dependency can't be checked, the response must be 503; it must not say that the dependency is
 // unknown.
 func TestDependencyOnCancelledJob(t *testing.T) {
 	runScenarioOnce(t, smallSiteOptions(), 15, nil, func(sc *scenario) {
--- a/internal/node/large_fleet_test.go
+++ b/internal/node/large_fleet_test.go
@@ -57,7 +57,7 @@
 // TestLargeFleet subjects 4,000 machines to events that affect many of them at once: the
 // leader crashes; a zone with a third of the machines and a node is cut off for longer than
 // the lease and comes back; all nodes crash; half of the jobs are cancelled at the same time.
-// No rule may be violated, and the state service must refuse no request for its size. Every
+// No rule may be violated, and the state service must reject no request for its size. Every
 // worker that can reach a leader must get a reply within its lease, and every node must answer
 // status queries for every job. Sockets, memory and goroutines must stay within what the
 // settings and the number of workers allow.
@@ -85,8 +85,8 @@
 		f.checkCancelHalf()
 
 		s.checkNoViolations()
-		if refused := s.state.Counts().TooLarge; refused > 0 {
-			s.t.Errorf("%d requests were refused for their size", refused)
+		if rejected := s.state.Counts().TooLarge; rejected > 0 {
+			s.t.Errorf("%d requests were rejected for their size", rejected)
 		}
 		f.checkResources()
 	})
@@ -106,7 +106,7 @@
 	leader := f.leader()
 	f.killNode(leader)
 	f.waitForLeader(15*time.Second, leader)
-	f.waitAllWorkersReported(25*time.Second, "by the next leader")
+	f.waitAllWorkersReported(25*time.Second, "at the next leader")
 	f.startNode(nodeNumber(leader))
 	time.Sleep(40 * time.Second)
 	f.checkTasksUnmoved(before)
@@ -184,14 +184,14 @@
 	var memory runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&memory)
-	heapMB := float64(memory.HeapAlloc) / bytesPerMB
+	heapMB := float64(memory.HeapAlloc) / bytesPerMiB
 	machines, nodes := f.siteOptions.machines, f.siteOptions.nodes
 	nodeLimitMB := float64(nodes) * (constants.BaseMemoryMB + constants.MemoryPerWorkerMB*float64(machines))
 	simulatorLimitMB := 0.05 * float64(machines)
 	if heapMB > nodeLimitMB+simulatorLimitMB {
-		f.t.Errorf("%.0f MB of heap in use, limit %.0f for the nodes plus %.0f for the simulator", heapMB, nodeLimitMB, simulatorLimitMB)
+		f.t.Errorf("%.0f MiB of heap in use, limit %.0f for the nodes plus %.0f for the simulator", heapMB, nodeLimitMB, simulatorLimitMB)
 	}
-	f.t.Logf("%.0f MB of heap in use, %d goroutines", heapMB, runtime.NumGoroutine())
+	f.t.Logf("%.0f MiB of heap in use, %d goroutines", heapMB, runtime.NumGoroutine())
 	// Each worker has its loop, its server, and a goroutine for each end of a connection.
 	if maxCount := 4*machines + 1000*nodes; runtime.NumGoroutine() > maxCount {
 		f.t.Errorf("%d goroutines, limit %d", runtime.NumGoroutine(), maxCount)
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -79,7 +79,7 @@
 	w.gauge("sockets_open", "Open connections of users and workers.", float64(status.Sockets.Open), noLabels)
 	w.gauge("sockets_limit", "Maximum number of connections of users and workers; 0 means unlimited.", float64(status.Sockets.Limit), noLabels)
 	w.gauge("threads", "OS threads that the process has created.", float64(status.Threads), noLabels)
-	w.gauge("memory_bytes", "Memory held by the process.", status.MemoryMB*bytesPerMB, noLabels)
+	w.gauge("memory_bytes", "Memory held by the process.", status.MemoryMB*bytesPerMiB, noLabels)
 	w.gauge("settings_too_small", "Number of settings that are too small for the fleet.", float64(len(status.UndersizedSettings)), noLabels)
 	w.gauge("cloud_tokens", "Cloud API tokens available now.", status.CloudTokens, noLabels)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -81,8 +81,8 @@
 // nor any peer, or if it has no catalog yet.
 func (n *Node) ready() bool { return n.catalog.load() != nil && !n.health.isolated.Load() }
 
-// onRateLimited handles the rejection of a call by the state service's rate limit. It reduces
-// the node's own rates if the rejections show that the service has lowered its limits.
+// onRateLimited handles the refusal of a call by the state service's rate limit. It reduces
+// the node's own rates if the refusals show that the service has lowered its limits.
 func (n *Node) onRateLimited() {
 	if n.stateLimits.recordRateLimited(time.Now()) {
 		n.log.Info("state service rate limits lowered")
--- a/internal/node/resource_usage.go
+++ b/internal/node/resource_usage.go
@@ -15,12 +15,12 @@
 	"thornnotch/internal/constants"
 )
 
-const bytesPerMB = 1 << 20
+const bytesPerMiB = 1 << 20
 
 // LimitRuntime sets the Go runtime's memory limit and GOMAXPROCS from the machine's limits.
 func LimitRuntime(limits config.MachineLimits) {
 	if limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(limits.MemoryMB * constants.GoMemoryLimitShare * bytesPerMB))
+		debug.SetMemoryLimit(int64(limits.MemoryMB * constants.GoMemoryLimitShare * bytesPerMiB))
 		// A high GC percentage is safe here: the memory limit above bounds the heap.
 		debug.SetGCPercent(constants.GCPercent)
 	}
@@ -34,7 +34,7 @@
 	samples := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	metrics.Read(samples)
 	total, released := samples[0].Value.Uint64(), samples[1].Value.Uint64()
-	return float64(total-released) / bytesPerMB
+	return float64(total-released) / bytesPerMiB
 }
 
 // threadCount returns how many OS threads the process has created.
--- a/internal/node/scenario_test.go
+++ b/internal/node/scenario_test.go
@@ -164,7 +164,7 @@
 	sc.t.Helper()
 	for _, id := range ids {
 		status := sc.knownStatus(id)
-		sc.checkFaultsOccurred(status == jobs.StatusCancelled, "%s is %s", id, status)
+		sc.checkFaultsOccurred(status == jobs.StatusCancelled, "users were last told that %s is %s", id, status)
 	}
 }
 
--- a/internal/node/state_limits.go
+++ b/internal/node/state_limits.go
@@ -11,21 +11,21 @@
 
 // stateLimits tracks how far the state service has lowered its limits, which it does without
 // notice. It lowers rates to the values that the settings announce, and a node detects this from
-// rejected calls. It may lower sizes below every announced value, so a leader whose term ends
+// refused calls. It may lower sizes below every announced value, so a leader whose term ends
 // because a transaction was rejected as too large halves the sizes for its next term.
 type stateLimits struct {
 	// ratesLowered is set once the lower rates apply. It is never reset.
 	ratesLowered atomic.Bool
 
 	mu            sync.Mutex
-	rateLimitedAt []time.Time // rejections within constants.RateLimitedWindow; guarded by mu
+	rateLimitedAt []time.Time // refusals within constants.RateLimitedWindow; guarded by mu
 	halvings      int         // how often the sizes were halved; guarded by mu
 }
 
-// recordRateLimited records that the state service's rate limit rejected a call, and reports
-// whether this switches to the lower rates, which happens once. A single rejection may be due
+// recordRateLimited records that the state service's rate limit refused a call, and reports
+// whether this switches to the lower rates, which happens once. A single refusal may be due
 // to nodes whose clocks disagree about when a second begins, but
-// constants.RateLimitedRefusals rejections within constants.RateLimitedWindow are not.
+// constants.RateLimitedRefusals refusals within constants.RateLimitedWindow are not.
 func (l *stateLimits) recordRateLimited(now time.Time) (lowered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/node/state_limits_lowered_test.go
+++ b/internal/node/state_limits_lowered_test.go
@@ -14,7 +14,7 @@
 
 // TestStateLimitsLoweredAsAnnounced lowers the state service's limits without notice to the
 // values that the settings announce, while jobs are submitted and the leader restarts. No
-// request may exceed the new sizes, the lower rate must be detected from rejected calls, and
+// request may exceed the new sizes, the lower rate must be detected from refused calls, and
 // all jobs must complete.
 func TestStateLimitsLoweredAsAnnounced(t *testing.T) {
 	valueKB, ops, writeRPS := 2.0, 4, 20.0
@@ -36,8 +36,8 @@
 					time.Sleep(sc.randomDuration(0, 300*time.Millisecond))
 				}
 				time.Sleep(10 * time.Second)
-				if refused := sc.state.Counts().TooLarge; refused > 0 {
-					sc.t.Errorf("%d requests exceeded the size limits", refused)
+				if rejected := sc.state.Counts().TooLarge; rejected > 0 {
+					sc.t.Errorf("%d requests exceeded the size limits", rejected)
 				}
 			})
 		})
--- a/internal/node/state_limits_test.go
+++ b/internal/node/state_limits_test.go
@@ -8,8 +8,8 @@
 	"thornnotch/internal/constants"
 )
 
-// TestRateLimitsAreLoweredOnce checks that a series of rejected calls lowers the rates exactly
-// once, that isolated rejections do not, and that the sizes of values and transactions are
+// TestRateLimitsAreLoweredOnce checks that a series of refused calls lowers the rates exactly
+// once, that isolated refusals do not, and that the sizes of values and transactions are
 // halved down to a minimum.
 func TestRateLimitsAreLoweredOnce(t *testing.T) {
 	var limits stateLimits
@@ -17,7 +17,7 @@
 	for range 20 {
 		now = now.Add(constants.RateLimitedWindow / 2)
 		if limits.recordRateLimited(now) || limits.ratesLowered.Load() {
-			t.Fatal("isolated rejections lowered the rates")
+			t.Fatal("isolated refusals lowered the rates")
 		}
 	}
 	lowered := 0
@@ -37,7 +37,7 @@
 	}
 	limits.halveSizes()
 	if got := limits.apply(settings); got.ValueKB != 8 || got.TxnOps != 6 {
-		t.Errorf("limits after one halving are %+v, want 8 KB and 6 operations", got)
+		t.Errorf("limits after one halving are %+v, want 8 KiB and 6 writes", got)
 	}
 	for range 9 {
 		limits.halveSizes()
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -121,7 +121,7 @@
 }
 
 // add adds a node's status, or marks the node as unreachable if there is none. If two nodes
-// report as leaders, the cluster status of the newer term is kept.
+// both consider themselves the leader, the cluster status of the newer term is kept.
 func (o *Overview) add(name string, raw []byte, err error) {
 	var received Overview
 	if err == nil {
