--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -56,7 +56,7 @@
 	fieldCheckpointIntervalS = "snapshotS"
 	fieldCheckpointSaveS     = "stashS"
 	fieldDeadlineS           = "dueS"
-	// FieldDependsOn is exported because other packages check whether these jobs exist.
+	// FieldDependsOn is exported because package userapi checks whether the dependencies exist.
 	FieldDependsOn = "waitsOn"
 )
 
