--- a/internal/simulator/gang_registry.go
+++ b/internal/simulator/gang_registry.go
@@ -4,8 +4,8 @@
 
 // GangRegistry lets the tasks of a gang discover each other across machines.
 type GangRegistry struct {
-	mu        sync.Mutex // guards the fields below
-	members   map[gangAttempt]map[int]bool
+	mu        sync.Mutex                   // guards the fields below
+	members   map[gangAttempt]map[int]bool // indices of the tasks that have joined
 	completed map[gangAttempt]bool
 }
 
--- a/internal/simulator/state_faults.go
+++ b/internal/simulator/state_faults.go
@@ -18,8 +18,8 @@
 
 // FaultCounts counts the faults that occurred, so that a test can check that an injected fault
 // took effect. Refused counts requests that failed with 503 on arrival, and ReplyLost transactions
-// without a reply. LateApplied and LateRejected count the transactions to be applied after a delay
-// that were applied or rejected then. TooLarge and RateLimited count the transactions over a size
+// without a reply. LateApplied and LateRejected count the transactions delayed by TxnFault.After:
+// those applied and those rejected. TooLarge and RateLimited count the transactions over a size
 // limit and over the rate limit.
 type FaultCounts struct{ Refused, ReplyLost, LateApplied, LateRejected, TooLarge, RateLimited int }
 
--- a/internal/simulator/state_http.go
+++ b/internal/simulator/state_http.go
@@ -42,7 +42,7 @@
 	case path == "/holds":
 		s.grantLease(w, r)
 	case strings.HasPrefix(path, "/holds/"):
-		s.renewOrEndLease(w, strings.TrimPrefix(path, "/holds/"))
+		s.renewOrRevokeLease(w, strings.TrimPrefix(path, "/holds/"))
 	default:
 		http.NotFound(w, r)
 	}
@@ -87,7 +87,7 @@
 	writeReply(w, http.StatusOK, leaseReply{s.addLease(time.Duration(request.TTLMS) * time.Millisecond)})
 }
 
-func (s *StateService) renewOrEndLease(w http.ResponseWriter, path string) {
+func (s *StateService) renewOrRevokeLease(w http.ResponseWriter, path string) {
 	name, renew := strings.CutSuffix(path, "/touch")
 	id, _ := strconv.ParseUint(name, 10, 64) // 0 if malformed, which is never a lease ID
 	l, ok := s.leases[id]
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -32,7 +32,7 @@
 	refilledAt  time.Time
 }
 
-// storeItem is the value of one key.
+// storeItem holds the value of one key, its revision and its lease.
 type storeItem struct {
 	value    json.RawMessage
 	revision uint64 // revision of the last write to the key
