--- a/internal/node/combined_faults_statestore_test.go
+++ b/internal/node/combined_faults_statestore_test.go
@@ -66,7 +66,7 @@
 	r.cancelledJobs = r.jobIDs[:4]
 }
 
-// delayStateReplies makes the state service slow with odd seeds, and reports whether it did.
+// delayStateReplies makes the state service slow if the seed is odd, and reports whether it did.
 func (r *refusalOutageRun) delayStateReplies() (delayed bool) {
 	if r.seed%2 == 0 {
 		return false
--- a/internal/node/single_faults_nodes_test.go
+++ b/internal/node/single_faults_nodes_test.go
@@ -77,20 +77,20 @@
 func TestNodeCannotReachStateService(t *testing.T) {
 	for _, leads := range []bool{true, false} {
 		runSingleFaultScenario(t, nil, func(f *singleFaultScenario) {
-			refused := nodeNumber(f.leader())
+			cutOff := nodeNumber(f.leader())
 			if !leads {
-				refused = nextNodeNumber(f.leader())
+				cutOff = nextNodeNumber(f.leader())
 			}
-			f.nodes[nodeName(refused)].host.Disconnect(stateAddress)
+			f.nodes[nodeName(cutOff)].host.Disconnect(stateAddress)
 			time.Sleep(6 * time.Second) // if the leader was cut off, another node leads by now
 			for n := 50; n < 53; n++ {
 				job := testJob(n, "a", jobs.KindArray, 2)
-				if code := f.submit(refused, job); code != http.StatusCreated {
+				if code := f.submit(cutOff, job); code != http.StatusCreated {
 					f.t.Errorf("leader cut off %v: a submission got %d, want 201", leads, code)
 				}
 				f.submitJob(job)
 			}
-			if status := f.status(refused, jobID(50)); status != jobs.StatusPending && status != jobs.StatusRunning {
+			if status := f.status(cutOff, jobID(50)); status != jobs.StatusPending && status != jobs.StatusRunning {
 				f.t.Errorf("leader cut off %v: a status query got %s, want pending or running", leads, status)
 			}
 			time.Sleep(20 * time.Second)
