--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -90,7 +90,7 @@
 		// Waiting would not batch more changes, as the next transaction is already full. The
 		// state service's request tokens limit the rate.
 		at = c.lastSentAt
-	case c.log.HasPending() || c.hasFinalRecords():
+	case c.log.HasUncommitted() || c.hasFinalRecords():
 		at = c.lastSentAt.Add(constants.CommitInterval)
 	case c.log.Checkpointing() || len(c.obsoleteKeys) > 0:
 		at = c.lastSentAt.Add(constants.CheckpointPartInterval)
@@ -107,7 +107,7 @@
 func (c *groupCommit) hasFinalRecords() bool { return len(c.completed) > 0 || len(c.cancelled) > 0 }
 
 // hasRemaining reports whether changes are pending that are not in the transaction in flight.
-func (c *groupCommit) hasRemaining() bool { return c.log.HasQueuedChanges() || c.hasFinalRecords() }
+func (c *groupCommit) hasRemaining() bool { return c.log.HasPendingChanges() || c.hasFinalRecords() }
 
 // setLastTxnFull records whether changes stay pending because they do not fit into the
 // transaction being sent.
--- a/internal/leader/commit_job_writes.go
+++ b/internal/leader/commit_job_writes.go
@@ -89,9 +89,9 @@
 func (c *groupCommit) keyDeletion(key string, revision uint64) wal.JobWrite {
 	removed := func() { delete(c.obsoleteKeys, key) }
 	return wal.JobWrite{
-		Conditions: []statestore.Condition{{Key: key, Revision: revision}},
-		Writes:     []statestore.Write{{Delete: key}},
-		Committed:  func(uint64) { removed() },
-		Conflicted: removed,
+		Conditions:  []statestore.Condition{{Key: key, Revision: revision}},
+		Writes:      []statestore.Write{{Delete: key}},
+		OnCommitted: func(uint64) { removed() },
+		OnConflict:  removed,
 	}
 }
--- a/internal/leader/commit_result.go
+++ b/internal/leader/commit_result.go
@@ -45,19 +45,19 @@
 		outcome.endReason = ErrDeposed
 	case result.conflict != nil && c.log.WroteHead(*result.head):
 		// An earlier copy of the transaction, which got no answer, was executed.
-		c.log.Committed(result.headRevision)
+		c.log.OnCommitted(result.headRevision)
 		outcome.requestPass = c.markHealthy()
 	case result.conflict != nil && result.conflict.HasKey(wal.HeadKey):
 		outcome.endReason = ErrDeposed // another node writes the log
 	case result.conflict != nil:
 		// The job writes that did not conflict are queued again.
-		c.log.Conflicted(result.conflict.HasKey)
+		c.log.OnConflict(result.conflict.HasKey)
 		outcome.requestPass = true
 	case errors.Is(result.err, statestore.ErrRejected):
 		c.logger.Error("transaction rejected by state service", "error", result.err)
 		outcome.endReason = ErrTxnTooLarge
 	case result.err == nil:
-		c.log.Committed(result.revision)
+		c.log.OnCommitted(result.revision)
 		outcome.requestPass = c.markHealthy()
 	default:
 		// The outcome is unknown, so the same transaction is sent again.
--- a/internal/leader/fixtures_test.go
+++ b/internal/leader/fixtures_test.go
@@ -87,7 +87,7 @@
 // commitPending commits pending log changes and the final records of completed jobs. The state
 // service's revision starts from the given one; commitPending returns the last one.
 func commitPending(l *Leader, revision uint64) uint64 {
-	for l.wal.HasPending() || len(l.commits.completed) > 0 {
+	for l.wal.HasUncommitted() || len(l.commits.completed) > 0 {
 		if l.commits.next() == nil {
 			break
 		}
--- a/internal/leader/group_commit_test.go
+++ b/internal/leader/group_commit_test.go
@@ -35,11 +35,11 @@
 		write: func() wal.JobWrite {
 			r.written++
 			return wal.JobWrite{
-				Conditions: []statestore.Condition{{Key: r.key, Revision: 1}},
-				Writes:     []statestore.Write{{Delete: r.key}, {Put: "final/" + r.key}},
-				Committed:  func(uint64) { r.committed++ },
-				Conflicted: func() { r.conflicted++ },
-				Retry:      func() { r.queue(c) },
+				Conditions:  []statestore.Condition{{Key: r.key, Revision: 1}},
+				Writes:      []statestore.Write{{Delete: r.key}, {Put: "final/" + r.key}},
+				OnCommitted: func(uint64) { r.committed++ },
+				OnConflict:  func() { r.conflicted++ },
+				OnRetry:     func() { r.queue(c) },
 			}
 		},
 	})
--- a/internal/leader/growth_test.go
+++ b/internal/leader/growth_test.go
@@ -43,7 +43,7 @@
 		}
 		viewsBefore, bytesBefore := l.counts.Views, l.wal.Stats().EntryBytes
 		l.runSchedulingPass(now)
-		for l.wal.HasPending() {
+		for l.wal.HasUncommitted() {
 			l.commits.next()
 			l.applyCommitResult(commitResult{revision: uint64(3000 + w.transactions)})
 			w.transactions++
--- a/internal/leader/job_final_writes.go
+++ b/internal/leader/job_final_writes.go
@@ -26,14 +26,14 @@
 	id := job.spec.ID
 	final := jobs.FinalRecord{Status: jobs.StatusDone, Tasks: job.spec.Tasks, FinishedAtMS: time.Now().UnixMilli()}
 	write := finalWrite(job, final)
-	write.Committed = func(uint64) {
+	write.OnCommitted = func(uint64) {
 		l.deps.Log.Debug("job done", "job", id)
 		l.removeJob(job, time.Now())
 		l.upstreamEnded(id, final, time.Now())
 	}
 	// The user's cancellation was written first.
-	write.Conflicted = func() { l.removeJob(job, time.Now()) }
-	write.Retry = func() {
+	write.OnConflict = func() { l.removeJob(job, time.Now()) }
+	write.OnRetry = func() {
 		job.finalizing = false
 		l.queueCompletionWrite(job)
 	}
@@ -50,7 +50,7 @@
 // is used for jobs that are cancelled because an upstream job was.
 func (l *Leader) cancellationWrite(job *jobState) wal.JobWrite {
 	write := finalWrite(job, jobs.FinalRecord{Status: jobs.StatusCancelled})
-	write.Retry = func() { l.queueCancellationWrite(job) }
+	write.OnRetry = func() { l.queueCancellationWrite(job) }
 	return write
 }
 
--- a/internal/leader/wal/pending_test.go
+++ b/internal/leader/wal/pending_test.go
@@ -19,7 +19,7 @@
 	writer.TasksDone("j-1", completed, func() { reported = true })
 
 	transactions := 0
-	for ; writer.HasPending(); transactions++ {
+	for ; writer.HasUncommitted(); transactions++ {
 		if reported {
 			t.Fatalf("reported as committed after %d transactions, with changes still pending", transactions)
 		}
--- a/internal/leader/wal/replay_test.go
+++ b/internal/leader/wal/replay_test.go
@@ -131,7 +131,7 @@
 // service may or may not execute it, and the response may be lost.
 func (r *replayRun) sendTransaction(t *rapid.T) {
 	writer := r.leader.writer
-	if !writer.HasPending() && !writer.Checkpointing() {
+	if !writer.HasUncommitted() && !writer.Checkpointing() {
 		return
 	}
 	var jobWrites []JobWrite
@@ -159,7 +159,7 @@
 		return
 	}
 	if failed == nil {
-		writer.Committed(r.store.revision)
+		writer.OnCommitted(r.store.revision)
 		return
 	}
 	r.resolveConflict(t, failed)
@@ -175,7 +175,7 @@
 	return JobWrite{
 		Conditions: []statestore.Condition{{Key: key, Revision: revision}},
 		Writes:     []statestore.Write{{Put: key, Value: json.RawMessage("1")}},
-		Committed: func(revision uint64) {
+		OnCommitted: func(revision uint64) {
 			if r.store.revisions[key] != revision {
 				t.Fatalf("%s reported as committed at revision %d, but is at %d", key, revision, r.store.revisions[key])
 			}
@@ -206,11 +206,11 @@
 	case slices.Contains(failed, termKey):
 		t.Fatalf("deposed without a failover")
 	case writer.WroteHead(head):
-		writer.Committed(r.store.revisions[HeadKey])
+		writer.OnCommitted(r.store.revisions[HeadKey])
 	case slices.Contains(failed, HeadKey):
 		t.Fatalf("another leader wrote the head: %+v", head)
 	default:
-		writer.Conflicted(func(key string) bool { return slices.Contains(failed, key) })
+		writer.OnConflict(func(key string) bool { return slices.Contains(failed, key) })
 	}
 }
 
@@ -258,7 +258,7 @@
 			}
 		}
 	}
-	if leader.writer.HasPending() {
+	if leader.writer.HasUncommitted() {
 		return // ends may not be recorded yet
 	}
 	for attempt, name := range machineOf {
--- a/internal/leader/wal/store_test.go
+++ b/internal/leader/wal/store_test.go
@@ -90,5 +90,5 @@
 	if failed := store.commit(txn.Conditions, txn.Writes); failed != nil {
 		t.Fatalf("conditions on %v failed", failed)
 	}
-	writer.Committed(store.revision)
+	writer.OnCommitted(store.revision)
 }
--- a/internal/leader/wal/transaction.go
+++ b/internal/leader/wal/transaction.go
@@ -15,15 +15,15 @@
 type JobWrite struct {
 	Conditions []statestore.Condition
 	Writes     []statestore.Write
-	// Committed is called with the transaction's revision once the transaction is known to be
-	// committed.
-	Committed func(revision uint64)
-	// Conflicted is called if a condition of this job write has failed. The job write will
+	// OnCommitted is called with the transaction's revision once the transaction is known to
+	// be committed.
+	OnCommitted func(revision uint64)
+	// OnConflict is called if a condition of this job write has failed. The job write will
 	// never be executed.
-	Conflicted func()
-	// Retry is called if a condition of another job write in the transaction has failed: this
-	// job write was not executed either and must be submitted again.
-	Retry func()
+	OnConflict func()
+	// OnRetry is called if a condition of another job write in the transaction has failed:
+	// this job write was not executed either and must be submitted again.
+	OnRetry func()
 }
 
 // Txn is one transaction. It is sent with the same contents until its outcome is known (see
@@ -143,9 +143,9 @@
 	txn.Writes = append(txn.Writes, txn.logWrites...)
 }
 
-// Committed tells the writer that the transaction in flight was executed at the given
+// OnCommitted tells the writer that the transaction in flight was executed at the given
 // revision.
-func (w *Writer) Committed(revision uint64) {
+func (w *Writer) OnCommitted(revision uint64) {
 	txn := w.inFlight
 	w.inFlight = nil
 	w.head, w.headRevision = txn.head, revision
@@ -159,8 +159,8 @@
 		committed()
 	}
 	for _, jobWrite := range txn.jobWrites {
-		if jobWrite.Committed != nil {
-			jobWrite.Committed(revision)
+		if jobWrite.OnCommitted != nil {
+			jobWrite.OnCommitted(revision)
 		}
 	}
 }
@@ -171,11 +171,11 @@
 	return w.inFlight != nil && head.Term == w.inFlight.head.Term && head.TxnSeq == w.inFlight.head.TxnSeq
 }
 
-// Conflicted tells the writer that the transaction in flight was refused only because of
+// OnConflict tells the writer that the transaction in flight was refused only because of
 // conditions of its job writes; failed reports whether the condition on a key failed. These
 // conditions never hold again, so no copy of the transaction can be executed later, and the
 // rest of it is sent under a new identity, without the job writes.
-func (w *Writer) Conflicted(failed func(key string) bool) {
+func (w *Writer) OnConflict(failed func(key string) bool) {
 	txn := w.inFlight
 	jobWrites := txn.jobWrites
 	txn.jobWrites = nil
@@ -189,17 +189,17 @@
 	}
 }
 
-// notifyConflict calls Conflicted if a condition of the job write has failed, and otherwise
-// Retry. failed reports whether the condition on a key failed.
+// notifyConflict calls OnConflict if a condition of the job write has failed, and otherwise
+// OnRetry. failed reports whether the condition on a key failed.
 func (j JobWrite) notifyConflict(failed func(key string) bool) {
 	conflicted := false
 	for _, condition := range j.Conditions {
 		conflicted = conflicted || failed(condition.Key)
 	}
 	switch {
-	case conflicted && j.Conflicted != nil:
-		j.Conflicted()
-	case !conflicted && j.Retry != nil:
-		j.Retry()
+	case conflicted && j.OnConflict != nil:
+		j.OnConflict()
+	case !conflicted && j.OnRetry != nil:
+		j.OnRetry()
 	}
 }
--- a/internal/leader/wal/writer.go
+++ b/internal/leader/wal/writer.go
@@ -27,19 +27,19 @@
 //  1. Next returns a transaction, which is in flight and fixed from then on: Next returns the
 //     same one again, and later changes wait for the next transaction.
 //  2. The caller sends it, with the term's record as an additional condition.
-//  3. Once the transaction is known to have been executed, the caller calls Committed:
+//  3. Once the transaction is known to have been executed, the caller calls OnCommitted:
 //     all its contents are durable, and the next transaction may be sent.
 //  4. While the outcome is unknown (no response, or the service was unavailable), the caller
-//     calls neither Committed nor Conflicted, but gets the transaction from Next again and
-//     resends it with the same contents. The transaction may have been executed, or may
-//     be executed later. If its changes were put into another transaction in the meantime, a
-//     late copy could be executed first, and it would be unknown what is committed.
+//     calls neither OnCommitted nor OnConflict, but gets the transaction from Next again
+//     and resends it with the same contents. The transaction may have been executed, or may be
+//     executed later. If its changes were put into another transaction in the meantime, a late
+//     copy could be executed first, and it would be unknown what is committed.
 //  5. A conflict is not conclusive by itself, because an earlier copy whose response was lost
 //     may have been executed. The caller reads the head and calls WroteHead. If it returns
-//     true, the caller calls Committed with the revision of the head. If it returns false and
-//     the condition on HeadKey failed, another leader is writing the log and the term is
-//     over. Otherwise only conditions of job writes failed: the caller calls Conflicted, and
-//     Next returns the rest of the transaction without the job writes, if there is any.
+//     true, the caller calls OnCommitted with the revision of the head. If it returns false
+//     and the condition on HeadKey failed, another leader is writing the log and the term is
+//     over. Otherwise only conditions of job writes failed: the caller calls OnConflict,
+//     and Next returns the rest of the transaction without the job writes, if there is any.
 //
 // Every transaction writes the head and is conditioned on the revision that the previous one
 // gave it, so none can be executed twice or after a later one.
@@ -79,11 +79,12 @@
 	}
 }
 
-// HasPending reports whether changes are still to be written or a transaction is in flight.
-func (w *Writer) HasPending() bool { return w.inFlight != nil || !w.pending.empty() }
+// HasUncommitted reports whether changes are still to be written or a transaction is in
+// flight.
+func (w *Writer) HasUncommitted() bool { return w.inFlight != nil || !w.pending.empty() }
 
-// HasQueuedChanges reports whether there are changes that are not in the transaction in flight.
-func (w *Writer) HasQueuedChanges() bool {
+// HasPendingChanges reports whether there are changes that are not in a transaction yet.
+func (w *Writer) HasPendingChanges() bool {
 	return len(w.pending.machineOrder) > 0 || len(w.pending.doneOrder) > 0
 }
 
