--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -153,7 +153,7 @@
 		return
 	}
 	machine.startOverdue = agent.StartOverdue(now)
-	l.updateReachability(machine, before.RepliesLost, before.EpochUnconfirmed, now)
+	l.updateReachability(machine, before.RepliesLost, before.ReachabilityUnconfirmed, now)
 	if !before.Registered {
 		l.passes.request()
 		machine.markStale()
@@ -174,9 +174,10 @@
 }
 
 // updateReachability handles changes in whether the worker receives the leader's replies and
-// whether its epoch is confirmed, after a heartbeat was applied. While either is in doubt, it
-// probes the worker. The arguments are the agent's values from before that heartbeat.
-func (l *Leader) updateReachability(machine *machineState, repliesWereLost, epochWasUnconfirmed bool, now time.Time) {
+// whether its reachability is confirmed, after a heartbeat was applied. While either is in
+// doubt, it probes the worker. The arguments are the worker's values from before that
+// heartbeat.
+func (l *Leader) updateReachability(machine *machineState, repliesWereLost, reachabilityWasUnconfirmed bool, now time.Time) {
 	agent := machine.agent
 	if agent.RepliesLost != repliesWereLost {
 		machine.markStale()
@@ -187,14 +188,14 @@
 		}
 		l.passes.request()
 	}
-	agent.ConfirmEpoch(l.lease, now)
-	if agent.EpochUnconfirmed != epochWasUnconfirmed {
-		if agent.EpochUnconfirmed {
+	agent.ConfirmReachability(l.lease, now)
+	if agent.ReachabilityUnconfirmed != reachabilityWasUnconfirmed {
+		if agent.ReachabilityUnconfirmed {
 			machine.direct.resetInterval()
 		}
 		l.passes.request()
 	}
-	if agent.RepliesLost || agent.EpochUnconfirmed {
+	if agent.RepliesLost || agent.ReachabilityUnconfirmed {
 		l.probeAgent(machine, now)
 	}
 }
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -73,7 +73,7 @@
 	}
 	agent := m.agent
 	return agent.Registered && agent.ReclaimAt.IsZero() && agent.Epoch > agent.ExpiredEpoch &&
-		!agent.RepliesLost && !agent.EpochUnconfirmed
+		!agent.RepliesLost && !agent.ReachabilityUnconfirmed
 }
 
 // freeResources returns the machine's resources that neither tasks nor reservations use, or none
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -41,7 +41,7 @@
 		l.sendStops(machine, now)
 		machine.startOverdue = agent.StartOverdue(now)
 		switch {
-		case agent.RepliesLost || agent.EpochUnconfirmed:
+		case agent.RepliesLost || agent.ReachabilityUnconfirmed:
 			l.probeAgent(machine, now)
 		case tokensPushed < constants.MaxTokenPushesPerTick && l.needsToken(machine, now):
 			// Only a few tokens are sent per tick, because sending to all machines at once
--- a/internal/workers/agent.go
+++ b/internal/workers/agent.go
@@ -41,11 +41,12 @@
 	// evidently do not reach it. The worker gets no work and no status 200 until there is
 	// evidence that it receives messages again.
 	RepliesLost bool
-	// EpochUnconfirmed is set when an epoch has ended although the worker keeps sending
-	// heartbeats, so it may not have received the leader's replies. The worker gets no work
-	// until there is evidence that it receives them.
-	EpochUnconfirmed   bool
-	EpochUnconfirmedAt time.Time
+	// ReachabilityUnconfirmed is set when an epoch has ended although the worker keeps
+	// sending heartbeats, so it may not have received the leader's replies. The worker gets no
+	// work until there is evidence that it receives them. ReachabilityUnconfirmedAt is when
+	// that epoch ended.
+	ReachabilityUnconfirmed   bool
+	ReachabilityUnconfirmedAt time.Time
 	// IgnoredStops counts the consecutive heartbeats that show a stop not carried out.
 	IgnoredStops int
 
@@ -106,7 +107,7 @@
 		// Commands that the worker missed concern only attempts of the old epoch. Even a worker
 		// whose replies were lost is therefore answered again: if it then stays in this epoch,
 		// the replies reach it.
-		agent.EpochUnconfirmed, agent.RepliesLost, agent.EpochUnconfirmedAt = true, false, now
+		agent.ReachabilityUnconfirmed, agent.RepliesLost, agent.ReachabilityUnconfirmedAt = true, false, now
 	}
 	gone := agent.expireEpochs(epoch - 1)
 	agent.Epoch = epoch
--- a/internal/workers/lost_replies.go
+++ b/internal/workers/lost_replies.go
@@ -11,14 +11,14 @@
 
 // markReachable records that the worker has evidently received a message from the leader.
 func (agent *Agent) markReachable() {
-	agent.RepliesLost, agent.EpochUnconfirmed, agent.IgnoredStops = false, false, 0
+	agent.RepliesLost, agent.ReachabilityUnconfirmed, agent.IgnoredStops = false, false, 0
 }
 
-// ConfirmEpoch clears EpochUnconfirmed once the worker has kept its epoch for longer than it
-// could have without receiving the leader's replies.
-func (agent *Agent) ConfirmEpoch(lease time.Duration, now time.Time) {
-	if agent.EpochUnconfirmed && now.Sub(agent.EpochUnconfirmedAt) > lease+lease/2 {
-		agent.EpochUnconfirmed = false
+// ConfirmReachability clears ReachabilityUnconfirmed once the worker has kept its epoch for
+// longer than it could have without receiving the leader's replies.
+func (agent *Agent) ConfirmReachability(lease time.Duration, now time.Time) {
+	if agent.ReachabilityUnconfirmed && now.Sub(agent.ReachabilityUnconfirmedAt) > lease+lease/2 {
+		agent.ReachabilityUnconfirmed = false
 	}
 }
 
--- a/internal/workers/lost_replies_test.go
+++ b/internal/workers/lost_replies_test.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestReachabilityUnconfirmedAfterNewEpoch checks that EpochUnconfirmed is set when a worker's
-// epoch ends while it keeps sending heartbeats, and that it is cleared by evidence that the
-// worker receives messages, or once the worker has kept the new epoch for two leases.
+// TestReachabilityUnconfirmedAfterNewEpoch checks that ReachabilityUnconfirmed is set when a
+// worker's epoch ends while it keeps sending heartbeats, and that it is cleared by evidence
+// that the worker receives messages, or once the worker has kept the new epoch for two leases.
 func TestReachabilityUnconfirmedAfterNewEpoch(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
@@ -90,20 +90,20 @@
 		}, true},
 	} {
 		agent := registeredAgent(now)
-		if agent.EpochUnconfirmed {
-			t.Fatalf("%s: first epoch is unconfirmed", c.name)
+		if agent.ReachabilityUnconfirmed {
+			t.Fatalf("%s: ReachabilityUnconfirmed set in the first epoch", c.name)
 		}
 		agent.Observe(newHeartbeat(2, 20), ownTerm, false, now)
 		c.evidence(agent)
-		if agent.EpochUnconfirmed == c.confirmed {
-			t.Errorf("%s: EpochUnconfirmed = %v, want %v", c.name, agent.EpochUnconfirmed, !c.confirmed)
+		if agent.ReachabilityUnconfirmed == c.confirmed {
+			t.Errorf("%s: ReachabilityUnconfirmed = %v, want %v", c.name, agent.ReachabilityUnconfirmed, !c.confirmed)
 		}
-		agent.ConfirmEpoch(modelLease, now.Add(modelLease))
-		if agent.EpochUnconfirmed == c.confirmed {
-			t.Errorf("%s: EpochUnconfirmed cleared after one lease", c.name)
+		agent.ConfirmReachability(modelLease, now.Add(modelLease))
+		if agent.ReachabilityUnconfirmed == c.confirmed {
+			t.Errorf("%s: ReachabilityUnconfirmed cleared after one lease", c.name)
 		}
-		if agent.ConfirmEpoch(modelLease, now.Add(2*modelLease)); agent.EpochUnconfirmed {
-			t.Errorf("%s: EpochUnconfirmed still set after two leases", c.name)
+		if agent.ConfirmReachability(modelLease, now.Add(2*modelLease)); agent.ReachabilityUnconfirmed {
+			t.Errorf("%s: ReachabilityUnconfirmed still set after two leases", c.name)
 		}
 	}
 }
