--- a/internal/leader/attempt_records.go
+++ b/internal/leader/attempt_records.go
@@ -11,7 +11,7 @@
 	if !machine.metadataLogged {
 		l.logMetadata(machine, nil)
 	}
-	l.wal.AttemptPlaced(machine.agent.Name, attemptToRecord(attempt), attempt.ID.Task.Job, l.jobUsageToRecord(attempt), func() {
+	l.wal.AttemptPlaced(machine.worker.Name, attemptToRecord(attempt), attempt.ID.Task.Job, l.jobUsageToRecord(attempt), func() {
 		if !attempt.Committed {
 			attempt.Committed = true
 			l.allowStart(machine, attempt)
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -62,7 +62,7 @@
 				fleet[(i*20+k)%len(fleet)].markStale()
 			}
 			for _, machine := range fleet {
-				machine.agent.LastHeartbeat = now
+				machine.worker.LastHeartbeat = now
 			}
 			l.runSchedulingPass(now)
 		}
@@ -92,7 +92,7 @@
 			revision = commitPending(l, revision)
 			for k := range 20 {
 				machine := fleet[(i*20+k*101)%len(fleet)]
-				machine.agent.Commands(true, now)
+				machine.worker.Commands(true, now)
 			}
 		}
 	})
@@ -105,7 +105,7 @@
 	heartbeat := nextHeartbeat(l, machine, workers.StatusRunning, "")
 	for i := 0; i < len(heartbeat.Tasks); i += 3 {
 		task := &heartbeat.Tasks[i]
-		id := machine.agent.Attempts[attemptID(b, *task)].ID.Task
+		id := machine.worker.Attempts[attemptID(b, *task)].ID.Task
 		if job := l.jobs.get(id.Job); id.Index%50 != 0 && job != nil && job.spec.Kind != jobs.KindGang {
 			task.Status, task.Cause = workers.StatusExited, workers.CauseError
 		}
@@ -155,7 +155,7 @@
 		for range b.N {
 			now = now.Add(constants.TickInterval)
 			for _, machine := range l.fleet.sortedByName() {
-				machine.agent.LastHeartbeat, machine.agent.LastAcknowledged = now, now
+				machine.worker.LastHeartbeat, machine.worker.LastAcknowledged = now, now
 			}
 			l.tick(now)
 		}
--- a/internal/leader/checkpoint.go
+++ b/internal/leader/checkpoint.go
@@ -10,7 +10,7 @@
 func (l *Leader) beginCheckpoint() {
 	var machines []string
 	for _, machine := range l.fleet.sortedByName() {
-		machines = append(machines, machine.agent.Name)
+		machines = append(machines, machine.worker.Name)
 	}
 	var jobs []string
 	for job := range l.jobs.all() {
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -68,8 +68,8 @@
 // worker this term's token and asks for its status. sendDirectCommand returns false if no slot
 // is free for the command, but true if there is no need or no address to send it to.
 func (l *Leader) sendDirectCommand(machine *machineState, stops []workers.Command, now time.Time) bool {
-	agent := machine.agent
-	if agent.Endpoint == "" || agent.Epoch == 0 || machine.direct.inFlight && len(stops) == 0 {
+	worker := machine.worker
+	if worker.Endpoint == "" || worker.Epoch == 0 || machine.direct.inFlight && len(stops) == 0 {
 		return true // no address yet, or another command with the token is already in flight
 	}
 	silent := l.isSilent(machine, now)
@@ -82,18 +82,18 @@
 	if stops == nil {
 		stops = []workers.Command{} // the protocol requires a list, not null
 	}
-	batch := workers.CommandBatch{Token: l.term.number(), Epoch: agent.Epoch, Commands: stops}
-	endpoint := agent.Endpoint
+	batch := workers.CommandBatch{Token: l.term.number(), Epoch: worker.Epoch, Commands: stops}
+	endpoint := worker.Endpoint
 	l.calls.queue(func(ctx context.Context) func() {
 		status, err := l.deps.Workers.Send(ctx, endpoint, batch)
 		return func() {
 			machine.direct.end()
 			l.commands.release(silent)
 			if err != nil || status == nil {
-				l.deps.Log.Debug("direct command failed", "machine", agent.Name, "error", err)
+				l.deps.Log.Debug("direct command failed", "machine", worker.Name, "error", err)
 				return
 			}
-			if l.fleet.get(agent.Name) == machine && status.Machine == agent.Name {
+			if l.fleet.get(worker.Name) == machine && status.Machine == worker.Name {
 				l.applyHeartbeat(machine, status, true, time.Now())
 			}
 		}
@@ -112,10 +112,10 @@
 	if !machine.stopsDue(resend, now) {
 		return
 	}
-	if !l.sendDirectCommand(machine, stopCommands(machine.agent, now), now) {
+	if !l.sendDirectCommand(machine, stopCommands(machine.worker, now), now) {
 		return // retried on the next tick
 	}
-	for _, attempt := range machine.agent.Attempts {
+	for _, attempt := range machine.worker.Attempts {
 		if attempt.StopRequested {
 			attempt.StopSentAt = now
 		}
@@ -125,7 +125,7 @@
 // stopsDue reports whether a stop has not been sent yet, or was last sent at least resend
 // ago.
 func (m *machineState) stopsDue(resend time.Duration, now time.Time) bool {
-	for _, attempt := range m.agent.Attempts {
+	for _, attempt := range m.worker.Attempts {
 		if attempt.StopRequested && attempt.Status != workers.StatusExited &&
 			(attempt.RunSent || attempt.FromEarlierTerm) && now.Sub(attempt.StopSentAt) >= resend {
 			return true
@@ -135,8 +135,8 @@
 }
 
 // stopCommands returns the pending stop commands for a worker.
-func stopCommands(agent *workers.Agent, now time.Time) (stops []workers.Command) {
-	for _, command := range agent.Commands(false, now) {
+func stopCommands(worker *workers.Worker, now time.Time) (stops []workers.Command) {
+	for _, command := range worker.Commands(false, now) {
 		if command.Verb == workers.VerbStop {
 			stops = append(stops, command)
 		}
@@ -144,9 +144,9 @@
 	return stops
 }
 
-// probeAgent sends a direct command without stops to a worker, at most one per
+// probeWorker sends a direct command without stops to a worker, at most one per
 // ProbeInterval. A response shows that the worker is reachable.
-func (l *Leader) probeAgent(machine *machineState, now time.Time) {
+func (l *Leader) probeWorker(machine *machineState, now time.Time) {
 	if machine.direct.sinceLast(now) >= constants.ProbeInterval {
 		l.sendDirectCommand(machine, nil, now)
 	}
--- a/internal/leader/commands_test.go
+++ b/internal/leader/commands_test.go
@@ -70,7 +70,7 @@
 	l.deps.Workers = blockedWorkers(unblock)
 	for i := range 400 {
 		machine := addMachine(l, fmt.Sprintf("m-%04d", i), "east", now)
-		machine.agent.Endpoint = "x"
+		machine.worker.Endpoint = "x"
 		l.sendDirectCommand(machine, nil, now)
 	}
 	if l.commands.inFlight != constants.MaxCommandsInFlight/2 {
@@ -80,7 +80,7 @@
 	l.runSchedulingPass(now)
 	commitPending(l, 100)
 	for machine := range l.fleet.all() {
-		machine.agent.Commands(true, now)
+		machine.worker.Commands(true, now)
 	}
 	l.jobRecordDeleted("j-1", now)
 	stops := l.commands.inFlight - constants.MaxCommandsInFlight/2
@@ -108,7 +108,7 @@
 		l.deps.Workers = blockedWorkers(unblock)
 		const machines, gang = 500, 20
 		for i := range machines {
-			addMachine(l, fmt.Sprintf("m-%04d", i), "west", now).agent.Endpoint = "x"
+			addMachine(l, fmt.Sprintf("m-%04d", i), "west", now).worker.Endpoint = "x"
 		}
 		addJob(t, l, arraySpec("j-1", 4*machines), now)
 		for range 6 {
@@ -116,11 +116,11 @@
 			commitPending(l, 100)
 		}
 		for machine := range l.fleet.all() {
-			machine.agent.Commands(true, now)
+			machine.worker.Commands(true, now)
 		}
 		now = now.Add(l.silenceTolerance() + time.Second)
 		for i := range gang {
-			addMachine(l, fmt.Sprintf("m-9%03d", i), "east", now).agent.Endpoint = "x"
+			addMachine(l, fmt.Sprintf("m-9%03d", i), "east", now).worker.Endpoint = "x"
 		}
 		spec := arraySpec("j-2", gang)
 		spec.Kind, spec.GPUs = jobs.KindGang, 4
@@ -128,7 +128,7 @@
 		l.runSchedulingPass(now)
 		commitPending(l, 1000)
 		for _, task := range job.attempts.sorted() {
-			task.machine.agent.Commands(true, now)
+			task.machine.worker.Commands(true, now)
 		}
 		if len(job.attempts) != gang {
 			t.Fatalf("%d tasks of the gang were placed, want all 20", len(job.attempts))
@@ -175,13 +175,13 @@
 		sent := recordingWorkers{make(chan []workers.Command, 1)}
 		l.deps.Workers = sent
 		machine := addMachine(l, "m-1", "east", now)
-		machine.agent.Endpoint = "m-1:1"
+		machine.worker.Endpoint = "m-1:1"
 		job := addJob(t, l, arraySpec("j-1", 3), now)
 		l.runSchedulingPass(now)
 		for _, task := range job.attempts.sorted() {
 			task.attempt.Committed, task.attempt.StartAllowed = true, true
 		}
-		if n := len(machine.agent.Commands(true, now)); n != 3 {
+		if n := len(machine.worker.Commands(true, now)); n != 3 {
 			t.Fatalf("%d start commands, want 3", n)
 		}
 		placed := job.attempts.sorted()
--- a/internal/leader/commit_test.go
+++ b/internal/leader/commit_test.go
@@ -64,7 +64,7 @@
 		ID:    workers.AttemptID{Task: workers.TaskID{Job: "j-1", Index: index}, Number: uint64(index)},
 		Epoch: 1, PlacedAt: now,
 	}
-	machine.agent.Attempts[attempt.ID] = attempt
+	machine.worker.Attempts[attempt.ID] = attempt
 	l.logAttempt(machine, attempt)
 }
 
@@ -88,7 +88,7 @@
 	l.runSchedulingPass(now)
 	first := l.commits.next()
 	l.applyCommitResult(commitResult{err: fmt.Errorf("no answer")})
-	if l.commits.backoff == 0 || len(machine.agent.Commands(true, now)) != 0 {
+	if l.commits.backoff == 0 || len(machine.worker.Commands(true, now)) != 0 {
 		t.Fatalf("a transaction without an answer is treated as committed")
 	}
 	if again := l.commits.next(); again != first {
@@ -100,7 +100,7 @@
 	}
 	headConflict := &statestore.ConflictError{FailedKeys: []string{wal.HeadKey}}
 	l.applyCommitResult(commitResult{err: headConflict, conflict: headConflict, head: &head, headRevision: 55})
-	if l.term.err() != nil || len(machine.agent.Commands(true, now)) != 1 {
+	if l.term.err() != nil || len(machine.worker.Commands(true, now)) != 1 {
 		t.Fatalf("the transaction was executed the first time, but the start command is not sent (term error: %v)", l.term.err())
 	}
 	addJob(t, l, arraySpec("j-2", 1), now)
--- a/internal/leader/dependency_reservations_test.go
+++ b/internal/leader/dependency_reservations_test.go
@@ -31,7 +31,7 @@
 	l.teams = append(l.teams, config.Team{Name: "b", GuaranteedGPUs: 0, MaxGPUs: 12})
 	l.teams[0].GuaranteedGPUs = 0 // guarantees would take precedence over reservations
 	f := dependencyFixture{leader: l, machine: addMachine(l, "m-1", "east", now)}
-	f.machine.agent.Endpoint = ""
+	f.machine.worker.Endpoint = ""
 	f.upstream = addJob(t, l, arraySpec("j-1", tasks), now)
 	startAndSendHeartbeat(l, f.machine, now)
 	spec := arraySpec("j-2", tasks)
@@ -45,7 +45,7 @@
 func startAndSendHeartbeat(l *Leader, machine *machineState, now time.Time) {
 	l.runSchedulingPass(now)
 	commitPending(l, 100)
-	machine.agent.Commands(true, now)
+	machine.worker.Commands(true, now)
 	l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusRunning, ""), false, now)
 }
 
@@ -147,7 +147,7 @@
 		for _, name := range f.leader.reservations.Expire(now, f.leader.hasWaitingTasks) {
 			f.leader.metadataChanged(f.leader.fleet.get(name), now)
 		}
-		f.machine.agent.LastHeartbeat, f.machine.agent.LastAcknowledged = now, now
+		f.machine.worker.LastHeartbeat, f.machine.worker.LastAcknowledged = now, now
 		f.leader.certainty.RecordWatch(now)
 		f.leader.runSchedulingPass(now)
 		if f.reserved() != 0 || len(f.other.attempts) != 4 {
--- a/internal/leader/drain.go
+++ b/internal/leader/drain.go
@@ -10,7 +10,7 @@
 // while there is time for them to save their progress, and removes the machine's reservations.
 // It acts at once, because the actual notice of a reclaim may be half as long as announced.
 func (l *Leader) drain(machine *machineState, now time.Time) {
-	for _, attempt := range machine.agent.SortedAttempts() {
+	for _, attempt := range machine.worker.SortedAttempts() {
 		if attempt.StopRequested || !attempt.Live() {
 			continue
 		}
@@ -24,8 +24,8 @@
 			l.stopAttempt(machine, attempt, job.saveGrace(), now)
 		}
 	}
-	if len(l.reservations.OnMachine(machine.agent.Name)) > 0 {
-		l.reservations.RemoveMachine(machine.agent.Name)
+	if len(l.reservations.OnMachine(machine.worker.Name)) > 0 {
+		l.reservations.RemoveMachine(machine.worker.Name)
 		l.metadataChanged(machine, now)
 	}
 }
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -56,7 +56,7 @@
 	}
 	machinesReported, all := 0, l.fleet.len()
 	for machine := range l.fleet.all() {
-		if machine.agent.Registered {
+		if machine.worker.Registered {
 			machinesReported++
 		}
 	}
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -15,10 +15,10 @@
 	if !attempt.RunningSince.IsZero() {
 		ran = now.Sub(attempt.RunningSince)
 	}
-	job.retry.avoidMachine(machine.agent.Name, now.Add(constants.AvoidMachineFor))
+	job.retry.avoidMachine(machine.worker.Name, now.Add(constants.AvoidMachineFor))
 	job.markStale()
 	task := attempt.ID.Task.Index
-	pause, taskOnly := job.failures.Record(machine.agent.Name, task, ran, job.retry.backingOff(now), now)
+	pause, taskOnly := job.failures.Record(machine.worker.Name, task, ran, job.retry.backingOff(now), now)
 	if taskOnly {
 		job.retry.delays.Add(task, now.Add(pause))
 		return
@@ -54,8 +54,8 @@
 	for _, placed := range j.attempts {
 		for _, p := range placed {
 			if p.attempt.Status == workers.StatusRunning && !p.attempt.RunningSince.IsZero() {
-				agent := p.machine.agent
-				runs[agent.Name] = max(runs[agent.Name], agent.LastHeartbeat.Sub(p.attempt.RunningSince))
+				worker := p.machine.worker
+				runs[worker.Name] = max(runs[worker.Name], worker.LastHeartbeat.Sub(p.attempt.RunningSince))
 			}
 		}
 	}
@@ -86,8 +86,8 @@
 	if !machine.health.Quarantine() {
 		return
 	}
-	l.deps.Log.Warn("machine quarantined", "machine", machine.agent.Name, "zone", machine.agent.Zone, "reason", reason)
-	for _, attempt := range machine.agent.SortedAttempts() {
+	l.deps.Log.Warn("machine quarantined", "machine", machine.worker.Name, "zone", machine.worker.Zone, "reason", reason)
+	for _, attempt := range machine.worker.SortedAttempts() {
 		job := l.jobs.get(attempt.ID.Task.Job)
 		if job == nil || attempt.StopRequested || !attempt.Live() || isRunningOrSaving(attempt) {
 			continue
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -86,8 +86,8 @@
 	s.leader.runSchedulingPass(now)
 	s.revision = commitPending(s.leader, s.revision)
 	for _, machine := range s.leader.fleet.sortedByName() {
-		for _, command := range machine.agent.Commands(true, now) {
-			s.execute(machine.agent.Name, command, now)
+		for _, command := range machine.worker.Commands(true, now) {
+			s.execute(machine.worker.Name, command, now)
 		}
 		s.leader.applyHeartbeat(machine, s.heartbeat(machine, now), false, now)
 	}
@@ -124,8 +124,8 @@
 func (s *simulatedCluster) heartbeat(machine *machineState, now time.Time) *workers.Heartbeat {
 	heartbeat := nextHeartbeat(s.leader, machine, "", "")
 	heartbeat.Epoch, heartbeat.Tasks = 1, nil
-	for id, task := range s.tasks[machine.agent.Name] {
-		s.advance(machine.agent.Name, id, task, now)
+	for id, task := range s.tasks[machine.worker.Name] {
+		s.advance(machine.worker.Name, id, task, now)
 		heartbeat.Tasks = append(heartbeat.Tasks, workers.TaskReport{Task: id.Task.String(), Attempt: id.Number, Status: task.status, Cause: task.cause})
 	}
 	return heartbeat
@@ -152,7 +152,7 @@
 // a healthy job failed is quarantined, and that faulty machines received few tasks.
 func (s *simulatedCluster) checkMachines(rt *rapid.T) {
 	for machine := range s.leader.fleet.all() {
-		name, quarantined := machine.agent.Name, machine.health.Faulty()
+		name, quarantined := machine.worker.Name, machine.health.Faulty()
 		if quarantined && !s.faultyMachine[name] {
 			rt.Fatalf("healthy machine %s is quarantined", name)
 		}
--- a/internal/leader/finish_reservations.go
+++ b/internal/leader/finish_reservations.go
@@ -12,7 +12,7 @@
 // frees.
 func (l *Leader) reserveFreedResources(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
 	finish := reservations.FinishedTask{
-		Job: job.spec.ID, Tasks: job.spec.Tasks, UpstreamStartedAt: job.startedAt, Machine: machine.agent.Name, Downstreams: l.downstreams(job), Now: now,
+		Job: job.spec.ID, Tasks: job.spec.Tasks, UpstreamStartedAt: job.startedAt, Machine: machine.worker.Name, Downstreams: l.downstreams(job), Now: now,
 		Fits: func(downstream reservations.Downstream) bool {
 			return machine.schedulable(now) && l.mayReserve(machine, downstream)
 		},
@@ -37,7 +37,7 @@
 		return
 	}
 	fits := func(downstream reservations.Downstream) bool { return l.mayReserve(machine, downstream) }
-	if l.reservations.OfferFreedSlot(machine.agent.Name, fits, now) {
+	if l.reservations.OfferFreedSlot(machine.worker.Name, fits, now) {
 		l.metadataChanged(machine, now)
 	}
 }
--- a/internal/leader/fixtures_test.go
+++ b/internal/leader/fixtures_test.go
@@ -46,8 +46,8 @@
 func addMachine(l *Leader, name, zone string, now time.Time) *machineState {
 	machine := l.fleet.getOrAdd(name, now)
 	first := &workers.Heartbeat{Machine: name, MachineType: "g4", Zone: zone, Epoch: 1, Sequence: 1, Token: l.term.number()}
-	machine.agent.Observe(first, l.term.number(), false, now)
-	machine.agent.LastAcknowledged = now
+	machine.worker.Observe(first, l.term.number(), false, now)
+	machine.worker.LastAcknowledged = now
 	return machine
 }
 
@@ -73,12 +73,12 @@
 // nextHeartbeat returns a worker's next heartbeat, which reports all its tasks with this
 // status and cause.
 func nextHeartbeat(l *Leader, machine *machineState, status workers.TaskStatus, cause workers.ExitCause) *workers.Heartbeat {
-	agent := machine.agent
+	worker := machine.worker
 	heartbeat := &workers.Heartbeat{
-		Machine: agent.Name, MachineType: agent.MachineType, Zone: agent.Zone,
-		Epoch: agent.Epoch, Sequence: agent.Sequence + 1, Token: l.term.number(),
+		Machine: worker.Name, MachineType: worker.MachineType, Zone: worker.Zone,
+		Epoch: worker.Epoch, Sequence: worker.Sequence + 1, Token: l.term.number(),
 	}
-	for _, attempt := range agent.SortedAttempts() {
+	for _, attempt := range worker.SortedAttempts() {
 		heartbeat.Tasks = append(heartbeat.Tasks, workers.TaskReport{Task: attempt.ID.Task.String(), Attempt: attempt.ID.Number, Status: status, Cause: cause})
 	}
 	return heartbeat
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -37,7 +37,7 @@
 
 // remove deletes a machine from the fleet.
 func (f *fleet) remove(machine *machineState) {
-	delete(f.byName, machine.agent.Name)
+	delete(f.byName, machine.worker.Name)
 	f.sorted = nil
 }
 
@@ -48,7 +48,7 @@
 func (f *fleet) sortedByName() []*machineState {
 	if f.sorted == nil {
 		f.sorted = slices.AppendSeq(make([]*machineState, 0, len(f.byName)), f.all())
-		slices.SortFunc(f.sorted, func(a, b *machineState) int { return strings.Compare(a.agent.Name, b.agent.Name) })
+		slices.SortFunc(f.sorted, func(a, b *machineState) int { return strings.Compare(a.worker.Name, b.worker.Name) })
 	}
 	return f.sorted
 }
--- a/internal/leader/fleet_fixtures_test.go
+++ b/internal/leader/fleet_fixtures_test.go
@@ -70,7 +70,7 @@
 	var fleet []*machineState
 	for i := range machines {
 		machine := addMachine(l, fmt.Sprintf("m-%06d", i), []string{"east", "west"}[i%2], now)
-		machine.agent.Spot = spot(i)
+		machine.worker.Spot = spot(i)
 		fleet = append(fleet, machine)
 	}
 	return l, fleet, now
@@ -84,6 +84,6 @@
 		commitPending(l, 100)
 	}
 	for _, machine := range fleet {
-		machine.agent.Commands(true, now) // marks the starts as sent, so that no reply waits for them
+		machine.worker.Commands(true, now) // marks the starts as sent, so that no reply waits for them
 	}
 }
--- a/internal/leader/gang_recovery.go
+++ b/internal/leader/gang_recovery.go
@@ -19,8 +19,8 @@
 	if replace && l.mayReplaceTask(job, attempt) {
 		job.gang.replacingTask = true
 		job.markStale()
-		job.retry.avoidMachine(machine.agent.Name, now.Add(constants.AvoidMachineFor))
-		l.deps.Log.Debug("replacing lost task of waiting gang", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.agent.Name)
+		job.retry.avoidMachine(machine.worker.Name, now.Add(constants.AvoidMachineFor))
+		l.deps.Log.Debug("replacing lost task of waiting gang", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.worker.Name)
 		return
 	}
 	l.stopGang(job, 0, now)
--- a/internal/leader/gang_recovery_test.go
+++ b/internal/leader/gang_recovery_test.go
@@ -21,7 +21,7 @@
 		ID:    workers.AttemptID{Task: workers.TaskID{Job: "j-1"}, Number: 9},
 		Epoch: 1, FromEarlierTerm: true, RunSent: true, Committed: true,
 	}
-	machine.agent.Attempts[attempt.ID] = attempt
+	machine.worker.Attempts[attempt.ID] = attempt
 	l.addAttempt(machine, attempt)
 	l.stopIncompleteGang(gang, now)
 	if !attempt.StopRequested {
@@ -56,11 +56,11 @@
 		if p.attempt.ID.Number != gang.gang.attemptNumber {
 			t.Fatalf("attempt number %d, but the gang's number is %d", p.attempt.ID.Number, gang.gang.attemptNumber)
 		}
-		p.machine.agent.Commands(true, now)
+		p.machine.worker.Commands(true, now)
 		l.applyHeartbeat(p.machine, nextHeartbeat(l, p.machine, status, ""), false, now)
 	}
 	lost := placed[1].machine
-	l.applyEvents(lost, lost.agent.MarkTerminated(), now)
+	l.applyEvents(lost, lost.worker.MarkTerminated(), now)
 	lost.lifecycle.leaving = true
 	l.runSchedulingPass(now)
 	commitPending(l, revision)
@@ -81,8 +81,8 @@
 		}
 		replacement := repaired[1]
 		if replacement.attempt.ID.Number != survivor.attempt.ID.Number || replacement.machine == lost.machine ||
-			replacement.machine.agent.Zone != survivor.machine.agent.Zone || !replacement.attempt.StartAllowed {
-			t.Errorf("wrong replacement %+v on %s", replacement.attempt, replacement.machine.agent.Name)
+			replacement.machine.worker.Zone != survivor.machine.worker.Zone || !replacement.attempt.StartAllowed {
+			t.Errorf("wrong replacement %+v on %s", replacement.attempt, replacement.machine.worker.Name)
 		}
 		l.applyHeartbeat(survivor.machine, nextHeartbeat(l, survivor.machine, workers.StatusExited, workers.CauseGangLost), false, now)
 		if len(gang.attempts) != 0 && !gang.attempts.sorted()[0].attempt.StopRequested {
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -45,7 +45,7 @@
 	}
 	machine := l.fleet.getOrAdd(heartbeat.Machine, now)
 	l.counts.Heartbeats++
-	if machine.agent.IsDuplicate(heartbeat) {
+	if machine.worker.IsDuplicate(heartbeat) {
 		l.counts.DuplicateHeartbeats++
 		// A late duplicate contains nothing new, and its sender no longer waits for the reply.
 		// It must not count as contact with the worker.
@@ -59,12 +59,12 @@
 		reply <- Reply{}
 		return
 	}
-	machine.agent.HeartbeatSequence = max(machine.agent.HeartbeatSequence, heartbeat.Sequence)
-	if leaseMustExpire(machine.agent, heartbeat) {
+	machine.worker.HeartbeatSequence = max(machine.worker.HeartbeatSequence, heartbeat.Sequence)
+	if leaseMustExpire(machine.worker, heartbeat) {
 		reply <- refusal
 		return
 	}
-	machine.agent.LastAcknowledged = arrived
+	machine.worker.LastAcknowledged = arrived
 	l.holdReply(machine, &heldReply{epoch: heartbeat.Epoch, arrived: arrived, reply: reply})
 }
 
@@ -78,20 +78,20 @@
 // expired before are refused because of IsDuplicate, Observe expires only epochs before the
 // heartbeat's own, and leases expire only in a tick. It protects against a change of that
 // order.
-func leaseMustExpire(agent *workers.Agent, heartbeat *workers.Heartbeat) bool {
-	return agent.RepliesLost || heartbeat.Epoch <= agent.ExpiredEpoch
+func leaseMustExpire(worker *workers.Worker, heartbeat *workers.Heartbeat) bool {
+	return worker.RepliesLost || heartbeat.Epoch <= worker.ExpiredEpoch
 }
 
 // holdReply holds the reply to a heartbeat until there are commands to send or the hold
 // time has passed.
 func (l *Leader) holdReply(machine *machineState, held *heldReply) {
 	hold := constants.ReplyHold
-	if len(machine.agent.Attempts) == 0 {
+	if len(machine.worker.Attempts) == 0 {
 		hold = min(constants.IdleReplyHold, l.lease/4)
 	}
 	held.until = held.arrived.Add(hold)
 	l.replies.hold(machine, held)
-	if machine.agent.HasCommands() {
+	if machine.worker.HasCommands() {
 		l.replies.wake(machine)
 	}
 }
@@ -106,13 +106,13 @@
 
 // replyTo returns the reply to a held heartbeat, and whether it must be sent now.
 func (l *Leader) replyTo(machine *machineState, held *heldReply, now time.Time) (reply Reply, ready bool) {
-	if held.epoch != machine.agent.Epoch || machine.agent.RepliesLost {
+	if held.epoch != machine.worker.Epoch || machine.worker.RepliesLost {
 		return refusal, true
 	}
-	if !machine.agent.HasCommands() && (now.Before(held.until) || machine.waitsForStartRecord(held, now)) {
+	if !machine.worker.HasCommands() && (now.Before(held.until) || machine.waitsForStartRecord(held, now)) {
 		return Reply{}, false
 	}
-	commands := machine.agent.Commands(true, now)
+	commands := machine.worker.Commands(true, now)
 	if commands == nil {
 		commands = []workers.Command{} // the protocol requires a list, not null
 	}
@@ -130,8 +130,8 @@
 // hasUnsentRun reports whether an attempt of the current epoch has not been sent its `run`
 // command yet and is not being stopped.
 func (m *machineState) hasUnsentRun() bool {
-	for _, attempt := range m.agent.Attempts {
-		if !attempt.RunSent && !attempt.StopRequested && attempt.Epoch == m.agent.Epoch {
+	for _, attempt := range m.worker.Attempts {
+		if !attempt.RunSent && !attempt.StopRequested && attempt.Epoch == m.worker.Epoch {
 			return true
 		}
 	}
@@ -145,30 +145,30 @@
 		l.term.end(ErrDeposed)
 		return
 	}
-	agent := machine.agent
-	before := *agent
+	worker := machine.worker
+	before := *worker
 	machine.heartbeatGap = before.Registered && now.Sub(before.LastHeartbeat) > l.silenceTolerance()
-	events, fresh := agent.Observe(heartbeat, l.term.number(), direct, now)
+	events, fresh := worker.Observe(heartbeat, l.term.number(), direct, now)
 	if !fresh {
 		return
 	}
-	machine.startOverdue = agent.StartOverdue(now)
+	machine.startOverdue = worker.StartOverdue(now)
 	l.updateReachability(machine, before.RepliesLost, before.ReachabilityUnconfirmed, now)
 	if !before.Registered {
 		l.passes.request()
 		machine.markStale()
 		l.machineRegistered(machine, now)
 	}
-	if before.Epoch != agent.Epoch {
+	if before.Epoch != worker.Epoch {
 		if before.Epoch != 0 && len(events) > 0 {
-			l.deps.Log.Info("machine began a new epoch", "machine", agent.Name, "epoch", agent.Epoch, "events", len(events))
+			l.deps.Log.Info("machine began a new epoch", "machine", worker.Name, "epoch", worker.Epoch, "events", len(events))
 		}
 		machine.images.removeUnfetched()
 		machine.markStale()
 		l.passes.request()
 	}
 	l.applyEvents(machine, events, now)
-	if !agent.ReclaimAt.IsZero() {
+	if !worker.ReclaimAt.IsZero() {
 		l.drain(machine, now)
 	}
 }
@@ -178,24 +178,24 @@
 // doubt, it probes the worker. The arguments are the worker's values from before that
 // heartbeat.
 func (l *Leader) updateReachability(machine *machineState, repliesWereLost, reachabilityWasUnconfirmed bool, now time.Time) {
-	agent := machine.agent
-	if agent.RepliesLost != repliesWereLost {
+	worker := machine.worker
+	if worker.RepliesLost != repliesWereLost {
 		machine.markStale()
-		if agent.RepliesLost {
-			l.deps.Log.Warn("machine does not receive replies", "machine", agent.Name, "zone", agent.Zone)
+		if worker.RepliesLost {
+			l.deps.Log.Warn("machine does not receive replies", "machine", worker.Name, "zone", worker.Zone)
 		} else {
-			l.deps.Log.Info("machine receives replies again", "machine", agent.Name, "zone", agent.Zone)
+			l.deps.Log.Info("machine receives replies again", "machine", worker.Name, "zone", worker.Zone)
 		}
 		l.passes.request()
 	}
-	agent.ConfirmReachability(l.lease, now)
-	if agent.ReachabilityUnconfirmed != reachabilityWasUnconfirmed {
-		if agent.ReachabilityUnconfirmed {
+	worker.ConfirmReachability(l.lease, now)
+	if worker.ReachabilityUnconfirmed != reachabilityWasUnconfirmed {
+		if worker.ReachabilityUnconfirmed {
 			machine.direct.resetInterval()
 		}
 		l.passes.request()
 	}
-	if agent.RepliesLost || agent.ReachabilityUnconfirmed {
-		l.probeAgent(machine, now)
+	if worker.RepliesLost || worker.ReachabilityUnconfirmed {
+		l.probeWorker(machine, now)
 	}
 }
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -19,15 +19,15 @@
 	l := testLeader(t)
 	l.certainty.RecordWatch(now)
 	machine := addMachine(l, "m-1", "east", now)
-	lastAcknowledged := machine.agent.LastAcknowledged
+	lastAcknowledged := machine.worker.LastAcknowledged
 	duplicate := nextHeartbeat(l, machine, "", "")
 	duplicate.Sequence = 1
 	replyCh := make(chan Reply, 1)
 	l.heartbeat(duplicate, now.Add(time.Second), replyCh)
 	select {
 	case reply := <-replyCh:
-		if reply.Status != 503 || !machine.agent.LastAcknowledged.Equal(lastAcknowledged) || l.replies.byMachine[machine] != nil {
-			t.Errorf("duplicate heartbeat: status %d, want 503; last acknowledged %v, want no change", reply.Status, machine.agent.LastAcknowledged)
+		if reply.Status != 503 || !machine.worker.LastAcknowledged.Equal(lastAcknowledged) || l.replies.byMachine[machine] != nil {
+			t.Errorf("duplicate heartbeat: status %d, want 503; last acknowledged %v, want no change", reply.Status, machine.worker.LastAcknowledged)
 		}
 	default:
 		t.Errorf("the reply to a duplicate heartbeat is held")
@@ -61,21 +61,21 @@
 	l := testLeader(t)
 	l.certainty.RecordWatch(now)
 	machine := addMachine(l, "m-1", "east", now)
-	lastAcknowledged := machine.agent.LastAcknowledged
-	machine.agent.RepliesLost = true
+	lastAcknowledged := machine.worker.LastAcknowledged
+	machine.worker.RepliesLost = true
 	machine.markStale()
 	replyCh := make(chan Reply, 1)
 	l.heartbeat(nextHeartbeat(l, machine, "", ""), now.Add(time.Second), replyCh)
 	l.flushReplies(now.Add(3 * time.Second))
-	if reply := <-replyCh; reply.Status != 503 || !machine.agent.LastAcknowledged.Equal(lastAcknowledged) {
-		t.Errorf("status %d, want 503; lease start moved by %v, want 0", reply.Status, machine.agent.LastAcknowledged.Sub(lastAcknowledged))
+	if reply := <-replyCh; reply.Status != 503 || !machine.worker.LastAcknowledged.Equal(lastAcknowledged) {
+		t.Errorf("status %d, want 503; lease start moved by %v, want 0", reply.Status, machine.worker.LastAcknowledged.Sub(lastAcknowledged))
 	}
 	job := addJob(t, l, arraySpec("j-1", 1), now)
 	l.runSchedulingPass(now)
 	if len(job.attempts) != 0 {
 		t.Errorf("a task was placed on a machine that does not receive replies")
 	}
-	if events := machine.agent.ExpireLease(l.term.number(), l.lease, lastAcknowledged.Add(l.lease+2*time.Second)); machine.agent.ExpiredEpoch != 1 {
+	if events := machine.worker.ExpireLease(l.term.number(), l.lease, lastAcknowledged.Add(l.lease+2*time.Second)); machine.worker.ExpiredEpoch != 1 {
 		t.Errorf("the epoch does not expire with the lease: %v", events)
 	}
 }
@@ -97,11 +97,11 @@
 		addJob(t, l, spec, now)
 		l.runSchedulingPass(now)
 		commitPending(l, 100)
-		machine.agent.Commands(true, now)
+		machine.worker.Commands(true, now)
 		replies := make(chan Reply, 2)
 		l.heartbeat(nextHeartbeat(l, machine, workers.StatusRunning, ""), now, replies)
-		if len(machine.agent.Attempts) != 2 || len(replies) != 0 {
-			t.Fatalf("%d attempts on the machine, %d replies before it was returned", len(machine.agent.Attempts), len(replies))
+		if len(machine.worker.Attempts) != 2 || len(replies) != 0 {
+			t.Fatalf("%d attempts on the machine, %d replies before it was returned", len(machine.worker.Attempts), len(replies))
 		}
 		l.returnMachines([]string{"m-1"})
 		runUntilIdle(t, l)
--- a/internal/leader/held_replies_test.go
+++ b/internal/leader/held_replies_test.go
@@ -72,18 +72,18 @@
 // or the heartbeat's epoch is proven to have ended, even if it is not a duplicate.
 func TestLeaseMustExpire(t *testing.T) {
 	tests := []struct {
-		name  string
-		agent workers.Agent
-		want  bool
+		name   string
+		worker workers.Worker
+		want   bool
 	}{
-		{"the current epoch is alive", workers.Agent{Epoch: 3, ExpiredEpoch: 2}, false},
-		{"the current epoch has expired", workers.Agent{Epoch: 3, ExpiredEpoch: 3}, true},
-		{"a later epoch has expired", workers.Agent{Epoch: 3, ExpiredEpoch: 4}, true},
-		{"replies are lost", workers.Agent{Epoch: 3, ExpiredEpoch: 2, RepliesLost: true}, true},
+		{"the current epoch is alive", workers.Worker{Epoch: 3, ExpiredEpoch: 2}, false},
+		{"the current epoch has expired", workers.Worker{Epoch: 3, ExpiredEpoch: 3}, true},
+		{"a later epoch has expired", workers.Worker{Epoch: 3, ExpiredEpoch: 4}, true},
+		{"replies are lost", workers.Worker{Epoch: 3, ExpiredEpoch: 2, RepliesLost: true}, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if got := leaseMustExpire(&test.agent, &workers.Heartbeat{Epoch: 3}); got != test.want {
+			if got := leaseMustExpire(&test.worker, &workers.Heartbeat{Epoch: 3}); got != test.want {
 				t.Errorf("got %v, want %v", got, test.want)
 			}
 		})
--- a/internal/leader/image_cache.go
+++ b/internal/leader/image_cache.go
@@ -51,7 +51,7 @@
 }
 
 // removeUnfetched removes the images that are still being fetched, because fetches end with
-// the agent's epoch.
+// the worker's epoch.
 func (c *imageCache) removeUnfetched() {
 	var kept imageCache
 	for _, image := range *c {
@@ -91,7 +91,7 @@
 
 // imageCacheGB returns the capacity of the machine's image cache, or 0 if it is unknown.
 func (l *Leader) imageCacheGB(machine *machineState) float64 {
-	machineType, ok := l.deps.Catalog().Type(machine.agent.MachineType)
+	machineType, ok := l.deps.Catalog().Type(machine.worker.MachineType)
 	if !ok {
 		return 0
 	}
--- a/internal/leader/job_attempts.go
+++ b/internal/leader/job_attempts.go
@@ -14,7 +14,7 @@
 // stopAttempt requests the stop of an attempt, whose task gets grace seconds to save its
 // progress. An attempt whose run command was never sent is removed at once.
 func (l *Leader) stopAttempt(machine *machineState, attempt *workers.Attempt, grace float64, now time.Time) {
-	if machine.agent.RequestStop(attempt, grace, now) {
+	if machine.worker.RequestStop(attempt, grace, now) {
 		l.removeAttempt(machine, attempt)
 	}
 	machine.markStale()
@@ -51,7 +51,7 @@
 // adds its removal to the write-ahead log.
 func (l *Leader) removeAttempt(machine *machineState, attempt *workers.Attempt) {
 	machine.markStale()
-	l.wal.AttemptGone(machine.agent.Name, attemptToRecord(attempt))
+	l.wal.AttemptGone(machine.worker.Name, attemptToRecord(attempt))
 	job := l.jobs.get(attempt.ID.Task.Job)
 	if job == nil {
 		l.jobs.removeAttemptOfEndedJob(attempt.ID.Task.Job)
--- a/internal/leader/job_test.go
+++ b/internal/leader/job_test.go
@@ -14,7 +14,7 @@
 	l := testLeader(t)
 	machine := addMachine(l, "m-1", "east", now)
 	job := addJob(t, l, arraySpec("j-1", 2), now)
-	commands := func() []workers.Command { return machine.agent.Commands(true, now) }
+	commands := func() []workers.Command { return machine.worker.Commands(true, now) }
 
 	l.runSchedulingPass(now)
 	if got := commands(); len(job.attempts) != 2 || len(got) != 0 {
@@ -51,7 +51,7 @@
 	machine := addMachine(l, "m-1", "east", now)
 	addJob(t, l, arraySpec("j-1", 3), now)
 	startAndSendHeartbeat(l, machine, now)
-	machine.agent.Endpoint = "" // no direct commands
+	machine.worker.Endpoint = "" // no direct commands
 	l.jobRecordDeleted("j-1", now)
 	if got := l.placementSnapshot(now).Teams["a"].Used.GPUs; got != 3 {
 		t.Errorf("%v GPUs in use after the cancellation, want 3", got)
--- a/internal/leader/job_view_test.go
+++ b/internal/leader/job_view_test.go
@@ -20,7 +20,7 @@
 		now := time.Unix(1000, 0)
 		spec := arraySpec("j-1", rapid.IntRange(1, 2*constants.MaxWaitingTasksPerJob).Draw(rt, "tasks"))
 		job := newJobState(&spec, 1, now, now)
-		machine := &machineState{agent: workers.NewAgent("m-1")}
+		machine := &machineState{worker: workers.NewWorker("m-1")}
 		delayedUntil := make(map[int]time.Time)
 		for range rapid.IntRange(1, 30).Draw(rt, "steps") {
 			task := rapid.IntRange(0, spec.Tasks-1).Draw(rt, "task")
@@ -65,7 +65,7 @@
 	now := time.Unix(1000, 0)
 	spec := twoTaskGang("j-1")
 	gang := newJobState(&spec, 1, now, now)
-	machine := &machineState{agent: workers.NewAgent("m-1")}
+	machine := &machineState{worker: workers.NewWorker("m-1")}
 	refreshed := func() []int {
 		gang.markStale()
 		gang.refreshView(1, now)
--- a/internal/leader/legacy_test.go
+++ b/internal/leader/legacy_test.go
@@ -30,11 +30,11 @@
 	if job.progress.completed() != 2 || !job.progress.isRecorded(2) {
 		t.Errorf("%d tasks done, task 2 recorded: %v", job.progress.completed(), job.progress.isRecorded(2))
 	}
-	if machine.agent.Zone != "east" || len(machine.images) != 1 {
-		t.Errorf("machine in %q with images %v", machine.agent.Zone, machine.images)
+	if machine.worker.Zone != "east" || len(machine.images) != 1 {
+		t.Errorf("machine in %q with images %v", machine.worker.Zone, machine.images)
 	}
 
-	machine.agent.Endpoint = ""
+	machine.worker.Endpoint = ""
 	l.beginCheckpoint()
 	commitEverything(l, 100)
 	if len(l.commits.obsoleteKeys) != 0 || l.commits.hasReplacedKeys() {
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -10,10 +10,10 @@
 	"thornnotch/internal/workers"
 )
 
-// machineState is the leader's state of one machine: its worker's agent and the data that
+// machineState is the leader's state of one machine: the model of its worker and the data that
 // each component of the leader keeps about it.
 type machineState struct {
-	agent   *workers.Agent
+	worker  *workers.Worker
 	addedAt time.Time // when it was added to the fleet in this term
 
 	lifecycle machineLifecycle
@@ -42,7 +42,7 @@
 // newMachineState returns the initial state of a machine. Only its name is known.
 func newMachineState(name string, now time.Time) *machineState {
 	return &machineState{
-		agent: workers.NewAgent(name), addedAt: now, stale: true,
+		worker: workers.NewWorker(name), addedAt: now, stale: true,
 		lifecycle: machineLifecycle{idleSince: now},
 	}
 }
@@ -62,7 +62,7 @@
 
 // pool returns the instance pool that the machine was rented from.
 func (m *machineState) pool() autoscaling.InstancePool {
-	return autoscaling.InstancePool{Type: m.agent.MachineType, Zone: m.agent.Zone, Spot: m.agent.Spot}
+	return autoscaling.InstancePool{Type: m.worker.MachineType, Zone: m.worker.Zone, Spot: m.worker.Spot}
 }
 
 // schedulable reports whether the machine's own state allows new tasks. Before a placement,
@@ -71,20 +71,20 @@
 	if m.lifecycle.isLeaving() || !m.health.AcceptsTasks(now) || m.startOverdue {
 		return false
 	}
-	agent := m.agent
-	return agent.Registered && agent.ReclaimAt.IsZero() && agent.Epoch > agent.ExpiredEpoch &&
-		!agent.RepliesLost && !agent.ReachabilityUnconfirmed
+	worker := m.worker
+	return worker.Registered && worker.ReclaimAt.IsZero() && worker.Epoch > worker.ExpiredEpoch &&
+		!worker.RepliesLost && !worker.ReachabilityUnconfirmed
 }
 
 // freeResources returns the machine's resources that neither tasks nor reservations use, or none
 // if its type is not in the catalog.
 func (l *Leader) freeResources(machine *machineState) placement.Resources {
-	machineType, ok := l.deps.Catalog().Type(machine.agent.MachineType)
+	machineType, ok := l.deps.Catalog().Type(machine.worker.MachineType)
 	if !ok {
 		return placement.Resources{}
 	}
 	free := placement.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}.Sub(l.usedResources(machine))
-	for _, reservation := range l.reservations.OnMachine(machine.agent.Name) {
+	for _, reservation := range l.reservations.OnMachine(machine.worker.Name) {
 		free = free.Sub(reservation.Resources)
 	}
 	return free
@@ -92,7 +92,7 @@
 
 // usedResources returns the sum of the resources of the machine's live attempts.
 func (l *Leader) usedResources(machine *machineState) (sum placement.Resources) {
-	for _, attempt := range machine.agent.Attempts {
+	for _, attempt := range machine.worker.Attempts {
 		if attempt.Live() {
 			sum = sum.Add(l.jobs.resourcesOf(attempt))
 		}
@@ -103,5 +103,5 @@
 // placementMachine returns the machine as the placement package represents it, with only the
 // fields set that a job's placement constraints refer to.
 func (l *Leader) placementMachine(machine *machineState) *placement.Machine {
-	return &placement.Machine{Name: machine.agent.Name, Type: machine.agent.MachineType, Zone: machine.agent.Zone, Spot: machine.agent.Spot}
+	return &placement.Machine{Name: machine.worker.Name, Type: machine.worker.MachineType, Zone: machine.worker.Zone, Spot: machine.worker.Spot}
 }
--- a/internal/leader/machine_view.go
+++ b/internal/leader/machine_view.go
@@ -14,9 +14,9 @@
 func (l *Leader) refreshMachineView(machine *machineState, now time.Time) {
 	machine.stale, machine.viewAt = false, now
 	l.counts.Views++
-	machineType, _ := l.deps.Catalog().Type(machine.agent.MachineType) // an unknown type has no resources
+	machineType, _ := l.deps.Catalog().Type(machine.worker.MachineType) // an unknown type has no resources
 	view := l.placementMachine(machine)
-	view.AttemptCapacity = int(l.deps.Settings.Params.State.ValueKB*1024)/constants.MaxAttemptBytes - len(machine.agent.Attempts)
+	view.AttemptCapacity = int(l.deps.Settings.Params.State.ValueKB*1024)/constants.MaxAttemptBytes - len(machine.worker.Attempts)
 	view.Total = placement.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}
 	view.FetchGBPerS = machineType.FetchGBPerS
 	view.ImageWait = make(map[string]time.Duration, len(machine.images))
@@ -26,7 +26,7 @@
 		}
 	}
 	var uses []teamResources
-	for _, attempt := range machine.agent.Attempts {
+	for _, attempt := range machine.worker.Attempts {
 		if !attempt.Live() {
 			continue
 		}
@@ -34,7 +34,7 @@
 		uses = append(uses, teamResources{l.jobs.teamOf(attempt), task.Resources})
 		view.RunningTasks = append(view.RunningTasks, task)
 	}
-	for _, reservation := range l.reservations.OnMachine(machine.agent.Name) {
+	for _, reservation := range l.reservations.OnMachine(machine.worker.Name) {
 		view.Reserved = append(view.Reserved, placement.ReservedSlot{Pipeline: reservation.Pipeline, Priority: reservation.Priority, Resources: reservation.Resources})
 		uses = append(uses, teamResources{reservation.Pipeline.Team, reservation.Resources})
 	}
--- a/internal/leader/metadata.go
+++ b/internal/leader/metadata.go
@@ -110,5 +110,5 @@
 // last. committed, if not nil, is called once the record is committed.
 func (l *Leader) logMachine(machine *machineState, record wal.Machine, committed func()) {
 	machine.metadataLogged, machine.loggedMetadata = true, record
-	l.wal.MachineChanged(machine.agent.Name, record, committed)
+	l.wal.MachineChanged(machine.worker.Name, record, committed)
 }
--- a/internal/leader/placement_snapshot.go
+++ b/internal/leader/placement_snapshot.go
@@ -66,7 +66,7 @@
 	}
 	// The machine must have sent this term's token: a heartbeat without it may be a delayed
 	// copy from a machine that no longer exists.
-	if machine.agent.Token != l.term.number() {
+	if machine.worker.Token != l.term.number() {
 		return false
 	}
 	// A machine that has missed a few heartbeats may be dead or partitioned. Tasks placed
--- a/internal/leader/placement_snapshot_test.go
+++ b/internal/leader/placement_snapshot_test.go
@@ -14,13 +14,13 @@
 	l := testLeader(t)
 	silent, reporting := addMachine(l, "m-1", "east", now), addMachine(l, "m-2", "east", now)
 	now = now.Add(l.silenceTolerance() + constants.IdleReplyHold + time.Second)
-	if now.Sub(silent.agent.LastHeartbeat) >= l.lease {
+	if now.Sub(silent.worker.LastHeartbeat) >= l.lease {
 		t.Fatal("the lease has expired, so the test shows nothing")
 	}
-	reporting.agent.LastHeartbeat = now
+	reporting.worker.LastHeartbeat = now
 	addJob(t, l, arraySpec("j-1", 3), now)
 	l.runSchedulingPass(now)
-	if len(silent.agent.Attempts) != 0 || len(reporting.agent.Attempts) != 3 {
-		t.Errorf("%d tasks placed on the silent machine, %d on the reporting one; want 0 and 3", len(silent.agent.Attempts), len(reporting.agent.Attempts))
+	if len(silent.worker.Attempts) != 0 || len(reporting.worker.Attempts) != 3 {
+		t.Errorf("%d tasks placed on the silent machine, %d on the reporting one; want 0 and 3", len(silent.worker.Attempts), len(reporting.worker.Attempts))
 	}
 }
--- a/internal/leader/plan_execution.go
+++ b/internal/leader/plan_execution.go
@@ -34,7 +34,7 @@
 		return
 	}
 	l.deps.Log.Debug("task preempted", "task", workers.TaskID{Job: job.spec.ID, Index: victim.Index}, "attempt", victim.Attempt,
-		"machine", machine.agent.Name, "for_job", preemption.Preemptor.Spec.ID)
+		"machine", machine.worker.Name, "for_job", preemption.Preemptor.Spec.ID)
 	if job.spec.Kind == jobs.KindGang {
 		l.stopGang(job, job.stopGrace(), now)
 		return
@@ -94,17 +94,17 @@
 // released.
 func (l *Leader) startTask(machine *machineState, job *jobState, start placement.Start, number uint64, now time.Time) {
 	id := workers.AttemptID{Task: workers.TaskID{Job: job.spec.ID, Index: start.Index}, Number: number}
-	attempt := &workers.Attempt{ID: id, Epoch: machine.agent.Epoch, PlacedAt: now}
-	machine.agent.Attempts[id] = attempt
+	attempt := &workers.Attempt{ID: id, Epoch: machine.worker.Epoch, PlacedAt: now}
+	machine.worker.Attempts[id] = attempt
 	job.lastPlacedAt = now
 	l.classes.placementRates.add(job.spec.Class)
 	l.addAttempt(machine, attempt)
 	l.logAttempt(machine, attempt)
-	if l.reservations.Consume(machine.agent.Name, job.view.BelongsTo) {
-		l.deps.Log.Debug("reservation consumed", "machine", machine.agent.Name, "job", job.spec.ID)
+	if l.reservations.Consume(machine.worker.Name, job.view.BelongsTo) {
+		l.deps.Log.Debug("reservation consumed", "machine", machine.worker.Name, "job", job.spec.ID)
 		l.metadataChanged(machine, now)
 	}
-	l.reservations.ReleaseExcess(machine.agent.Name, start.Machine.Total.Sub(l.usedResources(machine)))
+	l.reservations.ReleaseExcess(machine.worker.Name, start.Machine.Total.Sub(l.usedResources(machine)))
 	machine.images.use(job.spec.Image, job.spec.ImageGB, false, l.imageCacheGB(machine))
-	l.deps.Log.Debug("placed", "task", id.Task, "attempt", id.Number, "machine", machine.agent.Name)
+	l.deps.Log.Debug("placed", "task", id.Task, "attempt", id.Number, "machine", machine.worker.Name)
 }
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -61,12 +61,12 @@
 
 // machineMetadata returns a machine's record without its attempts.
 func (l *Leader) machineMetadata(machine *machineState) wal.Machine {
-	agent := machine.agent
+	worker := machine.worker
 	record := wal.Machine{
-		Type: agent.MachineType, Zone: agent.Zone, Spot: agent.Spot,
-		Endpoint: agent.Endpoint, Epoch: agent.Epoch, Leaving: machine.lifecycle.isLeaving(),
+		Type: worker.MachineType, Zone: worker.Zone, Spot: worker.Spot,
+		Endpoint: worker.Endpoint, Epoch: worker.Epoch, Leaving: machine.lifecycle.isLeaving(),
 	}
-	for _, reservation := range l.reservations.OnMachine(agent.Name) {
+	for _, reservation := range l.reservations.OnMachine(worker.Name) {
 		record.Reservations = append(record.Reservations, reservationToRecord(reservation))
 	}
 	for _, image := range machine.images {
@@ -82,7 +82,7 @@
 // machineRecord returns a machine's complete record.
 func (l *Leader) machineRecord(machine *machineState) wal.Machine {
 	record := l.machineMetadata(machine)
-	for _, a := range machine.agent.SortedAttempts() {
+	for _, a := range machine.worker.SortedAttempts() {
 		if !a.Live() {
 			continue
 		}
--- a/internal/leader/restore.go
+++ b/internal/leader/restore.go
@@ -13,9 +13,9 @@
 	machine := l.fleet.getOrAdd(name, now)
 	machine.metadataLogged = true
 	machine.lifecycle.restore(record.Leaving)
-	agent := machine.agent
-	agent.MachineType, agent.Zone, agent.Spot = record.Type, record.Zone, record.Spot
-	agent.Endpoint, agent.Epoch = record.Endpoint, record.Epoch
+	worker := machine.worker
+	worker.MachineType, worker.Zone, worker.Spot = record.Type, record.Zone, record.Spot
+	worker.Endpoint, worker.Epoch = record.Endpoint, record.Epoch
 	for _, attempt := range record.Attempts {
 		if err := l.restoreAttempt(machine, attempt, record.Jobs, now); err != nil {
 			return fmt.Errorf("restore machine %s: %w", name, err)
@@ -37,11 +37,11 @@
 	if err != nil {
 		return err
 	}
-	machine.agent.Attempts[attempt.ID] = attempt
+	machine.worker.Attempts[attempt.ID] = attempt
 	if id := attempt.ID.Task.Job; l.jobs.get(id) == nil {
 		usage := usageByJob[id]
 		l.jobs.restoreAttemptOfEndedJob(id, usage.Team, resourcesFromRecord(usage.Resources))
-		machine.agent.RequestStop(attempt, 0, now)
+		machine.worker.RequestStop(attempt, 0, now)
 	}
 	l.addAttempt(machine, attempt)
 	return nil
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -54,7 +54,7 @@
 // scale decides which machines to return and to rent, and queues the next call to the cloud.
 func (l *Leader) scale(now time.Time) {
 	for machine := range l.fleet.all() {
-		if len(machine.agent.Attempts) > 0 {
+		if len(machine.worker.Attempts) > 0 {
 			machine.lifecycle.markBusy(now)
 		}
 	}
@@ -99,10 +99,10 @@
 
 // machineRegistered handles a machine's first report in this term.
 func (l *Leader) machineRegistered(machine *machineState, now time.Time) {
-	agent := machine.agent
-	if booting, ok := l.scaling.booting[agent.Name]; ok {
-		l.deps.Log.Info("machine registered", "machine", agent.Name, "zone", agent.Zone, "spot", agent.Spot, "after_s", now.Sub(booting.rentedAt).Round(time.Second).Seconds())
-		delete(l.scaling.booting, agent.Name)
+	worker := machine.worker
+	if booting, ok := l.scaling.booting[worker.Name]; ok {
+		l.deps.Log.Info("machine registered", "machine", worker.Name, "zone", worker.Zone, "spot", worker.Spot, "after_s", now.Sub(booting.rentedAt).Round(time.Second).Seconds())
+		delete(l.scaling.booting, worker.Name)
 	}
 	machine.lifecycle.markBusy(now)
 }
--- a/internal/leader/scaling_list.go
+++ b/internal/leader/scaling_list.go
@@ -78,15 +78,15 @@
 	case instance.Status == instanceFailed:
 		if machine == nil {
 			machine = l.fleet.getOrAdd(instance.Name, now)
-			machine.agent.MachineType, machine.agent.Zone, machine.agent.Spot = instance.MachineType, instance.Zone, instance.Spot
+			machine.worker.MachineType, machine.worker.Zone, machine.worker.Spot = instance.MachineType, instance.Zone, instance.Spot
 		}
 		delete(l.scaling.booting, instance.Name)
 		if !machine.lifecycle.isLeaving() {
 			l.beginLeaving(machine, "failed", now)
 		}
 	case machine != nil:
-		if machine.agent.Endpoint == "" {
-			machine.agent.Endpoint = instance.Endpoint
+		if machine.worker.Endpoint == "" {
+			machine.worker.Endpoint = instance.Endpoint
 		}
 	default:
 		l.scaling.booting.addListed(instance, now)
--- a/internal/leader/scaling_return.go
+++ b/internal/leader/scaling_return.go
@@ -17,13 +17,13 @@
 			continue
 		}
 		returnAfter := constants.SilentReturnAfter
-		if unreachable[machine.agent.Zone] {
+		if unreachable[machine.worker.Zone] {
 			returnAfter = constants.UnreachableZoneReturnAfter
 		}
 		switch {
 		case l.silenceDuration(machine, now) > l.lease+returnAfter:
 			l.beginLeaving(machine, "silent", now)
-		case machine.health.Faulty() && len(machine.agent.Attempts) == 0:
+		case machine.health.Faulty() && len(machine.worker.Attempts) == 0:
 			l.beginLeaving(machine, "faulty", now)
 		}
 	}
@@ -32,9 +32,9 @@
 // beginLeaving starts the return of a machine. The cloud is called only once the machine's
 // record contains the leaving mark.
 func (l *Leader) beginLeaving(machine *machineState, reason string, now time.Time) {
-	l.deps.Log.Info("returning machine", "machine", machine.agent.Name, "zone", machine.agent.Zone, "reason", reason)
+	l.deps.Log.Info("returning machine", "machine", machine.worker.Name, "zone", machine.worker.Zone, "reason", reason)
 	machine.lifecycle.beginLeaving()
-	l.reservations.RemoveMachine(machine.agent.Name)
+	l.reservations.RemoveMachine(machine.worker.Name)
 	l.logMetadata(machine, machine.lifecycle.markLeavingRecorded)
 	machine.markStale()
 	l.drain(machine, now)
@@ -46,7 +46,7 @@
 func (l *Leader) machinesToReturn(now time.Time) (names []string) {
 	for machine := range l.fleet.all() {
 		if machine.lifecycle.readyToReturn() && !l.isDraining(machine, now) {
-			names = append(names, machine.agent.Name)
+			names = append(names, machine.worker.Name)
 		}
 	}
 	for name, booting := range l.scaling.booting {
@@ -62,12 +62,12 @@
 // isDraining reports whether a machine to be returned may still run tasks, which must get
 // time to save their progress.
 func (l *Leader) isDraining(machine *machineState, now time.Time) bool {
-	return machine.agent.Registered && !l.isSilentBeyondLease(machine, now) && machine.inUse()
+	return machine.worker.Registered && !l.isSilentBeyondLease(machine, now) && machine.inUse()
 }
 
 // inUse reports whether the machine has live attempts.
 func (m *machineState) inUse() bool {
-	for _, attempt := range m.agent.Attempts {
+	for _, attempt := range m.worker.Attempts {
 		if attempt.Live() {
 			return true
 		}
@@ -102,7 +102,7 @@
 		return
 	}
 	// The cloud's confirmation proves that nothing runs on the machine any more.
-	l.applyEvents(machine, machine.agent.MarkTerminated(), now)
+	l.applyEvents(machine, machine.worker.MarkTerminated(), now)
 	l.removeMachine(machine)
 	l.wal.MachineRemoved(name)
 }
--- a/internal/leader/scaling_snapshot.go
+++ b/internal/leader/scaling_snapshot.go
@@ -39,7 +39,7 @@
 func (l *Leader) machinesByPool(now time.Time) map[autoscaling.InstancePool]int {
 	count := make(map[autoscaling.InstancePool]int)
 	for machine := range l.fleet.all() {
-		if !machine.lifecycle.isLeaving() && !machine.health.Faulty() && machine.agent.ReclaimAt.IsZero() && !l.isSilentBeyondLease(machine, now) {
+		if !machine.lifecycle.isLeaving() && !machine.health.Faulty() && machine.worker.ReclaimAt.IsZero() && !l.isSilentBeyondLease(machine, now) {
 			count[machine.pool()]++
 		}
 	}
--- a/internal/leader/scaling_surplus.go
+++ b/internal/leader/scaling_surplus.go
@@ -25,8 +25,8 @@
 // been idle for longer than IdleReturnAfter.
 func (l *Leader) idleMachines(now time.Time) (idle []autoscaling.IdleMachine) {
 	for machine := range l.fleet.all() {
-		name := machine.agent.Name
-		if !machine.schedulable(now) || len(machine.agent.Attempts) > 0 || len(l.reservations.OnMachine(name)) > 0 {
+		name := machine.worker.Name
+		if !machine.schedulable(now) || len(machine.worker.Attempts) > 0 || len(l.reservations.OnMachine(name)) > 0 {
 			continue
 		}
 		if machine.lifecycle.idleFor(now) > constants.IdleReturnAfter {
--- a/internal/leader/silence.go
+++ b/internal/leader/silence.go
@@ -12,8 +12,8 @@
 // last resumed from a stall does not count.
 func (l *Leader) silenceDuration(machine *machineState, now time.Time) time.Duration {
 	last := machine.addedAt
-	if machine.agent.Registered {
-		last = machine.agent.LastHeartbeat
+	if machine.worker.Registered {
+		last = machine.worker.LastHeartbeat
 	}
 	if resumed := l.term.resumedAt(); resumed.After(last) {
 		last = resumed
--- a/internal/leader/status_view.go
+++ b/internal/leader/status_view.go
@@ -46,7 +46,7 @@
 	}
 	byPool := make(map[key]*PoolStatus)
 	for machine := range l.fleet.all() {
-		k := key{machine.agent.MachineType, machine.agent.Zone, machine.agent.Spot}
+		k := key{machine.worker.MachineType, machine.worker.Zone, machine.worker.Spot}
 		pool := byPool[k]
 		if pool == nil {
 			pool = &PoolStatus{Type: k.machineType, Zone: k.zone, Spot: k.spot}
@@ -68,7 +68,7 @@
 
 // countMachine adds a machine to the counts of its pool.
 func (l *Leader) countMachine(pool *PoolStatus, machine *machineState) {
-	if !machine.lifecycle.isLeaving() && machine.agent.Registered {
+	if !machine.lifecycle.isLeaving() && machine.worker.Registered {
 		pool.Up++
 	}
 	if machine.inUse() {
@@ -77,7 +77,7 @@
 	if machine.health.Faulty() {
 		pool.Faulty++
 	}
-	machineType, _ := l.deps.Catalog().Type(machine.agent.MachineType)
+	machineType, _ := l.deps.Catalog().Type(machine.worker.MachineType)
 	total := placement.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}
 	used := l.usedResources(machine)
 	pool.GPUs += used.GPUs
@@ -140,7 +140,7 @@
 func (l *Leader) teamStatus() (teams []TeamStatus) {
 	used, reserved := make(map[string]placement.Resources), make(map[string]placement.Resources)
 	for machine := range l.fleet.all() {
-		for _, attempt := range machine.agent.Attempts {
+		for _, attempt := range machine.worker.Attempts {
 			if attempt.Live() {
 				team := l.jobs.teamOf(attempt)
 				used[team] = used[team].Add(l.jobs.resourcesOf(attempt))
--- a/internal/leader/stragglers.go
+++ b/internal/leader/stragglers.go
@@ -20,7 +20,7 @@
 			continue
 		}
 		pause := machine.health.MarkSlow(now)
-		l.deps.Log.Warn("slow machine detected", "machine", machine.agent.Name, "zone", machine.agent.Zone, "pause_s", pause.Seconds())
+		l.deps.Log.Warn("slow machine detected", "machine", machine.worker.Name, "zone", machine.worker.Zone, "pause_s", pause.Seconds())
 		l.moveTasksAway(machine, now)
 	}
 }
@@ -29,12 +29,12 @@
 // finished on it and from those that run on it.
 func (l *Leader) slowSignals(machine *machineState, now time.Time) int {
 	signals := machine.health.SlowSignals(now)
-	for _, attempt := range machine.agent.Attempts {
+	for _, attempt := range machine.worker.Attempts {
 		job := l.jobs.get(attempt.ID.Task.Job)
 		if job == nil || job.spec.Kind == jobs.KindGang || attempt.Status != workers.StatusRunning || attempt.RunningSince.IsZero() {
 			continue
 		}
-		signals += job.runtimes.SlowSignals(machine.agent.LastHeartbeat.Sub(attempt.RunningSince), job.spec.Tasks)
+		signals += job.runtimes.SlowSignals(machine.worker.LastHeartbeat.Sub(attempt.RunningSince), job.spec.Tasks)
 	}
 	return signals
 }
@@ -42,7 +42,7 @@
 // moveTasksAway stops the machine's tasks so that they restart elsewhere. Gangs are left
 // alone, as the whole gang would have to restart.
 func (l *Leader) moveTasksAway(machine *machineState, now time.Time) {
-	for _, attempt := range machine.agent.SortedAttempts() {
+	for _, attempt := range machine.worker.SortedAttempts() {
 		job := l.jobs.get(attempt.ID.Task.Job)
 		if job == nil || job.spec.Kind == jobs.KindGang || attempt.StopRequested || !attempt.Live() {
 			continue
--- a/internal/leader/stragglers_test.go
+++ b/internal/leader/stragglers_test.go
@@ -22,24 +22,24 @@
 			ID: workers.AttemptID{Task: workers.TaskID{Job: "j-1", Index: i}, Number: uint64(i + 1)}, Epoch: 1,
 			Committed: true, StartAllowed: true, RunSent: true, Status: workers.StatusRunning, RunningSince: start,
 		}
-		slow.agent.Attempts[attempt.ID] = attempt
+		slow.worker.Attempts[attempt.ID] = attempt
 		l.addAttempt(slow, attempt)
 	}
 	for _, seconds := range []int{24, 30, 35} {
 		job.runtimes.Add(time.Duration(seconds) * time.Second)
 	}
-	slow.agent.LastHeartbeat = start.Add(45 * time.Second)
+	slow.worker.LastHeartbeat = start.Add(45 * time.Second)
 	l.detectStragglers(start.Add(45 * time.Second))
 	if slow.health.Slow(start.Add(45 * time.Second)) {
 		t.Fatalf("a machine is marked slow at 1.5 times the median run time")
 	}
 	now := start.Add(55 * time.Second)
-	slow.agent.LastHeartbeat = now
+	slow.worker.LastHeartbeat = now
 	l.detectStragglers(now)
 	if !slow.health.Slow(now) || slow.schedulable(now) {
 		t.Fatalf("slow machine not detected")
 	}
-	for _, attempt := range slow.agent.SortedAttempts() {
+	for _, attempt := range slow.worker.SortedAttempts() {
 		if !attempt.StopRequested || attempt.GraceS < job.spec.CheckpointSaveS {
 			t.Errorf("%v is not stopped with time to save", attempt.ID)
 		}
@@ -83,7 +83,7 @@
 			l.runSchedulingPass(now)
 			commitPending(l, 100)
 			for _, machine := range []*machineState{machineA, machineB} {
-				machine.agent.Commands(true, now)
+				machine.worker.Commands(true, now)
 				l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusRunning, ""), false, now)
 			}
 			// The tasks of m-a end after 10 s, those of m-b after 60 s.
--- a/internal/leader/task_attempts.go
+++ b/internal/leader/task_attempts.go
@@ -48,7 +48,7 @@
 	slices.SortFunc(list, func(a, b placedAttempt) int {
 		return cmp.Or(
 			cmp.Compare(a.attempt.ID.Task.Index, b.attempt.ID.Task.Index),
-			cmp.Compare(a.machine.agent.Name, b.machine.agent.Name),
+			cmp.Compare(a.machine.worker.Name, b.machine.worker.Name),
 		)
 	})
 	return list
@@ -69,7 +69,7 @@
 	zones := make(map[string]int)
 	for _, placed := range t {
 		for _, p := range placed {
-			zones[p.machine.agent.Zone]++
+			zones[p.machine.worker.Zone]++
 		}
 	}
 	return zones
--- a/internal/leader/task_attempts_test.go
+++ b/internal/leader/task_attempts_test.go
@@ -9,7 +9,7 @@
 // TestRemoveAttemptsWhileIterating checks that a loop over a task's attempts visits each one
 // even if the loop removes them, because stopping an attempt may remove it immediately.
 func TestRemoveAttemptsWhileIterating(t *testing.T) {
-	machine := &machineState{agent: workers.NewAgent("m-1")}
+	machine := &machineState{worker: workers.NewWorker("m-1")}
 	attempts := make(taskAttempts)
 	for number := range uint64(3) {
 		attempts.add(machine, &workers.Attempt{ID: workers.AttemptID{Number: number}})
@@ -26,7 +26,7 @@
 
 // TestSortedAttempts checks the order by task, then by machine.
 func TestSortedAttempts(t *testing.T) {
-	first, second := &machineState{agent: workers.NewAgent("m-1")}, &machineState{agent: workers.NewAgent("m-2")}
+	first, second := &machineState{worker: workers.NewWorker("m-1")}, &machineState{worker: workers.NewWorker("m-2")}
 	attempts := make(taskAttempts)
 	add := func(machine *machineState, task int) {
 		attempts.add(machine, &workers.Attempt{ID: workers.AttemptID{Task: workers.TaskID{Index: task}}})
@@ -41,7 +41,7 @@
 	}{{second, 0}, {first, 1}, {second, 1}}
 	for i, w := range want {
 		if got := sorted[i]; got.machine != w.machine || got.attempt.ID.Task.Index != w.task {
-			t.Errorf("position %d: task %d on %s", i, got.attempt.ID.Task.Index, got.machine.agent.Name)
+			t.Errorf("position %d: task %d on %s", i, got.attempt.ID.Task.Index, got.machine.worker.Name)
 		}
 	}
 }
--- a/internal/leader/task_events.go
+++ b/internal/leader/task_events.go
@@ -45,7 +45,7 @@
 	if attempt.Status == workers.StatusExited {
 		return // EventExited follows
 	}
-	l.deps.Log.Warn("task without record reported", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.agent.Name)
+	l.deps.Log.Warn("task without record reported", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.worker.Name)
 	l.addAttempt(machine, attempt)
 	if job == nil {
 		l.jobs.addAttemptOfEndedJob(attempt.ID.Task.Job)
@@ -60,7 +60,7 @@
 
 // taskStatusChanged handles a status change other than an exit.
 func (l *Leader) taskStatusChanged(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
-	l.deps.Log.Debug("task status changed", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.agent.Name, "status", attempt.Status)
+	l.deps.Log.Debug("task status changed", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.worker.Name, "status", attempt.Status)
 	if job != nil && attempt.Status == workers.StatusRunning && job.startedAt.IsZero() {
 		job.startedAt = now
 		l.classes.gangWaits.observe(job, now)
@@ -69,7 +69,7 @@
 
 // taskExited handles the exit of a task, by its cause.
 func (l *Leader) taskExited(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
-	l.deps.Log.Debug("task exited", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.agent.Name, "cause", attempt.Cause, "saved", attempt.Saved)
+	l.deps.Log.Debug("task exited", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.worker.Name, "cause", attempt.Cause, "saved", attempt.Saved)
 	if job == nil || attempt.ID.Task.Index >= job.spec.Tasks {
 		l.allowForget(machine, attempt)
 		return
--- a/internal/leader/team_usage_test.go
+++ b/internal/leader/team_usage_test.go
@@ -80,11 +80,11 @@
 	if rapid.IntRange(0, 4).Draw(rt, "half") == 0 {
 		heartbeat.Tasks = heartbeat.Tasks[:len(heartbeat.Tasks)/2]
 	}
-	machine.agent.Commands(true, m.now)
+	machine.worker.Commands(true, m.now)
 	m.leader.applyHeartbeat(machine, heartbeat, false, m.now)
 }
 
-// beginEpoch lets a machine's agent restart with a new epoch and without tasks.
+// beginEpoch lets a machine's worker restart with a new epoch and without tasks.
 func (m *usageModel) beginEpoch(rt *rapid.T) {
 	machine := m.drawMachine(rt)
 	heartbeat := nextHeartbeat(m.leader, machine, workers.StatusRunning, "")
@@ -95,9 +95,9 @@
 // returnMachine removes a machine as if the cloud had confirmed its termination.
 func (m *usageModel) returnMachine(rt *rapid.T) {
 	machine := m.drawMachine(rt)
-	m.leader.applyEvents(machine, machine.agent.MarkTerminated(), m.now)
+	m.leader.applyEvents(machine, machine.worker.MarkTerminated(), m.now)
 	m.leader.removeMachine(machine)
-	m.leader.wal.MachineRemoved(machine.agent.Name)
+	m.leader.wal.MachineRemoved(machine.worker.Name)
 }
 
 func (m *usageModel) advanceTime(rt *rapid.T) {
@@ -108,12 +108,12 @@
 func (m *usageModel) countGPUs() map[string]float64 {
 	gpus := make(map[string]float64)
 	for machine := range m.leader.fleet.all() {
-		for _, attempt := range machine.agent.Attempts {
+		for _, attempt := range machine.worker.Attempts {
 			if attempt.Live() {
 				gpus[m.leader.jobs.teamOf(attempt)] += m.leader.jobs.resourcesOf(attempt).GPUs
 			}
 		}
-		for _, reservation := range m.leader.reservations.OnMachine(machine.agent.Name) {
+		for _, reservation := range m.leader.reservations.OnMachine(machine.worker.Name) {
 			gpus[reservation.Pipeline.Team] += reservation.Resources.GPUs
 		}
 	}
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -28,21 +28,21 @@
 func (l *Leader) superviseMachines(now time.Time) {
 	tokensPushed := 0
 	for _, machine := range l.fleet.sortedByName() {
-		agent := machine.agent
+		worker := machine.worker
 		// After a stall, expired leases may be the leader's own fault: it answered no
 		// heartbeats. Whether it still leads is not known until the term is verified, which
 		// does not take long.
 		if l.term.verified() {
-			if lost := agent.ExpireLease(l.term.number(), l.lease, now); len(lost) > 0 {
-				l.deps.Log.Info("machine lost", "machine", agent.Name, "tasks", len(lost))
+			if lost := worker.ExpireLease(l.term.number(), l.lease, now); len(lost) > 0 {
+				l.deps.Log.Info("machine lost", "machine", worker.Name, "tasks", len(lost))
 				l.applyEvents(machine, lost, now)
 			}
 		}
 		l.sendStops(machine, now)
-		machine.startOverdue = agent.StartOverdue(now)
+		machine.startOverdue = worker.StartOverdue(now)
 		switch {
-		case agent.RepliesLost || agent.ReachabilityUnconfirmed:
-			l.probeAgent(machine, now)
+		case worker.RepliesLost || worker.ReachabilityUnconfirmed:
+			l.probeWorker(machine, now)
 		case tokensPushed < constants.MaxTokenPushesPerTick && l.needsToken(machine, now):
 			// Only a few tokens are sent per tick, because sending to all machines at once
 			// would take too many sockets and too long.
@@ -56,7 +56,7 @@
 // switches to this node sooner and ignores replies of an older leader. At most one direct
 // command per half a lease is sent for this.
 func (l *Leader) needsToken(machine *machineState, now time.Time) bool {
-	return machine.agent.Token < l.term.number() && !machine.direct.inFlight && machine.direct.sinceLast(now) >= l.lease/2
+	return machine.worker.Token < l.term.number() && !machine.direct.inFlight && machine.direct.sinceLast(now) >= l.lease/2
 }
 
 // expireReservations removes expired reservations.
--- a/internal/leader/unreachable_zones.go
+++ b/internal/leader/unreachable_zones.go
@@ -40,9 +40,9 @@
 		if machine.lifecycle.isLeaving() {
 			continue
 		}
-		machines[machine.agent.Zone]++
+		machines[machine.worker.Zone]++
 		if l.isSilentBeyondLease(machine, now) {
-			silent[machine.agent.Zone]++
+			silent[machine.worker.Zone]++
 		}
 	}
 	return l.scaling.zones.update(machines, silent, now)
--- a/internal/workers/commands.go
+++ b/internal/workers/commands.go
@@ -5,11 +5,11 @@
 // RequestStop marks an attempt to be stopped. graceS is the time it gets to write a
 // checkpoint, in seconds. gone is true if no `run` can have been sent for the attempt, which
 // is then removed immediately.
-func (agent *Agent) RequestStop(attempt *Attempt, graceS float64, now time.Time) (gone bool) {
+func (worker *Worker) RequestStop(attempt *Attempt, graceS float64, now time.Time) (gone bool) {
 	switch {
 	case attempt.exited():
 	case attempt.runNeverSent():
-		delete(agent.Attempts, attempt.ID)
+		delete(worker.Attempts, attempt.ID)
 		return true
 	case !attempt.StopRequested:
 		attempt.StopRequested, attempt.GraceS, attempt.StopRequestedAt = true, graceS, now
@@ -27,9 +27,9 @@
 // which the attempt was placed, and only once the attempt's record is durable; Commands marks
 // it as sent. In a direct command a `run` could be executed late (protocol, "Delayed
 // messages"), while a worker drops late replies.
-func (agent *Agent) Commands(replying bool, now time.Time) []Command {
+func (worker *Worker) Commands(replying bool, now time.Time) []Command {
 	var commands []Command
-	for _, attempt := range agent.SortedAttempts() {
+	for _, attempt := range worker.SortedAttempts() {
 		command := Command{Task: attempt.ID.Task.String(), Attempt: attempt.ID.Number}
 		switch {
 		case attempt.exited():
@@ -43,8 +43,8 @@
 			}
 			graceS := attempt.GraceS
 			command.Verb, command.GraceS = VerbStop, &graceS
-		case replying && agent.mayStart(attempt):
-			agent.markRunSent(attempt, now)
+		case replying && worker.mayStart(attempt):
+			worker.markRunSent(attempt, now)
 			command.Verb = VerbRun
 		default:
 			continue
@@ -55,8 +55,8 @@
 }
 
 // HasCommands reports whether Commands would return any command for the reply to a heartbeat.
-func (agent *Agent) HasCommands() bool {
-	for _, attempt := range agent.Attempts {
+func (worker *Worker) HasCommands() bool {
+	for _, attempt := range worker.Attempts {
 		switch {
 		case attempt.exited():
 			if attempt.ExitRecorded {
@@ -66,7 +66,7 @@
 			if !attempt.runNeverSent() {
 				return true
 			}
-		case agent.mayStart(attempt):
+		case worker.mayStart(attempt):
 			return true
 		}
 	}
@@ -75,15 +75,15 @@
 
 // mayStart reports whether `run` may be sent for an attempt that has not exited and whose
 // stop was not requested.
-func (agent *Agent) mayStart(attempt *Attempt) bool {
+func (worker *Worker) mayStart(attempt *Attempt) bool {
 	return attempt.unreported() && attempt.Committed && attempt.StartAllowed &&
-		attempt.Epoch == agent.Epoch && !attempt.FromEarlierTerm
+		attempt.Epoch == worker.Epoch && !attempt.FromEarlierTerm
 }
 
 // markRunSent records that the reply to the newest heartbeat carries the attempt's `run`.
-func (agent *Agent) markRunSent(attempt *Attempt, now time.Time) {
+func (worker *Worker) markRunSent(attempt *Attempt, now time.Time) {
 	if !attempt.RunSent {
 		attempt.RunSentAt = now
 	}
-	attempt.RunSent, attempt.RunSentSequence = true, agent.Sequence
+	attempt.RunSent, attempt.RunSentSequence = true, worker.Sequence
 }
--- a/internal/workers/commands_test.go
+++ b/internal/workers/commands_test.go
@@ -9,10 +9,10 @@
 // its start allowed, and only in the reply to a heartbeat.
 func TestRunSentOnlyAfterCommit(t *testing.T) {
 	now := time.Unix(1000, 0)
-	agent := NewAgent("m-1")
-	agent.Observe(newHeartbeat(1, 1), ownTerm, false, now)
+	worker := NewWorker("m-1")
+	worker.Observe(newHeartbeat(1, 1), ownTerm, false, now)
 	attempt := &Attempt{ID: AttemptID{TaskID{"j-1", 0}, 1}, Epoch: 1}
-	agent.Attempts[attempt.ID] = attempt
+	worker.Attempts[attempt.ID] = attempt
 	for _, c := range []struct {
 		committed, startAllowed bool
 		commands                int
@@ -23,10 +23,10 @@
 		{true, true, 1},
 	} {
 		attempt.Committed, attempt.StartAllowed = c.committed, c.startAllowed
-		if got := len(agent.Commands(false, now)); got != 0 {
+		if got := len(worker.Commands(false, now)); got != 0 {
 			t.Errorf("committed %v allowed %v: direct command contains a start", c.committed, c.startAllowed)
 		}
-		if got := len(agent.Commands(true, now)); got != c.commands {
+		if got := len(worker.Commands(true, now)); got != c.commands {
 			t.Errorf("committed %v allowed %v: %d commands, want %d", c.committed, c.startAllowed, got, c.commands)
 		}
 	}
--- a/internal/workers/lost_replies.go
+++ b/internal/workers/lost_replies.go
@@ -10,15 +10,15 @@
 // worker. This file detects that, and when the worker receives messages again.
 
 // markReachable records that the worker has evidently received a message from the leader.
-func (agent *Agent) markReachable() {
-	agent.RepliesLost, agent.ReachabilityUnconfirmed, agent.IgnoredStops = false, false, 0
+func (worker *Worker) markReachable() {
+	worker.RepliesLost, worker.ReachabilityUnconfirmed, worker.IgnoredStops = false, false, 0
 }
 
 // ConfirmReachability clears ReachabilityUnconfirmed once the worker has kept its epoch for
 // longer than it could have without receiving the leader's replies.
-func (agent *Agent) ConfirmReachability(lease time.Duration, now time.Time) {
-	if agent.ReachabilityUnconfirmed && now.Sub(agent.ReachabilityUnconfirmedAt) > lease+lease/2 {
-		agent.ReachabilityUnconfirmed = false
+func (worker *Worker) ConfirmReachability(lease time.Duration, now time.Time) {
+	if worker.ReachabilityUnconfirmed && now.Sub(worker.ReachabilityUnconfirmedAt) > lease+lease/2 {
+		worker.ReachabilityUnconfirmed = false
 	}
 }
 
@@ -26,43 +26,43 @@
 // several consecutive heartbeats do not list a started attempt, or show a stop not carried
 // out. It then cancels the starts that never arrived, so that the same heartbeat proves their
 // attempts gone.
-func (agent *Agent) detectLostReplies(heartbeat *Heartbeat, listed map[AttemptID]bool, now time.Time) {
-	agent.countMissedStarts(heartbeat.Sequence, listed)
-	agent.countIgnoredStops(listed, now)
-	if agent.RepliesLost {
-		agent.cancelMissedStarts(listed, now)
+func (worker *Worker) detectLostReplies(heartbeat *Heartbeat, listed map[AttemptID]bool, now time.Time) {
+	worker.countMissedStarts(heartbeat.Sequence, listed)
+	worker.countIgnoredStops(listed, now)
+	if worker.RepliesLost {
+		worker.cancelMissedStarts(listed, now)
 	}
 }
 
 // countMissedStarts counts, for each started attempt, the heartbeats after its `run` that do
 // not list it.
-func (agent *Agent) countMissedStarts(sequence uint64, listed map[AttemptID]bool) {
-	for id, attempt := range agent.Attempts {
+func (worker *Worker) countMissedStarts(sequence uint64, listed map[AttemptID]bool) {
+	for id, attempt := range worker.Attempts {
 		if listed[id] || !attempt.runUnconfirmed() || sequence <= attempt.RunSentSequence {
 			continue
 		}
 		attempt.MissedHeartbeats++
 		if attempt.MissedHeartbeats >= constants.LostReplyHeartbeats {
-			agent.RepliesLost = true
+			worker.RepliesLost = true
 		}
 	}
 }
 
 // countIgnoredStops counts the consecutive heartbeats that list an attempt as active although
 // its stop was requested more than constants.StopIgnoredAfter ago.
-func (agent *Agent) countIgnoredStops(listed map[AttemptID]bool, now time.Time) {
-	if !agent.ignoresStop(listed, now) {
-		agent.IgnoredStops = 0
+func (worker *Worker) countIgnoredStops(listed map[AttemptID]bool, now time.Time) {
+	if !worker.ignoresStop(listed, now) {
+		worker.IgnoredStops = 0
 		return
 	}
-	agent.IgnoredStops++
-	if agent.IgnoredStops >= constants.LostReplyHeartbeats {
-		agent.RepliesLost = true
+	worker.IgnoredStops++
+	if worker.IgnoredStops >= constants.LostReplyHeartbeats {
+		worker.RepliesLost = true
 	}
 }
 
-func (agent *Agent) ignoresStop(listed map[AttemptID]bool, now time.Time) bool {
-	for id, attempt := range agent.Attempts {
+func (worker *Worker) ignoresStop(listed map[AttemptID]bool, now time.Time) bool {
+	for id, attempt := range worker.Attempts {
 		if listed[id] && attempt.ignoresStop(now) {
 			return true
 		}
@@ -80,8 +80,8 @@
 }
 
 // cancelMissedStarts requests a stop of the attempts whose `run` has evidently not arrived.
-func (agent *Agent) cancelMissedStarts(listed map[AttemptID]bool, now time.Time) {
-	for id, attempt := range agent.Attempts {
+func (worker *Worker) cancelMissedStarts(listed map[AttemptID]bool, now time.Time) {
+	for id, attempt := range worker.Attempts {
 		if !listed[id] && attempt.runUnconfirmed() && !attempt.StopRequested {
 			attempt.StopRequested, attempt.StopRequestedAt = true, now
 		}
@@ -90,8 +90,8 @@
 
 // StartOverdue reports whether there is an attempt that the worker has never listed although
 // its first `run` was sent more than constants.StartOverdueAfter ago.
-func (agent *Agent) StartOverdue(now time.Time) bool {
-	for _, attempt := range agent.Attempts {
+func (worker *Worker) StartOverdue(now time.Time) bool {
+	for _, attempt := range worker.Attempts {
 		if attempt.RunSent && attempt.unreported() && !attempt.RunSentAt.IsZero() &&
 			now.Sub(attempt.RunSentAt) > constants.StartOverdueAfter {
 			return true
--- a/internal/workers/removal.go
+++ b/internal/workers/removal.go
@@ -18,10 +18,10 @@
 
 // removeAbsent removes the attempts that are proven gone because the heartbeat does not list
 // them.
-func (agent *Agent) removeAbsent(heartbeat *Heartbeat, listed map[AttemptID]bool, term uint64) (gone []Event) {
-	for id, attempt := range agent.Attempts {
+func (worker *Worker) removeAbsent(heartbeat *Heartbeat, listed map[AttemptID]bool, term uint64) (gone []Event) {
+	for id, attempt := range worker.Attempts {
 		if !listed[id] && absenceProvesGone(attempt, heartbeat, term) {
-			gone = append(gone, agent.remove(attempt)...)
+			gone = append(gone, worker.remove(attempt)...)
 		}
 	}
 	return gone
@@ -57,11 +57,11 @@
 
 // expireEpochs removes the attempts of all epochs up to the given one. The worker kills and
 // forgets every task of an epoch before it starts the next (protocol, "Leases").
-func (agent *Agent) expireEpochs(epoch uint64) (gone []Event) {
-	agent.ExpiredEpoch = max(agent.ExpiredEpoch, epoch)
-	for _, attempt := range agent.Attempts {
+func (worker *Worker) expireEpochs(epoch uint64) (gone []Event) {
+	worker.ExpiredEpoch = max(worker.ExpiredEpoch, epoch)
+	for _, attempt := range worker.Attempts {
 		if attempt.Epoch <= epoch {
-			gone = append(gone, agent.remove(attempt)...)
+			gone = append(gone, worker.remove(attempt)...)
 		}
 	}
 	sortEvents(gone)
@@ -70,11 +70,11 @@
 
 // ExpireLease ends the worker's epoch if its lease must have expired (LeaseExpired), in which
 // case the worker has killed every task of that epoch.
-func (agent *Agent) ExpireLease(term uint64, lease time.Duration, now time.Time) []Event {
-	if !agent.LeaseExpired(term, lease, now) || agent.Epoch <= agent.ExpiredEpoch {
+func (worker *Worker) ExpireLease(term uint64, lease time.Duration, now time.Time) []Event {
+	if !worker.LeaseExpired(term, lease, now) || worker.Epoch <= worker.ExpiredEpoch {
 		return nil
 	}
-	return agent.expireEpochs(agent.Epoch)
+	return worker.expireEpochs(worker.Epoch)
 }
 
 // LeaseExpired reports whether the worker's lease must have expired. This requires that the
@@ -82,22 +82,22 @@
 // the last acknowledged heartbeat arrived longer ago than the lease lasts, allowing for clock
 // drift and late timers. The lease of a worker without this term's token may still be renewed
 // by an earlier leader, so its silence proves nothing.
-func (agent *Agent) LeaseExpired(term uint64, lease time.Duration, now time.Time) bool {
-	if !agent.Registered || agent.Token != term || agent.TokenConfirmedAt.IsZero() {
+func (worker *Worker) LeaseExpired(term uint64, lease time.Duration, now time.Time) bool {
+	if !worker.Registered || worker.Token != term || worker.TokenConfirmedAt.IsZero() {
 		return false
 	}
-	lastRenewal := agent.TokenConfirmedAt
-	if agent.LastAcknowledged.After(lastRenewal) {
-		lastRenewal = agent.LastAcknowledged
+	lastRenewal := worker.TokenConfirmedAt
+	if worker.LastAcknowledged.After(lastRenewal) {
+		lastRenewal = worker.LastAcknowledged
 	}
 	proofAfter := time.Duration(float64(lease)*(1+constants.ClockDrift)) + constants.LeaseProofMargin
 	return now.Sub(lastRenewal) > proofAfter
 }
 
 // MarkTerminated removes all attempts after the cloud has confirmed that the machine is gone.
-func (agent *Agent) MarkTerminated() (gone []Event) {
-	for _, attempt := range agent.Attempts {
-		gone = append(gone, agent.remove(attempt)...)
+func (worker *Worker) MarkTerminated() (gone []Event) {
+	for _, attempt := range worker.Attempts {
+		gone = append(gone, worker.remove(attempt)...)
 	}
 	sortEvents(gone)
 	return gone
@@ -105,8 +105,8 @@
 
 // remove removes an attempt that is gone. It returns an EventGone unless the attempt has
 // exited, which EventExited has already reported.
-func (agent *Agent) remove(attempt *Attempt) []Event {
-	delete(agent.Attempts, attempt.ID)
+func (worker *Worker) remove(attempt *Attempt) []Event {
+	delete(worker.Attempts, attempt.ID)
 	if attempt.exited() {
 		return nil
 	}
--- a/internal/workers/removal_test.go
+++ b/internal/workers/removal_test.go
@@ -8,9 +8,9 @@
 )
 
 // TestRemovedAttemptsStayOffWorker checks that an attempt which the leader's model has removed
-// is never live on the worker afterwards, as its task could then run twice. It runs a model
-// worker and an Agent through delayed, lost and repeated messages, a change of leader and
-// expired leases.
+// is never live on the worker afterwards, as its task could then run twice. It runs a
+// simulated worker and a Worker, the leader's model of it, through delayed, lost and repeated
+// messages, a change of leader and expired leases.
 func TestRemovedAttemptsStayOffWorker(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation()
@@ -41,13 +41,15 @@
 	command   *CommandBatch // a direct command to the worker
 }
 
-// simulation consists of a worker, the leader's model of it, and the network between them.
+// simulation consists of a simulated worker, the leader's model of it (worker), and the network
+// between them.
 type simulation struct {
-	now     time.Time
-	worker  *modelWorker
-	agent   *Agent
-	network []message
-	// removed contains the attempts that the agent has reported as no longer on the worker.
+	now       time.Time
+	simulated *simulatedWorker
+	worker    *Worker
+	network   []message
+	// removed contains the attempts that the leader's model has reported as no longer on the
+	// worker.
 	removed map[AttemptID]bool
 	// placed is the number of attempts placed in this term.
 	placed int
@@ -58,9 +60,9 @@
 
 func newSimulation() *simulation {
 	now := time.Unix(1000, 0)
-	s := &simulation{now: now, worker: newModelWorker(now), agent: NewAgent("m-1"), removed: map[AttemptID]bool{}}
-	s.agent.Epoch = 1
-	s.agent.Attempts[inheritedAttempt] = &Attempt{
+	s := &simulation{now: now, simulated: newSimulatedWorker(now), worker: NewWorker("m-1"), removed: map[AttemptID]bool{}}
+	s.worker.Epoch = 1
+	s.worker.Attempts[inheritedAttempt] = &Attempt{
 		ID: inheritedAttempt, Epoch: 1, Committed: true, StartAllowed: true, FromEarlierTerm: true, RunSent: true,
 	}
 	return s
@@ -68,72 +70,72 @@
 
 // checkRemovedNotLive is the invariant: no removed attempt is live on the worker.
 func (s *simulation) checkRemovedNotLive(t *rapid.T) {
-	for id, status := range s.worker.tasks {
+	for id, status := range s.simulated.tasks {
 		if s.removed[id] && status != StatusExited {
-			t.Fatalf("%v is live on the worker although the agent removed it", id)
+			t.Fatalf("%v is live on the worker although the leader's model has removed it", id)
 		}
 	}
 }
 
 func (s *simulation) advanceTime(t *rapid.T) {
 	s.now = s.now.Add(time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond)
-	s.worker.expireLease(s.now)
+	s.simulated.expireLease(s.now)
 }
 
 func (s *simulation) sendHeartbeat(t *rapid.T) {
-	if s.worker.pendingSequence != 0 {
+	if s.simulated.pendingSequence != 0 {
 		t.Skip()
 	}
-	s.network = append(s.network, message{heartbeat: s.worker.sendHeartbeat(s.now)})
+	s.network = append(s.network, message{heartbeat: s.simulated.sendHeartbeat(s.now)})
 }
 
-func (s *simulation) dropPendingReply(*rapid.T) { s.worker.pendingSequence = 0 }
+func (s *simulation) dropPendingReply(*rapid.T) { s.simulated.pendingSequence = 0 }
 
 // sendEarlierLeaderReply sends the earlier leader's reply, with its lower token, to the pending
 // heartbeat.
 func (s *simulation) sendEarlierLeaderReply(t *rapid.T) {
-	if s.worker.pendingSequence == 0 {
+	if s.simulated.pendingSequence == 0 {
 		t.Skip()
 	}
 	run := Command{Verb: VerbRun, Task: inheritedAttempt.Task.String(), Attempt: inheritedAttempt.Number}
 	s.network = append(s.network, message{
 		reply: &CommandBatch{Token: earlierTerm, Commands: []Command{run}},
-		epoch: s.worker.epoch, sequence: s.worker.pendingSequence,
+		epoch: s.simulated.epoch, sequence: s.simulated.pendingSequence,
 	})
 }
 
 func (s *simulation) placeAttempt(t *rapid.T) {
-	if !s.agent.Registered || s.agent.Epoch <= s.agent.ExpiredEpoch {
+	if !s.worker.Registered || s.worker.Epoch <= s.worker.ExpiredEpoch {
 		t.Skip()
 	}
 	s.placed++
 	id := AttemptID{TaskID{"j-2", s.placed}, ownTerm<<20 | uint64(s.placed)}
-	s.agent.Attempts[id] = &Attempt{ID: id, Epoch: s.agent.Epoch, Committed: true, StartAllowed: true}
+	s.worker.Attempts[id] = &Attempt{ID: id, Epoch: s.worker.Epoch, Committed: true, StartAllowed: true}
 }
 
 func (s *simulation) requestStop(t *rapid.T) {
-	attempts := s.agent.SortedAttempts()
+	attempts := s.worker.SortedAttempts()
 	if len(attempts) == 0 {
 		return
 	}
 	attempt := rapid.SampledFrom(attempts).Draw(t, "attempt")
-	if s.agent.RequestStop(attempt, 0, s.now) {
+	if s.worker.RequestStop(attempt, 0, s.now) {
 		s.removed[attempt.ID] = true
 	}
 }
 
 func (s *simulation) sendDirectStops(*rapid.T) {
 	var stops []Command
-	for _, command := range s.agent.Commands(false, s.now) {
+	for _, command := range s.worker.Commands(false, s.now) {
 		if command.Verb == VerbStop {
 			stops = append(stops, command)
 		}
 	}
-	s.network = append(s.network, message{command: &CommandBatch{Token: ownTerm, Epoch: s.agent.Epoch, Commands: stops}})
+	s.network = append(s.network, message{command: &CommandBatch{Token: ownTerm, Epoch: s.worker.Epoch, Commands: stops}})
 }
 
 func (s *simulation) expireLease(*rapid.T) {
-	s.applyEvents(s.agent.ExpireLease(ownTerm, modelLease, s.now))
+	s.applyEvents(s.worker.ExpireLease(ownTerm, modelLease, s.now))
 }
 
 func (s *simulation) loseMessage(t *rapid.T) { s.removeMessage(s.drawMessageIndex(t)) }
@@ -150,26 +152,26 @@
 	case delivered.heartbeat != nil:
 		s.leaderReceives(delivered.heartbeat, delivered.direct)
 	case delivered.command != nil:
-		s.network = append(s.network, message{heartbeat: s.worker.receiveDirectCommand(delivered.command), direct: true})
+		s.network = append(s.network, message{heartbeat: s.simulated.receiveDirectCommand(delivered.command), direct: true})
 	case delivered.reply != nil:
-		s.worker.receiveReply(delivered.reply, delivered.epoch, delivered.sequence, s.now)
+		s.simulated.receiveReply(delivered.reply, delivered.epoch, delivered.sequence, s.now)
 	}
 }
 
-// leaderReceives applies a message to the agent, and sends a reply if it is a heartbeat.
+// leaderReceives applies a message to the leader's model, and sends a reply if it is a heartbeat.
 func (s *simulation) leaderReceives(heartbeat *Heartbeat, direct bool) {
-	if !direct && s.agent.IsDuplicate(heartbeat) {
+	if !direct && s.worker.IsDuplicate(heartbeat) {
 		return
 	}
-	events, _ := s.agent.Observe(heartbeat, ownTerm, direct, s.now)
+	events, _ := s.worker.Observe(heartbeat, ownTerm, direct, s.now)
 	s.applyEvents(events)
-	if direct || heartbeat.Epoch <= s.agent.ExpiredEpoch || s.agent.RepliesLost {
+	if direct || heartbeat.Epoch <= s.worker.ExpiredEpoch || s.worker.RepliesLost {
 		return
 	}
-	s.agent.HeartbeatSequence = max(s.agent.HeartbeatSequence, heartbeat.Sequence)
-	s.agent.LastAcknowledged = s.now
+	s.worker.HeartbeatSequence = max(s.worker.HeartbeatSequence, heartbeat.Sequence)
+	s.worker.LastAcknowledged = s.now
 	s.network = append(s.network, message{
-		reply: &CommandBatch{Token: ownTerm, Commands: s.agent.Commands(true, s.now)},
+		reply: &CommandBatch{Token: ownTerm, Commands: s.worker.Commands(true, s.now)},
 		epoch: heartbeat.Epoch, sequence: heartbeat.Sequence,
 	})
 }
@@ -204,24 +206,24 @@
 // expires only after the margin once the worker has reported the token.
 func TestLeaseExpiryRequiresToken(t *testing.T) {
 	now := time.Unix(1000, 0)
-	agent := NewAgent("m-1")
+	worker := NewWorker("m-1")
 	id := AttemptID{TaskID{"j-1", 0}, 1}
-	agent.Attempts[id] = &Attempt{ID: id, Epoch: 1, FromEarlierTerm: true, RunSent: true}
+	worker.Attempts[id] = &Attempt{ID: id, Epoch: 1, FromEarlierTerm: true, RunSent: true}
 	running := TaskReport{Task: "j-1/0", Attempt: 1, Status: StatusRunning}
 
 	heartbeat := newHeartbeat(1, 1, running)
 	heartbeat.Token = earlierTerm
-	agent.Observe(heartbeat, ownTerm, false, now)
-	agent.LastAcknowledged = now
-	if gone := agent.ExpireLease(ownTerm, modelLease, now.Add(time.Hour)); len(gone) != 0 {
+	worker.Observe(heartbeat, ownTerm, false, now)
+	worker.LastAcknowledged = now
+	if gone := worker.ExpireLease(ownTerm, modelLease, now.Add(time.Hour)); len(gone) != 0 {
 		t.Fatalf("lease expired without this term's token: %v", gone)
 	}
 
-	agent.Observe(newHeartbeat(1, 2, running), ownTerm, false, now)
-	if gone := agent.ExpireLease(ownTerm, modelLease, now.Add(modelLease)); len(gone) != 0 {
+	worker.Observe(newHeartbeat(1, 2, running), ownTerm, false, now)
+	if gone := worker.ExpireLease(ownTerm, modelLease, now.Add(modelLease)); len(gone) != 0 {
 		t.Fatalf("lease expired too early: %v", gone)
 	}
-	gone := agent.ExpireLease(ownTerm, modelLease, now.Add(modelLease+2*time.Second))
+	gone := worker.ExpireLease(ownTerm, modelLease, now.Add(modelLease+2*time.Second))
 	if len(gone) != 1 || gone[0].Kind != EventGone {
 		t.Fatalf("events after the lease expired: %v, want one EventGone", gone)
 	}
--- a/internal/workers/worker_model_test.go
+++ b/internal/workers/simulated_worker_test.go
@@ -10,8 +10,8 @@
 	earlierTerm = 4 // term of an earlier leader whose messages are still in flight
 )
 
-// modelWorker implements the protocol's rules for a worker: tokens, leases and commands.
-type modelWorker struct {
+// simulatedWorker implements the protocol's rules for a worker: tokens, leases and commands.
+type simulatedWorker struct {
 	epoch, sequence, token uint64
 	tasks                  map[AttemptID]TaskStatus
 	// leaseStart is when the last heartbeat that got a reply was sent.
@@ -22,12 +22,12 @@
 	pendingSince    time.Time
 }
 
-func newModelWorker(now time.Time) *modelWorker {
-	return &modelWorker{epoch: 1, tasks: map[AttemptID]TaskStatus{}, leaseStart: now}
+func newSimulatedWorker(now time.Time) *simulatedWorker {
+	return &simulatedWorker{epoch: 1, tasks: map[AttemptID]TaskStatus{}, leaseStart: now}
 }
 
 // report returns the worker's state as a heartbeat with the next sequence number.
-func (w *modelWorker) report() *Heartbeat {
+func (w *simulatedWorker) report() *Heartbeat {
 	w.sequence++
 	heartbeat := &Heartbeat{
 		Machine: "m-1", Endpoint: "h:1", MachineType: "t", Zone: "z",
@@ -44,14 +44,14 @@
 }
 
 // sendHeartbeat returns a heartbeat and makes it the pending one.
-func (w *modelWorker) sendHeartbeat(now time.Time) *Heartbeat {
+func (w *simulatedWorker) sendHeartbeat(now time.Time) *Heartbeat {
 	heartbeat := w.report()
 	w.pendingSequence, w.pendingSince = heartbeat.Sequence, now
 	return heartbeat
 }
 
 // expireLease forgets every task and starts the next epoch if the lease has expired.
-func (w *modelWorker) expireLease(now time.Time) {
+func (w *simulatedWorker) expireLease(now time.Time) {
 	if now.Sub(w.leaseStart) > modelLease {
 		w.epoch++
 		w.tasks = map[AttemptID]TaskStatus{}
@@ -62,7 +62,7 @@
 
 // receiveReply executes the commands in the reply to a heartbeat, unless the reply is late, for
 // an earlier epoch, or has a lower token.
-func (w *modelWorker) receiveReply(reply *CommandBatch, epoch, sequence uint64, now time.Time) {
+func (w *simulatedWorker) receiveReply(reply *CommandBatch, epoch, sequence uint64, now time.Time) {
 	if sequence != w.pendingSequence || epoch != w.epoch || now.Sub(w.pendingSince) > modelReplyTimeout {
 		return
 	}
@@ -77,7 +77,7 @@
 
 // receiveDirectCommand executes a direct command, however old, if its token and epoch allow
 // that, and returns the heartbeat for the response.
-func (w *modelWorker) receiveDirectCommand(batch *CommandBatch) *Heartbeat {
+func (w *simulatedWorker) receiveDirectCommand(batch *CommandBatch) *Heartbeat {
 	if batch.Token >= w.token && batch.Epoch == w.epoch {
 		w.token = batch.Token
 		w.execute(batch.Commands)
@@ -85,11 +85,11 @@
 	return w.report()
 }
 
-func (w *modelWorker) execute(commands []Command) {
+func (w *simulatedWorker) execute(commands []Command) {
 	for _, command := range commands {
 		task, err := ParseTaskID(command.Task)
 		if err != nil {
-			panic(err) // the agent sent a malformed command
+			panic(err) // the leader sent a malformed command
 		}
 		id := AttemptID{task, command.Attempt}
 		status, exists := w.tasks[id]
--- a/internal/workers/agent.go
+++ b/internal/workers/worker.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Agent is the leader's model of one worker: its newest epoch, and the attempts that are not
+// Worker is the leader's model of one worker: its newest epoch, and the attempts that are not
 // proven gone from its machine. It is a state machine without I/O: its inputs are messages
 // and the current time, its outputs are events and commands.
-type Agent struct {
+type Worker struct {
 	Name, Endpoint, MachineType, Zone string
 	Spot                              bool
 	// ReclaimAt is when the cloud will reclaim the machine; zero if no reclaim is announced.
@@ -53,29 +53,29 @@
 	Attempts map[AttemptID]*Attempt
 }
 
-// NewAgent returns the model of a worker from which no message has arrived yet.
-func NewAgent(name string) *Agent {
-	return &Agent{Name: name, Attempts: make(map[AttemptID]*Attempt)}
+// NewWorker returns the model of a worker from which no message has arrived yet.
+func NewWorker(name string) *Worker {
+	return &Worker{Name: name, Attempts: make(map[AttemptID]*Attempt)}
 }
 
 // Observe applies a message from the worker. fresh is false if the message is outdated and was
 // ignored. direct is set for the response to a direct command (CommandClient.Send). This
 // response may overtake the reply to a heartbeat, so an attempt missing from it proves nothing.
-func (agent *Agent) Observe(heartbeat *Heartbeat, term uint64, direct bool, now time.Time) (events []Event, fresh bool) {
-	if agent.isOutdated(heartbeat) {
+func (worker *Worker) Observe(heartbeat *Heartbeat, term uint64, direct bool, now time.Time) (events []Event, fresh bool) {
+	if worker.isOutdated(heartbeat) {
 		return nil, false
 	}
-	if heartbeat.Epoch > agent.Epoch {
-		events = agent.beginEpoch(heartbeat.Epoch, now)
+	if heartbeat.Epoch > worker.Epoch {
+		events = worker.beginEpoch(heartbeat.Epoch, now)
 	}
-	agent.observeSequence(heartbeat, direct, now)
-	agent.observeToken(heartbeat.Token, term, now)
-	agent.observeMachine(heartbeat, now)
+	worker.observeSequence(heartbeat, direct, now)
+	worker.observeToken(heartbeat.Token, term, now)
+	worker.observeMachine(heartbeat, now)
 	listed := make(map[AttemptID]bool, len(heartbeat.Tasks)) // created here to stay on the stack
-	events = append(events, agent.observeTasks(heartbeat, listed, now)...)
+	events = append(events, worker.observeTasks(heartbeat, listed, now)...)
 	if !direct {
-		agent.detectLostReplies(heartbeat, listed, now)
-		events = append(events, agent.removeAbsent(heartbeat, listed, term)...)
+		worker.detectLostReplies(heartbeat, listed, now)
+		events = append(events, worker.removeAbsent(heartbeat, listed, term)...)
 	}
 	sortEvents(events)
 	return events, true
@@ -84,78 +84,78 @@
 // isOutdated reports whether a message is not newer than the newest one applied. The protocol
 // orders messages by epoch, then sequence number. A message of an epoch that is proven over is
 // always outdated.
-func (agent *Agent) isOutdated(heartbeat *Heartbeat) bool {
-	return heartbeat.Epoch <= agent.ExpiredEpoch ||
-		heartbeat.Epoch < agent.Epoch ||
-		heartbeat.Epoch == agent.Epoch && heartbeat.Sequence <= agent.Sequence
+func (worker *Worker) isOutdated(heartbeat *Heartbeat) bool {
+	return heartbeat.Epoch <= worker.ExpiredEpoch ||
+		heartbeat.Epoch < worker.Epoch ||
+		heartbeat.Epoch == worker.Epoch && heartbeat.Sequence <= worker.Sequence
 }
 
 // IsDuplicate reports whether a heartbeat is a late copy of an applied one, or belongs to an
 // older epoch (protocol, "Delayed messages"). A duplicate does not renew the lease and gets no
 // reply. A heartbeat that was overtaken by the response to a direct command is not a
 // duplicate, as the worker waits for its reply.
-func (agent *Agent) IsDuplicate(heartbeat *Heartbeat) bool {
-	return heartbeat.Epoch < agent.Epoch ||
-		heartbeat.Epoch <= agent.ExpiredEpoch ||
-		heartbeat.Epoch == agent.Epoch && heartbeat.Sequence <= agent.HeartbeatSequence
+func (worker *Worker) IsDuplicate(heartbeat *Heartbeat) bool {
+	return heartbeat.Epoch < worker.Epoch ||
+		heartbeat.Epoch <= worker.ExpiredEpoch ||
+		heartbeat.Epoch == worker.Epoch && heartbeat.Sequence <= worker.HeartbeatSequence
 }
 
 // beginEpoch starts a new epoch. By the protocol's lease rule a worker enters an epoch only
 // after it has killed and forgotten every task of the previous one.
-func (agent *Agent) beginEpoch(epoch uint64, now time.Time) []Event {
-	if agent.Registered && agent.Epoch > 0 {
+func (worker *Worker) beginEpoch(epoch uint64, now time.Time) []Event {
+	if worker.Registered && worker.Epoch > 0 {
 		// Commands that the worker missed concern only attempts of the old epoch. Even a worker
 		// whose replies were lost is therefore answered again: if it then stays in this epoch,
 		// the replies reach it.
-		agent.ReachabilityUnconfirmed, agent.RepliesLost, agent.ReachabilityUnconfirmedAt = true, false, now
+		worker.ReachabilityUnconfirmed, worker.RepliesLost, worker.ReachabilityUnconfirmedAt = true, false, now
 	}
-	gone := agent.expireEpochs(epoch - 1)
-	agent.Epoch = epoch
-	agent.HeartbeatSequence = 0
+	gone := worker.expireEpochs(epoch - 1)
+	worker.Epoch = epoch
+	worker.HeartbeatSequence = 0
 	return gone
 }
 
 // observeSequence updates the sequence numbers and the time of the last message. The response
 // to a direct command also shows that the worker receives messages.
-func (agent *Agent) observeSequence(heartbeat *Heartbeat, direct bool, now time.Time) {
-	agent.Sequence = heartbeat.Sequence
+func (worker *Worker) observeSequence(heartbeat *Heartbeat, direct bool, now time.Time) {
+	worker.Sequence = heartbeat.Sequence
 	if direct {
-		agent.markReachable()
+		worker.markReachable()
 	} else {
-		agent.HeartbeatSequence = heartbeat.Sequence
+		worker.HeartbeatSequence = heartbeat.Sequence
 	}
-	agent.Registered = true
-	agent.LastHeartbeat = now
+	worker.Registered = true
+	worker.LastHeartbeat = now
 }
 
 // observeToken updates the worker's fencing token. By the protocol the worker keeps the
 // highest token it has seen, so once it reports this term's token it drops the messages of
 // earlier leaders.
-func (agent *Agent) observeToken(token, term uint64, now time.Time) {
-	if token > agent.Token {
-		agent.Token = token
+func (worker *Worker) observeToken(token, term uint64, now time.Time) {
+	if token > worker.Token {
+		worker.Token = token
 		if token == term {
-			agent.markReachable()
+			worker.markReachable()
 		}
 	}
-	if agent.Token == term && agent.TokenConfirmedAt.IsZero() {
-		agent.TokenConfirmedAt = now
+	if worker.Token == term && worker.TokenConfirmedAt.IsZero() {
+		worker.TokenConfirmedAt = now
 	}
 }
 
 // observeMachine updates the description of the machine and the time of an announced reclaim.
-func (agent *Agent) observeMachine(heartbeat *Heartbeat, now time.Time) {
-	agent.Endpoint, agent.MachineType = heartbeat.Endpoint, heartbeat.MachineType
-	agent.Zone, agent.Spot = heartbeat.Zone, heartbeat.Spot
+func (worker *Worker) observeMachine(heartbeat *Heartbeat, now time.Time) {
+	worker.Endpoint, worker.MachineType = heartbeat.Endpoint, heartbeat.MachineType
+	worker.Zone, worker.Spot = heartbeat.Zone, heartbeat.Spot
 	if heartbeat.ReclaimInS == nil {
-		agent.ReclaimAt = time.Time{}
+		worker.ReclaimAt = time.Time{}
 		return
 	}
-	agent.ReclaimAt = now.Add(time.Duration(max(*heartbeat.ReclaimInS, 0) * float64(time.Second)))
+	worker.ReclaimAt = now.Add(time.Duration(max(*heartbeat.ReclaimInS, 0) * float64(time.Second)))
 }
 
 // observeTasks applies the tasks that a message lists, and adds their attempts to listed.
-func (agent *Agent) observeTasks(heartbeat *Heartbeat, listed map[AttemptID]bool, now time.Time) (events []Event) {
+func (worker *Worker) observeTasks(heartbeat *Heartbeat, listed map[AttemptID]bool, now time.Time) (events []Event) {
 	for i := range heartbeat.Tasks {
 		report := &heartbeat.Tasks[i]
 		task, err := ParseTaskID(report.Task)
@@ -164,12 +164,12 @@
 		}
 		id := AttemptID{task, report.Attempt}
 		listed[id] = true
-		attempt, known := agent.Attempts[id]
+		attempt, known := worker.Attempts[id]
 		if !known {
-			attempt = agent.addUnrecorded(id, heartbeat.Epoch, now)
+			attempt = worker.addUnrecorded(id, heartbeat.Epoch, now)
 			events = append(events, Event{EventUnrecorded, attempt})
 		}
-		if kind, changed := agent.observeAttempt(attempt, report, now); changed {
+		if kind, changed := worker.observeAttempt(attempt, report, now); changed {
 			events = append(events, Event{kind, attempt})
 		}
 	}
@@ -179,24 +179,24 @@
 // addUnrecorded adds an attempt that no record contains. It occupies the machine until it is
 // proven gone. As it is unknown which leader started it, it is treated as an attempt of an
 // earlier term.
-func (agent *Agent) addUnrecorded(id AttemptID, epoch uint64, now time.Time) *Attempt {
+func (worker *Worker) addUnrecorded(id AttemptID, epoch uint64, now time.Time) *Attempt {
 	attempt := &Attempt{
 		ID: id, Epoch: epoch, Committed: true, StartAllowed: true, FromEarlierTerm: true, RunSent: true, PlacedAt: now,
 	}
-	agent.Attempts[id] = attempt
+	worker.Attempts[id] = attempt
 	return attempt
 }
 
 // observeAttempt applies the reported state of one attempt. An exit is final: later reports
 // of the attempt are ignored.
-func (agent *Agent) observeAttempt(attempt *Attempt, report *TaskReport, now time.Time) (kind EventKind, changed bool) {
+func (worker *Worker) observeAttempt(attempt *Attempt, report *TaskReport, now time.Time) (kind EventKind, changed bool) {
 	if attempt.exited() {
 		return 0, false
 	}
 	if attempt.FirstReportedAt.IsZero() {
 		attempt.FirstReportedAt = now
 		if !attempt.FromEarlierTerm {
-			agent.markReachable() // the worker has carried out this term's `run`
+			worker.markReachable() // the worker has carried out this term's `run`
 		}
 	}
 	changed = attempt.Status != report.Status
@@ -211,9 +211,9 @@
 }
 
 // SortedAttempts returns the attempts ordered by job, task index and attempt number.
-func (agent *Agent) SortedAttempts() []*Attempt {
-	attempts := make([]*Attempt, 0, len(agent.Attempts))
-	for _, attempt := range agent.Attempts {
+func (worker *Worker) SortedAttempts() []*Attempt {
+	attempts := make([]*Attempt, 0, len(worker.Attempts))
+	for _, attempt := range worker.Attempts {
 		attempts = append(attempts, attempt)
 	}
 	slices.SortFunc(attempts, func(a, b *Attempt) int { return compareAttemptIDs(a.ID, b.ID) })
--- a/internal/workers/agent_test.go
+++ b/internal/workers/worker_test.go
@@ -13,19 +13,19 @@
 	}
 }
 
-// registeredAgent returns the model of a worker whose first heartbeat, with epoch 1 and
+// registeredWorker returns the model of a worker whose first heartbeat, with epoch 1 and
 // sequence number 1, has been applied and acknowledged.
-func registeredAgent(now time.Time) *Agent {
-	agent := NewAgent("m-1")
-	agent.Observe(newHeartbeat(1, 1), ownTerm, false, now)
-	agent.LastAcknowledged = now
-	return agent
+func registeredWorker(now time.Time) *Worker {
+	worker := NewWorker("m-1")
+	worker.Observe(newHeartbeat(1, 1), ownTerm, false, now)
+	worker.LastAcknowledged = now
+	return worker
 }
 
 // TestOutdatedMessagesIgnored checks that Observe rejects messages that are older by epoch or
 // sequence number.
 func TestOutdatedMessagesIgnored(t *testing.T) {
-	agent := NewAgent("m-1")
+	worker := NewWorker("m-1")
 	for _, c := range []struct {
 		epoch, sequence uint64
 		fresh           bool
@@ -37,7 +37,7 @@
 		{1, 9, false},
 		{2, 2, true},
 	} {
-		_, fresh := agent.Observe(newHeartbeat(c.epoch, c.sequence), ownTerm, false, time.Unix(1000, 0))
+		_, fresh := worker.Observe(newHeartbeat(c.epoch, c.sequence), ownTerm, false, time.Unix(1000, 0))
 		if fresh != c.fresh {
 			t.Errorf("epoch %d sequence %d: fresh = %v, want %v", c.epoch, c.sequence, fresh, c.fresh)
 		}
@@ -49,9 +49,9 @@
 // to a direct command must not be taken for a duplicate.
 func TestIsDuplicate(t *testing.T) {
 	now := time.Unix(1000, 0)
-	agent := registeredAgent(now)
-	agent.Observe(newHeartbeat(1, 5), ownTerm, false, now)
-	agent.Observe(newHeartbeat(1, 9), ownTerm, true, now) // the response to a direct command
+	worker := registeredWorker(now)
+	worker.Observe(newHeartbeat(1, 5), ownTerm, false, now)
+	worker.Observe(newHeartbeat(1, 9), ownTerm, true, now) // the response to a direct command
 	for _, c := range []struct {
 		epoch, sequence uint64
 		duplicate       bool
@@ -63,14 +63,14 @@
 		{1, 10, false},
 		{0, 50, true},
 	} {
-		if got := agent.IsDuplicate(newHeartbeat(c.epoch, c.sequence)); got != c.duplicate {
+		if got := worker.IsDuplicate(newHeartbeat(c.epoch, c.sequence)); got != c.duplicate {
 			t.Errorf("epoch %d sequence %d: duplicate = %v, want %v", c.epoch, c.sequence, got, c.duplicate)
 		}
 	}
 
-	agent.LastAcknowledged = now
-	agent.ExpireLease(ownTerm, modelLease, now.Add(modelLease+2*time.Second))
-	if !agent.IsDuplicate(newHeartbeat(1, 60)) {
+	worker.LastAcknowledged = now
+	worker.ExpireLease(ownTerm, modelLease, now.Add(modelLease+2*time.Second))
+	if !worker.IsDuplicate(newHeartbeat(1, 60)) {
 		t.Errorf("heartbeat of an expired epoch is not a duplicate")
 	}
 }
