--- a/internal/constants/attestation.go
+++ b/internal/constants/attestation.go
@@ -6,8 +6,8 @@
 // report to the leader the cancellations that they have confirmed to users.
 const (
 	// AttestationInterval is the time between two attestation rounds. It must be short
-	// compared with certainty.Window, the time for which the leader may acknowledge workers
-	// without new proof that it knows all cancellations.
+	// compared with staleness.Limit, the time for which the leader may acknowledge workers
+	// after it last knew all cancellations.
 	AttestationInterval = 1000 * time.Millisecond
 	// AttestationAfter is how long ago the leader's watch must have been answered last for a
 	// round to start. It must be short for the same reason as AttestationInterval.
--- a/internal/leader/attestations.go
+++ b/internal/leader/attestations.go
@@ -48,7 +48,7 @@
 			l.removeJob(job, now)
 		}
 	}
-	if l.certainty.RecordAttestation(askedAt, now) {
-		l.deps.Log.Info("cancellations attested by all nodes", "unwatched_s", askedAt.Sub(l.certainty.WatchedUntil()).Seconds())
+	if l.staleness.RecordAttestation(askedAt, now) {
+		l.deps.Log.Info("cancellations attested by all nodes", "unwatched_s", askedAt.Sub(l.staleness.WatchedUntil()).Seconds())
 	}
 }
--- a/internal/leader/demand_propagation_test.go
+++ b/internal/leader/demand_propagation_test.go
@@ -30,7 +30,7 @@
 func newDemandModel(t *testing.T) *demandModel {
 	t.Helper()
 	m := &demandModel{leader: testLeader(t), now: time.Now()}
-	m.leader.certainty.RecordWatch(m.now)
+	m.leader.staleness.RecordWatch(m.now)
 	return m
 }
 
--- a/internal/leader/dependency_reservations_test.go
+++ b/internal/leader/dependency_reservations_test.go
@@ -27,7 +27,7 @@
 func newDependencyFixture(t *testing.T, tasks int, now time.Time) dependencyFixture {
 	t.Helper()
 	l := testLeader(t)
-	l.certainty.RecordWatch(now)
+	l.staleness.RecordWatch(now)
 	l.teams = append(l.teams, config.Team{Name: "b", GuaranteedGPUs: 0, MaxGPUs: 12})
 	l.teams[0].GuaranteedGPUs = 0 // guarantees would take precedence over reservations
 	f := dependencyFixture{leader: l, machine: addMachine(l, "m-1", "east", now)}
@@ -148,7 +148,7 @@
 			f.leader.metadataChanged(f.leader.fleet.get(name), now)
 		}
 		f.machine.worker.LastHeartbeat, f.machine.worker.LastAcknowledged = now, now
-		f.leader.certainty.RecordWatch(now)
+		f.leader.staleness.RecordWatch(now)
 		f.leader.runSchedulingPass(now)
 		if f.reserved() != 0 || len(f.other.attempts) != 4 {
 			t.Errorf("%d reservations left, %d tasks of the other job placed; want 0 and 4", f.reserved(), len(f.other.attempts))
--- a/internal/leader/doc.go
+++ b/internal/leader/doc.go
@@ -11,7 +11,7 @@
 // component to the others:
 //
 //   - term: whether the term lasts, why it ended, detection of process stalls, attempt numbers
-//   - leader/certainty: the time up to which all cancellations are known, and thus whether
+//   - leader/staleness: the time up to which all cancellations are known, and thus whether
 //     heartbeats may be acknowledged
 //   - leader/wal and groupCommit: the write-ahead log and its transactions
 //   - failover, recovery.go, legacy.go: taking over from an earlier term
--- a/internal/leader/events.go
+++ b/internal/leader/events.go
@@ -77,7 +77,7 @@
 
 func (e openJobsChanged) apply(l *Leader) {
 	now := time.Now()
-	l.certainty.RecordWatch(e.askedAt)
+	l.staleness.RecordWatch(e.askedAt)
 	for _, c := range e.changes {
 		if c.Delete != "" {
 			l.jobRecordDeleted(c.Delete[len(jobs.OpenPrefix):], now)
@@ -91,7 +91,7 @@
 // cancellations.
 type watchedUntilRequested struct{ reply chan<- time.Time }
 
-func (e watchedUntilRequested) apply(l *Leader) { e.reply <- l.certainty.WatchedUntil() }
+func (e watchedUntilRequested) apply(l *Leader) { e.reply <- l.staleness.WatchedUntil() }
 
 // attestationsReceived holds the cancellations that the nodes, asked at askedAt, have
 // attested.
--- a/internal/leader/fleet_fixtures_test.go
+++ b/internal/leader/fleet_fixtures_test.go
@@ -66,7 +66,7 @@
 	l := testLeader(tb)
 	l.teams, l.deps.Settings.Params.Teams = teams, teams
 	useUnavailableStore(tb, l)
-	l.certainty.RecordWatch(now)
+	l.staleness.RecordWatch(now)
 	var fleet []*machineState
 	for i := range machines {
 		machine := addMachine(l, fmt.Sprintf("m-%06d", i), []string{"east", "west"}[i%2], now)
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -31,7 +31,7 @@
 // contact with the worker.
 func (l *Leader) heartbeat(heartbeat *workers.Heartbeat, arrived time.Time, reply chan<- Reply) {
 	now := time.Now()
-	if !l.certainty.MayAcknowledge(now) {
+	if !l.staleness.MayAcknowledge(now) {
 		// Another node may have accepted a cancellation that this leader has not seen.
 		// Workers' leases must expire before the time promised for that cancellation.
 		reply <- refusal
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -17,7 +17,7 @@
 func TestStaleHeartbeats(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	l.certainty.RecordWatch(now)
+	l.staleness.RecordWatch(now)
 	machine := addMachine(l, "m-1", "east", now)
 	lastAcknowledged := machine.worker.LastAcknowledged
 	duplicate := nextHeartbeat(l, machine, "", "")
@@ -59,7 +59,7 @@
 func TestLostRepliesPreventTasksAndLeaseRenewal(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	l.certainty.RecordWatch(now)
+	l.staleness.RecordWatch(now)
 	machine := addMachine(l, "m-1", "east", now)
 	lastAcknowledged := machine.worker.LastAcknowledged
 	machine.worker.RepliesLost = true
@@ -90,7 +90,7 @@
 		l := testLeader(t)
 		useUnavailableStore(t, l)
 		l.deps.Cloud = &cloudCalls{}
-		l.certainty.RecordWatch(now)
+		l.staleness.RecordWatch(now)
 		machine := addMachine(l, "m-1", "east", now)
 		spec := arraySpec("j-1", 2)
 		spec.Kind, spec.SameZone = jobs.KindGang, true
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -9,7 +9,7 @@
 	"thornnotch/internal/config"
 	"thornnotch/internal/constants"
 	"thornnotch/internal/election"
-	"thornnotch/internal/leader/certainty"
+	"thornnotch/internal/leader/staleness"
 	"thornnotch/internal/leader/wal"
 	"thornnotch/internal/reservations"
 	"thornnotch/internal/statestore"
@@ -74,7 +74,7 @@
 
 	// The term and its records.
 	term      term
-	certainty certainty.Tracker
+	staleness staleness.Tracker
 	calls     outboundCalls
 	wal       *wal.Writer
 	commits   groupCommit
@@ -111,7 +111,7 @@
 		events:    make(chan event, constants.EventQueueSize),
 		done:      make(chan struct{}),
 		term:      newTerm(grant),
-		certainty: certainty.NewTracker(certainty.Window(params.Workers)),
+		staleness: staleness.NewTracker(staleness.Limit(params.Workers)),
 		metadata:  newMetadataQueue(params.State, operator.Budgets),
 		jobs:      newJobTable(),
 
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return storedRecords{}, err
 	}
-	l.certainty.RecordWatch(open.askedAt)
+	l.staleness.RecordWatch(open.askedAt)
 	records.jobs, records.revision = open.rows, open.revision
 	l.setFailoverProgress("reading the log, %d jobs open", len(open.rows))
 	if records.log, records.logRevision, err = l.readLog(ctx); err != nil {
--- a/internal/leader/certainty/main_test.go
+++ b/internal/leader/staleness/main_test.go
@@ -1,4 +1,4 @@
-package certainty
+package staleness
 
 import (
 	"os"
--- a/internal/leader/certainty/certainty.go
+++ b/internal/leader/staleness/staleness.go
@@ -1,13 +1,14 @@
-// Package certainty tracks the time up to which the leader certainly knows all cancellations,
-// and therefore whether it may still acknowledge workers' heartbeats.
+// Package staleness bounds the staleness of the leader's knowledge of cancellations: it tracks
+// the time up to which the leader knows all of them, and thus whether it may still acknowledge
+// workers' heartbeats.
 //
 // Any node accepts cancellations. The leader learns of them through its watch on the state
 // service, or through attestations from all nodes. While it gets neither, another node may
 // have confirmed a cancellation to a user, and the tasks of that job must have ended on all
 // machines within the promised time. So the leader stops acknowledging heartbeats early enough
-// for every worker's lease to expire by then. The proof is in docs/design.md (Safety, "The
-// gap"), and the arithmetic at [Window].
-package certainty
+// for every worker's lease to expire by then. The argument is in docs/design.md (Safety, "The
+// gap"), and the arithmetic at [Limit].
+package staleness
 
 import (
 	"time"
@@ -16,16 +17,17 @@
 	"thornnotch/internal/constants"
 )
 
-// Window returns for how long heartbeats may be acknowledged after W, the latest time up to
-// which all cancellations are known. A cancellation confirmed to its user at time C that is
-// not known yet was recorded after W, so C ≥ W. The last heartbeat answered with 200 is
-// processed by W + window. The worker's lease counts from when it sent that heartbeat, which
-// was earlier. So its tasks are gone by W + window + lease·(1+drift) + lag, however long the
-// heartbeat or the reply took in transit, and that must be no later than W + cancel·(1−drift).
-// Here lag is [constants.WorkerKillDelay]. TestCancelledTasksEndInTimeDuringOutage checks the
-// bound. The window is at least one second; settings for which this minimum applies are not
-// covered by the bound.
-func Window(w config.WorkerTimings) time.Duration {
+// Limit returns the maximum staleness at which heartbeats may be acknowledged: for how long
+// after W, the latest time up to which all cancellations are known. A cancellation confirmed
+// to its user at time C that is not known yet was recorded after W, so C ≥ W. The last
+// heartbeat answered with 200 is processed by W + limit. The worker's lease counts from when
+// it sent that heartbeat, which was earlier. So its tasks are gone by
+// W + limit + lease·(1+drift) + lag, however long the heartbeat or the reply took in transit,
+// and that must be no later than W + cancel·(1−drift). Here lag is
+// [constants.WorkerKillDelay]. TestCancelledTasksEndInTimeDuringOutage checks the bound. The
+// limit is at least one second; settings for which this minimum applies are not covered by the
+// bound.
+func Limit(w config.WorkerTimings) time.Duration {
 	cancel, lease := config.Seconds(w.CancelWithinS), config.Seconds(w.LeaseS)
 	drift := time.Duration(float64(cancel+lease) * constants.ClockDrift)
 	return max(cancel-lease-drift-constants.WorkerKillDelay, time.Second)
@@ -34,7 +36,7 @@
 // Tracker tracks the time up to which all cancellations are known. A zero time means that
 // nothing is known yet.
 type Tracker struct {
-	window time.Duration
+	limit time.Duration
 	// watchedUntil is the time up to which the watch on the state service has reported all
 	// cancellations.
 	watchedUntil time.Time
@@ -43,8 +45,9 @@
 	knownUntil time.Time
 }
 
-// NewTracker returns a tracker that permits acknowledgements for window after the last proof.
-func NewTracker(window time.Duration) Tracker { return Tracker{window: window} }
+// NewTracker returns a tracker that permits acknowledgements while the staleness is at most
+// limit.
+func NewTracker(limit time.Duration) Tracker { return Tracker{limit: limit} }
 
 // RecordWatch records the state service's answer to a watch request sent at askedAt. However
 // late the answer arrives, it contains all changes up to some moment after the request.
@@ -69,11 +72,10 @@
 }
 
 // MayAcknowledge reports whether heartbeats may be acknowledged.
-func (t *Tracker) MayAcknowledge(now time.Time) bool { return now.Sub(t.knownUntil) <= t.window }
+func (t *Tracker) MayAcknowledge(now time.Time) bool { return now.Sub(t.knownUntil) <= t.limit }
 
-// SinceProof returns the age of the latest proof: the time since all cancellations were last
-// known.
-func (t *Tracker) SinceProof(now time.Time) time.Duration { return now.Sub(t.knownUntil) }
+// Staleness returns the time since all cancellations were last known.
+func (t *Tracker) Staleness(now time.Time) time.Duration { return now.Sub(t.knownUntil) }
 
 // WatchedUntil returns the time up to which the watch on the state service has reported all
 // cancellations.
--- a/internal/leader/certainty_test.go
+++ b/internal/leader/staleness_test.go
@@ -9,7 +9,7 @@
 
 	"thornnotch/internal/config"
 	"thornnotch/internal/constants"
-	"thornnotch/internal/leader/certainty"
+	"thornnotch/internal/leader/staleness"
 	"thornnotch/internal/statestore"
 	"thornnotch/internal/workers"
 )
@@ -17,7 +17,7 @@
 // TestCancelledTasksEndInTimeDuringOutage checks that tasks of cancelled jobs end in time
 // although, from time W on, the state service refuses the leader while another node confirms
 // cancellations. For any network delays, delays in the leader and clock drift, the last task
-// must end within cancel_s of the first confirmation. Omitting any summand in certainty.Window
+// must end within cancel_s of the first confirmation. Omitting any summand in staleness.Limit
 // makes this test fail.
 func TestCancelledTasksEndInTimeDuringOutage(t *testing.T) {
 	for seed := range uint64(60) {
@@ -43,7 +43,7 @@
 	rng                 *rand.Rand
 	timings             config.WorkerTimings
 	lease, cancelWithin time.Duration
-	refusedAt           time.Time // W in the comment of certainty.Window
+	refusedAt           time.Time // W in the comment of staleness.Limit
 	confirmedAt         time.Time // when a cancellation was first confirmed to a user
 	// renewedAt is when the last acknowledged heartbeat was sent. The worker's lease counts
 	// from then.
@@ -59,7 +59,7 @@
 	s := &outageScenario{l: testLeader(t), rng: rand.New(rand.NewPCG(seed, 5)), refusedAt: time.Now()}
 	s.timings = s.l.deps.Settings.Params.Workers
 	s.lease, s.cancelWithin = config.Seconds(s.timings.LeaseS), config.Seconds(s.timings.CancelWithinS)
-	s.l.certainty.RecordWatch(s.refusedAt)
+	s.l.staleness.RecordWatch(s.refusedAt)
 	s.confirmedAt = s.refusedAt.Add(time.Duration(s.rng.IntN(2)) * s.randomBelow(2*time.Second))
 	s.renewedAt = s.refusedAt
 	return s
@@ -94,10 +94,10 @@
 }
 
 // pause returns how long the worker waits before its next heartbeat. The waits become very
-// short just before the end of the window.
+// short just before the staleness limit is reached.
 func (s *outageScenario) pause() time.Duration {
 	pause := s.randomBelow(config.Seconds(s.timings.HeartbeatS) * 5 / 4)
-	if remaining := certainty.Window(s.timings) - time.Since(s.refusedAt); remaining > 0 && remaining < 3*time.Second {
+	if remaining := staleness.Limit(s.timings) - time.Since(s.refusedAt); remaining > 0 && remaining < 3*time.Second {
 		pause = min(pause, max(remaining/2, time.Millisecond))
 	}
 	return pause
@@ -129,9 +129,9 @@
 	return from, nil, ctx.Err()
 }
 
-// TestWatchProofDatesFromRequest checks that a late answer to a watch request proves that
-// cancellations are known up to the time of the request, not of the answer.
-func TestWatchProofDatesFromRequest(t *testing.T) {
+// TestKnownUntilWatchRequest checks that after a late answer to a watch request cancellations
+// are known up to the time of the request, not of the answer.
+func TestKnownUntilWatchRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := testLeader(t)
 		requested := make(chan time.Time, 10)
@@ -141,8 +141,8 @@
 		for range 3 {
 			requestedAt := <-requested
 			(<-l.events).apply(l)
-			if !l.certainty.WatchedUntil().Equal(requestedAt) || l.certainty.SinceProof(requestedAt) != 0 {
-				t.Errorf("requested at %v, but proof dates from %v earlier", requestedAt, l.certainty.SinceProof(requestedAt))
+			if !l.staleness.WatchedUntil().Equal(requestedAt) || l.staleness.Staleness(requestedAt) != 0 {
+				t.Errorf("requested at %v, but known until %v earlier", requestedAt, l.staleness.Staleness(requestedAt))
 			}
 		}
 		stop()
@@ -150,22 +150,21 @@
 	})
 }
 
-// TestAttestedCancellations checks that attestations by all nodes prove that cancellations are
-// known up to the request, and end the jobs that they name. A stale attestation proves
-// nothing.
+// TestAttestedCancellations checks that after attestations by all nodes cancellations are known
+// up to the request, and the jobs that they name are ended. A stale attestation has no effect.
 func TestAttestedCancellations(t *testing.T) {
 	now := time.Now()
 	l := testLeader(t)
-	l.certainty.RecordWatch(now.Add(-time.Minute))
+	l.staleness.RecordWatch(now.Add(-time.Minute))
 	job := addJob(t, l, arraySpec("j-1", 1), now)
 	l.applyAttestation([]string{"j-1"}, now.Add(-constants.AttestationMaxAge-time.Second), now)
-	if job.removed || l.certainty.SinceProof(now) < time.Minute {
-		t.Errorf("stale attestation accepted: job removed %v, proof %v ago", job.removed, l.certainty.SinceProof(now))
+	if job.removed || l.staleness.Staleness(now) < time.Minute {
+		t.Errorf("stale attestation accepted: job removed %v, staleness %v", job.removed, l.staleness.Staleness(now))
 	}
 	askedAt := now.Add(-constants.AttestationMaxAge / 2)
 	l.applyAttestation([]string{"j-1", "j-2"}, askedAt, now)
-	if !job.removed || l.certainty.SinceProof(askedAt) != 0 {
-		t.Errorf("attestation not applied: job removed %v, proof %v ago", job.removed, l.certainty.SinceProof(now))
+	if !job.removed || l.staleness.Staleness(askedAt) != 0 {
+		t.Errorf("attestation not applied: job removed %v, staleness %v", job.removed, l.staleness.Staleness(now))
 	}
 	l.jobRecordDeleted("j-1", now) // the watch reports it later as well
 	if len(l.jobs.removed) != 0 {
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -17,8 +17,8 @@
 // RecordingStatus shows whether state can be written to the state service, and for how
 // long cancellations may have been missed.
 type RecordingStatus struct {
-	Healthy     bool    `json:"healthy"`
-	SinceProofS float64 `json:"sureS"` // time since all cancellations were last known for certain
+	Healthy    bool    `json:"healthy"`
+	StalenessS float64 `json:"sureS"` // time since all cancellations were last known
 	// Backlog is the number of log entries that a failover would read in addition to the last
 	// checkpoint. UnwrittenS is how long the transaction in flight has taken.
 	Backlog    int     `json:"backlog"`
--- a/internal/leader/status_view.go
+++ b/internal/leader/status_view.go
@@ -26,14 +26,14 @@
 	}
 }
 
-// recordingStatus returns the state of the commits and of the proof that all cancellations are
-// known.
+// recordingStatus returns the state of the commits and the staleness of the leader's knowledge
+// of cancellations.
 func (l *Leader) recordingStatus(now time.Time) RecordingStatus {
 	return RecordingStatus{
-		Healthy:     l.commits.healthy(),
-		SinceProofS: l.certainty.SinceProof(now).Seconds(),
-		Backlog:     l.wal.Backlog(),
-		UnwrittenS:  l.commits.inFlightFor(now).Seconds(),
+		Healthy:    l.commits.healthy(),
+		StalenessS: l.staleness.Staleness(now).Seconds(),
+		Backlog:    l.wal.Backlog(),
+		UnwrittenS: l.commits.inFlightFor(now).Seconds(),
 	}
 }
 
--- a/internal/leader/team_usage_test.go
+++ b/internal/leader/team_usage_test.go
@@ -23,7 +23,7 @@
 func newUsageModel(t *testing.T) *usageModel {
 	t.Helper()
 	m := &usageModel{leader: testLeader(t), now: time.Now(), revision: 100}
-	m.leader.certainty.RecordWatch(m.now)
+	m.leader.staleness.RecordWatch(m.now)
 	m.leader.teams = append(m.leader.teams, config.Team{Name: "b", GuaranteedGPUs: 4, MaxGPUs: 12})
 	return m
 }
