--- a/internal/leader/growth_test.go
+++ b/internal/leader/growth_test.go
@@ -41,14 +41,14 @@
 			l.logMetadata(machine, nil)
 			machine.markStale()
 		}
-		viewsBefore, bytesBefore := l.counts.Views, l.wal.Stats().EntryBytes
+		viewsBefore, bytesBefore := l.counts.MachineViews, l.wal.Stats().EntryBytes
 		l.runSchedulingPass(now)
 		for l.wal.HasUncommitted() {
 			l.commits.next()
 			l.applyCommitResult(commitResult{revision: uint64(3000 + w.transactions)})
 			w.transactions++
 		}
-		w.views, w.entryBytes = l.counts.Views-viewsBefore, l.wal.Stats().EntryBytes-bytesBefore
+		w.views, w.entryBytes = l.counts.MachineViews-viewsBefore, l.wal.Stats().EntryBytes-bytesBefore
 		return w
 	}
 	small, large := measure(500), measure(4000)
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -15,7 +15,7 @@
 type WorkCounts struct {
 	Passes              uint64  `json:"passes"`
 	PassSeconds         float64 `json:"passS"` // time spent in scheduling passes
-	Views               uint64  `json:"views"` // machine views rebuilt for passes
+	MachineViews        uint64  `json:"views"` // machine views rebuilt for passes
 	Heartbeats          uint64  `json:"reports"`
 	DuplicateHeartbeats uint64  `json:"lateCopies"` // delayed duplicates of heartbeats
 	RepliedCommands     uint64  `json:"orders"`     // sent in heartbeat replies
--- a/internal/leader/machine_view.go
+++ b/internal/leader/machine_view.go
@@ -13,7 +13,7 @@
 // of the teams' usage.
 func (l *Leader) refreshMachineView(machine *machineState, now time.Time) {
 	machine.stale, machine.viewAt = false, now
-	l.counts.Views++
+	l.counts.MachineViews++
 	machineType, _ := l.deps.Catalog().Type(machine.worker.MachineType) // an unknown type has no resources
 	view := l.placementMachine(machine)
 	view.AttemptCapacity = int(l.deps.Settings.Params.State.ValueKB*1024)/constants.MaxAttemptBytes - len(machine.worker.Attempts)
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -2,16 +2,16 @@
 
 // Status is the operators' view of a term.
 type Status struct {
-	Term          uint64              `json:"term"`
-	Machines      []PoolStatus        `json:"machines"`
-	Queue         []QueueStatus       `json:"queue"`
-	Teams         []TeamStatus        `json:"teams"`
-	Reservations  []ReservationStatus `json:"holds"`
-	Booting       int                 `json:"booting"`
-	Leaving       int                 `json:"leaving"`
-	Recording     RecordingStatus     `json:"recording"`
-	Work          WorkCounts          `json:"work"`
-	EventsWaiting int                 `json:"callsWaiting"`
+	Term         uint64              `json:"term"`
+	Machines     []PoolStatus        `json:"machines"`
+	Queue        []QueueStatus       `json:"queue"`
+	Teams        []TeamStatus        `json:"teams"`
+	Reservations []ReservationStatus `json:"holds"`
+	Booting      int                 `json:"booting"`
+	Leaving      int                 `json:"leaving"`
+	Recording    RecordingStatus     `json:"recording"`
+	Work         WorkCounts          `json:"work"`
+	QueuedEvents int                 `json:"callsWaiting"`
 }
 
 // RecordingStatus shows whether state can be written to the state service, and for how
@@ -20,9 +20,9 @@
 	Healthy    bool    `json:"healthy"`
 	StalenessS float64 `json:"sureS"` // time since all cancellations were last known
 	// Backlog is the number of log entries that a failover would read in addition to the last
-	// checkpoint. UnwrittenS is how long the transaction in flight has taken.
-	Backlog    int     `json:"backlog"`
-	UnwrittenS float64 `json:"unwrittenS"`
+	// checkpoint. InFlightS is how long the transaction in flight has taken.
+	Backlog   int     `json:"backlog"`
+	InFlightS float64 `json:"unwrittenS"`
 }
 
 // PoolStatus counts the machines of one type, zone and purchase option.
--- a/internal/leader/status_view.go
+++ b/internal/leader/status_view.go
@@ -13,16 +13,16 @@
 func (l *Leader) status(now time.Time) Status {
 	machines, leaving := l.machineStatus()
 	return Status{
-		Term:          l.term.number(),
-		Machines:      machines,
-		Queue:         l.queueStatus(),
-		Teams:         l.teamStatus(),
-		Reservations:  l.reservationStatus(now),
-		Booting:       len(l.scaling.booting),
-		Leaving:       leaving,
-		Recording:     l.recordingStatus(now),
-		Work:          l.workCounts(),
-		EventsWaiting: len(l.events),
+		Term:         l.term.number(),
+		Machines:     machines,
+		Queue:        l.queueStatus(),
+		Teams:        l.teamStatus(),
+		Reservations: l.reservationStatus(now),
+		Booting:      len(l.scaling.booting),
+		Leaving:      leaving,
+		Recording:    l.recordingStatus(now),
+		Work:         l.workCounts(),
+		QueuedEvents: len(l.events),
 	}
 }
 
@@ -33,7 +33,7 @@
 		Healthy:    l.commits.healthy(),
 		StalenessS: l.staleness.Staleness(now).Seconds(),
 		Backlog:    l.wal.Backlog(),
-		UnwrittenS: l.commits.inFlightFor(now).Seconds(),
+		InFlightS:  l.commits.inFlightFor(now).Seconds(),
 	}
 }
 
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -109,8 +109,8 @@
 	w.counter("log_hint_bytes_total", "Part of the log entries that records reservations and cached images.", float64(work.MetadataBytes), noLabels)
 	w.counter("log_checkpoint_bytes_total", "Size of the checkpoint parts written to the log in this term.", float64(work.Log.PartBytes), noLabels)
 	w.gauge("log_backlog", "Log entries since the last checkpoint, which a failover would read.", float64(status.Recording.Backlog), noLabels)
-	w.gauge("unwritten_seconds", "Age of the oldest log transaction in flight.", status.Recording.UnwrittenS, noLabels)
-	w.gauge("calls_waiting", "Events queued for the leader's event loop.", float64(status.EventsWaiting), noLabels)
+	w.gauge("unwritten_seconds", "Age of the oldest log transaction in flight.", status.Recording.InFlightS, noLabels)
+	w.gauge("calls_waiting", "Events queued for the leader's event loop.", float64(status.QueuedEvents), noLabels)
 }
 
 // machinePools sends the machine counts by type, zone and kind.
