--- a/internal/leader/job_view.go
+++ b/internal/leader/job_view.go
@@ -12,7 +12,7 @@
 func (j *jobState) refreshView(relativeClassCount float64, now time.Time) {
 	view := &j.view
 	view.UpdateSlack(now, relativeClassCount)
-	view.Blocked = j.retry.backingOff(now)
+	view.BackingOff = j.retry.backingOff(now)
 	view.SinceLastStart = now.Sub(j.lastPlacedAt)
 	if !j.stale && !j.retry.changesWithTime() {
 		return
--- a/internal/leader/scheduling_pass.go
+++ b/internal/leader/scheduling_pass.go
@@ -20,7 +20,7 @@
 		l.preempt(preemption, now)
 	}
 	l.startPlannedTasks(plan.Starts, now)
-	setDrainClaims(snapshot.Jobs, plan)
+	setMachineClaims(snapshot.Jobs, plan)
 	l.logSummary(snapshot, now)
 	took := time.Since(now)
 	l.passes.finish(took)
@@ -47,10 +47,10 @@
 	}
 }
 
-// setDrainClaims stores the plan's drain claims in the job views for the next pass: the
+// setMachineClaims stores the plan's machine claims in the job views for the next pass: the
 // machines that are claimed for each job, and the gangs that will fit once the stopping tasks
 // on these machines have ended.
-func setDrainClaims(waiting []*placement.Job, plan *placement.Plan) {
+func setMachineClaims(waiting []*placement.Job, plan *placement.Plan) {
 	for _, job := range waiting {
 		job.ClaimedMachines, job.AwaitingStops = nil, false
 	}
--- a/internal/placement/drain.go
+++ b/internal/placement/drain.go
@@ -12,7 +12,7 @@
 func (p *pass) renewClaims() {
 	p.renewedClaims = make(map[*Job][]*Machine)
 	for _, job := range p.Jobs {
-		if !job.isGang() || len(job.WaitingTasks) == 0 || job.Blocked {
+		if !job.isGang() || len(job.WaitingTasks) == 0 || job.BackingOff {
 			continue
 		}
 		for name := range job.ClaimedMachines {
@@ -96,5 +96,5 @@
 			p.releaseReservation(machineReservation{machine, slot})
 		}
 	}
-	p.plan.Claims = append(p.plan.Claims, DrainClaim{job, machine})
+	p.plan.Claims = append(p.plan.Claims, MachineClaim{job, machine})
 }
--- a/internal/placement/limitearmark.go
+++ b/internal/placement/limitearmark.go
@@ -31,7 +31,7 @@
 // a network partition, this preempted 6,000 tasks in half a minute.
 func (p *pass) renewEarmarks() {
 	for _, job := range p.Jobs {
-		if job.AwaitingStops && len(job.WaitingTasks) > 0 && !job.Blocked && p.Teams[job.Spec.Team] != nil {
+		if job.AwaitingStops && len(job.WaitingTasks) > 0 && !job.BackingOff && p.Teams[job.Spec.Team] != nil {
 			p.earmarkLimit(job)
 		}
 	}
--- a/internal/placement/overload.go
+++ b/internal/placement/overload.go
@@ -16,7 +16,7 @@
 func (p *pass) deferArraysUnderOverload(rank []*Job) {
 	positionsByClass := make(map[string][]int)
 	for i, job := range rank {
-		if !job.isGang() && !job.Late && !job.Blocked && len(job.WaitingTasks) > 0 && p.StartRate[job.Spec.Class] > 0 {
+		if !job.isGang() && !job.Late && !job.BackingOff && len(job.WaitingTasks) > 0 && p.StartRate[job.Spec.Class] > 0 {
 			positionsByClass[job.Spec.Class] = append(positionsByClass[job.Spec.Class], i)
 		}
 	}
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -112,7 +112,7 @@
 		p.deferArraysUnderOverload(rank)
 	}
 	for _, job := range rank {
-		if job.Blocked || len(job.WaitingTasks) == 0 || p.Teams[job.Spec.Team] == nil {
+		if job.BackingOff || len(job.WaitingTasks) == 0 || p.Teams[job.Spec.Team] == nil {
 			continue
 		}
 		if job.isGang() {
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -4,7 +4,7 @@
 type Plan struct {
 	Starts      []Start
 	Preemptions []Preemption
-	Claims      []DrainClaim
+	Claims      []MachineClaim
 	// AwaitingStops lists the gangs whose waiting tasks will all fit once the stopping tasks
 	// have ended, so that no further machine has to drain for them.
 	AwaitingStops []*Job
@@ -31,8 +31,8 @@
 	Preemptor *Job
 }
 
-// DrainClaim keeps a machine that is about to have free capacity for a job.
-type DrainClaim struct {
+// MachineClaim keeps a machine that is about to have free capacity for a job.
+type MachineClaim struct {
 	Job     *Job
 	Machine *Machine
 }
--- a/internal/placement/quota.go
+++ b/internal/placement/quota.go
@@ -85,7 +85,7 @@
 		if team := p.Teams[name]; team != nil {
 			waiting := Resources{}
 			for _, job := range p.Jobs {
-				if job.Spec.Team == name && !job.Blocked {
+				if job.Spec.Team == name && !job.BackingOff {
 					waiting = waiting.Add(job.waitingResources())
 				}
 			}
@@ -121,7 +121,7 @@
 	sum, known := p.onTimeDemandCache[key]
 	if !known {
 		for _, lower := range p.Jobs {
-			if lower.Spec.Team == key.team && lower.Priority < key.priority && !lower.Blocked && !lower.Late {
+			if lower.Spec.Team == key.team && lower.Priority < key.priority && !lower.BackingOff && !lower.Late {
 				sum = sum.Add(lower.waitingResources())
 			}
 		}
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -107,7 +107,7 @@
 	ReservedDownstreams map[string]bool
 	// SinceLastStart is the time since a task of the job was last placed.
 	SinceLastStart time.Duration
-	Blocked        bool // must not start now because it is in backoff
+	BackingOff     bool // in backoff: no task of it may start now
 	// ClaimedMachines names the machines that the previous pass claimed for the job.
 	// AwaitingStops is set if they will have room for all of its waiting tasks once the
 	// stopping tasks have ended.
