--- a/internal/autoscaling/capacity.go
+++ b/internal/autoscaling/capacity.go
@@ -56,9 +56,9 @@
 	return int(math.Ceil(max(0, d.Total-d.OnDemand-float64(spot)) * d.OverflowShare))
 }
 
-// DemandWindow tracks the maximum of the desired capacity over a sliding time window, so that
+// CapacityWindow tracks the maximum of the desired capacity over a sliding time window, so that
 // no machines are returned in a short lull.
-type DemandWindow struct {
+type CapacityWindow struct {
 	window  time.Duration
 	samples []capacitySample
 }
@@ -68,12 +68,12 @@
 	desired map[string]DesiredCapacity // by machine type
 }
 
-// NewDemandWindow returns an empty window of the given length.
-func NewDemandWindow(window time.Duration) *DemandWindow { return &DemandWindow{window: window} }
+// NewCapacityWindow returns an empty window of the given length.
+func NewCapacityWindow(window time.Duration) *CapacityWindow { return &CapacityWindow{window: window} }
 
 // Add records the current desired capacity by machine type, and returns the maximum of the
 // window by machine type.
-func (w *DemandWindow) Add(now time.Time, desired map[string]DesiredCapacity) map[string]DesiredCapacity {
+func (w *CapacityWindow) Add(now time.Time, desired map[string]DesiredCapacity) map[string]DesiredCapacity {
 	w.samples = append(w.samples, capacitySample{now, desired})
 	for len(w.samples) > 0 && now.Sub(w.samples[0].at) > w.window {
 		w.samples = w.samples[1:]
--- a/internal/autoscaling/scaling_test.go
+++ b/internal/autoscaling/scaling_test.go
@@ -100,10 +100,10 @@
 	})
 }
 
-// TestDemandWindowExpires checks that the maximum counts for exactly as long as it is in the
+// TestCapacityWindowExpires checks that the maximum counts for exactly as long as it is in the
 // window.
-func TestDemandWindowExpires(t *testing.T) {
-	window := NewDemandWindow(40 * time.Second)
+func TestCapacityWindowExpires(t *testing.T) {
+	window := NewCapacityWindow(40 * time.Second)
 	start := time.Unix(1000, 0)
 	window.Add(start, map[string]DesiredCapacity{"g4": {Total: 9}})
 	if got := window.Add(start.Add(30*time.Second), map[string]DesiredCapacity{"g4": {Total: 2}}); got["g4"].Total != 9 {
--- a/internal/constants/cloud.go
+++ b/internal/constants/cloud.go
@@ -63,8 +63,9 @@
 	FleetReviewInterval = time.Second
 	// IdleReturnAfter is how long a surplus machine must be idle before it is returned.
 	IdleReturnAfter = 10 * time.Second
-	// DemandWindow is the period whose highest demand determines which machines are surplus.
-	DemandWindow = 20 * time.Second
+	// CapacityWindow is the period whose highest desired capacity determines which machines are
+	// surplus.
+	CapacityWindow = 20 * time.Second
 	// BootTimeoutFactor times the boot time in the catalog is the time after which a machine
 	// without a heartbeat is returned.
 	BootTimeoutFactor = 3.0
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -16,8 +16,9 @@
 	terminated  terminatedMachines
 	unavailable unavailablePools
 	zones       unreachableZones
-	// demand holds the peak of recent demand, so that no machines are returned in a short lull.
-	demand *autoscaling.DemandWindow
+	// desiredCapacity holds the recent desired capacity, so that no machines are returned in a
+	// short lull.
+	desiredCapacity *autoscaling.CapacityWindow
 	// recentArrivals holds the jobs that arrived recently.
 	recentArrivals recentArrivals
 	// rentRequests counts the rent requests; it is part of their IDs.
@@ -27,11 +28,11 @@
 
 func newScalingState() scalingState {
 	return scalingState{
-		booting:     make(bootingMachines),
-		terminated:  make(terminatedMachines),
-		unavailable: make(unavailablePools),
-		zones:       make(unreachableZones),
-		demand:      autoscaling.NewDemandWindow(constants.DemandWindow),
+		booting:         make(bootingMachines),
+		terminated:      make(terminatedMachines),
+		unavailable:     make(unavailablePools),
+		zones:           make(unreachableZones),
+		desiredCapacity: autoscaling.NewCapacityWindow(constants.CapacityWindow),
 	}
 }
 
--- a/internal/leader/scaling_surplus.go
+++ b/internal/leader/scaling_surplus.go
@@ -15,7 +15,7 @@
 	for _, machineType := range snapshot.Catalog.MachineTypes {
 		desired[machineType.Name] = autoscaling.DesiredFor(snapshot, machineType, l.deps.Operator.Scaling.ScaleInKeep)
 	}
-	keep := l.scaling.demand.Add(now, desired)
+	keep := l.scaling.desiredCapacity.Add(now, desired)
 	for _, name := range autoscaling.ScaleIn(snapshot, keep, l.idleMachines(now)) {
 		l.beginLeaving(l.fleet.get(name), "idle", now)
 	}
