--- a/internal/leader/plan_execution.go
+++ b/internal/leader/plan_execution.go
@@ -106,5 +106,5 @@
 	}
 	l.reservations.ReleaseExcess(machine.worker.Name, start.Machine.Total.Sub(l.usedResources(machine)))
 	machine.images.use(job.spec.Image, job.spec.ImageGB, false, l.imageCacheGB(machine))
-	l.deps.Log.Debug("placed", "task", id.Task, "attempt", id.Number, "machine", machine.worker.Name)
+	l.deps.Log.Debug("task placed", "task", id.Task, "attempt", id.Number, "machine", machine.worker.Name)
 }
--- a/internal/node/placement_log_test.go
+++ b/internal/node/placement_log_test.go
@@ -30,7 +30,7 @@
 // Handle counts the record and passes it on.
 func (l placementLog) Handle(ctx context.Context, record slog.Record) error {
 	switch record.Message {
-	case "placed":
+	case "task placed":
 		if machine := machineAttr(record); machine != "" {
 			l.counts.addTask(machine)
 		}
