--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -240,7 +240,7 @@
 		b.ReportMetric(float64(size)/(1<<20), "MB")
 		b.ResetTimer()
 		for range b.N {
-			state, _, err := wal.Read(all)
+			state, _, err := wal.Replay(all)
 			if err != nil || len(state.Machines) != machines {
 				b.Fatalf("read %d machines: %v", len(state.Machines), err)
 			}
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -111,7 +111,7 @@
 			return wal.State{}, 0, err
 		}
 	}
-	state, foreign, err := wal.Read(rows)
+	state, foreign, err := wal.Replay(rows)
 	for _, key := range foreign {
 		l.deps.Log.Error("unexpected key under the log prefix", "key", key)
 	}
--- a/internal/leader/wal/checkpoint_test.go
+++ b/internal/leader/wal/checkpoint_test.go
@@ -170,7 +170,7 @@
 // checkRecorded fails if a start that is known to be committed is not read back.
 func (s *leaderSequence) checkRecorded(t *testing.T) {
 	t.Helper()
-	state, _, err := Read(s.store.allRows())
+	state, _, err := Replay(s.store.allRows())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/leader/wal/damage_test.go
+++ b/internal/leader/wal/damage_test.go
@@ -10,9 +10,9 @@
 	"thornnotch/internal/statestore"
 )
 
-// TestReadReportsDamagedRecords checks that Read fails and names the record if a live record
+// TestReplayReportsDamagedRecords checks that Replay fails and names the record if a live record
 // is damaged or missing, and that a foreign key is listed and otherwise ignored.
-func TestReadReportsDamagedRecords(t *testing.T) {
+func TestReplayReportsDamagedRecords(t *testing.T) {
 	store := newFakeStore()
 	writer := NewWriter(1, Limits{ValueBytes: 2000, TxnOps: 8}, Head{}, 0)
 	writer.AttemptPlaced("m-1", Attempt{Task: "j-1/0", Number: 1, Epoch: 1}, "j-1", JobUsage{Team: "x"}, nil)
@@ -20,7 +20,7 @@
 
 	foreignKey := Prefix + "note"
 	store.rows[foreignKey] = statestore.KeyValue{Key: foreignKey, Value: json.RawMessage(`"hello"`)}
-	if state, foreign, err := Read(store.allRows()); err != nil || !slices.Equal(foreign, []string{foreignKey}) || len(state.Machines["m-1"].Attempts) != 1 {
+	if state, foreign, err := Replay(store.allRows()); err != nil || !slices.Equal(foreign, []string{foreignKey}) || len(state.Machines["m-1"].Attempts) != 1 {
 		t.Errorf("state %v, foreign keys %v, error %v", state, foreign, err)
 	}
 
@@ -40,7 +40,7 @@
 			} else {
 				store.rows[damaged] = statestore.KeyValue{Key: damaged, Value: json.RawMessage(test.value)}
 			}
-			_, _, err := Read(store.allRows())
+			_, _, err := Replay(store.allRows())
 			if !errors.As(err, test.want) || !strings.Contains(err.Error(), damaged) {
 				t.Errorf("value %q: error %v", test.value, err)
 			}
--- a/internal/leader/wal/errors.go
+++ b/internal/leader/wal/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Errors returned by Read. Each names a record that the head refers to. The record may
+// Errors returned by Replay. Each names a record that the head refers to. The record may
 // describe a task that is still running, so the leader must not make any decision without it.
 // docs/operations.md quotes these messages.
 
--- a/internal/leader/wal/pending_test.go
+++ b/internal/leader/wal/pending_test.go
@@ -28,7 +28,7 @@
 	if !reported || transactions < 2 {
 		t.Errorf("reported %v after %d transactions, want true after at least 2", reported, transactions)
 	}
-	state, _, err := Read(store.failoverRows())
+	state, _, err := Replay(store.failoverRows())
 	if err != nil || !slices.Equal(state.Done["j-1"], completed) {
 		t.Errorf("%d completions read, error %v", len(state.Done["j-1"]), err)
 	}
@@ -43,7 +43,7 @@
 	writer.AttemptGone("m-1", attempt)
 	store := newFakeStore()
 	commitNext(t, store, writer, nil)
-	state, _, err := Read(store.failoverRows())
+	state, _, err := Replay(store.failoverRows())
 	if err != nil || len(state.Machines["m-1"].Attempts) != 0 {
 		t.Errorf("machine %+v, error %v", state.Machines["m-1"], err)
 	}
--- a/internal/leader/wal/replay.go
+++ b/internal/leader/wal/replay.go
@@ -19,14 +19,14 @@
 	Done map[string][]int
 }
 
-// Read rebuilds the state from rows, which must include the head and all keys that begin
+// Replay rebuilds the state from rows, which must include the head and all keys that begin
 // with one of Head.Prefixes.
 //
 // A record that the head refers to may describe a task that is still running. If such a
-// record can't be read, Read returns a MissingRecordError, UnreadableRecordError or
+// record can't be read, Replay returns a MissingRecordError, UnreadableRecordError or
 // MisplacedEntryError, and the leader must not make any decision. Keys that don't belong to
 // the log are returned in foreign and otherwise ignored.
-func Read(rows []statestore.KeyValue) (state State, foreign []string, err error) {
+func Replay(rows []statestore.KeyValue) (state State, foreign []string, err error) {
 	state = State{Machines: make(map[string]*Machine), Done: make(map[string][]int)}
 	stored := make(records, len(rows))
 	for _, row := range rows {
--- a/internal/leader/wal/replay_test.go
+++ b/internal/leader/wal/replay_test.go
@@ -228,7 +228,7 @@
 	r.store.revision++
 	term := r.store.revision
 	r.store.revisions[termKey] = term
-	state, foreign, err := Read(r.store.failoverRows())
+	state, foreign, err := Replay(r.store.failoverRows())
 	if err != nil || len(foreign) > 0 {
 		t.Fatalf("read the log: error %v, foreign keys %v", err, foreign)
 	}
--- a/internal/leader/wal/ring_test.go
+++ b/internal/leader/wal/ring_test.go
@@ -34,7 +34,7 @@
 		}
 	}
 
-	state, _, err := Read(store.allRows())
+	state, _, err := Replay(store.allRows())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,7 +95,7 @@
 	if writer.Head().Ring != constants.LogLargeRingSize || readSmallRingOnly(fleet.store) == nil {
 		t.Errorf("head %+v: a version without the large ring does not notice it", writer.Head())
 	}
-	if _, _, err := Read(fleet.store.failoverRows()); err != nil {
+	if _, _, err := Replay(fleet.store.failoverRows()); err != nil {
 		t.Error(err)
 	}
 	smallRatio := float64(before.PartBytes) / float64(before.EntryBytes)
@@ -109,7 +109,7 @@
 	if err := readSmallRingOnly(fleet.store); writer.Head().Ring != 0 || err != nil {
 		t.Errorf("head %+v, small ring only: error %v", writer.Head(), err)
 	}
-	if state, _, err := Read(fleet.store.failoverRows()); err != nil || len(state.Machines) != len(fleet.machines) {
+	if state, _, err := Replay(fleet.store.failoverRows()); err != nil || len(state.Machines) != len(fleet.machines) {
 		t.Errorf("%d machines read, error %v", len(state.Machines), err)
 	}
 }
--- a/internal/leader/wal/store_test.go
+++ b/internal/leader/wal/store_test.go
@@ -57,7 +57,7 @@
 // failoverRows returns the rows that a failover reads: the head and everything that it refers
 // to.
 func (s *fakeStore) failoverRows() []statestore.KeyValue {
-	head, _ := s.head() // Read reports a damaged head
+	head, _ := s.head() // Replay reports a damaged head
 	return s.rowsWithPrefixes(append(head.Prefixes(), HeadKey)...)
 }
 
