--- a/internal/leader/failover_test.go
+++ b/internal/leader/failover_test.go
@@ -37,12 +37,12 @@
 // TestPublishedStateIsVisible checks that other goroutines see the last published state.
 func TestPublishedStateIsVisible(t *testing.T) {
 	l := testLeader(t)
-	if l.Machines() != 0 || l.FailoverProgress() != "" {
-		t.Errorf("before the first publication: %d machines, progress %q, want none", l.Machines(), l.FailoverProgress())
+	if l.MachineCount() != 0 || l.FailoverProgress() != "" {
+		t.Errorf("before the first publication: %d machines, progress %q, want none", l.MachineCount(), l.FailoverProgress())
 	}
 	addMachine(l, "m-1", "east", time.Now())
 	l.setFailoverProgress("reading the log, %d jobs open", 7)
-	if l.Machines() != 1 || l.FailoverProgress() != "reading the log, 7 jobs open" {
-		t.Errorf("%d machines, progress %q, want 1 machine and the progress that was set", l.Machines(), l.FailoverProgress())
+	if l.MachineCount() != 1 || l.FailoverProgress() != "reading the log, 7 jobs open" {
+		t.Errorf("%d machines, progress %q, want 1 machine and the progress that was set", l.MachineCount(), l.FailoverProgress())
 	}
 }
--- a/internal/leader/requests.go
+++ b/internal/leader/requests.go
@@ -44,8 +44,8 @@
 // is complete.
 func (l *Leader) FailoverProgress() string { return l.published.load().failover }
 
-// Machines returns the number of known machines.
-func (l *Leader) Machines() int { return l.published.load().machines }
+// MachineCount returns the number of known machines.
+func (l *Leader) MachineCount() int { return l.published.load().machines }
 
 // queryLoop posts a request event to the loop and waits for the reply. It reports false if the
 // term or ctx ends first.
--- a/internal/node/sizing.go
+++ b/internal/node/sizing.go
@@ -31,7 +31,7 @@
 func (n *Node) expectedMachines() int {
 	expected := max(constants.MinWorkers, n.guaranteedMachines())
 	if term := n.leading.Load(); term != nil {
-		expected = max(expected, term.Machines())
+		expected = max(expected, term.MachineCount())
 	}
 	return expected
 }
