--- a/internal/leader/task_events.go
+++ b/internal/leader/task_events.go
@@ -69,7 +69,7 @@
 
 // taskExited handles the exit of a task, by its cause.
 func (l *Leader) taskExited(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
-	l.deps.Log.Debug("task exited", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.worker.Name, "cause", attempt.Cause, "saved", attempt.Saved)
+	l.deps.Log.Debug("task exited", "task", attempt.ID.Task, "attempt", attempt.ID.Number, "machine", machine.worker.Name, "cause", attempt.Cause, "saved", attempt.CheckpointSaved)
 	if job == nil || attempt.ID.Task.Index >= job.spec.Tasks {
 		l.allowForget(machine, attempt)
 		return
--- a/internal/simulator/worker_heartbeats.go
+++ b/internal/simulator/worker_heartbeats.go
@@ -23,7 +23,7 @@
 	for _, id := range w.sortedAttempts() {
 		t := w.tasks[id]
 		heartbeat.Tasks = append(heartbeat.Tasks, workers.TaskReport{
-			Task: id.Task.String(), Attempt: id.Number, Status: t.status, Cause: t.cause, Saved: t.saved,
+			Task: id.Task.String(), Attempt: id.Number, Status: t.status, Cause: t.cause, CheckpointSaved: t.saved,
 		})
 	}
 	return heartbeat
--- a/internal/workers/attempt.go
+++ b/internal/workers/attempt.go
@@ -69,9 +69,9 @@
 
 	// Status is the last status that the worker reported; empty until the worker first lists
 	// the attempt.
-	Status TaskStatus
-	Cause  ExitCause
-	Saved  bool
+	Status          TaskStatus
+	Cause           ExitCause
+	CheckpointSaved bool
 	// FirstReportedAt is when the worker first listed the attempt, RunningSince when it
 	// first listed it as running.
 	FirstReportedAt, RunningSince time.Time
--- a/internal/workers/wire.go
+++ b/internal/workers/wire.go
@@ -55,11 +55,11 @@
 
 // TaskReport is the state of one task in a heartbeat.
 type TaskReport struct {
-	Task    string     `json:"piece"`
-	Attempt uint64     `json:"try"`
-	Status  TaskStatus `json:"status"`
-	Cause   ExitCause  `json:"cause,omitempty"`
-	Saved   bool       `json:"saved,omitempty"`
+	Task            string     `json:"piece"`
+	Attempt         uint64     `json:"try"`
+	Status          TaskStatus `json:"status"`
+	Cause           ExitCause  `json:"cause,omitempty"`
+	CheckpointSaved bool       `json:"saved,omitempty"`
 }
 
 // Heartbeat is a worker's report of its state, sent at intervals, on each change, and in the
--- a/internal/workers/wire_test.go
+++ b/internal/workers/wire_test.go
@@ -76,11 +76,11 @@
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "tasks") {
 		heartbeat.Tasks = append(heartbeat.Tasks, TaskReport{
-			Task:    text.Draw(t, "task"),
-			Attempt: rapid.Uint64().Draw(t, "attempt"),
-			Status:  TaskStatus(text.Draw(t, "status")),
-			Cause:   ExitCause(text.Draw(t, "cause")),
-			Saved:   rapid.Bool().Draw(t, "saved"),
+			Task:            text.Draw(t, "task"),
+			Attempt:         rapid.Uint64().Draw(t, "attempt"),
+			Status:          TaskStatus(text.Draw(t, "status")),
+			Cause:           ExitCause(text.Draw(t, "cause")),
+			CheckpointSaved: rapid.Bool().Draw(t, "saved"),
 		})
 	}
 	return heartbeat
--- a/internal/workers/worker.go
+++ b/internal/workers/worker.go
@@ -200,7 +200,7 @@
 		}
 	}
 	changed = attempt.Status != report.Status
-	attempt.Status, attempt.Cause, attempt.Saved = report.Status, report.Cause, report.Saved
+	attempt.Status, attempt.Cause, attempt.CheckpointSaved = report.Status, report.Cause, report.CheckpointSaved
 	if attempt.Status == StatusRunning && attempt.RunningSince.IsZero() {
 		attempt.RunningSince = now
 	}
