--- a/internal/autoscaling/capacity.go
+++ b/internal/autoscaling/capacity.go
@@ -17,14 +17,14 @@
 	OverflowShare float64
 }
 
-// DesiredFor returns the desired capacity of a machine type: the machines that the current
+// DesiredCapacityFor returns the desired capacity of a machine type: the machines that the current
 // demand needs, plus spare ones for jobs that arrive before another machine could boot. Jobs
 // arrive at random, so the deviation from the mean grows with the square root of the recent
 // arrivals; without recent arrivals there are no spare machines. spare is the number of spare
 // machines in units of this square root. Tasks that could use spot machines justify on-demand
 // ones only in part (OverflowShare): the higher the on-demand price, the more of these tasks
 // wait for spot machines. The spare on-demand machines are multiplied by the same share.
-func DesiredFor(s Snapshot, machineType MachineType, spare float64) DesiredCapacity {
+func DesiredCapacityFor(s Snapshot, machineType MachineType, spare float64) DesiredCapacity {
 	onDemand, spot := s.machinesNeeded(s.Demand, machineType)
 	recentOnDemand, recentSpot := s.machinesNeeded(s.Recent, machineType)
 	share := overflowShare(machineType)
--- a/internal/autoscaling/scaleout.go
+++ b/internal/autoscaling/scaleout.go
@@ -9,7 +9,7 @@
 
 // ScaleOut returns the next rent request, or false if no more machines are needed than are
 // usable or booting. Unavailable spot machines are replaced in part by on-demand ones. spare is
-// explained at DesiredFor.
+// explained at DesiredCapacityFor.
 func ScaleOut(s Snapshot, spare float64) (RentRequest, bool) {
 	types := slices.Clone(s.Catalog.MachineTypes)
 	slices.SortFunc(types, func(a, b MachineType) int { return strings.Compare(a.Name, b.Name) })
@@ -17,7 +17,7 @@
 		if request, ok := s.rentForFloors(machineType); ok {
 			return request, true
 		}
-		if request, ok := s.rentForDesired(machineType, DesiredFor(s, machineType, spare)); ok {
+		if request, ok := s.rentForDesired(machineType, DesiredCapacityFor(s, machineType, spare)); ok {
 			return request, true
 		}
 	}
--- a/internal/autoscaling/scaling_test.go
+++ b/internal/autoscaling/scaling_test.go
@@ -48,7 +48,7 @@
 
 // desired returns the desired capacity of the test catalog's only type.
 func desired(s Snapshot, spare float64) map[string]DesiredCapacity {
-	return map[string]DesiredCapacity{"g4": DesiredFor(s, s.Catalog.MachineTypes[0], spare)}
+	return map[string]DesiredCapacity{"g4": DesiredCapacityFor(s, s.Catalog.MachineTypes[0], spare)}
 }
 
 func drawDemand(t *rapid.T) (demand []Demand) {
--- a/internal/leader/scaling_surplus.go
+++ b/internal/leader/scaling_surplus.go
@@ -13,7 +13,7 @@
 	snapshot := l.scalingSnapshot(now)
 	desired := make(map[string]autoscaling.DesiredCapacity)
 	for _, machineType := range snapshot.Catalog.MachineTypes {
-		desired[machineType.Name] = autoscaling.DesiredFor(snapshot, machineType, l.deps.Operator.Scaling.ScaleInKeep)
+		desired[machineType.Name] = autoscaling.DesiredCapacityFor(snapshot, machineType, l.deps.Operator.Scaling.ScaleInKeep)
 	}
 	keep := l.scaling.desiredCapacity.Add(now, desired)
 	for _, name := range autoscaling.ScaleIn(snapshot, keep, l.idleMachines(now)) {
