--- a/internal/autoscaling/capacity.go
+++ b/internal/autoscaling/capacity.go
@@ -26,12 +26,12 @@
 // wait for spot machines. The spare on-demand machines are multiplied by the same share.
 func DesiredCapacityFor(s Snapshot, machineType MachineType, spare float64) DesiredCapacity {
 	onDemand, spot := s.machinesNeeded(s.Demand, machineType)
-	recentOnDemand, recentSpot := s.machinesNeeded(s.Recent, machineType)
+	recentOnDemand, recentSpot := s.machinesNeeded(s.RecentArrivals, machineType)
 	share := overflowShare(machineType)
-	// bootShare is the boot time as a fraction of the window.
+	// bootShare is the boot time as a fraction of the arrival window.
 	bootShare := 0.0
-	if s.Window > 0 {
-		bootShare = machineType.BootS / s.Window.Seconds()
+	if s.ArrivalWindow > 0 {
+		bootShare = machineType.BootS / s.ArrivalWindow.Seconds()
 	}
 	desired := DesiredCapacity{
 		OnDemand:      math.Ceil(onDemand + spare*share*math.Sqrt(recentOnDemand*bootShare)),
--- a/internal/autoscaling/demand.go
+++ b/internal/autoscaling/demand.go
@@ -42,10 +42,10 @@
 	Unavailable map[InstancePool]bool // no machines can be rented or reached
 	Demand      []Demand
 	Limits      []TeamLimit
-	// Recent is the demand of all jobs that arrived within the last Window, whether finished
-	// or not. It serves as the forecast of future arrivals.
-	Recent []Demand
-	Window time.Duration
+	// RecentArrivals is the demand of all jobs that arrived within the last ArrivalWindow,
+	// whether finished or not. It serves as the forecast of future arrivals.
+	RecentArrivals []Demand
+	ArrivalWindow  time.Duration
 }
 
 // machinesOf returns the number of machines of a type in all zones.
--- a/internal/autoscaling/scaling_test.go
+++ b/internal/autoscaling/scaling_test.go
@@ -79,7 +79,7 @@
 		for _, zone := range []string{"a", "b"} {
 			s.Unavailable[InstancePool{"g4", zone, true}] = rapid.Bool().Draw(t, "unavailable")
 		}
-		s.Recent, s.Window = s.Demand, time.Minute
+		s.RecentArrivals, s.ArrivalWindow = s.Demand, time.Minute
 		spare := rapid.Float64Range(0, 3).Draw(t, "spare")
 
 		rentAll(t, s, spare)
@@ -93,7 +93,7 @@
 		if names := ScaleIn(s, desired(s, spare), idle); len(names) > 0 {
 			t.Fatalf("returned right after being rented: %v", names)
 		}
-		s.Demand, s.Recent = nil, nil
+		s.Demand, s.RecentArrivals = nil, nil
 		if names := ScaleIn(s, desired(s, spare), idle); len(names) != len(idle) {
 			t.Fatalf("%d of %d machines returned without demand", len(names), len(idle))
 		}
--- a/internal/leader/scaling_snapshot.go
+++ b/internal/leader/scaling_snapshot.go
@@ -13,10 +13,10 @@
 func (l *Leader) scalingSnapshot(now time.Time) autoscaling.Snapshot {
 	catalog := l.deps.Catalog()
 	snapshot := autoscaling.Snapshot{
-		Catalog:     catalog,
-		Machines:    l.machinesByPool(now),
-		Unavailable: l.unavailablePools(catalog, now),
-		Window:      constants.ArrivalRateWindow,
+		Catalog:       catalog,
+		Machines:      l.machinesByPool(now),
+		Unavailable:   l.unavailablePools(catalog, now),
+		ArrivalWindow: constants.ArrivalRateWindow,
 	}
 	for job := range l.jobs.all() {
 		if remainingTasks := job.progress.remaining(); remainingTasks > 0 && !job.upstreams.blocked() {
@@ -24,7 +24,7 @@
 		}
 	}
 	for _, arrival := range l.scaling.recentArrivals {
-		snapshot.Recent = append(snapshot.Recent, arrival.demand)
+		snapshot.RecentArrivals = append(snapshot.RecentArrivals, arrival.demand)
 	}
 	for _, team := range l.teams {
 		limit := placement.Resources{CPUs: team.MaxCPUs, GPUs: team.MaxGPUs}
