--- a/internal/autoscaling/demand.go
+++ b/internal/autoscaling/demand.go
@@ -91,10 +91,10 @@
 		}
 		tasks := d.Tasks
 		if limit, limited := limits[d.Team]; limited {
-			tasks = remainingLimit(limit, used[d.Team]).Count(d.TaskResources, tasks)
+			tasks = remainingLimit(limit, used[d.Team]).FitCount(d.TaskResources, tasks)
 		}
 		used[d.Team] = used[d.Team].Add(d.TaskResources.Times(tasks))
-		if perMachine := machineType.resources().Count(d.TaskResources, constants.MaxTasks); perMachine >= 1 {
+		if perMachine := machineType.resources().FitCount(d.TaskResources, constants.MaxTasks); perMachine >= 1 {
 			visit(d, tasks, perMachine)
 		}
 	}
--- a/internal/leader/recent_arrivals.go
+++ b/internal/leader/recent_arrivals.go
@@ -53,7 +53,7 @@
 func machinesNeeded(catalog *autoscaling.Catalog, demand autoscaling.Demand) float64 {
 	for _, machineType := range catalog.MachineTypes {
 		total := placement.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}
-		if tasks := total.Count(demand.TaskResources, demand.Tasks); tasks > 0 {
+		if tasks := total.FitCount(demand.TaskResources, demand.Tasks); tasks > 0 {
 			return float64(demand.Tasks) / float64(tasks)
 		}
 	}
--- a/internal/placement/capacitysearch.go
+++ b/internal/placement/capacitysearch.go
@@ -150,7 +150,7 @@
 // evaluate computes and allocates nothing that can't affect the result.
 func (s *capacitySearch) evaluate(machine *Machine, maxCostS float64) (option capacityOption, cheaper bool) {
 	free := machine.freeResourcesFor(s.job).Add(machine.usage.usedByStopping)
-	if tasks := free.Count(s.request, s.tasks); tasks > 0 {
+	if tasks := free.FitCount(s.request, s.tasks); tasks > 0 {
 		option = capacityOption{machine: machine, tasks: tasks, costS: machine.imageDelayS(s.job)}
 		return option, option.costS < maxCostS
 	}
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -62,7 +62,7 @@
 		if !eligible(gang, machine) {
 			continue
 		}
-		count := machine.freeResourcesFor(gang).Count(request, min(len(gang.WaitingTasks), machine.AttemptCapacity))
+		count := machine.freeResourcesFor(gang).FitCount(request, min(len(gang.WaitingTasks), machine.AttemptCapacity))
 		if count == 0 {
 			continue
 		}
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -140,7 +140,7 @@
 	option.costS = lost.Seconds() + machine.imageDelayS(s.job)*s.request.DominantShare(machine.Total)*constants.StopLossWeight
 	if option.costS < maxCostS {
 		option.victims = slices.Clone(victims[:count])
-		option.tasks = freed.Count(s.request, s.tasks)
+		option.tasks = freed.FitCount(s.request, s.tasks)
 	}
 	return option, true
 }
--- a/internal/placement/resources.go
+++ b/internal/placement/resources.go
@@ -38,8 +38,8 @@
 		request.MemoryGB <= r.MemoryGB+constants.ResourceTolerance
 }
 
-// Count returns how many times the request fits into r, at most limit.
-func (r Resources) Count(request Resources, limit int) int {
+// FitCount returns how many times the request fits into r, at most limit.
+func (r Resources) FitCount(request Resources, limit int) int {
 	count := float64(limit)
 	for _, dimension := range [][2]float64{{r.CPUs, request.CPUs}, {r.GPUs, request.GPUs}, {r.MemoryGB, request.MemoryGB}} {
 		available, requested := dimension[0], dimension[1]
