--- a/internal/autoscaling/client.go
+++ b/internal/autoscaling/client.go
@@ -23,15 +23,16 @@
 var (
 	// ErrNoCapacity means that the pool has no machines at present.
 	ErrNoCapacity = errors.New("no capacity")
-	// ErrRejected means that the call was not carried out and can be retried later.
-	ErrRejected = errors.New("call rejected")
+	// ErrUnavailable means that the call was not carried out and can be retried later: the
+	// cloud refused it (503 or 429), or it was not sent because of the rate limit.
+	ErrUnavailable = errors.New("cloud unavailable")
 	// ErrOutcomeUnknown means that there was no usable response. The call may still take
 	// effect, even later.
 	ErrOutcomeUnknown = errors.New("outcome of call unknown")
 )
 
 // noCapacityMessage is the text in the body of a 503 response that distinguishes
-// ErrNoCapacity from ErrRejected.
+// ErrNoCapacity from ErrUnavailable.
 const noCapacityMessage = "no capacity"
 
 // CloudClient is a client of the cloud's API that observes its rate limit.
@@ -113,7 +114,7 @@
 	ctx, cancel := context.WithTimeout(ctx, constants.CloudTimeout)
 	defer cancel()
 	if err := c.limiter.Wait(ctx); err != nil {
-		return fmt.Errorf("%s %s: %w: rate limit: %w", method, path, ErrRejected, err)
+		return fmt.Errorf("%s %s: %w: rate limit: %w", method, path, ErrUnavailable, err)
 	}
 	var body io.Reader
 	if request != nil {
@@ -160,7 +161,7 @@
 	case status == http.StatusServiceUnavailable && bytes.Contains(body, []byte(noCapacityMessage)):
 		return ErrNoCapacity
 	case status == http.StatusServiceUnavailable, status == http.StatusTooManyRequests:
-		return fmt.Errorf("%w (%d)", ErrRejected, status)
+		return fmt.Errorf("%w (%d)", ErrUnavailable, status)
 	}
 	return fmt.Errorf("%w: status %d: %.*s", ErrOutcomeUnknown, status, constants.CloudErrorExcerpt, body)
 }
--- a/internal/autoscaling/client_test.go
+++ b/internal/autoscaling/client_test.go
@@ -22,8 +22,8 @@
 		{"rented", http.StatusOK, `{"rigs":["m-1"]}`, nil},
 		{"not JSON", http.StatusOK, "<html>", ErrOutcomeUnknown},
 		{"no capacity", http.StatusServiceUnavailable, `{"error":"no capacity"}`, ErrNoCapacity},
-		{"unavailable", http.StatusServiceUnavailable, "later", ErrRejected},
-		{"too many calls", http.StatusTooManyRequests, "", ErrRejected},
+		{"unavailable", http.StatusServiceUnavailable, "later", ErrUnavailable},
+		{"too many calls", http.StatusTooManyRequests, "", ErrUnavailable},
 		{"failed", http.StatusInternalServerError, "oops", ErrOutcomeUnknown},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/leader/scaling_state_test.go
+++ b/internal/leader/scaling_state_test.go
@@ -160,7 +160,7 @@
 	if n := len(l.calls.queued); n != 1 {
 		t.Fatalf("%d calls at the same time, want 1", n)
 	}
-	l.cloudCallFailed("list", autoscaling.ErrRejected, now)
+	l.cloudCallFailed("list", autoscaling.ErrUnavailable, now)
 	l.scale(now)
 	if n := len(l.calls.queued); n != 1 {
 		t.Errorf("%d calls right after a failed one, want 0", n-1)
--- a/internal/leader/scaling_test.go
+++ b/internal/leader/scaling_test.go
@@ -31,7 +31,7 @@
 
 func (c *pagedCloud) List(_ context.Context, from string) (instances []autoscaling.Instance, next string, err error) {
 	if c.failing {
-		return nil, "", autoscaling.ErrRejected
+		return nil, "", autoscaling.ErrUnavailable
 	}
 	c.calls = append(c.calls, "page")
 	for i := range c.machines {
@@ -180,7 +180,7 @@
 			continue
 		}
 		calls++
-		l.cloudCallFailed("rent", autoscaling.ErrRejected, at)
+		l.cloudCallFailed("rent", autoscaling.ErrUnavailable, at)
 	}
 	if calls > 20 {
 		t.Errorf("%d calls in a minute of an outage, want at most 20", calls)
