--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -21,7 +21,7 @@
 	Get(ctx context.Context, class statestore.Class, key string) (statestore.KeyValue, bool, error)
 	List(ctx context.Context, class statestore.Class, prefix string) ([]statestore.KeyValue, uint64, error)
 	Txn(ctx context.Context, class statestore.Class, conditions []statestore.Condition, writes []statestore.Write) (uint64, error)
-	Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (uint64, []statestore.Change, error)
+	Watch(ctx context.Context, prefix string, fromRevision uint64, maxWait time.Duration) (uint64, []statestore.Change, error)
 }
 
 // Cloud is the part of the cloud's API that the leader uses.
--- a/internal/leader/loop_test.go
+++ b/internal/leader/loop_test.go
@@ -52,14 +52,14 @@
 	return s.revision, nil
 }
 
-func (s *loopStore) Watch(ctx context.Context, _ string, from uint64, block time.Duration) (uint64, []statestore.Change, error) {
+func (s *loopStore) Watch(ctx context.Context, _ string, fromRevision uint64, maxWait time.Duration) (uint64, []statestore.Change, error) {
 	select {
 	case changes := <-s.changes:
-		return from + 1, changes, nil
-	case <-time.After(block):
-		return from, nil, nil
+		return fromRevision + 1, changes, nil
+	case <-time.After(maxWait):
+		return fromRevision, nil, nil
 	case <-ctx.Done():
-		return from, nil, ctx.Err()
+		return fromRevision, nil, ctx.Err()
 	}
 }
 
--- a/internal/leader/staleness_test.go
+++ b/internal/leader/staleness_test.go
@@ -123,10 +123,10 @@
 	requested chan time.Time
 }
 
-func (s slowWatchStore) Watch(ctx context.Context, _ string, from uint64, _ time.Duration) (uint64, []statestore.Change, error) {
+func (s slowWatchStore) Watch(ctx context.Context, _ string, fromRevision uint64, _ time.Duration) (uint64, []statestore.Change, error) {
 	s.requested <- time.Now()
 	time.Sleep(s.delay)
-	return from, nil, ctx.Err()
+	return fromRevision, nil, ctx.Err()
 }
 
 // TestKnownUntilWatchRequest checks that after a late answer to a watch request cancellations
--- a/internal/leader/watch.go
+++ b/internal/leader/watch.go
@@ -14,15 +14,15 @@
 // watchJobs watches the open jobs for submissions and cancellations. It posts all changes
 // after the given revision to the loop until ctx is done.
 func (l *Leader) watchJobs(ctx context.Context, revision uint64) error {
-	block := constants.LeaderWatchWait
+	maxWait := constants.LeaderWatchWait
 	for ctx.Err() == nil {
 		askedAt := time.Now()
-		next, changes, err := l.deps.Store.Watch(ctx, jobs.OpenPrefix, revision, block)
+		next, changes, err := l.deps.Store.Watch(ctx, jobs.OpenPrefix, revision, maxWait)
 		// After an outage, the leader needs proof that it knows all cancellations before
 		// workers' leases have to expire, so the first request does not wait for a change.
-		block = constants.LeaderWatchWait
+		maxWait = constants.LeaderWatchWait
 		if err != nil {
-			block = 0
+			maxWait = 0
 		}
 		switch {
 		case errors.Is(err, statestore.ErrCompacted):
