--- a/internal/workers/attempt.go
+++ b/internal/workers/attempt.go
@@ -68,7 +68,8 @@
 	MissedHeartbeats int
 
 	// Status is the last status that the worker reported; empty until the worker first lists
-	// the attempt.
+	// the attempt. Cause and CheckpointSaved come with it; CheckpointSaved is set if the task
+	// has saved a checkpoint at its exit.
 	Status          TaskStatus
 	Cause           ExitCause
 	CheckpointSaved bool
