--- a/internal/autoscaling/capacity.go
+++ b/internal/autoscaling/capacity.go
@@ -17,21 +17,21 @@
 	OverflowShare float64
 }
 
-// DesiredFor returns the desired capacity of a machine type: the machines that the current
+// DesiredCapacityFor returns the desired capacity of a machine type: the machines that the current
 // demand needs, plus spare ones for jobs that arrive before another machine could boot. Jobs
 // arrive at random, so the deviation from the mean grows with the square root of the recent
 // arrivals; without recent arrivals there are no spare machines. spare is the number of spare
 // machines in units of this square root. Tasks that could use spot machines justify on-demand
 // ones only in part (OverflowShare): the higher the on-demand price, the more of these tasks
 // wait for spot machines. The spare on-demand machines are multiplied by the same share.
-func DesiredFor(s Snapshot, machineType MachineType, spare float64) DesiredCapacity {
+func DesiredCapacityFor(s Snapshot, machineType MachineType, spare float64) DesiredCapacity {
 	onDemand, spot := s.machinesNeeded(s.Demand, machineType)
-	recentOnDemand, recentSpot := s.machinesNeeded(s.Recent, machineType)
+	recentOnDemand, recentSpot := s.machinesNeeded(s.RecentArrivals, machineType)
 	share := overflowShare(machineType)
-	// bootShare is the boot time as a fraction of the window.
+	// bootShare is the boot time as a fraction of the arrival window.
 	bootShare := 0.0
-	if s.Window > 0 {
-		bootShare = machineType.BootS / s.Window.Seconds()
+	if s.ArrivalWindow > 0 {
+		bootShare = machineType.BootS / s.ArrivalWindow.Seconds()
 	}
 	desired := DesiredCapacity{
 		OnDemand:      math.Ceil(onDemand + spare*share*math.Sqrt(recentOnDemand*bootShare)),
@@ -56,9 +56,9 @@
 	return int(math.Ceil(max(0, d.Total-d.OnDemand-float64(spot)) * d.OverflowShare))
 }
 
-// DemandWindow tracks the maximum of the desired capacity over a sliding time window, so that
+// CapacityWindow tracks the maximum of the desired capacity over a sliding time window, so that
 // no machines are returned in a short lull.
-type DemandWindow struct {
+type CapacityWindow struct {
 	window  time.Duration
 	samples []capacitySample
 }
@@ -68,12 +68,12 @@
 	desired map[string]DesiredCapacity // by machine type
 }
 
-// NewDemandWindow returns an empty window of the given length.
-func NewDemandWindow(window time.Duration) *DemandWindow { return &DemandWindow{window: window} }
+// NewCapacityWindow returns an empty window of the given length.
+func NewCapacityWindow(window time.Duration) *CapacityWindow { return &CapacityWindow{window: window} }
 
 // Add records the current desired capacity by machine type, and returns the maximum of the
 // window by machine type.
-func (w *DemandWindow) Add(now time.Time, desired map[string]DesiredCapacity) map[string]DesiredCapacity {
+func (w *CapacityWindow) Add(now time.Time, desired map[string]DesiredCapacity) map[string]DesiredCapacity {
 	w.samples = append(w.samples, capacitySample{now, desired})
 	for len(w.samples) > 0 && now.Sub(w.samples[0].at) > w.window {
 		w.samples = w.samples[1:]
--- a/internal/autoscaling/demand.go
+++ b/internal/autoscaling/demand.go
@@ -42,10 +42,10 @@
 	Unavailable map[InstancePool]bool // no machines can be rented or reached
 	Demand      []Demand
 	Limits      []TeamLimit
-	// Recent is the demand of all jobs that arrived within the last Window, whether finished
-	// or not. It serves as the forecast of future arrivals.
-	Recent []Demand
-	Window time.Duration
+	// RecentArrivals is the demand of all jobs that arrived within the last ArrivalWindow,
+	// whether finished or not. It serves as the forecast of future arrivals.
+	RecentArrivals []Demand
+	ArrivalWindow  time.Duration
 }
 
 // machinesOf returns the number of machines of a type in all zones.
@@ -91,10 +91,10 @@
 		}
 		tasks := d.Tasks
 		if limit, limited := limits[d.Team]; limited {
-			tasks = remainingLimit(limit, used[d.Team]).Count(d.TaskResources, tasks)
+			tasks = remainingLimit(limit, used[d.Team]).FitCount(d.TaskResources, tasks)
 		}
 		used[d.Team] = used[d.Team].Add(d.TaskResources.Times(tasks))
-		if perMachine := machineType.resources().Count(d.TaskResources, constants.MaxTasks); perMachine >= 1 {
+		if perMachine := machineType.resources().FitCount(d.TaskResources, constants.MaxTasks); perMachine >= 1 {
 			visit(d, tasks, perMachine)
 		}
 	}
--- a/internal/autoscaling/scaling_test.go
+++ b/internal/autoscaling/scaling_test.go
@@ -48,7 +48,7 @@
 
 // desired returns the desired capacity of the test catalog's only type.
 func desired(s Snapshot, spare float64) map[string]DesiredCapacity {
-	return map[string]DesiredCapacity{"g4": DesiredFor(s, s.Catalog.MachineTypes[0], spare)}
+	return map[string]DesiredCapacity{"g4": DesiredCapacityFor(s, s.Catalog.MachineTypes[0], spare)}
 }
 
 func drawDemand(t *rapid.T) (demand []Demand) {
@@ -79,7 +79,7 @@
 		for _, zone := range []string{"a", "b"} {
 			s.Unavailable[InstancePool{"g4", zone, true}] = rapid.Bool().Draw(t, "unavailable")
 		}
-		s.Recent, s.Window = s.Demand, time.Minute
+		s.RecentArrivals, s.ArrivalWindow = s.Demand, time.Minute
 		spare := rapid.Float64Range(0, 3).Draw(t, "spare")
 
 		rentAll(t, s, spare)
@@ -93,17 +93,17 @@
 		if names := ScaleIn(s, desired(s, spare), idle); len(names) > 0 {
 			t.Fatalf("returned right after being rented: %v", names)
 		}
-		s.Demand, s.Recent = nil, nil
+		s.Demand, s.RecentArrivals = nil, nil
 		if names := ScaleIn(s, desired(s, spare), idle); len(names) != len(idle) {
 			t.Fatalf("%d of %d machines returned without demand", len(names), len(idle))
 		}
 	})
 }
 
-// TestDemandWindowExpires checks that the maximum counts for exactly as long as it is in the
+// TestCapacityWindowExpires checks that the maximum counts for exactly as long as it is in the
 // window.
-func TestDemandWindowExpires(t *testing.T) {
-	window := NewDemandWindow(40 * time.Second)
+func TestCapacityWindowExpires(t *testing.T) {
+	window := NewCapacityWindow(40 * time.Second)
 	start := time.Unix(1000, 0)
 	window.Add(start, map[string]DesiredCapacity{"g4": {Total: 9}})
 	if got := window.Add(start.Add(30*time.Second), map[string]DesiredCapacity{"g4": {Total: 2}}); got["g4"].Total != 9 {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -9,7 +9,7 @@
 	"thornnotch/internal/config"
 	"thornnotch/internal/constants"
 	"thornnotch/internal/election"
-	"thornnotch/internal/leader/certainty"
+	"thornnotch/internal/leader/staleness"
 	"thornnotch/internal/leader/wal"
 	"thornnotch/internal/reservations"
 	"thornnotch/internal/statestore"
@@ -21,7 +21,7 @@
 	Get(ctx context.Context, class statestore.Class, key string) (statestore.KeyValue, bool, error)
 	List(ctx context.Context, class statestore.Class, prefix string) ([]statestore.KeyValue, uint64, error)
 	Txn(ctx context.Context, class statestore.Class, conditions []statestore.Condition, writes []statestore.Write) (uint64, error)
-	Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (uint64, []statestore.Change, error)
+	Watch(ctx context.Context, prefix string, fromRevision uint64, maxWait time.Duration) (uint64, []statestore.Change, error)
 }
 
 // Cloud is the part of the cloud's API that the leader uses.
@@ -74,7 +74,7 @@
 
 	// The term and its records.
 	term      term
-	certainty certainty.Tracker
+	staleness staleness.Tracker
 	calls     outboundCalls
 	wal       *wal.Writer
 	commits   groupCommit
@@ -111,7 +111,7 @@
 		events:    make(chan event, constants.EventQueueSize),
 		done:      make(chan struct{}),
 		term:      newTerm(grant),
-		certainty: certainty.NewTracker(certainty.Window(params.Workers)),
+		staleness: staleness.NewTracker(staleness.Limit(params.Workers)),
 		metadata:  newMetadataQueue(params.State, operator.Budgets),
 		jobs:      newJobTable(),
 
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return storedRecords{}, err
 	}
-	l.certainty.RecordWatch(open.askedAt)
+	l.staleness.RecordWatch(open.askedAt)
 	records.jobs, records.revision = open.rows, open.revision
 	l.setFailoverProgress("reading the log, %d jobs open", len(open.rows))
 	if records.log, records.logRevision, err = l.readLog(ctx); err != nil {
@@ -111,7 +111,7 @@
 			return wal.State{}, 0, err
 		}
 	}
-	state, foreign, err := wal.Read(rows)
+	state, foreign, err := wal.Replay(rows)
 	for _, key := range foreign {
 		l.deps.Log.Error("unexpected key under the log prefix", "key", key)
 	}
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -16,8 +16,9 @@
 	terminated  terminatedMachines
 	unavailable unavailablePools
 	zones       unreachableZones
-	// demand holds the peak of recent demand, so that no machines are returned in a short lull.
-	demand *autoscaling.DemandWindow
+	// desiredCapacity holds the recent desired capacity, so that no machines are returned in a
+	// short lull.
+	desiredCapacity *autoscaling.CapacityWindow
 	// recentArrivals holds the jobs that arrived recently.
 	recentArrivals recentArrivals
 	// rentRequests counts the rent requests; it is part of their IDs.
@@ -27,11 +28,11 @@
 
 func newScalingState() scalingState {
 	return scalingState{
-		booting:     make(bootingMachines),
-		terminated:  make(terminatedMachines),
-		unavailable: make(unavailablePools),
-		zones:       make(unreachableZones),
-		demand:      autoscaling.NewDemandWindow(constants.DemandWindow),
+		booting:         make(bootingMachines),
+		terminated:      make(terminatedMachines),
+		unavailable:     make(unavailablePools),
+		zones:           make(unreachableZones),
+		desiredCapacity: autoscaling.NewCapacityWindow(constants.CapacityWindow),
 	}
 }
 
@@ -54,7 +55,7 @@
 // scale decides which machines to return and to rent, and queues the next call to the cloud.
 func (l *Leader) scale(now time.Time) {
 	for machine := range l.fleet.all() {
-		if len(machine.agent.Attempts) > 0 {
+		if len(machine.worker.Attempts) > 0 {
 			machine.lifecycle.markBusy(now)
 		}
 	}
@@ -99,10 +100,10 @@
 
 // machineRegistered handles a machine's first report in this term.
 func (l *Leader) machineRegistered(machine *machineState, now time.Time) {
-	agent := machine.agent
-	if booting, ok := l.scaling.booting[agent.Name]; ok {
-		l.deps.Log.Info("machine registered", "machine", agent.Name, "zone", agent.Zone, "spot", agent.Spot, "after_s", now.Sub(booting.rentedAt).Round(time.Second).Seconds())
-		delete(l.scaling.booting, agent.Name)
+	worker := machine.worker
+	if booting, ok := l.scaling.booting[worker.Name]; ok {
+		l.deps.Log.Info("machine registered", "machine", worker.Name, "zone", worker.Zone, "spot", worker.Spot, "after_s", now.Sub(booting.rentedAt).Round(time.Second).Seconds())
+		delete(l.scaling.booting, worker.Name)
 	}
 	machine.lifecycle.markBusy(now)
 }
--- a/internal/leader/scaling_snapshot.go
+++ b/internal/leader/scaling_snapshot.go
@@ -13,10 +13,10 @@
 func (l *Leader) scalingSnapshot(now time.Time) autoscaling.Snapshot {
 	catalog := l.deps.Catalog()
 	snapshot := autoscaling.Snapshot{
-		Catalog:     catalog,
-		Machines:    l.machinesByPool(now),
-		Unavailable: l.unavailablePools(catalog, now),
-		Window:      constants.ArrivalRateWindow,
+		Catalog:       catalog,
+		Machines:      l.machinesByPool(now),
+		Unavailable:   l.unavailablePools(catalog, now),
+		ArrivalWindow: constants.ArrivalRateWindow,
 	}
 	for job := range l.jobs.all() {
 		if remainingTasks := job.progress.remaining(); remainingTasks > 0 && !job.upstreams.blocked() {
@@ -24,7 +24,7 @@
 		}
 	}
 	for _, arrival := range l.scaling.recentArrivals {
-		snapshot.Recent = append(snapshot.Recent, arrival.demand)
+		snapshot.RecentArrivals = append(snapshot.RecentArrivals, arrival.demand)
 	}
 	for _, team := range l.teams {
 		limit := placement.Resources{CPUs: team.MaxCPUs, GPUs: team.MaxGPUs}
@@ -39,7 +39,7 @@
 func (l *Leader) machinesByPool(now time.Time) map[autoscaling.InstancePool]int {
 	count := make(map[autoscaling.InstancePool]int)
 	for machine := range l.fleet.all() {
-		if !machine.lifecycle.isLeaving() && !machine.health.Faulty() && machine.agent.ReclaimAt.IsZero() && !l.isSilentBeyondLease(machine, now) {
+		if !machine.lifecycle.isLeaving() && !machine.health.Faulty() && machine.worker.ReclaimAt.IsZero() && !l.isSilentBeyondLease(machine, now) {
 			count[machine.pool()]++
 		}
 	}
--- a/internal/leader/scaling_surplus.go
+++ b/internal/leader/scaling_surplus.go
@@ -13,9 +13,9 @@
 	snapshot := l.scalingSnapshot(now)
 	desired := make(map[string]autoscaling.DesiredCapacity)
 	for _, machineType := range snapshot.Catalog.MachineTypes {
-		desired[machineType.Name] = autoscaling.DesiredFor(snapshot, machineType, l.deps.Operator.Scaling.ScaleInKeep)
+		desired[machineType.Name] = autoscaling.DesiredCapacityFor(snapshot, machineType, l.deps.Operator.Scaling.ScaleInKeep)
 	}
-	keep := l.scaling.demand.Add(now, desired)
+	keep := l.scaling.desiredCapacity.Add(now, desired)
 	for _, name := range autoscaling.ScaleIn(snapshot, keep, l.idleMachines(now)) {
 		l.beginLeaving(l.fleet.get(name), "idle", now)
 	}
@@ -25,8 +25,8 @@
 // been idle for longer than IdleReturnAfter.
 func (l *Leader) idleMachines(now time.Time) (idle []autoscaling.IdleMachine) {
 	for machine := range l.fleet.all() {
-		name := machine.agent.Name
-		if !machine.schedulable(now) || len(machine.agent.Attempts) > 0 || len(l.reservations.OnMachine(name)) > 0 {
+		name := machine.worker.Name
+		if !machine.schedulable(now) || len(machine.worker.Attempts) > 0 || len(l.reservations.OnMachine(name)) > 0 {
 			continue
 		}
 		if machine.lifecycle.idleFor(now) > constants.IdleReturnAfter {
--- a/internal/leader/scaling_test.go
+++ b/internal/leader/scaling_test.go
@@ -31,7 +31,7 @@
 
 func (c *pagedCloud) List(_ context.Context, from string) (instances []autoscaling.Instance, next string, err error) {
 	if c.failing {
-		return nil, "", autoscaling.ErrRejected
+		return nil, "", autoscaling.ErrUnavailable
 	}
 	c.calls = append(c.calls, "page")
 	for i := range c.machines {
@@ -111,9 +111,9 @@
 	}
 	now := start.Add(l.lease + constants.SilentReturnAfter + time.Second)
 	for i := range 4 {
-		l.fleet.get(fmt.Sprint("m-w", i)).agent.LastHeartbeat = now
+		l.fleet.get(fmt.Sprint("m-w", i)).worker.LastHeartbeat = now
 	}
-	l.fleet.get("m-w0").agent.LastHeartbeat = start // a single machine of zone west failed
+	l.fleet.get("m-w0").worker.LastHeartbeat = start // a single machine of zone west failed
 	l.retireMachines(now)
 	for name, machine := range l.fleet.byName {
 		if want := name == "m-w0"; machine.lifecycle.leaving != want {
@@ -130,7 +130,7 @@
 	// The network partition ends: three of the four machines report before the last one does.
 	healed := now.Add(20 * time.Second)
 	for i := range 3 {
-		l.fleet.get(fmt.Sprint("m-e", i)).agent.LastHeartbeat = healed
+		l.fleet.get(fmt.Sprint("m-e", i)).worker.LastHeartbeat = healed
 	}
 	l.retireMachines(healed.Add(time.Second))
 	if l.fleet.get("m-e3").lifecycle.leaving {
@@ -142,7 +142,7 @@
 	}
 	for i := range 4 {
 		machine := l.fleet.get(fmt.Sprint("m-e", i))
-		machine.agent.LastHeartbeat, machine.lifecycle.leaving = start, false
+		machine.worker.LastHeartbeat, machine.lifecycle.leaving = start, false
 	}
 	l.retireMachines(start.Add(l.lease + constants.UnreachableZoneReturnAfter + time.Second))
 	if !l.fleet.get("m-e0").lifecycle.leaving {
@@ -180,7 +180,7 @@
 			continue
 		}
 		calls++
-		l.cloudCallFailed("rent", autoscaling.ErrRejected, at)
+		l.cloudCallFailed("rent", autoscaling.ErrUnavailable, at)
 	}
 	if calls > 20 {
 		t.Errorf("%d calls in a minute of an outage, want at most 20", calls)
--- a/internal/workers/attempt.go
+++ b/internal/workers/attempt.go
@@ -68,10 +68,11 @@
 	MissedHeartbeats int
 
 	// Status is the last status that the worker reported; empty until the worker first lists
-	// the attempt.
-	Status TaskStatus
-	Cause  ExitCause
-	Saved  bool
+	// the attempt. Cause and CheckpointSaved come with it; CheckpointSaved is set if the task
+	// has saved a checkpoint at its exit.
+	Status          TaskStatus
+	Cause           ExitCause
+	CheckpointSaved bool
 	// FirstReportedAt is when the worker first listed the attempt, RunningSince when it
 	// first listed it as running.
 	FirstReportedAt, RunningSince time.Time
