--- a/internal/placement/binpacking.go
+++ b/internal/placement/binpacking.go
@@ -37,8 +37,8 @@
 	return score
 }
 
-// arrayPackingScore makes tasks of job arrays prefer machines that are partly used, so that
-// other machines stay empty for gangs.
+// arrayPackingScore returns the part of the score that makes tasks of job arrays prefer machines
+// that are partly used, so that other machines stay empty for gangs.
 func arrayPackingScore(machine *Machine, job *Job) float64 {
 	utilization := machine.usage.used.DominantShare(machine.Total)
 	if _, imageKnown := machine.ImageWait[job.Spec.Image]; !imageKnown && machine.Spot {
--- a/internal/placement/capacitysearch.go
+++ b/internal/placement/capacitysearch.go
@@ -41,8 +41,8 @@
 }
 
 // preemptOrDrain frees resources for a job with tasks that could not be placed. It claims
-// machines that are about to have free capacity, so that later jobs don't use it, and preempts
-// tasks of other jobs where the rules allow it. It does this only for the first
+// machines that have free capacity or are about to have some, so that later jobs don't use it,
+// and preempts tasks of other jobs where the rules allow it. It does this only for the first
 // MaxPreemptionAttempts jobs in the queue, because these leave little capacity for later jobs
 // and the search is slow.
 func (p *pass) preemptOrDrain(job *Job, unplacedTasks int) {
--- a/internal/placement/gangorder.go
+++ b/internal/placement/gangorder.go
@@ -9,6 +9,7 @@
 // its waiting tasks. Each team's gangs are permuted among their own positions: gangs that have
 // missed all their targets go last and, within both groups, gangs that need a smaller share of
 // the limit go first.
+//
 // Objectives count jobs regardless of their size, and a large gang takes the place of several
 // small ones. Boosting ensures that the largest gangs still start in time.
 func (p *pass) orderSmallGangsFirst(rank []*Job) {
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -40,8 +40,9 @@
 	// emptyOnDemand is the number of schedulable on-demand machines without tasks.
 	emptyOnDemand int
 	// withFreeCapacity lists the machines with room for the smallest tasks, so that jobs need
-	// not examine all machines when most are full. sizeClasses divides these machines by task
-	// size. maxTotal is the elementwise maximum of the machines' totals.
+	// not examine all machines when most are full. sizeClasses lists, for each class of task
+	// sizes, those of them with room for its smallest tasks. maxTotal is the elementwise
+	// maximum of all machines' totals.
 	withFreeCapacity []*Machine
 	sizeClasses      map[sizeClass]*sizeClassMachines
 	maxTotal         Resources
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -31,7 +31,8 @@
 	Preemptor *Job
 }
 
-// MachineClaim keeps a machine that is about to have free capacity for a job.
+// MachineClaim keeps a machine that has free capacity or is about to have some, for a job that
+// can't start on it yet.
 type MachineClaim struct {
 	Job     *Job
 	Machine *Machine
--- a/internal/placement/preemption_test.go
+++ b/internal/placement/preemption_test.go
@@ -57,7 +57,8 @@
 }
 
 // mayPreemptTransitively reports whether the preemptor may preempt the victim, directly or
-// through a chain of at most that many intermediates, each of which may preempt the next.
+// through a chain of at most the given number of intermediates, each of which may preempt the
+// next.
 func mayPreemptTransitively(p *pass, queue []*Job, preemptor, victim *Job, intermediates int) bool {
 	if p.mayPreempt(preemptor, &RunningTask{Job: victim}) {
 		return true
--- a/internal/placement/reserved.go
+++ b/internal/placement/reserved.go
@@ -19,7 +19,7 @@
 // pipeline and jobs of higher priority may (III-B, "Support of priority scheduling", in the
 // paper that package reservations implements). A gang boosted within its priority also
 // overrides reservations of equal priority, and one boosted above all overrides every
-// reservation. The same rule applies to the team's limit.
+// reservation. For the team's limit, overriddenInLimitBy extends this rule.
 //
 // Without this rule, slots reserved for jobs that may not start, because the team's limit is
 // kept for a boosted gang, would remain until they expire, while the gang waits for the part
@@ -145,7 +145,7 @@
 }
 
 // usablePipelines reports, for each pipeline with a waiting job in a team with reserved slots,
-// whether any of its jobs could start within the team's limit.
+// whether any of its jobs could start within the team's limit if no slots were reserved.
 func (p *pass) usablePipelines() map[Pipeline]bool {
 	usable := make(map[Pipeline]bool)
 	usageWithoutReservations := make(map[string]Resources)
@@ -171,8 +171,8 @@
 	return usable
 }
 
-// compareFalseFirst compares a with !a in an order where false comes first: it returns -1 if a
-// is false and 1 if a is true.
+// compareFalseFirst compares a with a different value, in an order where false comes first: it
+// returns -1 if a is false and 1 if a is true.
 func compareFalseFirst(a bool) int {
 	if a {
 		return 1
--- a/internal/placement/reserved_test.go
+++ b/internal/placement/reserved_test.go
@@ -46,7 +46,7 @@
 	})
 }
 
-// TestDependencyReservedSlotAccess checks a slot that is reserved along a declared dependency.
+// TestDependencyReservedSlotAccess checks a slot that is reserved for a declared dependency.
 // The downstream job and the jobs that it depends on, of any team, may use it, but not other
 // jobs of the same team and class. It can be overridden like any other reservation.
 func TestDependencyReservedSlotAccess(t *testing.T) {
@@ -159,7 +159,7 @@
 		name      string
 		limit     float64
 		otherKind string // of the second job of the pipeline, if any
-		declared  bool   // slots are reserved along the gang's declared dependencies, so not for the second job
+		declared  bool   // slots are reserved for the gang's declared dependencies, so not for the second job
 		released  int
 	}{
 		{"no room in the limit", 16, "", false, 2},
--- a/internal/placement/simulation_test.go
+++ b/internal/placement/simulation_test.go
@@ -22,8 +22,8 @@
 // runtime.
 type simulation struct {
 	machines           int
-	teams              []Team // their quotas
-	relativeClassCount map[string]float64
+	teams              []Team             // their quotas
+	relativeClassCount map[string]float64 // by job kind, which stands for the class
 	starving           map[string]StarvingClass
 	runtime            func(*Job) time.Duration
 	// preempts makes preempted tasks end at once and wait again. If it is not set, they keep
@@ -44,12 +44,13 @@
 	end     time.Time
 }
 
-// run calls submit and runs a pass for every simulated second.
-func (s *simulation) run(submit func(elapsed time.Duration)) {
+// run calls submitDue, which submits the jobs that are due, and runs a pass for every simulated
+// second.
+func (s *simulation) run(submitDue func(elapsed time.Duration)) {
 	s.start = time.Unix(10000, 0)
 	s.startDelay = map[*Job]time.Duration{}
 	for s.now = s.start; s.now.Before(s.start.Add(simulatedDuration)); s.now = s.now.Add(simulatedStep) {
-		submit(s.now.Sub(s.start))
+		submitDue(s.now.Sub(s.start))
 		s.removeFinishedTasks()
 		s.queue = slices.DeleteFunc(s.queue, func(job *Job) bool { return len(job.WaitingTasks) == 0 })
 		for _, job := range s.queue {
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -12,7 +12,7 @@
 type Snapshot struct {
 	Now      time.Time
 	Machines []*Machine
-	Jobs     []*Job
+	Jobs     []*Job // with waiting tasks
 	Teams    map[string]*Team
 	// GangReserve is the number of empty on-demand machines that job arrays must leave to
 	// gangs that can't use spot machines. It applies only to arrays that may use spot
@@ -95,10 +95,10 @@
 type Job struct {
 	Spec               *jobs.Spec
 	Priority           int
-	SubmissionRevision uint64 // revision of the job's record, in the order of submission
+	SubmissionRevision uint64 // revision of the job's record; ascending in the order of submission
 	Submitted          time.Time
-	Guaranteed         bool // fits into its team's guarantee together with the team's earlier jobs
-	WaitingTasks       []int
+	Guaranteed         bool           // fits into its team's guarantee together with the team's earlier jobs
+	WaitingTasks       []int          // indexes of the tasks to be placed
 	TasksByZone        map[string]int // tasks that may be on machines, by zone
 	// AvoidMachines names the machines that the job must not use.
 	AvoidMachines map[string]bool
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -13,8 +13,8 @@
 	used           Resources
 	usedByStopping Resources     // part of used, by stopping tasks
 	maxRemaining   time.Duration // until the last task is expected to end
-	lowestPriority int           // of the tasks that preemptible refers to; 0 if there are none
-	preemptible    bool          // whether any task of a known job is not stopping
+	lowestPriority int           // of the preemptible tasks; 0 if there are none
+	preemptible    bool          // whether any task is preemptible: of a known job, and not stopping
 }
 
 // machineState is the state that a pass keeps for a machine.
