--- a/internal/reservations/manager.go
+++ b/internal/reservations/manager.go
@@ -48,8 +48,9 @@
 	return all
 }
 
-// Consume removes one reservation on the machine for whose pipeline ownsPipeline returns true,
-// as a task of that pipeline takes its slot. It reports whether there was one.
+// Consume removes one reservation on the machine whose pipeline ownsPipeline accepts, because a
+// task of that pipeline takes the slot or a scheduling pass has released the reservation. It
+// reports whether there was one.
 func (m *Manager) Consume(machine string, ownsPipeline func(placement.Pipeline) bool) bool {
 	for i, reservation := range m.reservations[machine] {
 		if ownsPipeline(reservation.Pipeline) {
--- a/internal/reservations/reservation.go
+++ b/internal/reservations/reservation.go
@@ -18,8 +18,8 @@
 	// follow; P is the probability that all tasks of a phase finish before the deadline
 	// (paper, IV-B).
 	Alpha, P float64
-	// Threshold is the fraction of a phase's tasks, from 0 to 1. Once more than this have
-	// finished, further slots are pre-reserved (R in the paper, III-B).
+	// Threshold is a fraction of a phase's tasks, from 0 to 1. Further slots are pre-reserved
+	// once more than this fraction has finished (R in the paper, III-B).
 	Threshold float64
 }
 
