--- a/internal/autoscaling/demand.go
+++ b/internal/autoscaling/demand.go
@@ -38,8 +38,8 @@
 // Snapshot is the input to the scaling decisions.
 type Snapshot struct {
 	Catalog     *Catalog
-	Machines    map[InstancePool]int  // usable or booting
-	Unavailable map[InstancePool]bool // no machines can be rented or reached
+	Machines    map[InstancePool]int  // number of usable or booting machines
+	Unavailable map[InstancePool]bool // pools in which no machines can be rented or reached
 	Demand      []Demand
 	Limits      []TeamLimit
 	// RecentArrivals is the demand of all jobs that arrived within the last ArrivalWindow,
--- a/internal/autoscaling/scaleout.go
+++ b/internal/autoscaling/scaleout.go
@@ -8,8 +8,8 @@
 )
 
 // ScaleOut returns the next rent request, or false if no more machines are needed than are
-// usable or booting. Unavailable spot machines are replaced in part by on-demand ones. spare is
-// explained at DesiredCapacityFor.
+// usable or booting, or if none of the missing ones can be rented. Unavailable spot machines are
+// replaced in part by on-demand ones. spare is explained at DesiredCapacityFor.
 func ScaleOut(s Snapshot, spare float64) (RentRequest, bool) {
 	types := slices.Clone(s.Catalog.MachineTypes)
 	slices.SortFunc(types, func(a, b MachineType) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/autoscaling/scaling_test.go
+++ b/internal/autoscaling/scaling_test.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// checkCapacity fails the test unless the job's zone, or some zone if the job names none, has
-// as many machines that the job may use as it needs.
+// checkCapacity fails the test unless there are enough machines that the job may use in its
+// zone or, if it names none, in some zone.
 func (j zoneBoundJob) checkCapacity(t *rapid.T, s Snapshot, when string) {
 	t.Helper()
 	usable := func(zone string) int {
@@ -163,7 +163,8 @@
 			Demand: []Demand{job.Demand},
 			Limits: []TeamLimit{{"a", placement.Resources{GPUs: 48}}},
 		}
-		// Enough machines for the whole demand, but in the wrong zone.
+		// There may be enough machines for the whole demand, but in the wrong zone or split
+		// between the zones.
 		s.Machines[InstancePool{"g4", "a", false}] = rapid.IntRange(0, 20).Draw(t, "machines in zone a")
 		if job.Zone == "" {
 			s.Machines[InstancePool{"g4", "a", false}] = job.machines / 2
--- a/internal/autoscaling/zonefloor.go
+++ b/internal/autoscaling/zonefloor.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// raiseFloorForGang raises the floor of the zone selected for a gang that can use all machines.
+// raiseFloorForGang raises the floor of the zone selected for a gang that can use both
+// on-demand and spot machines.
 func (s Snapshot) raiseFloorForGang(floors map[string]zoneFloor, machineType MachineType, machines int) {
 	onDemand := func(zone string) InstancePool { return InstancePool{machineType.Name, zone, false} }
 	spot := func(zone string) InstancePool { return InstancePool{machineType.Name, zone, true} }
