--- a/internal/leader/wal/checkpoint_test.go
+++ b/internal/leader/wal/checkpoint_test.go
@@ -32,7 +32,7 @@
 func runCheckpointUnderLoad(t *testing.T, machines int, jobsEnd bool) {
 	t.Helper()
 	limits := Limits{ValueBytes: 2048, TxnOps: constants.MinTxnOps}
-	fleet := newLoadedFleet(limits, machines, 100) // bytes, as images and other metadata take
+	fleet := newLoadedFleet(limits, machines, 100) // about the size of the images and other metadata (bytes)
 	writer := fleet.writer
 	checkpoints, txnsWithoutEntry := 0, 0
 	for i := range 6 * constants.LogRingSize {
--- a/internal/leader/wal/record.go
+++ b/internal/leader/wal/record.go
@@ -35,7 +35,7 @@
 	Class            string    `json:"k"`
 	Upstream         string    `json:"u"`
 	Downstream       string    `json:"d"`
-	UserDeclaredEdge bool      `json:"e,omitempty"` // along an edge that a user declared
+	UserDeclaredEdge bool      `json:"e,omitempty"` // reserved for a dependency that a user declared
 	Priority         int       `json:"p"`
 	Resources        Resources `json:"r"`
 	Expires          int64     `json:"x"` // Unix time (ms)
