--- a/internal/leader/staleness/staleness.go
+++ b/internal/leader/staleness/staleness.go
@@ -23,14 +23,14 @@
 // heartbeat answered with 200 is processed by W + limit. The worker's lease counts from when
 // it sent that heartbeat, which was earlier. So its tasks are gone by
 // W + limit + lease·(1+drift) + lag, however long the heartbeat or the reply took in transit,
-// and that must be no later than W + cancel·(1−drift). Here lag is
-// [constants.WorkerKillDelay]. TestCancelledTasksEndInTimeDuringOutage checks the bound. The
-// limit is at least one second; settings for which this minimum applies are not covered by the
-// bound.
+// and that must be no later than W + cancel·(1−drift). Here cancel and lease are the times in w,
+// drift is [constants.ClockDrift], and lag is [constants.WorkerKillDelay].
+// TestCancelledTasksEndInTimeDuringOutage checks the bound. The limit is at least one second;
+// settings for which this minimum applies are not covered by the bound.
 func Limit(w config.WorkerTimings) time.Duration {
 	cancel, lease := config.Seconds(w.CancelWithinS), config.Seconds(w.LeaseS)
-	drift := time.Duration(float64(cancel+lease) * constants.ClockDrift)
-	return max(cancel-lease-drift-constants.WorkerKillDelay, time.Second)
+	driftAllowance := time.Duration(float64(cancel+lease) * constants.ClockDrift)
+	return max(cancel-lease-driftAllowance-constants.WorkerKillDelay, time.Second)
 }
 
 // Tracker tracks the time up to which all cancellations are known. A zero time means that
@@ -60,8 +60,7 @@
 
 // RecordAttestation records that all nodes, asked at askedAt, have listed the cancellations they
 // had confirmed to users. It reports whether acknowledgements were forbidden before and are
-// permitted now. The caller must have dropped late answers
-// (attestation.AnsweredTooLate).
+// permitted now. The caller must have dropped late answers (attestation.AnsweredTooLate).
 func (t *Tracker) RecordAttestation(askedAt, now time.Time) (restored bool) {
 	if !askedAt.After(t.knownUntil) {
 		return false
--- a/internal/leader/staleness/staleness_test.go
+++ b/internal/leader/staleness/staleness_test.go
@@ -12,8 +12,10 @@
 
 // stalenessModel is the expected state of a tracker.
 type stalenessModel struct {
-	limit           time.Duration
-	latest, watched time.Time // request times of the latest answer, and of the watch's last answer
+	limit time.Duration
+	// latest is the time of the latest request that was answered, watched that of the watch
+	// request that was answered last.
+	latest, watched time.Time
 }
 
 // TestKnownUntilOnlyAdvances checks that, for any answers in any order, cancellations are
