--- a/internal/leader/health/failures.go
+++ b/internal/leader/health/failures.go
@@ -75,7 +75,7 @@
 		return constants.MinTaskRetryDelay, false
 	}
 	if !inBackoff {
-		// Tasks that fail in the same round count once.
+		// Failures during a backoff belong to the round that led to it and do not count.
 		h.failedRounds++
 	}
 	return backoff(h.failedRounds), false
--- a/internal/leader/health/runtimes.go
+++ b/internal/leader/health/runtimes.go
@@ -13,9 +13,8 @@
 // progress and users' estimates are often wrong by half, so a task is compared with the other
 // tasks of its job instead. The paper on speculative slot reservation (see package
 // reservations) proposes to run a second copy of a slow task (section IV-C), which the protocol
-// forbids.
-// Here the tasks of a slow machine are saved, stopped and started elsewhere, and the machine
-// gets no new tasks for a while.
+// forbids. Here the tasks of a slow machine are saved, stopped and started elsewhere, and the
+// machine gets no new tasks for a while.
 type Runtimes struct {
 	samples []time.Duration // the latest run times, oldest first
 	// median caches the median of the samples; zero means that it must be recomputed.
