--- a/internal/attestation/attestation_test.go
+++ b/internal/attestation/attestation_test.go
@@ -49,6 +49,7 @@
 	clockAtStart time.Time // reading of its own clock at startedAt
 }
 
+// clock returns what the process's clock reads at a true time.
 func (p *process) clock(at time.Time) time.Time {
 	return p.clockAtStart.Add(time.Duration(float64(at.Sub(p.startedAt)) * p.clockRate))
 }
@@ -70,7 +71,7 @@
 	watchedUntil, knownUntil time.Time
 	known                    map[string]bool
 	confirmations            []confirmation
-	jobs                     int
+	cancelledJobs            int
 }
 
 func newSimulation(t *rapid.T) *simulation {
@@ -98,8 +99,8 @@
 // some time later.
 func (s *simulation) cancelJob(t *rapid.T) {
 	p := s.processes[rapid.IntRange(0, modelNodes-1).Draw(t, "confirming node")]
-	id := fmt.Sprint("j-", s.jobs)
-	s.jobs++
+	id := fmt.Sprint("j-", s.cancelledJobs)
+	s.cancelledJobs++
 	p.log.Add(id, p.clock(s.now))
 	s.advance(t, 0, 300, "confirmation delay")
 	s.confirmations = append(s.confirmations, confirmation{id, s.now})
--- a/internal/peers/client.go
+++ b/internal/peers/client.go
@@ -143,9 +143,9 @@
 	return reply.OK, nil
 }
 
-// AttestCancellations returns the jobs whose cancellation a node has confirmed to users within
-// the window before its answer. ok is false if the node can't give a complete list or can't be
-// reached.
+// AttestCancellations returns the IDs of the jobs whose cancellation a node may have confirmed to
+// users within the window before its answer. ok is false if the node can't give a complete list
+// or can't be reached.
 func (c *Client) AttestCancellations(ctx context.Context, node string, window time.Duration) (cancelled []string, ok bool) {
 	reply := new(VouchReply)
 	// Rounded up, so that the node covers at least the window.
--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -15,8 +15,9 @@
 
 // LocalNode is the node that serves the calls of other nodes.
 type LocalNode interface {
-	// AttestCancellations returns the jobs whose cancellation this process has confirmed to
-	// users within the window before the call. ok is false if it can't give a complete list.
+	// AttestCancellations returns the IDs of the jobs whose cancellation this process may have
+	// confirmed to users within the window before the call. ok is false if it can't give a
+	// complete list.
 	AttestCancellations(window time.Duration) (cancelled []string, ok bool)
 	// Healthy reports whether the state service responds to this node.
 	Healthy() bool
--- a/internal/peers/wire.go
+++ b/internal/peers/wire.go
@@ -45,12 +45,12 @@
 	Body       []byte
 }
 
-// VouchArgs requests the cancellations that the node has confirmed to users within the window of
-// SpanMS milliseconds before its answer.
+// VouchArgs requests the cancellations that the node may have confirmed to users within the
+// window of SpanMS milliseconds before its answer.
 type VouchArgs struct{ SpanMS int64 }
 
-// VouchReply is the reply to VouchArgs. If OK is false, the node can't give a complete list of
-// the cancellations that it has confirmed.
+// VouchReply is the reply to VouchArgs. Cancelled lists the IDs of the cancelled jobs. If OK is
+// false, the node can't give a complete list.
 type VouchReply struct {
 	OK        bool
 	Cancelled []string
