--- a/internal/leader/wal/pending.go
+++ b/internal/leader/wal/pending.go
@@ -67,8 +67,8 @@
 }
 
 // AttemptGone records that an attempt is proven to be off its machine. If its start has not
-// been written yet, neither the start nor the end is recorded, and the callback of the start
-// is never called.
+// been written in an entry yet, it never is, and the callback of the start is never called. The
+// end is then recorded only if a checkpoint part already includes the start.
 func (w *Writer) AttemptGone(machineName string, attempt Attempt) {
 	machine := w.pending.machine(machineName)
 	for i, placed := range machine.Placed {
@@ -119,7 +119,7 @@
 }
 
 // nextEntry moves pending changes into one entry of at most valueBytes and returns the
-// callbacks to call once the entry is committed. The entry is nil if nothing is pending.
+// callbacks to call once the entry is committed. The entry is nil if there is nothing to write.
 func (p *pendingChanges) nextEntry(seq uint64, valueBytes int) (json.RawMessage, []func()) {
 	if len(p.machineOrder) == 0 && len(p.doneOrder) == 0 {
 		return nil, nil
