--- a/internal/reservations/manager_test.go
+++ b/internal/reservations/manager_test.go
@@ -62,12 +62,13 @@
 	})
 }
 
-// downstreamSet contains the downstream jobs of one upstream job. Slots do not fit those
-// in unsuitable.
+// downstreamSet contains the downstream jobs of one upstream job. No slot fits a job in
+// unsuitable; every slot fits the others.
 type downstreamSet struct {
 	jobs       []Downstream
 	unsuitable map[string]bool
-	// totalTasks is the number of tasks of all jobs, usableTasks that of the jobs that slots fit.
+	// totalTasks is the number of tasks of all jobs, usableTasks that of the jobs that are not in
+	// unsuitable.
 	totalTasks, usableTasks int
 }
 
@@ -89,9 +90,9 @@
 
 func (s downstreamSet) fits(downstream Downstream) bool { return !s.unsuitable[downstream.Job] }
 
-// checkReservationOrder checks that each reservation is for the pipeline of its job, that jobs
-// that slots do not fit have none, that no job has more reservations than tasks, and that a job
-// has none while an earlier job that slots fit still lacks some.
+// checkReservationOrder checks that each reservation is for the pipeline of its job, that
+// unsuitable jobs have none, that no job has more reservations than tasks, and that a job has
+// none while an earlier suitable job has fewer reservations than tasks.
 func (s downstreamSet) checkReservationOrder(t *rapid.T, manager *Manager) {
 	t.Helper()
 	earlierIncomplete := false
@@ -175,8 +176,8 @@
 	})
 }
 
-// TestWhenReservationsEnd checks that reservations end when they are used, when their slot is
-// taken, when their downstream job stops waiting, and at their deadline.
+// TestWhenReservationsEnd checks that reservations end when they are used, when their machine has
+// no room for them any more, when their downstream job stops waiting, and at their deadline.
 func TestWhenReservationsEnd(t *testing.T) {
 	next := Downstream{Pipeline: testPipeline, Job: "j-2", Tasks: 3, TaskResources: oneTask}
 	always := func(string) bool { return true }
