--- a/internal/leader/attestations.go
+++ b/internal/leader/attestations.go
@@ -8,9 +8,9 @@
 	"thornnotch/internal/constants"
 )
 
-// AttestFunc asks every node for the jobs it has reported to users as cancelled within the
-// past span. It reports false unless every node gave a complete answer.
-type AttestFunc func(ctx context.Context, span time.Duration) (cancelled []string, ok bool)
+// AttestFunc asks every node which jobs it has reported to users as cancelled within the window
+// that ends with the node's answer. It reports false unless every node gave a complete answer.
+type AttestFunc func(ctx context.Context, window time.Duration) (cancelled []string, ok bool)
 
 // collectAttestations requests attestations from all nodes, every AttestationInterval, while the
 // watch on the open jobs has been unanswered for at least AttestationAfter. It returns
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -148,7 +148,7 @@
 	perFleetSize(b, func(b *testing.B, machines int) {
 		b.Helper()
 		l, _ := largeFleet(b, machines)
-		l.deps.Cloud = &cloudCalls{}
+		l.deps.Cloud = &countingCloud{}
 		now := time.Now()
 		l.scaling.list.completedAt, l.scaling.calls.inFlight = now, true
 		b.ResetTimer()
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -65,12 +65,13 @@
 // sendDirectCommand sends a direct command, that is, a request to the worker's own address. It
 // may arrive minutes late, so only stops are sent this way: a late stop is harmless, as it
 // names an attempt that is never started again. Without stops the command only sends the
-// worker this term's token and asks for its status. sendDirectCommand returns false if no slot
-// is free for the command, but true if there is no need or no address to send it to.
+// worker this term's token and asks for its status. sendDirectCommand returns false only if no
+// slot is free for the command. It also returns true if nothing has to be sent, or nothing can
+// be sent because the worker's endpoint or epoch is not known yet.
 func (l *Leader) sendDirectCommand(machine *machineState, stops []workers.Command, now time.Time) bool {
 	worker := machine.worker
 	if worker.Endpoint == "" || worker.Epoch == 0 || machine.direct.inFlight && len(stops) == 0 {
-		return true // no address yet, or another command with the token is already in flight
+		return true // no endpoint or epoch yet, or another command with the token is already in flight
 	}
 	silent := l.isSilent(machine, now)
 	if !l.commands.acquire(len(stops) > 0, silent) {
--- a/internal/leader/commands_test.go
+++ b/internal/leader/commands_test.go
@@ -158,7 +158,7 @@
 	return nil, statestore.ErrOutcomeUnknown
 }
 
-// recordingWorkers is a worker client that records the commands of each direct request.
+// recordingWorkers is a worker client that records the commands of each request.
 type recordingWorkers struct{ commands chan []workers.Command }
 
 func (w recordingWorkers) Send(_ context.Context, _ string, batch workers.CommandBatch) (*workers.Heartbeat, error) {
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -118,8 +118,8 @@
 	c.lastTxnFull = full
 }
 
-// beginTxn returns the next transaction, or nil if none is due. The caller must pass its
-// result to finishTxn.
+// beginTxn returns the next transaction, or nil if none is due. The caller must send the
+// transaction and pass the state service's answer to finishTxn.
 func (c *groupCommit) beginTxn(now time.Time) *wal.Txn {
 	dueAt := c.dueAt()
 	if dueAt.IsZero() {
--- a/internal/leader/commit_job_writes.go
+++ b/internal/leader/commit_job_writes.go
@@ -87,11 +87,11 @@
 
 // keyDeletion returns a write that deletes a key unless its revision has changed.
 func (c *groupCommit) keyDeletion(key string, revision uint64) wal.JobWrite {
-	removed := func() { delete(c.obsoleteKeys, key) }
+	forgetKey := func() { delete(c.obsoleteKeys, key) }
 	return wal.JobWrite{
 		Conditions:  []statestore.Condition{{Key: key, Revision: revision}},
 		Writes:      []statestore.Write{{Delete: key}},
-		OnCommitted: func(uint64) { removed() },
-		OnConflict:  removed,
+		OnCommitted: func(uint64) { forgetKey() },
+		OnConflict:  forgetKey,
 	}
 }
--- a/internal/leader/commit_test.go
+++ b/internal/leader/commit_test.go
@@ -171,14 +171,14 @@
 	return ops
 }
 
-// raisedTermStore is a state service on which another node has started a newer term, but not
+// newerTermStore is a state service on which another node has started a newer term, but not
 // yet written to the log.
-type raisedTermStore struct {
+type newerTermStore struct {
 	Store
 	writeCount int
 }
 
-func (s *raisedTermStore) Txn(_ context.Context, _ statestore.Class, conditions []statestore.Condition, writes []statestore.Write) (uint64, error) {
+func (s *newerTermStore) Txn(_ context.Context, _ statestore.Class, conditions []statestore.Condition, writes []statestore.Write) (uint64, error) {
 	for _, c := range conditions {
 		if c.Key == election.TermKey {
 			return 0, &statestore.ConflictError{FailedKeys: []string{c.Key}} // the term record has another revision
@@ -196,7 +196,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
 		l := testLeader(t)
-		store := &raisedTermStore{}
+		store := &newerTermStore{}
 		l.deps.Store = store
 		addMachine(l, "m-1", "east", now)
 		addJob(t, l, arraySpec("j-1", 1), now)
--- a/internal/leader/dependency_reservations_test.go
+++ b/internal/leader/dependency_reservations_test.go
@@ -54,8 +54,8 @@
 	l.applyHeartbeat(machine, nextHeartbeat(l, machine, workers.StatusExited, workers.CauseDone), false, now)
 }
 
-// reserved returns the number of reservations.
-func (f dependencyFixture) reserved() int { return len(f.leader.reservations.All()) }
+// reservationCount returns the number of reservations.
+func (f dependencyFixture) reservationCount() int { return len(f.leader.reservations.All()) }
 
 // TestReservationsFollowDependencies checks that the resources of a finished task are reserved
 // for the job that depends on it, even one of another team. Other jobs of the same priority
@@ -82,8 +82,8 @@
 
 	commitPending(f.leader, 200)
 	f.leader.runSchedulingPass(now)
-	if len(f.downstream.attempts) != 4 || len(f.other.attempts) != 0 || f.reserved() != 0 {
-		t.Errorf("%d tasks of the downstream and %d of the other job placed, %d reservations left; want 4, 0 and 0", len(f.downstream.attempts), len(f.other.attempts), f.reserved())
+	if len(f.downstream.attempts) != 4 || len(f.other.attempts) != 0 || f.reservationCount() != 0 {
+		t.Errorf("%d tasks of the downstream and %d of the other job placed, %d reservations left; want 4, 0 and 0", len(f.downstream.attempts), len(f.other.attempts), f.reservationCount())
 	}
 }
 
@@ -108,8 +108,8 @@
 		t.Errorf("blocked once the job may start: %v, want false", got)
 	}
 	f.leader.runSchedulingPass(now)
-	if len(f.downstream.attempts) != 1 || f.reserved() != 0 {
-		t.Errorf("%d tasks placed, %d reservations left; want 1 and 0", len(f.downstream.attempts), f.reserved())
+	if len(f.downstream.attempts) != 1 || f.reservationCount() != 0 {
+		t.Errorf("%d tasks placed, %d reservations left; want 1 and 0", len(f.downstream.attempts), f.reservationCount())
 	}
 }
 
@@ -150,8 +150,8 @@
 		f.machine.worker.LastHeartbeat, f.machine.worker.LastAcknowledged = now, now
 		f.leader.staleness.RecordWatch(now)
 		f.leader.runSchedulingPass(now)
-		if f.reserved() != 0 || len(f.other.attempts) != 4 {
-			t.Errorf("%d reservations left, %d tasks of the other job placed; want 0 and 4", f.reserved(), len(f.other.attempts))
+		if f.reservationCount() != 0 || len(f.other.attempts) != 4 {
+			t.Errorf("%d reservations left, %d tasks of the other job placed; want 0 and 4", f.reservationCount(), len(f.other.attempts))
 		}
 	}
 	t.Run("cancelled", func(t *testing.T) {
@@ -166,7 +166,7 @@
 		settings := f.leader.deps.Operator.Reservations
 		expiry := start.Add(reservations.Options{Alpha: settings.Alpha, P: settings.P}.Deadline(10*time.Second, 4))
 		f.leader.reservations.Expire(expiry.Add(-time.Second), f.leader.hasWaitingTasks)
-		if f.reserved() != 4 {
+		if f.reservationCount() != 4 {
 			t.Errorf("reservations expired before their deadline")
 		}
 		checkOtherStarts(t, f, expiry.Add(time.Second))
@@ -272,7 +272,7 @@
 		f := newDependencyFixture(t, 4, now)
 		f.leader.deps.Operator.Reservations.SubmissionOrder = submissionOrder
 		finishAll(f.leader, f.machine, now.Add(10*time.Second))
-		if got := f.reserved(); got != 4 {
+		if got := f.reservationCount(); got != 4 {
 			t.Errorf("submission order %v: %d reservations for the dependent job, want 4", submissionOrder, got)
 		}
 	}
--- a/internal/leader/dependency_tracker.go
+++ b/internal/leader/dependency_tracker.go
@@ -10,7 +10,7 @@
 // dependencyTracker holds the dependencies between jobs, and tracks the records that must be
 // read to resolve the dependencies of waiting jobs.
 type dependencyTracker struct {
-	// downstreams are the jobs that depend on a job, by its ID.
+	// downstreams maps a job's ID to the jobs that depend on that job.
 	downstreams map[string][]*jobState
 	// pendingFinals are the IDs of the jobs whose final record has to be read.
 	pendingFinals map[string]bool
--- a/internal/leader/events.go
+++ b/internal/leader/events.go
@@ -20,9 +20,9 @@
 //   - watchedUntilRequested and attestationsReceived from collectAttestations;
 //   - callFinished from calls that the loop itself started.
 //
-// callFinished carries a function because its result concerns only the component that queued
-// the call. A separate type for each call would just repeat the captured variables of that
-// function as fields.
+// callFinished carries a function because the result of a call concerns only the component that
+// queued the call. A separate type for each call would just repeat the captured variables of
+// that function as fields.
 type event interface {
 	apply(l *Leader)
 }
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -9,7 +9,7 @@
 )
 
 // taskFailed handles the exit of a failed task: it sets the backoff of the task or of the
-// whole job, and updates the suspicion against the machine.
+// whole job, and updates which machines are suspected or quarantined.
 func (l *Leader) taskFailed(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
 	ran := time.Duration(0)
 	if !attempt.RunningSince.IsZero() {
--- a/internal/leader/finish_reservations.go
+++ b/internal/leader/finish_reservations.go
@@ -30,8 +30,8 @@
 	l.offerFreedResources(machine, now)
 }
 
-// offerFreedResources offers resources freed on a machine to downstream jobs that pre-reserve
-// slots released by other jobs.
+// offerFreedResources offers resources freed on a machine to downstream jobs that have more tasks
+// than their upstream job and therefore pre-reserve slots that other jobs release.
 func (l *Leader) offerFreedResources(machine *machineState, now time.Time) {
 	if !machine.schedulable(now) {
 		return
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -175,8 +175,8 @@
 
 // updateReachability handles changes in whether the worker receives the leader's replies and
 // whether its reachability is confirmed, after a heartbeat was applied. While either is in
-// doubt, it probes the worker. The arguments are the worker's values from before that
-// heartbeat.
+// doubt, it probes the worker. repliesWereLost and reachabilityWasUnconfirmed are the worker's
+// values from before that heartbeat.
 func (l *Leader) updateReachability(machine *machineState, repliesWereLost, reachabilityWasUnconfirmed bool, now time.Time) {
 	worker := machine.worker
 	if worker.RepliesLost != repliesWereLost {
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -89,7 +89,7 @@
 		now := time.Now()
 		l := testLeader(t)
 		useUnavailableStore(t, l)
-		l.deps.Cloud = &cloudCalls{}
+		l.deps.Cloud = &countingCloud{}
 		l.staleness.RecordWatch(now)
 		machine := addMachine(l, "m-1", "east", now)
 		spec := arraySpec("j-1", 2)
--- a/internal/leader/job_admission.go
+++ b/internal/leader/job_admission.go
@@ -49,7 +49,7 @@
 // recordArrival adds a job that has become eligible to start to the recent arrivals.
 func (l *Leader) recordArrival(job *jobState, now time.Time) {
 	l.scaling.recentArrivals.add(arrival{
-		at: job.view.Submitted, demand: demandOf(job, job.spec.Tasks), forGangReserve: l.qualifiesForGangReserve(job.spec),
+		at: job.view.Submitted, demand: resourceDemand(job, job.spec.Tasks), forGangReserve: l.qualifiesForGangReserve(job.spec),
 	}, now)
 }
 
--- a/internal/leader/job_table.go
+++ b/internal/leader/job_table.go
@@ -71,8 +71,8 @@
 	delete(t.open, id)
 }
 
-// clearRemoved is called when the watch reports the deletion of a job's open record. The
-// watch delivers changes in order, so no older change of that record can follow.
+// clearRemoved forgets that a job was removed, once the watch has reported the deletion of its
+// open record. The watch delivers changes in order, so no older change of that record can follow.
 func (t *jobTable) clearRemoved(id string) { delete(t.removed, id) }
 
 // restoreAttemptOfEndedJob counts an attempt of an ended job that was restored from the
@@ -104,8 +104,8 @@
 	}
 }
 
-// resourcesOf returns the resources that an attempt takes. An attempt whose job has ended
-// still occupies its machine.
+// resourcesOf returns the resources that an attempt takes, or none if its job is unknown. An
+// attempt whose job has ended still occupies its machine.
 func (t *jobTable) resourcesOf(attempt *workers.Attempt) placement.Resources {
 	if job := t.open[attempt.ID.Task.Job]; job != nil {
 		return placement.TaskResources(job.spec)
@@ -116,7 +116,7 @@
 	return placement.Resources{}
 }
 
-// teamOf returns the team that an attempt is accounted to.
+// teamOf returns the team that an attempt is accounted to, or "" if its job is unknown.
 func (t *jobTable) teamOf(attempt *workers.Attempt) string {
 	if job := t.open[attempt.ID.Task.Job]; job != nil {
 		return job.spec.Team
--- a/internal/leader/loop_test.go
+++ b/internal/leader/loop_test.go
@@ -18,7 +18,8 @@
 	"thornnotch/internal/workers"
 )
 
-// loopStore is a state service that has no records at first and executes every transaction.
+// loopStore is a state service that holds only the term record. It accepts every transaction but
+// stores only the written keys, and its watch reports the changes that a test sends.
 type loopStore struct {
 	changes chan []statestore.Change
 
@@ -75,7 +76,7 @@
 func startRun(t *testing.T, store *loopStore) (l *Leader, stop func() error) {
 	t.Helper()
 	l = testLeader(t)
-	l.deps.Store, l.deps.Cloud = store, &cloudCalls{}
+	l.deps.Store, l.deps.Cloud = store, &countingCloud{}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- l.Run(ctx) }()
--- a/internal/leader/machine_lifecycle.go
+++ b/internal/leader/machine_lifecycle.go
@@ -23,7 +23,7 @@
 // mark is recorded.
 func (m *machineLifecycle) beginLeaving() { m.leaving, m.leavingRecorded = true, false }
 
-// markLeavingRecorded is called once the machine's record with its current leaving mark is
+// markLeavingRecorded records that the machine's record with its current leaving mark is
 // committed.
 func (m *machineLifecycle) markLeavingRecorded() { m.leavingRecorded = m.leaving }
 
--- a/internal/leader/machine_view.go
+++ b/internal/leader/machine_view.go
@@ -61,8 +61,9 @@
 	return task
 }
 
-// addActiveFetch adds an image that the machine has been fetching for the elapsed time to the
-// view, with the expected remaining wait. Concurrent fetches share the machine's bandwidth.
+// addActiveFetch adds to the view an image that the machine is fetching, with the expected
+// remaining wait. elapsed is how long ago the fetch began. Concurrent fetches share the machine's
+// bandwidth.
 func addActiveFetch(view *placement.Machine, spec *jobs.Spec, elapsed time.Duration) {
 	if _, shown := view.ImageWait[spec.Image]; shown || view.FetchGBPerS <= 0 {
 		return
--- a/internal/leader/recent_arrivals.go
+++ b/internal/leader/recent_arrivals.go
@@ -48,13 +48,14 @@
 	return int(math.Ceil(machines * constants.GangReserveHorizon.Seconds() / constants.ArrivalRateWindow.Seconds()))
 }
 
-// machinesNeeded returns how many machines a demand fills, of the first machine type that fits
-// one of its tasks. It returns 0 if none does.
+// machinesNeeded returns how many machines a demand fills, as a fraction. It assumes machines of
+// the first type in the catalog on which a task of the demand fits, and returns 0 if there is no
+// such type.
 func machinesNeeded(catalog *autoscaling.Catalog, demand autoscaling.Demand) float64 {
 	for _, machineType := range catalog.MachineTypes {
 		total := placement.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}
-		if tasks := total.FitCount(demand.TaskResources, demand.Tasks); tasks > 0 {
-			return float64(demand.Tasks) / float64(tasks)
+		if tasksPerMachine := total.FitCount(demand.TaskResources, demand.Tasks); tasksPerMachine > 0 {
+			return float64(demand.Tasks) / float64(tasksPerMachine)
 		}
 	}
 	return 0
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -16,8 +16,8 @@
 	terminated  terminatedMachines
 	unavailable unavailablePools
 	zones       unreachableZones
-	// desiredCapacity holds the recent desired capacity, so that no machines are returned in a
-	// short lull.
+	// desiredCapacity holds the recent desired capacity, so that no machines are returned when
+	// demand drops for a short time.
 	desiredCapacity *autoscaling.CapacityWindow
 	// recentArrivals holds the jobs that arrived recently.
 	recentArrivals recentArrivals
@@ -42,8 +42,8 @@
 	s.recentArrivals.prune(now)
 }
 
-// reviewDue reports whether the next review of the fleet is due. If so, it records that the
-// review takes place now.
+// reviewDue reports whether the next review of the fleet, the search for slow, faulty and surplus
+// machines, is due. If so, it records that the review takes place now.
 func (s *scalingState) reviewDue(now time.Time) bool {
 	if now.Sub(s.reviewedAt) < constants.FleetReviewInterval {
 		return false
--- a/internal/leader/scaling_booting.go
+++ b/internal/leader/scaling_booting.go
@@ -36,7 +36,8 @@
 	return now.Sub(b.rentedAt) > bootTimeout && now.Sub(b.firstSeenAt) > lease && now.Sub(resumedAt) > lease
 }
 
-// bootTimeout returns how long a machine of the given type may take to boot and register.
+// bootTimeout returns how long a machine of the given type may take to boot and register, or 0 if
+// the type is not in the catalog.
 func (l *Leader) bootTimeout(machineType string) time.Duration {
 	t, _ := l.deps.Catalog().Type(machineType)
 	return config.Seconds(t.BootS * constants.BootTimeoutFactor)
--- a/internal/leader/scaling_snapshot.go
+++ b/internal/leader/scaling_snapshot.go
@@ -20,7 +20,7 @@
 	}
 	for job := range l.jobs.all() {
 		if remainingTasks := job.progress.remaining(); remainingTasks > 0 && !job.upstreams.blocked() {
-			snapshot.Demand = append(snapshot.Demand, demandOf(job, remainingTasks))
+			snapshot.Demand = append(snapshot.Demand, resourceDemand(job, remainingTasks))
 		}
 	}
 	for _, arrival := range l.scaling.recentArrivals {
@@ -70,8 +70,8 @@
 	return unavailable
 }
 
-// demandOf returns the demand of the given number of a job's tasks.
-func demandOf(job *jobState, tasks int) autoscaling.Demand {
+// resourceDemand returns the resource demand of the given number of a job's tasks.
+func resourceDemand(job *jobState, tasks int) autoscaling.Demand {
 	return autoscaling.Demand{
 		Team: job.spec.Team, Tasks: tasks, TaskResources: placement.TaskResources(job.spec),
 		AllowSpot: job.spec.AllowSpot, MachineTypes: job.spec.MachineTypes, Zone: job.spec.Zone,
--- a/internal/leader/staleness_test.go
+++ b/internal/leader/staleness_test.go
@@ -15,10 +15,10 @@
 )
 
 // TestCancelledTasksEndInTimeDuringOutage checks that tasks of cancelled jobs end in time
-// although, from time W on, the state service refuses the leader while another node confirms
-// cancellations. For any network delays, delays in the leader and clock drift, the last task
-// must end within cancel_s of the first confirmation. Omitting any summand in staleness.Limit
-// makes this test fail.
+// although the state service refuses the leader, from time W of staleness.Limit on, while another
+// node confirms cancellations. For any network delays, delays in the leader and clock drift, the
+// last task must end within cancel_s of the first confirmation. Omitting any summand in
+// staleness.Limit makes this test fail.
 func TestCancelledTasksEndInTimeDuringOutage(t *testing.T) {
 	for seed := range uint64(60) {
 		synctest.Test(t, func(t *testing.T) {
@@ -120,7 +120,7 @@
 type slowWatchStore struct {
 	Store
 	delay     time.Duration
-	requested chan time.Time
+	requested chan time.Time // receives the time of each request
 }
 
 func (s slowWatchStore) Watch(ctx context.Context, _ string, fromRevision uint64, _ time.Duration) (uint64, []statestore.Change, error) {
--- a/internal/leader/start_targets.go
+++ b/internal/leader/start_targets.go
@@ -39,7 +39,7 @@
 }
 
 // longestFetchS returns the time to fetch a job's image on the machine type with the lowest
-// fetch rate, in seconds.
+// fetch rate, in seconds, or 0 if no catalog is loaded.
 func (l *Leader) longestFetchS(spec *jobs.Spec) float64 {
 	longest := 0.0
 	if catalog := l.deps.Catalog(); catalog != nil {
--- a/internal/leader/start_targets_test.go
+++ b/internal/leader/start_targets_test.go
@@ -32,7 +32,7 @@
 		spec := arraySpec("j-1", 1)
 		spec.Class, spec.DeadlineS = c.class, c.deadlineS
 		if got := fmt.Sprint(l.startTargets(&spec, 0)); got != c.want {
-			t.Errorf("class %s, deadline %v: targets %s, want %s", c.class, c.deadlineS != nil, got, c.want)
+			t.Errorf("class %s, has deadline %v: targets %s, want %s", c.class, c.deadlineS != nil, got, c.want)
 		}
 	}
 }
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -70,7 +70,7 @@
 	Machine    string  `json:"rig"`
 	Team       string  `json:"team"`
 	Class      string  `json:"class"`
-	Job        string  `json:"job"`
+	Job        string  `json:"job"` // the downstream job
 	CPUs       float64 `json:"cpus"`
 	GPUs       float64 `json:"gpus"`
 	ExpiresInS float64 `json:"lapsesInS"`
--- a/internal/leader/task_progress.go
+++ b/internal/leader/task_progress.go
@@ -96,7 +96,8 @@
 	p.doneCount = p.done.count()
 }
 
-// chunks returns the set of done tasks, split into parts that fit one checkpoint record.
+// chunks returns the set of done tasks, split into chunks that each fit into one checkpoint
+// record.
 func (p *taskProgress) chunks() (chunks []wal.DoneTasks) {
 	const chunkBytes = constants.TasksPerDoneChunk / 8
 	for offset := 0; offset < len(p.done); offset += chunkBytes {
--- a/internal/leader/team_usage_test.go
+++ b/internal/leader/team_usage_test.go
@@ -37,6 +37,7 @@
 	return rapid.SampledFrom(machines).Draw(rt, "machine")
 }
 
+// addMachine adds a machine, or skips the action if six have been added already.
 func (m *usageModel) addMachine(rt *rapid.T) {
 	m.machines++
 	if m.machines > 6 {
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -39,8 +39,8 @@
 	// lastIteration is when the last iteration of the loop began. resumed is when the loop
 	// last resumed after a stall.
 	lastIteration, resumed time.Time
-	// unverified is set from a stall until the state service has confirmed that the term still
-	// lasts; verifying while that request is in flight.
+	// unverified is set from a stall until a read of the term record has confirmed that the term
+	// still lasts. verifying is set while such a read is in flight.
 	unverified, verifying bool
 }
 
@@ -108,7 +108,8 @@
 func (t *term) verified() bool { return !t.unverified }
 
 // beginVerification starts a verification of the term. It reports false if one is in flight
-// already. The result and the returned time must be passed to finishVerification.
+// already. Otherwise the caller must read the term record and pass what it read and the returned
+// time to finishVerification.
 func (t *term) beginVerification() (resumedAt time.Time, ok bool) {
 	if t.verifying {
 		return time.Time{}, false
--- a/internal/leader/term_test.go
+++ b/internal/leader/term_test.go
@@ -25,20 +25,20 @@
 	return statestore.KeyValue{Revision: s.revision}, s.err == nil, s.err
 }
 
-// cloudCalls counts calls to the cloud.
-type cloudCalls struct{ rents, returns, lists int }
+// countingCloud is a cloud client that counts its calls.
+type countingCloud struct{ rents, returns, lists int }
 
-func (c *cloudCalls) Rent(context.Context, autoscaling.RentRequest) ([]string, error) {
+func (c *countingCloud) Rent(context.Context, autoscaling.RentRequest) ([]string, error) {
 	c.rents++
 	return nil, autoscaling.ErrNoCapacity
 }
 
-func (c *cloudCalls) Return(context.Context, []string) error {
+func (c *countingCloud) Return(context.Context, []string) error {
 	c.returns++
 	return nil
 }
 
-func (c *cloudCalls) List(context.Context, string) ([]autoscaling.Instance, string, error) {
+func (c *countingCloud) List(context.Context, string) ([]autoscaling.Instance, string, error) {
 	c.lists++
 	return nil, "", nil
 }
@@ -126,7 +126,7 @@
 func testStalledLeader(t *testing.T, deposed bool) {
 	t.Helper()
 	l := testLeader(t)
-	store, cloud := &termStore{err: statestore.ErrUnavailable}, &cloudCalls{}
+	store, cloud := &termStore{err: statestore.ErrUnavailable}, &countingCloud{}
 	l.deps.Store, l.deps.Cloud = store, cloud
 	start := time.Now()
 	for i := range 6 {
@@ -187,12 +187,12 @@
 }
 
 // checkNothingDecided fails if any decision was based on the state from before the stall.
-func checkNothingDecided(t *testing.T, l *Leader, cloud *cloudCalls, now time.Time) {
+func checkNothingDecided(t *testing.T, l *Leader, cloud *countingCloud, now time.Time) {
 	t.Helper()
 	if job := l.jobs.get("j-1"); len(job.attempts) > 0 {
 		t.Errorf("%d tasks placed using stale state", len(job.attempts))
 	}
-	if *cloud != (cloudCalls{}) {
+	if *cloud != (countingCloud{}) {
 		t.Errorf("the cloud was called before the term was verified: %+v", *cloud)
 	}
 	for name, machine := range l.fleet.byName {
--- a/internal/leader/unreachable_zones.go
+++ b/internal/leader/unreachable_zones.go
@@ -33,7 +33,7 @@
 }
 
 // updateUnreachableZones updates the reachability of all zones and returns whether each is
-// unreachable: most of its machines are silent, or were until recently.
+// unreachable: most of its machines are silent beyond their lease, or were until recently.
 func (l *Leader) updateUnreachableZones(now time.Time) map[string]bool {
 	machines, silent := make(map[string]int), make(map[string]int)
 	for machine := range l.fleet.all() {
