--- a/internal/leader/drain.go
+++ b/internal/leader/drain.go
@@ -19,9 +19,9 @@
 		case job == nil:
 			l.stopAttempt(machine, attempt, 0, now)
 		case job.spec.Kind == jobs.KindGang:
-			l.stopGang(job, job.saveGrace(), now)
+			l.stopGang(job, job.saveGraceS(), now)
 		default:
-			l.stopAttempt(machine, attempt, job.saveGrace(), now)
+			l.stopAttempt(machine, attempt, job.saveGraceS(), now)
 		}
 	}
 	if len(l.reservations.OnMachine(machine.worker.Name)) > 0 {
--- a/internal/leader/gang_recovery.go
+++ b/internal/leader/gang_recovery.go
@@ -30,7 +30,7 @@
 // Such a gang can't be completed any more and would wait forever.
 func (l *Leader) stopIncompleteGang(job *jobState, now time.Time) {
 	if n := len(job.attempts); job.spec.Kind == jobs.KindGang && n > 0 && n < job.spec.Tasks && !job.complete {
-		l.stopGang(job, job.stopGrace(), now)
+		l.stopGang(job, job.stopGraceS(), now)
 	}
 }
 
--- a/internal/leader/job_attempts.go
+++ b/internal/leader/job_attempts.go
@@ -7,14 +7,16 @@
 	"thornnotch/internal/workers"
 )
 
-// stopGrace returns the time, in seconds, that a task of the job has to save its progress
+// stopGraceS returns the time, in seconds, that a task of the job has to save its progress
 // before it is killed.
-func (j *jobState) stopGrace() float64 { return j.spec.CheckpointSaveS + constants.StopGrace.Seconds() }
+func (j *jobState) stopGraceS() float64 {
+	return j.spec.CheckpointSaveS + constants.StopGrace.Seconds()
+}
 
-// stopAttempt requests the stop of an attempt, whose task gets grace seconds to save its
+// stopAttempt requests the stop of an attempt, whose task gets graceS seconds to save its
 // progress. An attempt whose run command was never sent is removed at once.
-func (l *Leader) stopAttempt(machine *machineState, attempt *workers.Attempt, grace float64, now time.Time) {
-	if machine.worker.RequestStop(attempt, grace, now) {
+func (l *Leader) stopAttempt(machine *machineState, attempt *workers.Attempt, graceS float64, now time.Time) {
+	if machine.worker.RequestStop(attempt, graceS, now) {
 		l.removeAttempt(machine, attempt)
 	}
 	machine.markStale()
@@ -22,13 +24,13 @@
 	l.passes.request()
 }
 
-// stopGang stops all attempts of a gang. Each task gets grace seconds to save its progress.
-func (l *Leader) stopGang(job *jobState, grace float64, now time.Time) {
+// stopGang stops all attempts of a gang. Each task gets graceS seconds to save its progress.
+func (l *Leader) stopGang(job *jobState, graceS float64, now time.Time) {
 	job.gang.replacingTask = false
 	job.markStale()
 	all := job.attempts.sorted()
 	for _, placed := range all {
-		l.stopAttempt(placed.machine, placed.attempt, grace, now)
+		l.stopAttempt(placed.machine, placed.attempt, graceS, now)
 	}
 	for _, placed := range all {
 		l.sendStops(placed.machine, now)
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -60,39 +60,39 @@
 // log logs the load since the previous call. The first call only stores the totals, as there
 // are none to compare them with.
 func (l *loadLog) log(logger *slog.Logger, current WorkCounts, gauges loadGauges, now time.Time) {
-	first, period := l.loggedAt.IsZero(), now.Sub(l.loggedAt).Seconds()
+	first, periodS := l.loggedAt.IsZero(), now.Sub(l.loggedAt).Seconds()
 	if !first {
-		logger.Info("load", l.attributes(current, gauges, period)...)
+		logger.Info("load", l.attributes(current, gauges, periodS)...)
 	}
-	if usage := l.usageAttributes(period); usage != nil && !first {
+	if usage := l.usageAttributes(periodS); usage != nil && !first {
 		logger.Debug("state service load", usage...)
 	}
 	l.loggedAt, l.lastCounts = now, current
 }
 
-// attributes returns the log attributes of the load line. The period is in seconds.
-func (l *loadLog) attributes(current WorkCounts, gauges loadGauges, period float64) []any {
+// attributes returns the log attributes of the load line for a period of periodS seconds.
+func (l *loadLog) attributes(current WorkCounts, gauges loadGauges, periodS float64) []any {
 	previous := l.lastCounts
 	return []any{
 		"jobs", gauges.jobs, "machines", gauges.machines,
-		"heartbeats_per_s", perSecond(current.Heartbeats, previous.Heartbeats, period),
-		"replied_commands_per_s", perSecond(current.RepliedCommands, previous.RepliedCommands, period),
-		"direct_commands_per_s", perSecond(current.DirectCommands, previous.DirectCommands, period),
-		"passes_per_s", perSecond(current.Passes, previous.Passes, period),
-		"pass_share", fractionOfPeriod(current.PassSeconds, previous.PassSeconds, period),
-		"commits_per_s", perSecond(current.Commits, previous.Commits, period),
-		"commit_share", fractionOfPeriod(current.CommitSeconds, previous.CommitSeconds, period),
-		"busy_share", fractionOfPeriod(current.BusySeconds, previous.BusySeconds, period),
-		"entries_kb_per_s", kilobytesPerSecond(current.Log.EntryBytes, previous.Log.EntryBytes, period),
-		"metadata_kb_per_s", kilobytesPerSecond(current.MetadataBytes, previous.MetadataBytes, period),
-		"checkpoint_kb_per_s", kilobytesPerSecond(current.Log.PartBytes, previous.Log.PartBytes, period),
+		"heartbeats_per_s", perSecond(current.Heartbeats, previous.Heartbeats, periodS),
+		"replied_commands_per_s", perSecond(current.RepliedCommands, previous.RepliedCommands, periodS),
+		"direct_commands_per_s", perSecond(current.DirectCommands, previous.DirectCommands, periodS),
+		"passes_per_s", perSecond(current.Passes, previous.Passes, periodS),
+		"pass_share", fractionOfPeriod(current.PassSeconds, previous.PassSeconds, periodS),
+		"commits_per_s", perSecond(current.Commits, previous.Commits, periodS),
+		"commit_share", fractionOfPeriod(current.CommitSeconds, previous.CommitSeconds, periodS),
+		"busy_share", fractionOfPeriod(current.BusySeconds, previous.BusySeconds, periodS),
+		"entries_kb_per_s", kilobytesPerSecond(current.Log.EntryBytes, previous.Log.EntryBytes, periodS),
+		"metadata_kb_per_s", kilobytesPerSecond(current.MetadataBytes, previous.MetadataBytes, periodS),
+		"checkpoint_kb_per_s", kilobytesPerSecond(current.Log.PartBytes, previous.Log.PartBytes, periodS),
 		"queued_events", gauges.events, "log_backlog", gauges.backlog,
 	}
 }
 
 // usageAttributes returns log attributes with each class's use of the state service since the
 // previous call, or nil if the usage is unknown.
-func (l *loadLog) usageAttributes(period float64) (attributes []any) {
+func (l *loadLog) usageAttributes(periodS float64) (attributes []any) {
 	if l.usage == nil {
 		return nil
 	}
@@ -101,26 +101,27 @@
 		current, previous := l.usage(class), l.usageTotals[class]
 		usageTotals[class] = current
 		attributes = append(attributes, class.String(), fmt.Sprintf("%.1f requests/s, %.1f writes/s, %.2f waiting",
-			perSecond(current.Requests, previous.Requests, period), perSecond(current.Writes, previous.Writes, period), fractionOfPeriod(current.WaitSeconds, previous.WaitSeconds, period)))
+			perSecond(current.Requests, previous.Requests, periodS), perSecond(current.Writes, previous.Writes, periodS), fractionOfPeriod(current.WaitSeconds, previous.WaitSeconds, periodS)))
 	}
 	l.usageTotals = usageTotals
 	return attributes
 }
 
 // perSecond returns the rate of change of a total, rounded to a tenth.
-func perSecond(current, previous uint64, period float64) float64 {
-	return math.Round(float64(current-previous)/period*10) / 10
+func perSecond(current, previous uint64, periodS float64) float64 {
+	return math.Round(float64(current-previous)/periodS*10) / 10
 }
 
-// kilobytesPerSecond returns the rate of change of a total in bytes, rounded to a tenth.
-func kilobytesPerSecond(current, previous uint64, period float64) float64 {
-	return math.Round(float64(current-previous)/period/102.4) / 10
+// kilobytesPerSecond returns the rate of change of a total of bytes in KiB per second, rounded to a
+// tenth.
+func kilobytesPerSecond(current, previous uint64, periodS float64) float64 {
+	return math.Round(float64(current-previous)/periodS/102.4) / 10
 }
 
 // fractionOfPeriod returns the fraction of the period by which a total of seconds has grown,
 // rounded to a thousandth.
-func fractionOfPeriod(current, previous, period float64) float64 {
-	return math.Round((current-previous)/period*1000) / 1000
+func fractionOfPeriod(current, previous, periodS float64) float64 {
+	return math.Round((current-previous)/periodS*1000) / 1000
 }
 
 // logLoad logs the leader's load every LoadLogInterval.
--- a/internal/leader/plan_execution.go
+++ b/internal/leader/plan_execution.go
@@ -36,12 +36,12 @@
 	l.deps.Log.Debug("task preempted", "task", workers.TaskID{Job: job.spec.ID, Index: victim.Index}, "attempt", victim.Attempt,
 		"machine", machine.worker.Name, "for_job", preemption.Preemptor.Spec.ID)
 	if job.spec.Kind == jobs.KindGang {
-		l.stopGang(job, job.stopGrace(), now)
+		l.stopGang(job, job.stopGraceS(), now)
 		return
 	}
 	for _, placed := range job.attempts[victim.Index] {
 		if placed.machine == machine && placed.attempt.ID.Number == victim.Attempt {
-			l.stopAttempt(machine, placed.attempt, job.stopGrace(), now)
+			l.stopAttempt(machine, placed.attempt, job.stopGraceS(), now)
 		}
 	}
 	l.sendStops(machine, now)
--- a/internal/leader/stragglers.go
+++ b/internal/leader/stragglers.go
@@ -51,15 +51,17 @@
 		if attempt.Status == workers.StatusRunning && job.spec.CheckpointIntervalS <= 0 {
 			continue
 		}
-		l.stopAttempt(machine, attempt, job.saveGrace(), now)
+		l.stopAttempt(machine, attempt, job.saveGraceS(), now)
 	}
 	l.sendStops(machine, now)
 	l.passes.request()
 }
 
-// saveGrace returns the time, in seconds, that a task of the job has to save its progress
-// before it is killed, as stopGrace does.
-func (j *jobState) saveGrace() float64 { return j.spec.CheckpointSaveS + constants.StopGrace.Seconds() }
+// saveGraceS returns the time, in seconds, that a task of the job has to save its progress
+// before it is killed, as stopGraceS does.
+func (j *jobState) saveGraceS() float64 {
+	return j.spec.CheckpointSaveS + constants.StopGrace.Seconds()
+}
 
 // recordTaskRuntime compares a finished task's run time with those of the job's other tasks
 // and then adds it to them. It ignores tasks whose whole run time is unknown, and tasks of
--- a/internal/leader/task_events.go
+++ b/internal/leader/task_events.go
@@ -50,11 +50,11 @@
 	if job == nil {
 		l.jobs.addAttemptOfEndedJob(attempt.ID.Task.Job)
 	}
-	grace := 0.0
+	graceS := 0.0
 	if job != nil && attempt.ID.Task.Index < job.spec.Tasks {
-		grace = job.stopGrace()
+		graceS = job.stopGraceS()
 	}
-	l.stopAttempt(machine, attempt, grace, now)
+	l.stopAttempt(machine, attempt, graceS, now)
 	l.logAttempt(machine, attempt)
 }
 
