--- a/internal/leader/plan_execution.go
+++ b/internal/leader/plan_execution.go
@@ -14,7 +14,7 @@
 	for _, release := range released {
 		name, pipeline := release.Machine.Name, release.Slot.Pipeline
 		machine := l.fleet.get(name)
-		if machine == nil || !l.reservations.Consume(name, func(p placement.Pipeline) bool { return p == pipeline }) {
+		if machine == nil || !l.reservations.RemoveOne(name, func(p placement.Pipeline) bool { return p == pipeline }) {
 			continue
 		}
 		l.deps.Log.Debug("reservation released", "machine", name, "class", pipeline.Class)
@@ -100,7 +100,7 @@
 	l.classes.placementRates.add(job.spec.Class)
 	l.addAttempt(machine, attempt)
 	l.logAttempt(machine, attempt)
-	if l.reservations.Consume(machine.worker.Name, job.view.BelongsTo) {
+	if l.reservations.RemoveOne(machine.worker.Name, job.view.BelongsTo) {
 		l.deps.Log.Debug("reservation consumed", "machine", machine.worker.Name, "job", job.spec.ID)
 		l.metadataChanged(machine, now)
 	}
--- a/internal/reservations/manager.go
+++ b/internal/reservations/manager.go
@@ -48,12 +48,12 @@
 	return all
 }
 
-// Consume removes one reservation on the machine whose pipeline ownsPipeline accepts, because a
-// task of that pipeline takes the slot or a scheduling pass has released the reservation. It
-// reports whether there was one.
-func (m *Manager) Consume(machine string, ownsPipeline func(placement.Pipeline) bool) bool {
+// RemoveOne removes one reservation on the machine whose pipeline matches accepts, because a task
+// of that pipeline takes the slot or a scheduling pass has released the reservation. It reports
+// whether there was one.
+func (m *Manager) RemoveOne(machine string, matches func(placement.Pipeline) bool) bool {
 	for i, reservation := range m.reservations[machine] {
-		if ownsPipeline(reservation.Pipeline) {
+		if matches(reservation.Pipeline) {
 			m.remove(machine, i)
 			return true
 		}
--- a/internal/reservations/manager_test.go
+++ b/internal/reservations/manager_test.go
@@ -189,8 +189,8 @@
 	if changed := manager.Expire(t0.Add(11*time.Second), always); len(changed) != 0 {
 		t.Errorf("expired before the deadline: %v", changed)
 	}
-	if !manager.Consume("m-0", isTestPipeline) || manager.Consume("m-0", isTestPipeline) {
-		t.Errorf("reservation not consumed exactly once")
+	if !manager.RemoveOne("m-0", isTestPipeline) || manager.RemoveOne("m-0", isTestPipeline) {
+		t.Errorf("reservation not removed exactly once")
 	}
 	if !manager.ReleaseExcess("m-1", placement.Resources{}) || len(manager.OnMachine("m-1")) != 0 {
 		t.Errorf("reservation kept although the slot is taken")
@@ -226,7 +226,7 @@
 			case 0:
 				manager.RemoveMachine(machine)
 			case 1:
-				manager.Consume(machine, isTestPipeline)
+				manager.RemoveOne(machine, isTestPipeline)
 			case 2:
 				manager.ReleaseExcess(machine, oneTask)
 			case 3:
