--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -25,7 +25,7 @@
 // declared dependencies has a downstream job in its pipeline.
 func reservationFromRecord(record wal.SlotReservation, machine string) reservations.Reservation {
 	pipeline := placement.Pipeline{Team: record.Team, Class: record.Class}
-	if record.UserDeclaredEdge {
+	if record.DeclaredDependency {
 		pipeline.Downstream = record.Downstream
 	}
 	return reservations.Reservation{
@@ -37,7 +37,7 @@
 
 func reservationToRecord(r reservations.Reservation) wal.SlotReservation {
 	return wal.SlotReservation{
-		Team: r.Pipeline.Team, Class: r.Pipeline.Class, Upstream: r.Upstream, Downstream: r.Downstream, UserDeclaredEdge: r.Pipeline.Downstream != "",
+		Team: r.Pipeline.Team, Class: r.Pipeline.Class, Upstream: r.Upstream, Downstream: r.Downstream, DeclaredDependency: r.Pipeline.Downstream != "",
 		Priority: r.Priority, Resources: resourcesToRecord(r.Resources), Expires: r.ExpiresAt.UnixMilli(),
 	}
 }
--- a/internal/leader/wal/record.go
+++ b/internal/leader/wal/record.go
@@ -31,14 +31,14 @@
 
 // SlotReservation is a reservation of resources on a machine for a downstream job.
 type SlotReservation struct {
-	Team             string    `json:"w"`
-	Class            string    `json:"k"`
-	Upstream         string    `json:"u"`
-	Downstream       string    `json:"d"`
-	UserDeclaredEdge bool      `json:"e,omitempty"` // reserved for a dependency that a user declared
-	Priority         int       `json:"p"`
-	Resources        Resources `json:"r"`
-	Expires          int64     `json:"x"` // Unix time (ms)
+	Team               string    `json:"w"`
+	Class              string    `json:"k"`
+	Upstream           string    `json:"u"`
+	Downstream         string    `json:"d"`
+	DeclaredDependency bool      `json:"e,omitempty"` // Downstream declared that it depends on Upstream
+	Priority           int       `json:"p"`
+	Resources          Resources `json:"r"`
+	Expires            int64     `json:"x"` // Unix time (ms)
 }
 
 // Image is a container image present on a machine.
