--- a/internal/constants/workers.go
+++ b/internal/constants/workers.go
@@ -4,8 +4,9 @@
 
 // Proof that a task is no longer on its machine.
 const (
-	// LeaseProofMargin is added to the workers' lease to get the silence after which a worker
-	// must have killed its tasks. It covers timers that fire late.
+	// LeaseProofMargin is added to the workers' lease to get the time since the last possible
+	// renewal of the lease after which a worker must have killed its tasks. It covers timers
+	// that fire late.
 	LeaseProofMargin = 700 * time.Millisecond
 	// WorkerKillDelay is the maximum time between the end of a worker's lease and the end of
 	// its tasks. Timers may fire late, and killing the tasks takes a moment.
@@ -86,7 +87,8 @@
 	// SilentStopResendInterval is the interval at which a stop is sent directly again to a
 	// silent worker, to which commands usually hang.
 	SilentStopResendInterval = 10 * time.Second
-	// SilentAfterHeartbeats is the number of heartbeat intervals without a heartbeat after
-	// which a worker counts as silent.
+	// SilentAfterHeartbeats is the number of heartbeat intervals without a message from a worker,
+	// be it a heartbeat or the response to a direct command, after which the worker counts as
+	// silent.
 	SilentAfterHeartbeats = 2.5
 )
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -62,7 +62,7 @@
 				fleet[(i*20+k)%len(fleet)].markStale()
 			}
 			for _, machine := range fleet {
-				machine.worker.LastHeartbeat = now
+				machine.worker.LastMessageAt = now
 			}
 			l.runSchedulingPass(now)
 		}
@@ -155,7 +155,7 @@
 		for range b.N {
 			now = now.Add(constants.TickInterval)
 			for _, machine := range l.fleet.sortedByName() {
-				machine.worker.LastHeartbeat, machine.worker.LastAcknowledged = now, now
+				machine.worker.LastMessageAt, machine.worker.LastAcknowledged = now, now
 			}
 			l.tick(now)
 		}
--- a/internal/leader/dependency_reservations_test.go
+++ b/internal/leader/dependency_reservations_test.go
@@ -147,7 +147,7 @@
 		for _, name := range f.leader.reservations.Expire(now, f.leader.hasWaitingTasks) {
 			f.leader.metadataChanged(f.leader.fleet.get(name), now)
 		}
-		f.machine.worker.LastHeartbeat, f.machine.worker.LastAcknowledged = now, now
+		f.machine.worker.LastMessageAt, f.machine.worker.LastAcknowledged = now, now
 		f.leader.staleness.RecordWatch(now)
 		f.leader.runSchedulingPass(now)
 		if f.reservationCount() != 0 || len(f.other.attempts) != 4 {
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -55,7 +55,7 @@
 		for _, p := range placed {
 			if p.attempt.Status == workers.StatusRunning && !p.attempt.RunningSince.IsZero() {
 				worker := p.machine.worker
-				runs[worker.Name] = max(runs[worker.Name], worker.LastHeartbeat.Sub(p.attempt.RunningSince))
+				runs[worker.Name] = max(runs[worker.Name], worker.LastMessageAt.Sub(p.attempt.RunningSince))
 			}
 		}
 	}
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -147,7 +147,7 @@
 	}
 	worker := machine.worker
 	before := *worker
-	machine.heartbeatGap = before.Registered && now.Sub(before.LastHeartbeat) > l.silenceTolerance()
+	machine.messageGap = before.Registered && now.Sub(before.LastMessageAt) > l.silenceTolerance()
 	events, fresh := worker.Observe(heartbeat, l.term.number(), direct, now)
 	if !fresh {
 		return
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -23,8 +23,9 @@
 	// startOverdue is set while a start that was sent to the machine is missing from its
 	// heartbeats.
 	startOverdue bool
-	// heartbeatGap is set if the worker's last report came after a long silence.
-	heartbeatGap bool
+	// messageGap is set if the worker's last message came longer than silenceTolerance after the
+	// one before.
+	messageGap bool
 
 	// metadataLogged is set once the machine's metadata (type, zone and so on) is in the
 	// log; loggedMetadata is the version logged last.
--- a/internal/leader/placement_snapshot.go
+++ b/internal/leader/placement_snapshot.go
@@ -58,7 +58,7 @@
 }
 
 // acceptsPlacements reports whether new tasks may be placed on a machine: it is schedulable, its
-// type is known, and it has sent this term's token and a recent heartbeat. The machine's view
+// type is known, and it has sent this term's token and a recent message. The machine's view
 // must be up to date.
 func (l *Leader) acceptsPlacements(machine *machineState, now time.Time) bool {
 	if machine.view.Total == (placement.Resources{}) || !machine.schedulable(now) {
@@ -69,9 +69,9 @@
 	if machine.worker.Token != l.term.number() {
 		return false
 	}
-	// A machine that has missed a few heartbeats may be dead or partitioned. Tasks placed
-	// there would be stuck until its lease expires. Replies to idle machines are held, which
-	// delays their heartbeats.
+	// A machine that has been silent for a few heartbeat intervals may be dead or partitioned.
+	// Tasks placed there would be stuck until its lease expires. Replies to idle machines are
+	// held, which delays their heartbeats.
 	return l.silenceDuration(machine, now) <= l.silenceTolerance()+constants.IdleReplyHold
 }
 
--- a/internal/leader/placement_snapshot_test.go
+++ b/internal/leader/placement_snapshot_test.go
@@ -14,10 +14,10 @@
 	l := testLeader(t)
 	silent, reporting := addMachine(l, "m-1", "east", now), addMachine(l, "m-2", "east", now)
 	now = now.Add(l.silenceTolerance() + constants.IdleReplyHold + time.Second)
-	if now.Sub(silent.worker.LastHeartbeat) >= l.lease {
+	if now.Sub(silent.worker.LastMessageAt) >= l.lease {
 		t.Fatal("the lease has expired, so the test shows nothing")
 	}
-	reporting.worker.LastHeartbeat = now
+	reporting.worker.LastMessageAt = now
 	addJob(t, l, arraySpec("j-1", 3), now)
 	l.runSchedulingPass(now)
 	if len(silent.worker.Attempts) != 0 || len(reporting.worker.Attempts) != 3 {
--- a/internal/leader/scaling_test.go
+++ b/internal/leader/scaling_test.go
@@ -111,9 +111,9 @@
 	}
 	now := start.Add(l.lease + constants.SilentReturnAfter + time.Second)
 	for i := range 4 {
-		l.fleet.get(fmt.Sprint("m-w", i)).worker.LastHeartbeat = now
+		l.fleet.get(fmt.Sprint("m-w", i)).worker.LastMessageAt = now
 	}
-	l.fleet.get("m-w0").worker.LastHeartbeat = start // a single machine of zone west failed
+	l.fleet.get("m-w0").worker.LastMessageAt = start // a single machine of zone west failed
 	l.retireMachines(now)
 	for name, machine := range l.fleet.byName {
 		if want := name == "m-w0"; machine.lifecycle.leaving != want {
@@ -130,7 +130,7 @@
 	// The network partition ends: three of the four machines report before the last one does.
 	healed := now.Add(20 * time.Second)
 	for i := range 3 {
-		l.fleet.get(fmt.Sprint("m-e", i)).worker.LastHeartbeat = healed
+		l.fleet.get(fmt.Sprint("m-e", i)).worker.LastMessageAt = healed
 	}
 	l.retireMachines(healed.Add(time.Second))
 	if l.fleet.get("m-e3").lifecycle.leaving {
@@ -142,7 +142,7 @@
 	}
 	for i := range 4 {
 		machine := l.fleet.get(fmt.Sprint("m-e", i))
-		machine.worker.LastHeartbeat, machine.lifecycle.leaving = start, false
+		machine.worker.LastMessageAt, machine.lifecycle.leaving = start, false
 	}
 	l.retireMachines(start.Add(l.lease + constants.UnreachableZoneReturnAfter + time.Second))
 	if !l.fleet.get("m-e0").lifecycle.leaving {
--- a/internal/leader/scheduling_log_test.go
+++ b/internal/leader/scheduling_log_test.go
@@ -21,7 +21,7 @@
 	addJob(t, l, arraySpec("j-1", 2), now)
 	startAndSendHeartbeat(l, machine, now)
 	now = now.Add(constants.SummaryLogInterval)
-	machine.worker.LastHeartbeat = now
+	machine.worker.LastMessageAt = now
 	addJob(t, l, arraySpec("j-2", 5), now)
 	log.Reset()
 
--- a/internal/leader/stragglers.go
+++ b/internal/leader/stragglers.go
@@ -34,7 +34,7 @@
 		if job == nil || job.spec.Kind == jobs.KindGang || attempt.Status != workers.StatusRunning || attempt.RunningSince.IsZero() {
 			continue
 		}
-		signals += job.runtimes.SlowSignals(machine.worker.LastHeartbeat.Sub(attempt.RunningSince), job.spec.Tasks)
+		signals += job.runtimes.SlowSignals(machine.worker.LastMessageAt.Sub(attempt.RunningSince), job.spec.Tasks)
 	}
 	return signals
 }
@@ -67,8 +67,8 @@
 // and then adds it to them. It ignores tasks whose whole run time is unknown, and tasks of
 // gangs.
 func (l *Leader) recordTaskRuntime(machine *machineState, job *jobState, attempt *workers.Attempt, now time.Time) {
-	// After a gap in the heartbeats the end of the task is unknown.
-	if machine.heartbeatGap || attempt.RunningSince.IsZero() {
+	// After a gap between the worker's messages the end of the task is unknown.
+	if machine.messageGap || attempt.RunningSince.IsZero() {
 		return
 	}
 	if job.spec.Kind == jobs.KindGang || job.fromEarlierTerm || job.restartedTasks[attempt.ID.Task.Index] {
--- a/internal/leader/stragglers_test.go
+++ b/internal/leader/stragglers_test.go
@@ -28,13 +28,13 @@
 	for _, seconds := range []int{24, 30, 35} {
 		job.runtimes.Add(time.Duration(seconds) * time.Second)
 	}
-	slow.worker.LastHeartbeat = start.Add(45 * time.Second)
+	slow.worker.LastMessageAt = start.Add(45 * time.Second)
 	l.detectStragglers(start.Add(45 * time.Second))
 	if slow.health.Slow(start.Add(45 * time.Second)) {
 		t.Fatalf("a machine is marked slow at 1.5 times the median run time")
 	}
 	now := start.Add(55 * time.Second)
-	slow.worker.LastHeartbeat = now
+	slow.worker.LastMessageAt = now
 	l.detectStragglers(now)
 	if !slow.health.Slow(now) || slow.schedulable(now) {
 		t.Fatalf("slow machine not detected")
--- a/internal/leader/term_test.go
+++ b/internal/leader/term_test.go
@@ -173,7 +173,7 @@
 	l.beginIteration()
 	l.term.lastIteration = time.Now().Add(-stall)
 	for machine := range l.fleet.all() {
-		machine.worker.LastHeartbeat = machine.worker.LastHeartbeat.Add(-stall)
+		machine.worker.LastMessageAt = machine.worker.LastMessageAt.Add(-stall)
 	}
 	for name, b := range l.scaling.booting {
 		b.rentedAt, b.firstSeenAt = b.rentedAt.Add(-stall), b.firstSeenAt.Add(-stall)
--- a/internal/workers/worker.go
+++ b/internal/workers/worker.go
@@ -26,10 +26,10 @@
 	ExpiredEpoch uint64
 	// Registered is set once a message from the worker has arrived in this term.
 	Registered bool
-	// LastHeartbeat is when the last message arrived. LastAcknowledged is when the last
-	// heartbeat arrived that was answered with status 200. The worker's lease starts when it
-	// sent that heartbeat, which is earlier.
-	LastHeartbeat, LastAcknowledged time.Time
+	// LastMessageAt is when the newest message was applied, either a heartbeat or the response
+	// to a direct command. LastAcknowledged is when the last heartbeat arrived that was answered
+	// with status 200. The worker's lease starts when it sent that heartbeat, which is earlier.
+	LastMessageAt, LastAcknowledged time.Time
 
 	// Token is the highest fencing token that the worker has reported.
 	Token uint64
@@ -125,7 +125,7 @@
 		worker.HeartbeatSequence = heartbeat.Sequence
 	}
 	worker.Registered = true
-	worker.LastHeartbeat = now
+	worker.LastMessageAt = now
 }
 
 // observeToken updates the worker's fencing token. By the protocol the worker keeps the
