--- a/internal/constants/statestore.go
+++ b/internal/constants/statestore.go
@@ -47,10 +47,12 @@
 	UsableBudgetShare = 0.94
 	// BudgetRetryInterval is the interval at which a call that waits for budget checks again.
 	BudgetRetryInterval = 15 * time.Millisecond
-	// MinRateLimitRefusals is the minimum number of calls refused by the rate limit within
-	// RateLimitedWindow that shows that the service has lowered its rates.
+	// MinRateLimitRefusals is how many of a node's calls the rate limit must refuse within
+	// RateLimitRefusalWindow to show that the state service has lowered its rates.
 	MinRateLimitRefusals = 5
-	RateLimitedWindow    = 4 * time.Second
+	// RateLimitRefusalWindow is the length of the sliding window in which a node counts these
+	// refusals.
+	RateLimitRefusalWindow = 4 * time.Second
 	// ScarceTokenShare is the fraction of the budget left below which it is reported as scarce.
 	ScarceTokenShare = 0.1
 )
--- a/internal/node/state_limits.go
+++ b/internal/node/state_limits.go
@@ -18,19 +18,19 @@
 	ratesLowered atomic.Bool
 
 	mu            sync.Mutex
-	rateLimitedAt []time.Time // refusals within constants.RateLimitedWindow; guarded by mu
+	rateLimitedAt []time.Time // refusals within constants.RateLimitRefusalWindow; guarded by mu
 	halvings      int         // how often the sizes were halved; guarded by mu
 }
 
 // recordRateLimited records that the state service's rate limit refused a call, and reports
 // whether this switches to the lower rates, which happens once. A single refusal may be due
 // to nodes whose clocks disagree about when a second begins, but
-// constants.MinRateLimitRefusals refusals within constants.RateLimitedWindow are not.
+// constants.MinRateLimitRefusals refusals within constants.RateLimitRefusalWindow are not.
 func (l *stateLimits) recordRateLimited(now time.Time) (lowered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rateLimitedAt = append(l.rateLimitedAt, now)
-	for len(l.rateLimitedAt) > 0 && now.Sub(l.rateLimitedAt[0]) > constants.RateLimitedWindow {
+	for len(l.rateLimitedAt) > 0 && now.Sub(l.rateLimitedAt[0]) > constants.RateLimitRefusalWindow {
 		l.rateLimitedAt = l.rateLimitedAt[1:]
 	}
 	return len(l.rateLimitedAt) >= constants.MinRateLimitRefusals && l.ratesLowered.CompareAndSwap(false, true)
--- a/internal/node/state_limits_test.go
+++ b/internal/node/state_limits_test.go
@@ -15,14 +15,14 @@
 	var limits stateLimits
 	now := time.Unix(1000, 0)
 	for range 20 {
-		now = now.Add(constants.RateLimitedWindow / 2)
+		now = now.Add(constants.RateLimitRefusalWindow / 2)
 		if limits.recordRateLimited(now) || limits.ratesLowered.Load() {
 			t.Fatal("isolated refusals lowered the rates")
 		}
 	}
 	lowered := 0
 	for range 20 {
-		now = now.Add(constants.RateLimitedWindow / 20)
+		now = now.Add(constants.RateLimitRefusalWindow / 20)
 		if limits.recordRateLimited(now) {
 			lowered++
 		}
