--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -42,8 +42,9 @@
 	// ScaleOutSpare is the number of machines rented beyond the present demand, in units of the
 	// square root of the demand that is expected to arrive while a machine boots.
 	ScaleOutSpare float64 `yaml:"spare"`
-	// ScaleInKeep is the number of idle machines kept beyond the highest recent demand, in the
-	// same units.
+	// ScaleInKeep is the number of spare machines in the desired capacity for scale-in, in the
+	// same units. Idle machines are returned only while there are more machines than the maximum
+	// of this desired capacity over constants.CapacityWindow.
 	ScaleInKeep float64 `yaml:"keep"`
 }
 
