--- a/internal/leader/wal/checkpoint.go
+++ b/internal/leader/wal/checkpoint.go
@@ -140,7 +140,7 @@
 func (b *partBuilder) addMachine(name string, machine Machine) bool {
 	raw := encode(machine)
 	if len(raw)+constants.LogRecordOverhead > b.maxBytes {
-		machine.Images, machine.Reservations = nil, nil // only hints: losing them is better than failing the checkpoint
+		machine.Images, machine.Reservations = nil, nil // optional metadata: losing it is better than failing the checkpoint
 		raw = encode(machine)
 	}
 	size := len(raw) + len(name) + constants.LogMemberOverhead
