--- a/internal/jobs/admission.go
+++ b/internal/jobs/admission.go
@@ -7,25 +7,25 @@
 	"thornnotch/internal/config"
 )
 
-// MachineType is what admission must know of a type of machine.
+// MachineType describes a machine type as far as admission needs it.
 type MachineType struct {
 	Name                 string
 	CPUs, GPUs, MemoryGB float64
-	// Zones are where the cloud rents it.
+	// Zones are the zones in which the cloud offers the type.
 	Zones []string
 }
 
-// AdmissionError says why a well-formed job can never run (protocol, POST /work, 422).
+// AdmissionError explains why a well-formed job can never run (protocol, POST /work, 422).
 type AdmissionError struct {
-	// Field is the wire name of the field that rules it out.
+	// Field is the wire name of the field that makes the job unrunnable.
 	Field  string
 	Reason string
 }
 
 func (e *AdmissionError) Error() string { return e.Field + ": " + e.Reason }
 
-// CheckRunnable checks whether a job could ever run on these types of machines within its
-// team's quota; every error is an *AdmissionError.
+// CheckRunnable returns an error if a job can never run on these machine types within its
+// team's quota. Every error is an *AdmissionError.
 func CheckRunnable(spec *Spec, teams []config.Team, types []MachineType) error {
 	team := findTeam(teams, spec.Team)
 	if team == nil {
@@ -40,7 +40,7 @@
 	return spec.checkZones()
 }
 
-// findTeam returns the team of that name, nil if there is none.
+// findTeam returns the team with the given name, or nil if there is none.
 func findTeam(teams []config.Team, name string) *config.Team {
 	i := slices.IndexFunc(teams, func(team config.Team) bool { return team.Name == name })
 	if i < 0 {
@@ -55,18 +55,18 @@
 		s.CPUs <= machine.CPUs && s.GPUs <= machine.GPUs && s.MemoryGB <= machine.MemoryGB
 }
 
-// exceedsQuota reports whether the job needs more at once than its team's limit: of a gang
-// all tasks count, of an array one.
+// exceedsQuota reports whether the least that the job must run at the same time exceeds its
+// team's limits: all tasks of a gang, one task of an array.
 func (s *Spec) exceedsQuota(team *config.Team) bool {
-	atOnce := 1.0
+	concurrentTasks := 1.0
 	if s.Kind == KindGang {
-		atOnce = float64(s.Tasks)
+		concurrentTasks = float64(s.Tasks)
 	}
-	return team.MaxCPUs > 0 && atOnce*s.CPUs > team.MaxCPUs ||
-		team.MaxGPUs > 0 && atOnce*s.GPUs > team.MaxGPUs
+	return team.MaxCPUs > 0 && concurrentTasks*s.CPUs > team.MaxCPUs ||
+		team.MaxGPUs > 0 && concurrentTasks*s.GPUs > team.MaxGPUs
 }
 
-// checkZones checks that what a gang demands of its tasks' zones can be had together.
+// checkZones returns an error if a gang's zone constraints contradict each other.
 func (s *Spec) checkZones() error {
 	if s.Kind != KindGang || !s.SpreadZones || s.Tasks <= 1 {
 		return nil
--- a/internal/jobs/decode.go
+++ b/internal/jobs/decode.go
@@ -10,9 +10,10 @@
 	"thornnotch/internal/constants"
 )
 
-// FieldError says what is wrong with a malformed submission.
+// FieldError describes a problem of a malformed submission.
 type FieldError struct {
-	// Field is the wire name of the field at fault; empty if the body as a whole is.
+	// Field is the wire name of the invalid field; empty if the problem concerns the whole
+	// body.
 	Field   string
 	Problem string
 }
@@ -24,8 +25,8 @@
 	return e.Field + ": " + e.Problem
 }
 
-// DecodeSpec reads the body of a submission. Unknown fields are ignored and null equals
-// omitted (protocol); every error is a *FieldError.
+// DecodeSpec decodes and validates the body of a submission. As the protocol demands, unknown
+// fields are ignored and null means omitted. Every error is a *FieldError.
 func DecodeSpec(body []byte) (*Spec, error) {
 	sub, err := decodeSubmission(body)
 	if err != nil {
@@ -39,7 +40,7 @@
 	return spec, nil
 }
 
-// decodeSubmission reads the JSON of a submission and checks no more than its types.
+// decodeSubmission decodes the JSON of a submission and checks only the types of its fields.
 func decodeSubmission(body []byte) (*submission, error) {
 	if trimmed := bytes.TrimSpace(body); len(trimmed) == 0 || trimmed[0] != '{' {
 		return nil, &FieldError{Problem: "the body is not a JSON object"}
@@ -55,8 +56,8 @@
 	return &sub, nil
 }
 
-// validator checks a submission field by field and keeps the first problem: that is the
-// one that the user is told of.
+// validator checks a submission field by field. It keeps only the first problem, which is the
+// one reported to the user.
 type validator struct {
 	firstProblem *FieldError
 }
@@ -67,8 +68,8 @@
 	}
 }
 
-// spec checks all fields. Their order decides which of several problems the user is told
-// of; that a value is one of the allowed words is checked last.
+// spec checks all fields. Their order determines which of several problems is reported to the
+// user; whether values are among the allowed ones is checked last.
 func (v *validator) spec(sub *submission) *Spec {
 	spec := &Spec{
 		ID:                  v.requiredText(fieldID, sub.ID),
@@ -93,7 +94,7 @@
 		Tasks:               v.taskCount(sub.Tasks),
 		DependsOn:           v.dependsOn(sub.DependsOn),
 	}
-	v.allowedWords(spec)
+	v.checkAllowedValues(spec)
 	return spec
 }
 
@@ -123,9 +124,9 @@
 	return *v.optionalAmount(field, value)
 }
 
-// optionalAmount checks an amount or a duration in seconds.
+// optionalAmount checks an amount, or a duration in seconds.
 func (v *validator) optionalAmount(field string, value *float64) *float64 {
-	// Not a number is no amount either: it compares as neither smaller nor larger.
+	// The comparison is negated because it must also reject NaN, which compares as false.
 	if value != nil && (!(*value >= 0) || math.IsInf(*value, 0) || *value > constants.MaxAmount) {
 		v.fail(field, fmt.Sprintf("%v is out of range", *value))
 	}
@@ -159,7 +160,7 @@
 	return *count
 }
 
-// dependsOn checks the list of a job's dependencies and keeps each of them once.
+// dependsOn checks the list of a job's dependencies and removes duplicates.
 func (v *validator) dependsOn(ids []string) []string {
 	var unique []string
 	seen := make(map[string]bool, len(ids))
@@ -176,14 +177,15 @@
 	return unique
 }
 
-// allowedWords checks the fields whose values the protocol enumerates.
-func (v *validator) allowedWords(spec *Spec) {
+// checkAllowedValues checks the form of the job ID and the fields whose values the protocol
+// enumerates.
+func (v *validator) checkAllowedValues(spec *Spec) {
 	switch {
 	case !ValidID(spec.ID):
 		v.fail(fieldID, "must be j- and digits")
-	case !knownKind(spec.Kind):
+	case !validKind(spec.Kind):
 		v.fail(fieldKind, "must be sweep, gang or service")
-	case !knownPriorityClass(spec.PriorityClass):
+	case !validPriorityClass(spec.PriorityClass):
 		v.fail(fieldPriorityClass, "must be production, urgent, standard or idle")
 	}
 }
--- a/internal/jobs/jobstest/jobstest.go
+++ b/internal/jobs/jobstest/jobstest.go
@@ -1,4 +1,4 @@
-// Package jobstest provides job submissions for the tests of other packages.
+// Package jobstest provides job submissions for tests.
 package jobstest
 
 import (
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// Submission is a valid submission of a gang with every field set, and one field that the
-// protocol does not know.
+// Submission is a valid submission of a gang. It sets every field and contains one that the
+// protocol doesn't define.
 const Submission = `{"nameId":"j-000412","workload":"train","owner":"vision","shape":"gang","urgency":"urgent","pieces":16,
  "vcpus":8.0,"accelerators":1.0,"ramGb":64.0,"bundle":"img-07","imageGb":6.2,"rigTypes":["g8"],"hall":null,"samePlace":true,
  "apart":false,"loaners":true,"expectS":240.0,"snapshotS":30.0,"stashS":4.0,"dueS":900.0,"unknown":[1]}`
 
-// Fataler is the part of testing.TB that both it and rapid.T have.
+// Fataler is the subset of testing.TB that rapid.T implements too.
 type Fataler interface {
 	Helper()
 	Fatal(args ...any)
@@ -20,7 +20,7 @@
 
 var _ Fataler = testing.TB(nil)
 
-// Edit returns Submission with its fields edited.
+// Edit returns Submission with its fields modified by edit.
 func Edit(t Fataler, edit func(fields map[string]any)) []byte {
 	t.Helper()
 	var fields map[string]any
--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -4,39 +4,40 @@
 	"encoding/json"
 )
 
-// Keys of the users' records. A job is below one prefix or the other: it moves from open to
-// final in one transaction, so a reader that looks at open first and final second never
-// misses it.
+// Key prefixes of the records of jobs. A job has a record under exactly one of them: it moves
+// from open to final in one transaction, so a reader that looks up the open record first and
+// the final record second never misses it.
 const (
 	OpenPrefix  = "open/"
 	FinalPrefix = "final/"
 )
 
-// FinalRecord is what is kept of a job for ever.
+// FinalRecord is the permanent record of a job that is done or cancelled.
 type FinalRecord struct {
 	// Status is StatusDone or StatusCancelled.
 	Status string `json:"status"`
 	// Tasks is the number of tasks of a job that is done.
 	Tasks int `json:"pieces"`
-	// FinishedAtMS is when the leader found the job done, in Unix milliseconds; 0 if it is
-	// not known. Jobs that depend on this one count their times from it.
+	// FinishedAtMS is when the leader found the job done, in Unix milliseconds; 0 if unknown.
+	// A job that depends on this one counts its waiting time from the last such time, but its
+	// deadline from its own submission.
 	FinishedAtMS int64 `json:"atMs,omitempty"`
 }
 
-// Record is what is kept of an open job. It never changes.
+// Record is the record of an open job. It never changes.
 type Record struct {
 	Spec
 	// AcceptedAtMS is when the job was accepted, in Unix milliseconds.
 	AcceptedAtMS int64 `json:"atMs"`
-	// Split says where the rest of DependsOn stands if the list is too long for one
-	// value; nil: it is whole.
+	// Split identifies the parts that hold DependsOn if the list is too long for one value;
+	// nil if DependsOn is complete.
 	Split *SplitList `json:"split,omitempty"`
 }
 
-// EncodeRecord makes the record of a job accepted at that time (Unix milliseconds). If the
-// list of its dependencies makes it too long for one value of so many bytes, the list goes
-// into parts, to be written first, in this order, under the keys that the record's SplitList
-// gives them; upload makes these keys the submission's own.
+// EncodeRecord returns the record of a job accepted at the given time (Unix milliseconds). If
+// the list of dependencies makes the record longer than valueBytes, the list is split into
+// parts. They must be written before the record, in order, under the keys given by the
+// record's SplitList; the upload ID makes these keys unique to the submission.
 func EncodeRecord(spec Spec, acceptedAtMS int64, valueBytes int, upload string) (record json.RawMessage, parts []json.RawMessage, err error) {
 	record, err = json.Marshal(Record{Spec: spec, AcceptedAtMS: acceptedAtMS})
 	if err != nil || len(record) <= valueBytes-recordMarginBytes {
@@ -55,5 +56,6 @@
 	return record, parts, err
 }
 
-// recordMarginBytes is left free in a value, in bytes.
+// recordMarginBytes is the number of bytes that records and list parts leave unused in a
+// value.
 const recordMarginBytes = 64
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -2,18 +2,18 @@
 
 import "regexp"
 
-// Kinds of jobs.
+// Job kinds.
 const (
 	// KindArray is a job array: independent tasks, each of which runs to completion.
 	KindArray = "sweep"
 	// KindGang is a gang: all tasks run at the same time or none does.
 	KindGang = "gang"
-	// KindService is a job array whose tasks run until the job is cancelled. The
-	// protocol's page does not name it, its users send it (docs/questions.md).
+	// KindService is a job array whose tasks run until the job is cancelled. The protocol's
+	// page doesn't define it, but users submit it (docs/questions.md).
 	KindService = "service"
 )
 
-// Priority classes of jobs, highest first.
+// Priority classes, highest first.
 const (
 	PriorityClassProduction = "production"
 	PriorityClassUrgent     = "urgent"
@@ -21,19 +21,19 @@
 	PriorityClassIdle       = "idle"
 )
 
-// Statuses of a job as users see them. Done and cancelled are final: they never change.
+// Job statuses as reported to users. Done and cancelled are final: they never change.
 const (
-	// StatusPending is an accepted job of which no task runs.
+	// StatusPending is an open job without running tasks.
 	StatusPending = "pending"
-	// StatusRunning is an open job of which a task runs.
+	// StatusRunning is an open job with at least one running task.
 	StatusRunning = "running"
 	// StatusDone is a job whose tasks are all done.
 	StatusDone = "done"
-	// StatusCancelled is a job that its user cancelled, or that depended on one that was.
+	// StatusCancelled is a job that a user cancelled, or that depends on a cancelled one.
 	StatusCancelled = "aborted"
 )
 
-// Wire names of a specification's fields, as users are told of them in errors. They are the
+// Wire names of the fields of a specification, as reported to users in errors. They equal the
 // JSON tags of Spec and submission.
 const (
 	fieldID                  = "nameId"
@@ -56,59 +56,60 @@
 	fieldCheckpointIntervalS = "snapshotS"
 	fieldSaveS               = "stashS"
 	fieldDueS                = "dueS"
-	// FieldDependsOn is exported as whether these jobs exist is checked outside this package.
+	// FieldDependsOn is exported because other packages check whether these jobs exist.
 	FieldDependsOn = "waitsOn"
 )
 
-// Spec is a job as users submit it and as it is recorded.
+// Spec is the specification of a job, as submitted and as recorded.
 type Spec struct {
-	// ID is "j-" and digits, chosen by the user; a repeated submission bears the same one.
+	// ID is "j-" and digits, chosen by the user. Repeated submissions of a job have the same
+	// ID.
 	ID string `json:"nameId"`
-	// Class is the class of jobs that the settings' service-level objectives name.
+	// Class is the class of jobs to which the service-level objectives in the settings refer.
 	Class string `json:"workload"`
-	// Team is the team whose quota counts.
+	// Team is the team whose quota the job uses.
 	Team string `json:"owner"`
 	// Kind is one of the Kind constants.
 	Kind string `json:"shape"`
 	// PriorityClass is one of the PriorityClass constants.
 	PriorityClass string `json:"urgency"`
-	// Tasks is the number of tasks; they are numbered from 0.
+	// Tasks is the number of tasks. They are numbered from 0.
 	Tasks int `json:"pieces"`
-	// CPUs, GPUs and MemoryGB are what each task takes of its machine.
+	// CPUs, GPUs and MemoryGB are the resources that each task occupies on its machine.
 	CPUs     float64 `json:"vcpus"`
 	GPUs     float64 `json:"accelerators"`
 	MemoryGB float64 `json:"ramGb"`
-	// Image is what a machine must have fetched before a task starts on it; ImageGB is
-	// its size in GB.
+	// Image must be fetched by a machine before it can start a task; ImageGB is its size in
+	// GB.
 	Image   string  `json:"bundle"`
 	ImageGB float64 `json:"imageGb"`
 	// MachineTypes are the allowed machine types; nil allows any.
 	MachineTypes []string `json:"rigTypes,omitempty"`
 	// Zone is the only allowed zone; empty allows any.
 	Zone string `json:"hall,omitempty"`
-	// SameZone demands that all tasks are in one zone.
+	// SameZone requires all tasks to run in one zone.
 	SameZone bool `json:"samePlace,omitempty"`
-	// SpreadZones demands that at most half of the tasks, rounded up, are in one zone.
+	// SpreadZones requires that at most half of the tasks, rounded up, run in any one zone.
 	SpreadZones bool `json:"apart,omitempty"`
-	// AllowSpot allows spot machines.
+	// AllowSpot allows the tasks to run on spot machines.
 	AllowSpot bool `json:"loaners,omitempty"`
-	// ExpectedS is the user's estimate of a task's run time, in seconds, without the
+	// ExpectedS is the user's estimate of the run time of a task, in seconds, without the
 	// image fetch.
 	ExpectedS float64 `json:"expectS"`
-	// CheckpointIntervalS is the progress, in seconds, after which a task saves a
-	// checkpoint by itself; 0: it never saves, also not when it is stopped.
+	// CheckpointIntervalS is the progress, in seconds, after which a task saves a checkpoint.
+	// 0 means that the task never saves one, not even when it is stopped.
 	CheckpointIntervalS float64 `json:"snapshotS"`
-	// SaveS is how long, in seconds, a task takes to save when it is stopped.
+	// SaveS is how long a task takes to save a checkpoint when it is stopped, in seconds.
 	SaveS float64 `json:"stashS"`
-	// DueS is when the job should be done, in seconds from its submission; nil: no deadline.
+	// DueS is the job's deadline in seconds after its submission; nil means none.
 	DueS *float64 `json:"dueS,omitempty"`
-	// DependsOn are the jobs that must be done before any task of this one starts,
-	// each once.
+	// DependsOn lists the jobs that must be done before any task of this one starts, without
+	// duplicates.
 	DependsOn []string `json:"waitsOn,omitempty"`
 }
 
-// submission is a Spec on the wire, before its check. It has pointers so that a missing
-// field differs from a zero one.
+// submission is a decoded but not yet validated Spec. Its fields are pointers, to distinguish
+// missing fields from zero values.
 type submission struct {
 	ID                  *string  `json:"nameId"`
 	Class               *string  `json:"workload"`
@@ -138,8 +139,8 @@
 // ValidID reports whether id has the form of a job ID.
 func ValidID(id string) bool { return idPattern.MatchString(id) }
 
-// Priority orders priority classes: the higher one is scheduled first. A class that is not
-// known counts as PriorityClassIdle.
+// Priority returns the rank of a priority class: jobs with a higher rank are scheduled first.
+// An unknown class ranks as PriorityClassIdle.
 func Priority(class string) int {
 	switch class {
 	case PriorityClassProduction:
@@ -152,10 +153,10 @@
 	return 0
 }
 
-func knownKind(kind string) bool {
+func validKind(kind string) bool {
 	return kind == KindArray || kind == KindGang || kind == KindService
 }
 
-func knownPriorityClass(class string) bool {
+func validPriorityClass(class string) bool {
 	return class == PriorityClassIdle || Priority(class) > 0
 }
--- a/internal/userapi/cancellation.go
+++ b/internal/userapi/cancellation.go
@@ -10,11 +10,12 @@
 	"thornnotch/internal/statestore"
 )
 
-// handleCancel cancels a job, or finds that it is over: POST /work/{id}/cancel.
+// handleCancel serves POST /work/{id}/cancel: it cancels the job, or reports its final status
+// if it has already finished.
 func (s *Server) handleCancel(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	if !jobs.ValidID(id) {
-		respondError(w, noSuchJob())
+		respondError(w, jobNotFound())
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), constants.UserRequestTimeout)
@@ -27,9 +28,10 @@
 	WriteJSON(w, http.StatusOK, JobStatus{ID: id, Status: finalState})
 }
 
-// cancel returns the final status of a job: cancelled, unless it was done before.
+// cancel cancels a job and returns its final status, which is StatusDone if the job finished
+// first.
 func (s *Server) cancel(ctx context.Context, id string) (status string, err error) {
-	if final, ok := s.finals.Get(id); ok {
+	if final, ok := s.finalRecords.Get(id); ok {
 		return final.Status, nil
 	}
 	for range constants.CancelAttempts {
@@ -38,40 +40,41 @@
 		if !errors.As(err, &conflict) {
 			break
 		}
-		// Done or cancelled meanwhile: look again.
+		// The job became final in the meantime: the next attempt reads its final record.
 	}
-	var answered *requestError
-	if err != nil && !errors.As(err, &answered) {
-		return "", unavailable("the cancellation can't be recorded now", err)
+	var requestErr *requestError
+	if err != nil && !errors.As(err, &requestErr) {
+		return "", serviceUnavailable("the cancellation can't be recorded now", err)
 	}
 	return status, err
 }
 
-// tryCancel moves an open job to final in one transaction, on the revision of its open
-// record: that the job is done is written on the same revision, so just one of both can
-// come to be. A ConflictError says that the record has gone meanwhile.
+// tryCancel replaces a job's open record by a final one in one transaction, which is
+// conditioned on the revision of the open record. The leader records the completion on the
+// same condition, so only one of the two can succeed. A ConflictError means that the open
+// record is gone by now.
 func (s *Server) tryCancel(ctx context.Context, id string) (status string, err error) {
 	record, open, err := s.store.Get(ctx, statestore.ClassCancel, jobs.OpenPrefix+id)
 	if err != nil {
 		return "", err
 	}
 	if !open {
-		final, found, err := s.lookUpFinal(ctx, id, statestore.ClassCancel)
+		final, found, err := s.lookUpFinalStatus(ctx, id, statestore.ClassCancel)
 		if err != nil {
 			return "", err
 		}
 		if !found {
-			return "", noSuchJob()
+			return "", jobNotFound()
 		}
 		return final.Status, nil
 	}
-	_, err = s.transact(ctx, statestore.ClassCancel,
+	_, err = s.runTxn(ctx, statestore.ClassCancel,
 		[]statestore.Condition{{Key: jobs.OpenPrefix + id, Revision: record.Revision}},
-		[]statestore.Write{{Delete: jobs.OpenPrefix + id}, {Put: jobs.FinalPrefix + id, Value: encodeFinal(cancelledRecord)}})
+		[]statestore.Write{{Delete: jobs.OpenPrefix + id}, {Put: jobs.FinalPrefix + id, Value: encodeFinalRecord(cancelledRecord)}})
 	if err != nil {
 		return "", err
 	}
-	s.rememberFinal(id, cancelledRecord)
+	s.cacheFinalRecord(id, cancelledRecord)
 	s.replica.remove(id)
 	return jobs.StatusCancelled, nil
 }
--- a/internal/userapi/doc.go
+++ b/internal/userapi/doc.go
@@ -1,6 +1,7 @@
-// Package userapi is the users' HTTP interface (protocol, "Users -> controller nodes"): it
-// accepts, reports and cancels jobs. Every node serves it by itself, whoever leads: what it
-// says of a job is proven by the records in the state service, or is final and can't change.
-// What a job is, package jobs defines. Why no user is ever told something that another answer
-// contradicts is argued in docs/design.md, Safety 9 and 12, and at the functions that keep it.
+// Package userapi implements the users' HTTP interface (protocol, "Users -> controller
+// nodes"), which accepts, reports and cancels jobs. Every node serves it, whether or not it is
+// the leader: each response is either proven by records in the state service or reports a
+// final state, which can't change. Package jobs defines what a job is. The argument that no
+// two responses contradict each other is in docs/design.md, Safety 9 and 12, and at the
+// functions that it depends on.
 package userapi
--- a/internal/userapi/records.go
+++ b/internal/userapi/records.go
@@ -12,20 +12,20 @@
 	"thornnotch/internal/statestore"
 )
 
-// cancelledRecord is the final record of a job that is cancelled.
+// cancelledRecord is the final record of every cancelled job.
 var cancelledRecord = jobs.FinalRecord{Status: jobs.StatusCancelled}
 
-// encodeFinal makes the value of a final record.
-func encodeFinal(final jobs.FinalRecord) json.RawMessage {
-	value, _ := json.Marshal(final) // its fields, a string and numbers, always encode
+// encodeFinalRecord returns the stored value of a final record.
+func encodeFinalRecord(final jobs.FinalRecord) json.RawMessage {
+	value, _ := json.Marshal(final) // a string and integers always encode
 	return value
 }
 
-// transact runs a user's transaction. One without an answer may have been carried out, or
-// may be yet, so it is sent again as it was: its conditions on the job's records let
-// just one of them be carried out (docs/design.md, Safety 9). Without that its user would
-// come back after a second or more.
-func (s *Server) transact(ctx context.Context, class statestore.Class, conditions []statestore.Condition, writes []statestore.Write) (revision uint64, err error) {
+// runTxn runs a transaction for a user's request. If the outcome is unknown, the transaction
+// may have been executed or may still be, so it is resent unchanged: its conditions on the
+// job's records let at most one copy take effect (docs/design.md, Safety 9). Without the
+// resend the user would have to repeat the request, a second or more later.
+func (s *Server) runTxn(ctx context.Context, class statestore.Class, conditions []statestore.Condition, writes []statestore.Write) (revision uint64, err error) {
 	for range constants.UserTxnAttempts {
 		revision, err = s.store.Txn(ctx, class, conditions, writes)
 		if !errors.Is(err, statestore.ErrOutcomeUnknown) || ctx.Err() != nil {
@@ -35,11 +35,12 @@
 	return revision, err
 }
 
-// lookUp reads a job's state: open first, then final, so that a job that moves from one to
-// the other is never missed (docs/design.md, Safety 9). An open job that depends on others
-// is told of only once it is known that none of them is cancelled (Safety 12).
-func (s *Server) lookUp(ctx context.Context, id string, class statestore.Class) (status JobStatus, found bool, err error) {
-	if final, ok := s.finals.Get(id); ok {
+// lookUpStatus reads a job's status from the state service. It reads the open record before
+// the final one, so that it can't miss a job that becomes final in between (docs/design.md,
+// Safety 9). An open job with dependencies is reported as open only once it is known that none
+// of them is cancelled (Safety 12).
+func (s *Server) lookUpStatus(ctx context.Context, id string, class statestore.Class) (status JobStatus, found bool, err error) {
+	if final, ok := s.finalRecords.Get(id); ok {
 		return finalStatus(id, final), true, nil
 	}
 	knownRevision := s.replica.revisionOf(id)
@@ -48,8 +49,8 @@
 		return JobStatus{}, false, err
 	}
 	if !open {
-		s.replica.removeUpTo(id, knownRevision)
-		return s.lookUpFinal(ctx, id, class)
+		s.replica.removeUnlessNewer(id, knownRevision)
+		return s.lookUpFinalStatus(ctx, id, class)
 	}
 	s.replica.add(id, record.Revision, jobs.DecodeDependencies(record.Value))
 	cancelled, err := s.cancelledByDependency(ctx, id, record, class)
@@ -66,8 +67,8 @@
 	return openStatus(id, counts[id]), true, nil
 }
 
-// lookUpFinal reads the state of a job that is not open.
-func (s *Server) lookUpFinal(ctx context.Context, id string, class statestore.Class) (status JobStatus, found bool, err error) {
+// lookUpFinalStatus reads the status of a job that is not open from its final record.
+func (s *Server) lookUpFinalStatus(ctx context.Context, id string, class statestore.Class) (status JobStatus, found bool, err error) {
 	record, found, err := s.store.Get(ctx, class, jobs.FinalPrefix+id)
 	if err != nil || !found {
 		return JobStatus{}, false, err
@@ -76,17 +77,17 @@
 	if err := json.Unmarshal(record.Value, &final); err != nil {
 		return JobStatus{}, false, fmt.Errorf("record %s%s: %w", jobs.FinalPrefix, id, err)
 	}
-	s.rememberFinal(id, final)
+	s.cacheFinalRecord(id, final)
 	return finalStatus(id, final), true, nil
 }
 
-// rememberFinal remembers a job's final state. It must come before any answer that tells a
-// user of it: a leader that the state service does not answer goes by the cancellations that
-// the nodes attest to, so a process must attest to each before it tells of it
-// (docs/design.md, "The gap").
-func (s *Server) rememberFinal(id string, final jobs.FinalRecord) {
+// cacheFinalRecord caches a job's final record and logs a cancellation for attestation. It
+// must be called before any response reports the final state. A leader that can't reach the
+// state service relies on the cancellations that the nodes attest to, so a node must be able
+// to attest to each cancellation before it tells a user of it (docs/design.md, "The gap").
+func (s *Server) cacheFinalRecord(id string, final jobs.FinalRecord) {
 	if final.Status == jobs.StatusCancelled {
-		s.cancelled.Add(id, time.Now())
+		s.cancellationLog.Add(id, time.Now())
 	}
-	s.finals.Add(id, final)
+	s.finalRecords.Add(id, final)
 }
--- a/internal/userapi/replica.go
+++ b/internal/userapi/replica.go
@@ -12,24 +12,24 @@
 	"thornnotch/internal/statestore"
 )
 
-// openJobsReplica is a read replica of the open jobs' records: their revisions, and which
-// jobs they depend on. A record never changes, so that is all there is to know. The replica
-// may lag: nothing is answered from it without a proof that it holds now.
+// openJobsReplica is a read replica of the open jobs' records. It holds their revisions and
+// dependencies, which never change while a job is open. The replica may lag behind the state
+// service, so no response relies on it without a proof that it is current.
 type openJobsReplica struct {
-	mu sync.Mutex // guards all below
-	// jobs holds the open jobs by ID.
+	mu sync.Mutex // guards the fields below
+	// jobs holds the open jobs by job ID.
 	jobs map[string]openJob
-	// appliedRevision is the revision of the store up to which all changes are in; 0: the
-	// replica has to be read anew, and holds no more than hints.
+	// appliedRevision is the store revision up to which all changes are applied. 0 means that
+	// the replica must be reloaded; until then its content is only a hint.
 	appliedRevision uint64
 }
 
-// openJob is what is kept of one open job. The zero value stands for a job that is not known
-// to be open.
+// openJob is the replica of one open job. The zero value stands for a job that is not known to
+// be open.
 type openJob struct {
-	// revision is that of the job's record.
+	// revision is the revision of the job's open record.
 	revision uint64
-	// dependencies are empty once all of them are known to be done.
+	// dependencies is empty once all dependencies are known to be done.
 	dependencies jobs.Dependencies
 }
 
@@ -37,18 +37,19 @@
 	return &openJobsReplica{jobs: make(map[string]openJob)}
 }
 
-// job returns what is known of a job.
+// job returns the replica of a job.
 func (r *openJobsReplica) job(id string) openJob {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.jobs[id]
 }
 
-// revisionOf is the revision of an open job's record, 0 if the job is not known to be open.
+// revisionOf returns the revision of a job's open record, or 0 if the job is not known to be
+// open.
 func (r *openJobsReplica) revisionOf(id string) uint64 { return r.job(id).revision }
 
-// setDependencies replaces the dependencies of a job: by the whole list where its record
-// holds a part, by none once all are done.
+// setDependencies replaces the dependencies of a job: by the complete list if its record holds
+// only a part of it, or by none once all of them are done.
 func (r *openJobsReplica) setDependencies(id string, dependencies jobs.Dependencies) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -58,29 +59,30 @@
 	}
 }
 
-// add takes in a record that was read, or written, by itself. It may come late.
+// add adds an open record that was read or written outside the watch. The record may be out of
+// date by the time that it is added.
 func (r *openJobsReplica) add(id string, revision uint64, dependencies jobs.Dependencies) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if job, ok := r.jobs[id]; ok && job.revision == revision {
-		return // what is known of its dependencies may be more
+		return // its dependencies may have been completed or cleared since
 	}
 	if r.appliedRevision > 0 && revision <= r.appliedRevision {
-		return // all changes up to then are in, so it has gone since
+		return // that revision is already applied, so the record has been deleted since
 	}
 	r.jobs[id] = openJob{revision, dependencies}
 }
 
-// remove drops a job that is no longer open.
+// remove removes a job that is no longer open.
 func (r *openJobsReplica) remove(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.jobs, id)
 }
 
-// removeUpTo drops a job that was found not to be open, unless it became known meanwhile
-// under a revision after the given one.
-func (r *openJobsReplica) removeUpTo(id string, revision uint64) {
+// removeUnlessNewer removes a job that was found not to be open, unless the replica has
+// meanwhile received a record of it that is newer than the given revision.
+func (r *openJobsReplica) removeUnlessNewer(id string, revision uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.jobs[id].revision <= revision {
@@ -88,7 +90,8 @@
 	}
 }
 
-// load replaces the whole by all records, as read at a revision of the store.
+// load replaces the content of the replica by all open records, listed at the given store
+// revision.
 func (r *openJobsReplica) load(records []statestore.KeyValue, revision uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,16 +102,16 @@
 	r.appliedRevision = revision
 }
 
-// revision is the revision of the store up to which all changes are in.
+// revision returns the store revision up to which all changes are applied.
 func (r *openJobsReplica) revision() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.appliedRevision
 }
 
-// apply takes in all changes after one revision of the store up to another. Two readers may
-// come with the same ones: those that are in already are passed over, as an older one would
-// bring back what has gone since. It reports false if changes are missing in between.
+// apply applies all changes between two store revisions. Concurrent watches may deliver the
+// same changes, so changes that are already applied are skipped: reapplying an old one would
+// restore a deleted job. It reports false if changes before the from revision are missing.
 func (r *openJobsReplica) apply(changes []statestore.Change, from, to uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -124,7 +127,7 @@
 	return true
 }
 
-// applyChange takes in one change; the caller holds the lock.
+// applyChange applies one change. The caller must hold the lock.
 func (r *openJobsReplica) applyChange(change statestore.Change) {
 	if change.Delete != "" {
 		delete(r.jobs, openJobID(change.Delete))
@@ -132,12 +135,12 @@
 	}
 	id := openJobID(change.Put)
 	if job, ok := r.jobs[id]; ok && job.revision == change.Revision {
-		return // what is known of its dependencies may be more
+		return // its dependencies may have been completed or cleared since
 	}
 	r.jobs[id] = openJob{change.Revision, jobs.DecodeDependencies(change.Value)}
 }
 
-// invalidate has the replica read anew.
+// invalidate marks the replica as requiring a reload.
 func (r *openJobsReplica) invalidate() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -146,7 +149,7 @@
 
 func openJobID(key string) string { return strings.TrimPrefix(key, jobs.OpenPrefix) }
 
-// FollowOpenJobs keeps the replica of the open jobs near the truth until ctx ends.
+// FollowOpenJobs keeps the replica of the open jobs up to date until ctx ends.
 func (s *Server) FollowOpenJobs(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := s.loadReplica(ctx); err != nil {
@@ -159,7 +162,7 @@
 	return ctx.Err()
 }
 
-// loadReplica reads the open jobs anew.
+// loadReplica reloads the replica from a list of all open records.
 func (s *Server) loadReplica(ctx context.Context) error {
 	records, revision, err := s.store.List(ctx, statestore.ClassPoll, jobs.OpenPrefix)
 	if err != nil {
@@ -169,7 +172,8 @@
 	return nil
 }
 
-// followChanges watches the open jobs until ctx ends or changes were missed.
+// followChanges applies changes of open records to the replica until ctx ends or the replica
+// must be reloaded because changes were missed.
 func (s *Server) followChanges(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, constants.ReplicaUpdateInterval)
@@ -187,11 +191,11 @@
 	}
 }
 
-// errReplicaNotLoaded: the open jobs have not been read yet, or must be read anew.
-var errReplicaNotLoaded = errors.New("the jobs have not been read yet")
+// errReplicaNotLoaded means that the replica hasn't been loaded yet or must be reloaded.
+var errReplicaNotLoaded = errors.New("replica of the open jobs is not loaded")
 
-// syncReplica brings the replica up to a moment after it was called, by a watch that does
-// not wait (docs/design.md, Safety 12).
+// syncReplica brings the replica up to date with a moment after the call, by a watch that
+// returns at once (docs/design.md, Safety 12).
 func (s *Server) syncReplica(ctx context.Context) error {
 	from := s.replica.revision()
 	if from == 0 {
@@ -207,7 +211,7 @@
 	return nil
 }
 
-// sleep waits, or returns at once when ctx ends.
+// sleep waits for the duration or until ctx ends.
 func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/userapi/responses.go
+++ b/internal/userapi/responses.go
@@ -12,16 +12,16 @@
 	"thornnotch/internal/jobs"
 )
 
-// JobStatus is a job as users are told of it.
+// JobStatus is the status of a job as reported to users.
 type JobStatus struct {
 	ID     string `json:"nameId"`
 	Status string `json:"status"`
-	// Done and Running count tasks, for display; nil: not shown.
+	// Done and Running are task counts, for display only; nil omits them.
 	Done    *int `json:"done,omitempty"`
 	Running *int `json:"running,omitempty"`
 }
 
-// openStatus is the status of a job that is neither done nor cancelled.
+// openStatus returns the status of a job that is neither done nor cancelled.
 func openStatus(id string, counts TaskCounts) JobStatus {
 	status := JobStatus{ID: id, Status: jobs.StatusPending, Done: &counts.Done, Running: &counts.Running}
 	if counts.Running > 0 {
@@ -30,7 +30,7 @@
 	return status
 }
 
-// finalStatus is the status of a job that is done or cancelled.
+// finalStatus returns the status of a job that is done or cancelled.
 func finalStatus(id string, final jobs.FinalRecord) JobStatus {
 	done, running := 0, 0
 	if final.Status == jobs.StatusDone {
@@ -39,23 +39,23 @@
 	return JobStatus{ID: id, Status: final.Status, Done: &done, Running: &running}
 }
 
-// cancelledStatus is the status of a job that is cancelled.
+// cancelledStatus returns the status of a cancelled job.
 func cancelledStatus(id string) JobStatus {
 	return finalStatus(id, jobs.FinalRecord{Status: jobs.StatusCancelled})
 }
 
-// errorBody is the body of an answer that is no success.
+// errorBody is the body of an error response.
 type errorBody struct {
 	Error string `json:"error"`
-	// Field is the wire name of the field at fault, if it is one.
+	// Field is the wire name of the invalid field, if the error concerns one.
 	Field string `json:"field,omitempty"`
 }
 
-// requestError is a request's failure as its user is told of it.
+// requestError is a failed request together with the response that its user receives.
 type requestError struct {
 	httpStatus int
 	body       errorBody
-	// cause is what led to it, for the log; may be nil.
+	// cause is the underlying error, for logs; may be nil.
 	cause error
 }
 
@@ -68,23 +68,25 @@
 
 func (e *requestError) Unwrap() error { return e.cause }
 
-// unavailable tells users to come again later: the request can't be served now.
-func unavailable(reason string, cause error) *requestError {
+// serviceUnavailable returns a 503 error, which asks the user to retry later.
+func serviceUnavailable(reason string, cause error) *requestError {
 	return &requestError{http.StatusServiceUnavailable, errorBody{Error: reason}, cause}
 }
 
-// stateServiceUnavailable is unavailable for want of an answer that proves anything.
+// stateServiceUnavailable returns the 503 error for a request that can't be proven because the
+// state service gave no usable answer.
 func stateServiceUnavailable(cause error) *requestError {
-	return unavailable("the state service can't be asked", cause)
+	return serviceUnavailable("the state service can't be asked", cause)
 }
 
-// noSuchJob: no user ever had a job of that ID accepted.
-func noSuchJob() *requestError {
+// jobNotFound returns the 404 error for a job ID that was never accepted.
+func jobNotFound() *requestError {
 	return &requestError{http.StatusNotFound, errorBody{Error: "no such job"}, nil}
 }
 
-// malformed tells a user what is wrong with a submission that can't be read.
-func malformed(err error) *requestError {
+// malformedSubmission returns the 400 error for a submission that can't be decoded. It names
+// the invalid field if there is one.
+func malformedSubmission(err error) *requestError {
 	var field *jobs.FieldError
 	if errors.As(err, &field) {
 		return &requestError{http.StatusBadRequest, errorBody{field.Problem, field.Field}, err}
@@ -92,12 +94,12 @@
 	return &requestError{http.StatusBadRequest, errorBody{Error: err.Error()}, err}
 }
 
-// neverRuns tells a user that a job can never run.
-func neverRuns(body errorBody, cause error) *requestError {
+// unrunnableJob returns the 422 error for a well-formed job that can never run.
+func unrunnableJob(body errorBody, cause error) *requestError {
 	return &requestError{http.StatusUnprocessableEntity, body, cause}
 }
 
-// respondError answers a request that failed.
+// respondError writes the response for a failed request.
 func respondError(w http.ResponseWriter, err error) {
 	var failure *requestError
 	if !errors.As(err, &failure) {
@@ -109,7 +111,7 @@
 	WriteJSON(w, failure.httpStatus, failure.body)
 }
 
-// WriteJSON answers with a JSON body.
+// WriteJSON writes a response with a JSON body.
 func WriteJSON(w http.ResponseWriter, httpStatus int, body any) {
 	raw, err := json.Marshal(body)
 	if err != nil {
@@ -118,11 +120,11 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(httpStatus)
-	_, _ = w.Write(append(raw, '\n')) // whoever does not get the answer asks again
+	_, _ = w.Write(append(raw, '\n')) // a client that misses the response repeats the request
 }
 
-// ReadBody reads a request's body within the protocol's bound. Where it can't, it answers
-// the request and reports false.
+// ReadBody reads a request's body up to the protocol's size limit. If it can't, it writes the
+// error response and returns ok = false.
 func ReadBody(w http.ResponseWriter, r *http.Request) (body []byte, ok bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, constants.MaxBodyBytes))
 	if err != nil {
--- a/internal/userapi/server.go
+++ b/internal/userapi/server.go
@@ -15,7 +15,7 @@
 	"thornnotch/internal/statestore"
 )
 
-// Store is what the users' interface needs of the state service.
+// Store is the part of the state service client that the server uses.
 type Store interface {
 	Get(ctx context.Context, class statestore.Class, key string) (statestore.KeyValue, bool, error)
 	Txn(ctx context.Context, class statestore.Class, conditions []statestore.Condition, writes []statestore.Write) (uint64, error)
@@ -23,32 +23,33 @@
 	Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (uint64, []statestore.Change, error)
 }
 
-// TaskCounts counts a job's tasks, for display only.
+// TaskCounts holds the number of a job's done and running tasks, for display only.
 type TaskCounts struct{ Done, Running int }
 
-// Progress counts the tasks of these open jobs, by job ID; jobs that the leader does not know
-// are left out.
+// Progress returns the task counts of the given open jobs by job ID, without those that
+// the leader doesn't know.
 type Progress func(ctx context.Context, ids []string) map[string]TaskCounts
 
-// Options are what a Server is made of.
+// Options configures a Server.
 type Options struct {
 	Store Store
 	Teams []config.Team
-	// Limits bound the transactions and values of the state service.
+	// Limits are the size limits of transactions and values in the state service.
 	Limits config.StateLimits
-	// MaxSubmissions is how many submissions are taken at once; further ones are told to
-	// come again.
+	// MaxSubmissions is the maximum number of concurrent submissions; further ones are
+	// rejected with 503.
 	MaxSubmissions int
-	// MachineTypes returns the types that the cloud rents; none: they are not known yet.
+	// MachineTypes returns the machine types that the cloud offers, or none while they aren't
+	// known yet.
 	MachineTypes func() []jobs.MachineType
-	// Progress may be nil: then no counts are shown.
+	// Progress may be nil; responses then show no task counts.
 	Progress Progress
-	// Ready reports whether the load balancer may send users here.
+	// Ready reports whether the load balancer may route users to this node.
 	Ready func() bool
 	Log   *slog.Logger
 }
 
-// Server answers users.
+// Server implements the users' HTTP interface.
 type Server struct {
 	store        Store
 	teams        []config.Team
@@ -57,24 +58,24 @@
 	ready        func() bool
 	log          *slog.Logger
 
-	// finals caches final records. These never change, so they need no proof.
-	finals *lru.Cache[string, jobs.FinalRecord]
-	// cancelled are the cancellations that this process has told users of.
-	cancelled *attestation.CancellationLog
-	replica   *openJobsReplica
-	// queries are the status queries that wait for the next batch.
+	// finalRecords caches final records. They never change, so a cached one needs no proof.
+	finalRecords *lru.Cache[string, jobs.FinalRecord]
+	// cancellationLog holds the cancellations that this process may have reported to users.
+	cancellationLog *attestation.CancellationLog
+	replica         *openJobsReplica
+	// queries holds the status queries that wait for the next batch.
 	queries chan statusQuery
-	// submissionSlots holds one token for each submission under way.
+	// submissionSlots is a semaphore that holds one token for each submission in progress.
 	submissionSlots chan struct{}
 
-	// maxConditions and maxWrites bound one transaction, maxValueBytes one value.
+	// maxConditions and maxWrites limit one transaction, maxValueBytes one value.
 	maxConditions, maxWrites, maxValueBytes int
 }
 
-// NewServer makes the users' interface. FollowOpenJobs and ServeStatusQueries must run for
-// it to answer status queries.
+// NewServer returns a server. It answers status queries only while FollowOpenJobs and
+// ServeStatusQueries run.
 func NewServer(options Options) (*Server, error) {
-	finals, err := lru.New[string, jobs.FinalRecord](constants.FinalCache)
+	finalRecords, err := lru.New[string, jobs.FinalRecord](constants.FinalCache)
 	if err != nil {
 		return nil, err
 	}
@@ -86,8 +87,8 @@
 		progress:        options.Progress,
 		ready:           options.Ready,
 		log:             options.Log,
-		finals:          finals,
-		cancelled:       attestation.NewCancellationLog(cancellationLogEntries(options.Limits.WriteRPS), time.Now()),
+		finalRecords:    finalRecords,
+		cancellationLog: attestation.NewCancellationLog(cancellationLogEntries(options.Limits.WriteRPS), time.Now()),
 		replica:         newOpenJobsReplica(),
 		queries:         make(chan statusQuery, constants.PollQueue),
 		submissionSlots: make(chan struct{}, max(options.MaxSubmissions, 1)),
@@ -97,13 +98,13 @@
 	}, nil
 }
 
-// cancellationLogEntries is how many cancellations are remembered where the state service
-// allows so many changes a second.
+// cancellationLogEntries returns the capacity of the cancellation log: enough for all changes
+// that the state service accepts within the log's window at writeRPS changes a second.
 func cancellationLogEntries(writeRPS float64) int {
 	return max(constants.CancellationLogMinEntries, int(writeRPS*constants.CancellationLogWindow.Seconds()))
 }
 
-// Register adds the users' endpoints.
+// Register registers the users' endpoints with mux.
 func (s *Server) Register(mux *http.ServeMux) {
 	mux.HandleFunc("POST /work", s.handleSubmit)
 	mux.HandleFunc("GET /work/{id}", s.handleStatusQuery)
@@ -111,10 +112,10 @@
 	mux.HandleFunc("GET /ready", s.handleReady)
 }
 
-// handleReady answers the load balancer's probe.
+// handleReady serves GET /ready, the load balancer's readiness probe.
 func (s *Server) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if !s.ready() {
-		respondError(w, unavailable("starting", nil))
+		respondError(w, serviceUnavailable("starting", nil))
 		return
 	}
 	WriteJSON(w, http.StatusOK, struct {
@@ -122,8 +123,9 @@
 	}{"ready"})
 }
 
-// AttestCancellations names the jobs that this process has told users, within so long a time,
-// are cancelled, and maybe some more that are. It reports false when it can't say.
+// AttestCancellations returns all jobs that this process reported to users as cancelled within
+// the last span, and possibly further cancelled jobs. It returns ok = false if it can't vouch
+// that the list is complete.
 func (s *Server) AttestCancellations(span time.Duration) (ids []string, ok bool) {
-	return s.cancelled.Since(span, time.Now())
+	return s.cancellationLog.Since(span, time.Now())
 }
