--- a/internal/node/attestations.go
+++ b/internal/node/attestations.go
@@ -8,26 +8,27 @@
 	"thornnotch/internal/attestation"
 )
 
-// AttestCancellations tells another node which cancellations this process has
-// confirmed to users within the span.
+// AttestCancellations returns the cancellations that this process has confirmed to users
+// within the last span, for the node that leads.
 func (n *Node) AttestCancellations(span time.Duration) (cancelled []string, ok bool) {
 	if n.userServer == nil {
-		return nil, false // the process has just begun
+		return nil, false // the process is still starting
 	}
 	return n.userServer.AttestCancellations(span)
 }
 
-// collectAttestations asks this node and, at once, all others.
+// collectAttestations queries this node and all peers concurrently. It reports false unless
+// every node of the site has attested.
 func (n *Node) collectAttestations(ctx context.Context, span time.Duration) (cancelled []string, ok bool) {
 	attestations := make([]attestation.Attestation, 1+len(n.settings.Peers))
-	var asking sync.WaitGroup
+	var wg sync.WaitGroup
 	for i, peer := range n.settings.Peers {
-		asking.Go(func() {
-			answer := &attestations[1+i]
-			answer.Cancelled, answer.Complete = n.peers.AttestCancellations(ctx, peer.Name, span)
+		wg.Go(func() {
+			result := &attestations[1+i]
+			result.Cancelled, result.Complete = n.peers.AttestCancellations(ctx, peer.Name, span)
 		})
 	}
 	attestations[0].Cancelled, attestations[0].Complete = n.AttestCancellations(span)
-	asking.Wait()
+	wg.Wait()
 	return attestation.Merge(attestations, n.settings.Params.Count)
 }
--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -10,58 +10,58 @@
 	"thornnotch/internal/constants"
 )
 
-// connTracker decides whose connections are kept when sockets run short. Workers are
-// as many as there are machines, and each keeps one connection to the leader;
-// users come in any number and keep theirs open. A worker that finds no room
-// loses its lease, and with it all its tasks; a user comes again. So users'
-// connections are closed after each response first; when even that is not enough,
-// idle ones of users are closed, and workers' are closed after each response too:
-// then only those that have something to say take a socket.
+// connTracker decides which connections to close when sockets run short. The number of workers
+// is bounded by the number of machines, and each keeps one connection to the leader. The
+// number of users is unbounded, and they keep their connections open. A worker that cannot
+// connect loses its lease and with it all its tasks, while a user can retry. So users'
+// connections are the first to be closed after each response. If that is not enough, idle user
+// connections are closed and workers' connections are closed after each response as well, so
+// that only clients with a request in flight occupy a socket.
 type connTracker struct {
-	limit int // 0: none
+	limit int // 0 means unlimited
 
-	mu   sync.Mutex // guards all below
+	mu   sync.Mutex // guards the fields below
 	open map[net.Conn]*trackedConn
-	idle *list.List // users' connections with no request under way, longest idle first
-	// closedIdle counts idle connections of users that were closed for want of room,
-	// refused those that found none.
+	idle *list.List // idle user connections, longest idle first
+	// closedIdle counts the idle user connections that were closed to free sockets, refused
+	// the connections that were rejected at the limit.
 	closedIdle, refused uint64
 }
 
-// trackedConn is a connection of a user or a worker.
+// trackedConn is the state of one connection of a user or a worker.
 type trackedConn struct {
 	worker bool
-	idle   *list.Element // its place in connTracker.idle; nil while it is not there
+	idle   *list.Element // element of connTracker.idle; nil unless idle
 }
 
-// trackedConnKey finds the trackedConn in a request's context.
+// trackedConnKey is the context key of a request's trackedConn.
 type trackedConnKey struct{}
 
 func newConnTracker(limit int) *connTracker {
 	return &connTracker{limit: limit, open: make(map[net.Conn]*trackedConn), idle: list.New()}
 }
 
-// limitedListener accepts connections as long as there is room. At the limit the next
-// one is closed at once: left waiting, it would take a socket all the same, those that
-// our own calls need in the end, and its owner would learn nothing for seconds.
-// (netutil's listener lets them wait.)
+// limitedListener accepts connections up to the tracker's limit and closes further ones at
+// once. Leaving them in the accept queue, as netutil.LimitListener does, would still occupy
+// sockets, eventually those that this node's outgoing calls need, and the client would get no
+// error for seconds.
 type limitedListener struct {
 	net.Listener
 	connections *connTracker
 }
 
-// Accept returns the next connection that there is room for.
+// Accept returns the next connection that is within the limit.
 func (l limitedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if err != nil || l.connections.admit() {
 			return conn, err
 		}
-		_ = conn.Close() // refused: nothing was sent
+		_ = conn.Close() // nothing was sent on it yet
 	}
 }
 
-// admit tells whether there is room for one more connection.
+// admit reports whether another connection is within the limit.
 func (t *connTracker) admit() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,16 +72,16 @@
 	return true
 }
 
-// withConn is the server's ConnContext: it gives a connection's requests a way to say
-// whose it is.
-func (t *connTracker) withConn(ctx context.Context, conn net.Conn) context.Context {
+// connContext is the server's ConnContext hook. It stores the trackedConn in the context of
+// the connection's requests, so that a handler can mark it as a worker's.
+func (t *connTracker) connContext(ctx context.Context, conn net.Conn) context.Context {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return context.WithValue(ctx, trackedConnKey{}, t.track(conn))
 }
 
-// track returns the entry of a connection; the server may name one first by withConn
-// or by onStateChange.
+// track returns the connection's entry and creates it if needed: the server may call either
+// connContext or onStateChange first.
 func (t *connTracker) track(conn net.Conn) *trackedConn {
 	tracked := t.open[conn]
 	if tracked == nil {
@@ -91,91 +91,94 @@
 	return tracked
 }
 
-// onStateChange is the server's ConnState: it keeps count of open connections, and
-// closes the longest idle one of a user when a new one takes one of the last places.
+// onStateChange is the server's ConnState hook. It tracks the open connections, and closes the
+// user connection that has been idle longest when a new connection exceeds
+// constants.SocketsFull.
 func (t *connTracker) onStateChange(conn net.Conn, state http.ConnState) {
-	if evicted := t.noteState(conn, state); evicted != nil {
-		// With no request under way nothing is lost by it.
+	if evicted := t.updateState(conn, state); evicted != nil {
+		// An idle connection has no request in flight, so closing it loses nothing.
 		_ = evicted.Close()
 	}
 }
 
-// noteState returns the connection that must be closed to make room, if any.
-func (t *connTracker) noteState(conn net.Conn, state http.ConnState) (evicted net.Conn) {
+// updateState tracks a state change and returns the connection to close to free a socket, if
+// any.
+func (t *connTracker) updateState(conn net.Conn, state http.ConnState) (evicted net.Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch state {
 	case http.StateNew:
 		t.track(conn)
-		if t.overThreshold(constants.SocketsFull) {
-			evicted = t.takeLongestIdle()
+		if t.usageAbove(constants.SocketsFull) {
+			evicted = t.evictLongestIdle()
 		}
 	case http.StateActive:
-		t.markBusy(t.open[conn])
+		t.removeIdle(t.open[conn])
 	case http.StateIdle:
 		if tracked := t.open[conn]; tracked != nil && !tracked.worker {
 			tracked.idle = t.idle.PushBack(conn)
 		}
 	case http.StateClosed, http.StateHijacked:
-		t.markBusy(t.open[conn])
+		t.removeIdle(t.open[conn])
 		delete(t.open, conn)
 	}
 	return evicted
 }
 
-// markBusy takes a connection off the list of idle ones.
-func (t *connTracker) markBusy(tracked *trackedConn) {
+// removeIdle removes a connection from the idle list.
+func (t *connTracker) removeIdle(tracked *trackedConn) {
 	if tracked != nil && tracked.idle != nil {
 		t.idle.Remove(tracked.idle)
 		tracked.idle = nil
 	}
 }
 
-// takeLongestIdle takes the user's connection off the list that has been idle longest;
-// nil if none is idle.
-func (t *connTracker) takeLongestIdle() net.Conn {
+// evictLongestIdle removes the user connection that has been idle longest from the idle list
+// and returns it, or nil if none is idle.
+func (t *connTracker) evictLongestIdle() net.Conn {
 	front := t.idle.Front()
 	if front == nil {
 		return nil
 	}
 	conn := front.Value.(net.Conn)
-	t.markBusy(t.open[conn])
+	t.removeIdle(t.open[conn])
 	t.closedIdle++
 	return conn
 }
 
-// overThreshold tells whether more than a share of the places is taken.
-func (t *connTracker) overThreshold(share float64) bool {
+// usageAbove reports whether more than the given share of the limit is in use.
+func (t *connTracker) usageAbove(share float64) bool {
 	return t.limit > 0 && float64(len(t.open)) > share*float64(t.limit)
 }
 
-// scarce tells whether users' connections are closed after each response.
+// scarce reports whether so many connections are open that users' connections are closed
+// after each response.
 func (t *connTracker) scarce() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.overThreshold(constants.SocketsScarce)
+	return t.usageAbove(constants.SocketsScarce)
 }
 
-// onUserRequest tells whether the connection must be closed after the response.
+// onUserRequest reports whether to close the connection after the response.
 func (t *connTracker) onUserRequest() (closeAfter bool) { return t.scarce() }
 
-// onWorkerRequest notes that a request's connection is a worker's, and tells whether it
-// must be closed after the response.
+// onWorkerRequest marks the request's connection as a worker's and reports whether to close it
+// after the response.
 func (t *connTracker) onWorkerRequest(ctx context.Context) (closeAfter bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if tracked, ok := ctx.Value(trackedConnKey{}).(*trackedConn); ok {
 		tracked.worker = true
 	}
-	return t.overThreshold(constants.SocketsFull)
+	return t.usageAbove(constants.SocketsFull)
 }
 
-// SocketUsage is how many connections of users and workers are open.
+// SocketUsage counts the connections of users and workers.
 type SocketUsage struct {
 	Open  int `json:"open"`
-	Limit int `json:"limit"` // 0: none
-	// ClosedIdle are users' connections that were closed for want of room since the
-	// process began, Refused those that found none.
+	Limit int `json:"limit"` // 0 means unlimited
+	// ClosedIdle counts the idle user connections that were closed to free sockets since the
+	// process started, Refused the connections that were rejected at the limit.
 	ClosedIdle uint64 `json:"ended"`
 	Refused    uint64 `json:"refused"`
 }
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -12,30 +12,31 @@
 	"thornnotch/internal/statestore"
 )
 
-// healthMonitor finds nodes that can serve users while the state service fails this
-// one. The state service may refuse one node alone, or be out of its reach, while the
-// others work. A node can't tell that from an outage by itself, so it asks the others;
-// as long as one of them is served, users' requests are relayed there instead of being
-// refused.
+// healthMonitor finds peers that can serve users while this node's requests to the state
+// service fail. The state service may refuse or be unreachable from a single node while it
+// serves the others. A node cannot distinguish that from an outage by itself, so it queries
+// its peers. As long as the state service answers one of them, users' requests are relayed
+// there instead of being rejected.
 type healthMonitor struct {
 	store    *statestore.Client
 	peers    *peers.Client
 	settings *config.Settings
 
-	// helpers are nodes that the state service answers; nil while it answers this one.
-	helpers atomic.Pointer[[]string]
-	// isolated is set when neither the state service nor any other node answers.
+	// healthyPeers are the peers that the state service answers; nil while it answers this
+	// node.
+	healthyPeers atomic.Pointer[[]string]
+	// isolated is set while neither the state service nor any peer answers.
 	isolated atomic.Bool
 }
 
-// Healthy tells other nodes whether the state service answers this one.
+// Healthy reports to other nodes whether the state service answers this one.
 func (n *Node) Healthy() bool { return n.health.healthy() }
 
 func (m *healthMonitor) healthy() bool {
 	return m.store.FailingFor() == 0 && time.Since(m.store.LastSuccess()) < constants.HealthMaxAge
 }
 
-// run checks the state service until ctx ends.
+// run checks the state service periodically until ctx is done.
 func (m *healthMonitor) run(ctx context.Context) error {
 	ticker := time.NewTicker(constants.HealthCheckInterval)
 	defer ticker.Stop()
@@ -49,27 +50,27 @@
 	}
 }
 
-// check asks all other nodes if the state service has failed for so long that they can
-// be asked.
+// check queries the peers once the state service has been failing for at least
+// constants.HealthCheckInterval.
 func (m *healthMonitor) check(ctx context.Context) {
 	failing := m.store.FailingFor()
 	if failing < constants.HealthCheckInterval {
-		m.helpers.Store(nil)
+		m.healthyPeers.Store(nil)
 		m.isolated.Store(false)
 		return
 	}
-	helpers, reached := m.askPeers(ctx)
-	m.helpers.Store(&helpers)
+	healthyPeers, reached := m.queryPeers(ctx)
+	m.healthyPeers.Store(&healthyPeers)
 	m.isolated.Store(reached == 0 && len(m.settings.Peers) > 0 && failing > constants.IsolatedAfter)
 }
 
-// askPeers asks all other nodes at once. It returns those that the state service
-// answers, and how many answered at all.
-func (m *healthMonitor) askPeers(ctx context.Context) (helpers []string, reached int) {
-	var mu sync.Mutex // guards both results
-	var asking sync.WaitGroup
+// queryPeers queries all peers concurrently. It returns those that the state service answers,
+// and how many peers responded at all.
+func (m *healthMonitor) queryPeers(ctx context.Context) (healthyPeers []string, reached int) {
+	var mu sync.Mutex // guards healthyPeers and reached
+	var wg sync.WaitGroup
 	for _, peer := range m.settings.Peers {
-		asking.Go(func() {
+		wg.Go(func() {
 			healthy, err := m.peers.Health(ctx, peer.Name)
 			mu.Lock()
 			defer mu.Unlock()
@@ -77,19 +78,19 @@
 				reached++
 			}
 			if healthy {
-				helpers = append(helpers, peer.Name)
+				healthyPeers = append(healthyPeers, peer.Name)
 			}
 		})
 	}
-	asking.Wait()
-	return helpers, reached
+	wg.Wait()
+	return healthyPeers, reached
 }
 
-// relayTargets are the nodes that a user's request may be relayed to now.
+// relayTargets returns the peers that a user's request can be relayed to.
 func (m *healthMonitor) relayTargets() []string {
-	helpers := m.helpers.Load()
-	if helpers == nil {
+	healthyPeers := m.healthyPeers.Load()
+	if healthyPeers == nil {
 		return nil
 	}
-	return (*helpers)[:min(len(*helpers), constants.MaxRelayTargets)]
+	return (*healthyPeers)[:min(len(*healthyPeers), constants.MaxRelayTargets)]
 }
--- a/internal/node/heartbeats.go
+++ b/internal/node/heartbeats.go
@@ -9,17 +9,18 @@
 	"thornnotch/internal/workers"
 )
 
-// errorBody is how a request that is refused is answered.
+// errorBody is the response body of a rejected heartbeat.
 type errorBody struct {
 	Error string `json:"error"`
 }
 
-// redirectBody names the leader to a worker; it is empty while none is known.
+// redirectBody names the leader to a worker. It is empty while no leader is known.
 type redirectBody struct {
 	Leader string `json:"foreman,omitempty"`
 }
 
-// serveHeartbeat answers workers: the leader gives commands, other nodes name it.
+// serveHeartbeat handles a worker's heartbeat: the leader replies with commands, any other
+// node redirects the worker to the leader.
 func (n *Node) serveHeartbeat(w http.ResponseWriter, r *http.Request) {
 	raw, ok := userapi.ReadBody(w, r)
 	if !ok {
@@ -48,13 +49,13 @@
 	userapi.WriteJSON(w, http.StatusOK, reply.Answer)
 }
 
-// redirectWorker names the leader, if another node is known to lead.
+// redirectWorker responds with the leader's name, if another node is known to lead.
 func (n *Node) redirectWorker(w http.ResponseWriter) {
 	var body redirectBody
 	if leader, _ := n.elector.Leader(); leader != n.settings.NodeName {
 		body.Leader = leader
 	}
-	// A worker that is sent on has no use for this connection.
+	// A redirected worker has no further use for this connection.
 	w.Header().Set("Connection", "close")
 	userapi.WriteJSON(w, http.StatusMisdirectedRequest, body)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node puts one controller process together: its listeners, the component that
-// may lead, the users' interface, and what operators ask for.
+// Package node runs one controller process: its listeners, the leader election, the users'
+// API, and the status and metrics for operators.
 package node
 
 import (
@@ -18,8 +18,8 @@
 	"thornnotch/internal/userapi"
 )
 
-// Node is one controller process. Run starts all its goroutines and waits for them;
-// what they share is set before, is atomic, or guards itself.
+// Node is one controller process. Run starts all its goroutines and waits for them. State that
+// they share is set before, is atomic, or is guarded by its own mutex.
 type Node struct {
 	network  Network
 	settings *config.Settings
@@ -36,25 +36,26 @@
 	health      *healthMonitor
 	connections *connTracker
 	stateLimits stateLimits
-	// undersized are the settings that are too small for the fleet; nil until the
+	// sizingProblems describes the settings that are too small for the fleet; nil until the
 	// first check.
-	undersized atomic.Pointer[[]string]
-	// leading is the leader of the term that this node holds; nil while it does not.
+	sizingProblems atomic.Pointer[[]string]
+	// leading is the leader component of the term that this node holds; nil while it does not
+	// lead.
 	leading atomic.Pointer[leader.Leader]
 
-	// userServer and its handler are set by Run before it starts any goroutine.
+	// userServer and userHandler are set by Run before it starts any goroutine.
 	userServer  *userapi.Server
 	userHandler http.Handler
 }
 
-// New makes a node from its settings.
+// New returns a node with the given settings. Run starts it.
 func New(settings *config.Settings, operator config.Operator, network Network, log *slog.Logger) *Node {
 	n := &Node{
 		network: network, settings: settings, operator: operator, log: log, version: buildVersion(),
 		connections: newConnTracker(settings.SocketLimit()),
 	}
 	n.store = statestore.New(settings.Services.State, statestore.NewBudget(n.stateRates(false)), network.DialContext)
-	n.store.OnRateLimited = n.noteRateLimited
+	n.store.OnRateLimited = n.onRateLimited
 	n.cloud = autoscaling.NewCloudClient(settings.Services.Cloud, settings.Params.Cloud.RPS*operator.Budgets.Use, network.DialContext)
 	n.elector = election.New(settings.NodeName, n.store, log)
 	n.peers = peers.NewClient(peerAddresses(settings.Peers), network.DialContext)
@@ -63,40 +64,40 @@
 	return n
 }
 
-func peerAddresses(known []config.Peer) map[string]string {
-	addresses := make(map[string]string, len(known))
-	for _, peer := range known {
+func peerAddresses(configured []config.Peer) map[string]string {
+	addresses := make(map[string]string, len(configured))
+	for _, peer := range configured {
 		addresses[peer.Name] = peer.Addr
 	}
 	return addresses
 }
 
-// leads tells whether this node leads.
+// leads reports whether this node leads.
 func (n *Node) leads() bool { return n.leading.Load() != nil }
 
-// ready tells whether users may be sent here. It does not follow the state
-// service's outages: they hit all nodes alike, and a node that is taken out
-// is brought back only slowly. Only a node that reaches neither the state
-// service nor any other node sends users elsewhere.
+// ready reports whether users may be sent to this node. An outage of the state service alone
+// does not make a node unready: it affects all nodes alike, and a load balancer is slow to
+// bring a removed node back. A node is unready only if it reaches neither the state service
+// nor any peer, or has no catalog yet.
 func (n *Node) ready() bool { return n.catalog.load() != nil && !n.health.isolated.Load() }
 
-// noteRateLimited follows a refusal for too many calls by the state service.
-func (n *Node) noteRateLimited() {
-	if n.stateLimits.noteRefusal(time.Now()) {
-		n.log.Info("the state service has lowered its rates")
+// onRateLimited handles a response of the state service that rejects a call as one too many.
+func (n *Node) onRateLimited() {
+	if n.stateLimits.recordRateLimited(time.Now()) {
+		n.log.Info("state service rate limits lowered")
 		n.store.Budget.SetRates(n.stateRates(n.leads()))
 	}
 }
 
-// stateRates is this node's share of the calls to the state service.
+// stateRates returns this node's share of the state service's rate limits.
 func (n *Node) stateRates(leads bool) (rps, writeRPS float64) {
 	rps, writeRPS = n.settings.Params.State.Rates(n.stateLimits.ratesLowered.Load())
 	budgets := n.operator.Budgets
 	return rps * n.rateShare(leads, budgets.LeaderShare), writeRPS * n.rateShare(leads, budgets.LeaderWriteShare)
 }
 
-// rateShare is this node's part of a rate of which the leader takes leaderShare and
-// the other nodes share the rest.
+// rateShare returns this node's fraction of a rate of which the leader gets leaderShare and
+// the other nodes split the rest evenly.
 func (n *Node) rateShare(leads bool, leaderShare float64) float64 {
 	use := n.operator.Budgets.Use
 	followers := n.settings.Params.Count - 1
@@ -109,8 +110,8 @@
 	return (1 - leaderShare) / float64(followers) * use
 }
 
-// maxConcurrentSubmits is how many submissions this node can have recorded in the time
-// that a user is let wait: each is one change.
+// maxConcurrentSubmits returns how many submissions this node can write within the time that a
+// user is kept waiting. Each takes one write.
 func (n *Node) maxConcurrentSubmits() int {
 	_, writeRPS := n.stateRates(false)
 	return max(constants.MinConcurrentSubmits, int(writeRPS*(1+constants.UserRequestTimeout.Seconds())))
--- a/internal/node/progress.go
+++ b/internal/node/progress.go
@@ -7,7 +7,7 @@
 	"thornnotch/internal/userapi"
 )
 
-// Progress tells other nodes the progress of jobs if this node leads.
+// Progress returns the progress of jobs to other nodes if this node leads, and nil otherwise.
 func (n *Node) Progress(ctx context.Context, jobs []string) map[string]peers.TaskCounts {
 	term := n.leading.Load()
 	if term == nil {
@@ -20,8 +20,8 @@
 	return progress
 }
 
-// progress asks the leader for the progress of jobs. It is for display: nil if the
-// leader can't be reached.
+// progress returns the progress of jobs as the leader knows it. It is nil if the leader cannot
+// be reached, because it is only for display.
 func (n *Node) progress(ctx context.Context, jobs []string) map[string]userapi.TaskCounts {
 	var fromLeader map[string]peers.TaskCounts
 	if n.leads() {
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -12,16 +12,17 @@
 	"thornnotch/internal/userapi"
 )
 
-// relayedPrefix is the part of the users' interface that other nodes serve.
-const relayedPrefix = "/work"
+// relayedPathPrefix is the path prefix of the user requests that other nodes can serve.
+const relayedPathPrefix = "/work"
 
-// serveUser serves a user's request, here or at a node that the state service answers.
+// serveUser handles a user's request. While the state service fails this node, it relays the
+// request to a healthy peer and handles it locally only if no peer does.
 func (n *Node) serveUser(w http.ResponseWriter, r *http.Request) {
 	if n.connections.onUserRequest() {
 		w.Header().Set("Connection", "close")
 	}
 	targets := n.health.relayTargets()
-	if len(targets) == 0 || !strings.HasPrefix(r.URL.Path, relayedPrefix) {
+	if len(targets) == 0 || !strings.HasPrefix(r.URL.Path, relayedPathPrefix) {
 		n.userHandler.ServeHTTP(w, r)
 		return
 	}
@@ -37,7 +38,7 @@
 	n.userHandler.ServeHTTP(w, r)
 }
 
-// relay passes a request on to one node after the other until one serves it.
+// relay forwards a request to the targets in order until one of them serves it.
 func (n *Node) relay(r *http.Request, targets []string, body []byte) (reply peers.RelayReply, ok bool) {
 	request := peers.RelayArgs{Method: r.Method, Path: r.URL.EscapedPath(), Body: body}
 	for _, target := range targets {
@@ -45,24 +46,25 @@
 		if err == nil && reply.Status != 0 {
 			return reply, true
 		}
-		n.log.Debug("request not relayed", "node", target, "error", err)
+		n.log.Debug("relay attempt failed", "node", target, "error", err)
 	}
 	return peers.RelayReply{}, false
 }
 
-// writeRelayed answers a user as another node has.
+// writeRelayed writes another node's response to the user.
 func writeRelayed(w http.ResponseWriter, reply peers.RelayReply) {
 	if reply.RetryAfter != "" {
 		w.Header().Set("Retry-After", reply.RetryAfter)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(reply.Status)
-	_, _ = w.Write(reply.Body) // fails if the user has gone
+	_, _ = w.Write(reply.Body) // fails if the user has disconnected
 }
 
-// Relay serves a request that another node passes on.
+// Relay handles a user's request that another node forwards. A zero status tells the caller
+// that this node cannot serve it either.
 func (n *Node) Relay(ctx context.Context, request peers.RelayArgs) peers.RelayReply {
-	if n.userHandler == nil || !n.Healthy() || !strings.HasPrefix(request.Path, relayedPrefix) {
+	if n.userHandler == nil || !n.Healthy() || !strings.HasPrefix(request.Path, relayedPathPrefix) {
 		return peers.RelayReply{}
 	}
 	r, err := http.NewRequestWithContext(ctx, request.Method, request.Path, bytes.NewReader(request.Body))
@@ -74,18 +76,18 @@
 	return peers.RelayReply{Status: response.status, RetryAfter: response.header.Get("Retry-After"), Body: response.body.Bytes()}
 }
 
-// responseRecorder keeps a response that goes back to another node.
+// responseRecorder is an http.ResponseWriter that buffers the response to a relayed request.
 type responseRecorder struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
-// Header returns the response's header.
+// Header returns the buffered header.
 func (r *responseRecorder) Header() http.Header { return r.header }
 
-// WriteHeader keeps the status.
+// WriteHeader records the status code.
 func (r *responseRecorder) WriteHeader(status int) { r.status = status }
 
-// Write keeps the body.
+// Write appends to the buffered body.
 func (r *responseRecorder) Write(part []byte) (int, error) { return r.body.Write(part) }
--- a/internal/node/resource_usage.go
+++ b/internal/node/resource_usage.go
@@ -17,11 +17,11 @@
 
 const bytesPerMB = 1 << 20
 
-// LimitRuntime keeps the Go runtime within the machine's limits.
+// LimitRuntime sets the Go runtime's memory limit and GOMAXPROCS from the machine's limits.
 func LimitRuntime(limits config.MachineLimits) {
 	if limits.MemMB > 0 {
 		debug.SetMemoryLimit(int64(limits.MemMB * constants.MemoryShare * bytesPerMB))
-		// Collect seldom: the memory limit above keeps the heap in bounds.
+		// A high GC percentage is safe here: the memory limit above bounds the heap.
 		debug.SetGCPercent(constants.GCPercent)
 	}
 	if limits.Cores > 0 {
@@ -29,7 +29,7 @@
 	}
 }
 
-// memoryMB is how much memory the process holds now.
+// memoryMB returns the memory that the process holds (MiB).
 func memoryMB() float64 {
 	samples := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	metrics.Read(samples)
@@ -37,11 +37,11 @@
 	return float64(total-released) / bytesPerMB
 }
 
-// threads is how many threads the process has made.
-func threads() int { return pprof.Lookup("threadcreate").Count() }
+// threadCount returns how many OS threads the process has created.
+func threadCount() int { return pprof.Lookup("threadcreate").Count() }
 
-// scarceResources names what there is too little of while the process holds so much
-// memory.
+// scarceResources returns the names of the resources that run short at the given memory usage
+// (MiB).
 func (n *Node) scarceResources(memory float64) (scarce []string) {
 	if n.connections.scarce() {
 		scarce = append(scarce, "sockets")
@@ -60,37 +60,36 @@
 	return scarce
 }
 
-// watchResources logs when something becomes scarce and when that is over, and whether
-// the settings are enough for the machines that are to be expected, as their number
-// grows.
+// watchResources logs when a resource becomes scarce and when it recovers, and checks the
+// settings again whenever the expected number of machines has grown by constants.FleetGrowth.
 func (n *Node) watchResources(ctx context.Context) error {
 	ticker := time.NewTicker(constants.ResourceCheckInterval)
 	defer ticker.Stop()
-	checkedFor := constants.MinWorkers
-	var before []string
+	checkedMachines := constants.MinWorkers
+	var previous []string
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		if expected := n.expectedMachines(); float64(expected) > float64(checkedFor)*constants.FleetGrowth {
-			checkedFor = expected
+		if expected := n.expectedMachines(); float64(expected) > float64(checkedMachines)*constants.FleetGrowth {
+			checkedMachines = expected
 			n.checkSizing(expected)
 		}
 		memory := memoryMB()
 		scarce := n.scarceResources(memory)
-		if !slices.Equal(scarce, before) {
+		if !slices.Equal(scarce, previous) {
 			n.logScarce(scarce, memory)
-			before = scarce
+			previous = scarce
 		}
 	}
 }
 
-// logScarce logs what is scarce now, or that nothing is any more.
+// logScarce logs the scarce resources, or that none is scarce any longer.
 func (n *Node) logScarce(scarce []string, memory float64) {
 	sockets := n.connections.usage()
-	attrs := []any{"memory_mb", math.Round(memory), "threads", threads(), "sockets", sockets.Open, "sockets_limit", sockets.Limit}
+	attrs := []any{"memory_mb", math.Round(memory), "threads", threadCount(), "sockets", sockets.Open, "sockets_limit", sockets.Limit}
 	if len(scarce) == 0 {
 		n.log.Info("resources are no longer scarce", attrs...)
 		return
--- a/internal/node/sizing.go
+++ b/internal/node/sizing.go
@@ -7,26 +7,26 @@
 	"thornnotch/internal/constants"
 )
 
-// checkSizing logs which settings are too small for so many workers, and has the
-// status name them.
+// checkSizing logs which settings are too small for the given number of workers, and stores
+// them for the status.
 func (n *Node) checkSizing(workers int) {
 	problems := n.settings.SizingWarnings(workers)
-	n.undersized.Store(&problems)
+	n.sizingProblems.Store(&problems)
 	for _, problem := range problems {
 		n.log.Warn("settings are too small", "problem", problem)
 	}
 }
 
-// undersizedSettings are the settings that the last check found too small.
+// undersizedSettings returns the settings that the last check found too small.
 func (n *Node) undersizedSettings() []string {
-	if problems := n.undersized.Load(); problems != nil {
+	if problems := n.sizingProblems.Load(); problems != nil {
 		return *problems
 	}
 	return nil
 }
 
-// expectedMachines is how many machines the settings must be enough for: those that
-// the teams are guaranteed, or those that there are if this node leads.
+// expectedMachines returns how many machines the settings must support: at least those that
+// the teams' guarantees need and, if this node leads, those that exist.
 func (n *Node) expectedMachines() int {
 	expected := max(constants.MinWorkers, n.guaranteedMachines())
 	if term := n.leading.Load(); term != nil {
@@ -35,8 +35,8 @@
 	return expected
 }
 
-// guaranteedMachines is how many machines the teams' guarantees fill, on the
-// largest type: at least as many are to be expected.
+// guaranteedMachines returns how many machines of the largest type the teams' guarantees add
+// up to. The fleet is expected to reach at least that size.
 func (n *Node) guaranteedMachines() int {
 	catalog := n.catalog.load()
 	if catalog == nil {
@@ -46,14 +46,14 @@
 	for _, machineType := range catalog.MachineTypes {
 		maxGPUs, maxCPUs = max(maxGPUs, machineType.GPUs), max(maxCPUs, machineType.CPUs)
 	}
-	sum := 0.0
+	total := 0.0
 	for _, team := range n.settings.Params.Teams {
-		sum += machinesFor(team, maxGPUs, maxCPUs)
+		total += machinesFor(team, maxGPUs, maxCPUs)
 	}
-	return int(math.Ceil(sum))
+	return int(math.Ceil(total))
 }
 
-// machinesFor is how many machines with so many GPUs and CPUs a team's guarantee fills.
+// machinesFor returns how many machines with the given GPUs and CPUs a team's guarantee fills.
 func machinesFor(team config.Team, gpus, cpus float64) (machines float64) {
 	if gpus > 0 {
 		machines = team.GuaranteedGPUs / gpus
--- a/internal/node/state_limits.go
+++ b/internal/node/state_limits.go
@@ -9,44 +9,44 @@
 	"thornnotch/internal/constants"
 )
 
-// stateLimits follows what the state service takes. Its limits may fall without notice:
-// rates to what the settings announce, found from its refusals, and sizes to less than
-// anybody said.
+// stateLimits tracks reductions of the state service's limits, which come without notice.
+// Rates fall to values announced in the settings, which is detected from rejected calls. Sizes
+// may fall below any announced value.
 type stateLimits struct {
-	// ratesLowered is set once the rates are the lower ones; they never rise again.
+	// ratesLowered is set once the lower rates apply. It is never reset.
 	ratesLowered atomic.Bool
 
-	mu       sync.Mutex
-	refusals []time.Time // within constants.RateLimitedWindow; guarded by mu
-	halvings int         // how often transactions had to become smaller; guarded by mu
+	mu            sync.Mutex
+	rateLimitedAt []time.Time // rejections within constants.RateLimitedWindow; guarded by mu
+	halvings      int         // how often the transaction size was halved; guarded by mu
 }
 
-// noteRefusal notes a refusal for too many calls, and tells whether the rates are taken
-// to have fallen just now: a single one may come from nodes whose seconds differ, a run
-// of them does not.
-func (l *stateLimits) noteRefusal(now time.Time) (fell bool) {
+// recordRateLimited records a call that the state service rejected as one too many, and
+// reports whether the lower rates apply from now on. A single rejection may be due to nodes
+// whose clocks disagree about when a second begins, but a run of them is not.
+func (l *stateLimits) recordRateLimited(now time.Time) (lowered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.refusals = append(l.refusals, now)
-	for len(l.refusals) > 0 && now.Sub(l.refusals[0]) > constants.RateLimitedWindow {
-		l.refusals = l.refusals[1:]
+	l.rateLimitedAt = append(l.rateLimitedAt, now)
+	for len(l.rateLimitedAt) > 0 && now.Sub(l.rateLimitedAt[0]) > constants.RateLimitedWindow {
+		l.rateLimitedAt = l.rateLimitedAt[1:]
 	}
-	return len(l.refusals) >= constants.RateLimitedRun && l.ratesLowered.CompareAndSwap(false, true)
+	return len(l.rateLimitedAt) >= constants.RateLimitedRun && l.ratesLowered.CompareAndSwap(false, true)
 }
 
-// halveTransactions has the next term's transactions be half as large.
+// halveTransactions halves the maximum transaction size from the next term on.
 func (l *stateLimits) halveTransactions() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.halvings++
 }
 
-// apply returns the settings with the sizes that the leader may write.
+// apply returns the state limits with the reduced sizes.
 func (l *stateLimits) apply(state config.StateLimits) config.StateLimits {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for range l.halvings {
-		// Settings below the least sizes stay as they are.
+		// A setting that is already below the minimum is left unchanged.
 		state.ValueKB = max(state.ValueKB/2, min(state.ValueKB, constants.MinValueKB))
 		state.TxnOps = max(state.TxnOps/2, min(state.TxnOps, constants.MinTxnOps))
 	}
--- a/internal/node/stored_formats.go
+++ b/internal/node/stored_formats.go
@@ -6,9 +6,9 @@
 	"thornnotch/internal/constants"
 )
 
-// allReadLargeRing tells whether every node of the site runs a version that reads the
-// log's large ring. Each must say so itself, now: a node that is silent may come back
-// with an earlier version.
+// allReadLargeRing reports whether every node of the site runs a version that can read the
+// large log ring. Each node must confirm it in this call: one that does not answer might come
+// back with an older version.
 func (n *Node) allReadLargeRing(ctx context.Context) bool {
 	if len(n.settings.Peers)+1 < n.settings.Params.Count {
 		return false
