--- a/internal/node/test_jobs_test.go
+++ b/internal/node/test_jobs_test.go
@@ -2,8 +2,8 @@
 
 import "thornnotch/internal/jobs"
 
-// testJob is a job of one-GPU tasks that run for 20 s. Arrays may use spot machines,
-// gangs are bound to one zone.
+// testJob returns a job whose tasks need one GPU each and run for 20 s. Arrays may run on spot
+// machines, gangs must run in a single zone.
 func testJob(number int, team, kind string, tasks int) *jobs.Spec {
 	return &jobs.Spec{
 		ID: jobID(number), Class: kind, Team: team, Kind: kind, PriorityClass: "standard", Tasks: tasks,
@@ -12,20 +12,21 @@
 	}
 }
 
-// long is a job that runs until it is cancelled, or for that long.
+// longJob returns a job whose tasks run for so many seconds unless it is cancelled. Its ID
+// is assigned when a scenario submits it.
 func longJob(team, kind string, tasks int, seconds float64) *jobs.Spec {
 	job := testJob(0, team, kind, tasks)
 	job.ExpectedS = seconds
 	return job
 }
 
-// teamOf names the site's two teams by turns.
+// teamOf returns the site's two teams alternately for successive n.
 func teamOf(n int) string { return []string{"a", "b"}[n%2] }
 
-// kindOf names arrays and gangs by turns.
+// kindOf returns the kinds array and gang alternately for successive n.
 func kindOf(n int) string { return []string{jobs.KindArray, jobs.KindGang}[n%2] }
 
-// mostlyArrays names two arrays for each gang.
+// mostlyArrays returns the kind array for two and gang for one of three successive n.
 func mostlyArrays(n int) string {
 	return []string{jobs.KindArray, jobs.KindArray, jobs.KindGang}[n%3]
 }
