--- a/internal/node/state_limits.go
+++ b/internal/node/state_limits.go
@@ -31,7 +31,7 @@
 	for len(l.rateLimitedAt) > 0 && now.Sub(l.rateLimitedAt[0]) > constants.RateLimitedWindow {
 		l.rateLimitedAt = l.rateLimitedAt[1:]
 	}
-	return len(l.rateLimitedAt) >= constants.RateLimitedRun && l.ratesLowered.CompareAndSwap(false, true)
+	return len(l.rateLimitedAt) >= constants.RateLimitedRefusals && l.ratesLowered.CompareAndSwap(false, true)
 }
 
 // halveTransactions halves the maximum transaction size from the next term on.
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -17,7 +17,7 @@
 
 // Status is one node's status for operators.
 type Status struct {
-	Label         string  `json:"label"`
+	Name          string  `json:"label"`
 	Reachable     bool    `json:"reachable"`
 	Version       string  `json:"version,omitempty"`
 	Leads         bool    `json:"leads"`
@@ -33,11 +33,11 @@
 	// Threads and MemoryMB are what the process uses now.
 	Threads  int     `json:"threads"`
 	MemoryMB float64 `json:"memoryMB"`
-	// Scarce names the resources that run short.
-	Scarce []string `json:"scarce,omitempty"`
-	// TooSmall describes the settings that are too small for the fleet, each with its required
+	// ScarceResources names the resources that run short.
+	ScarceResources []string `json:"scarce,omitempty"`
+	// UndersizedSettings describes the settings that are too small for the fleet, each with its required
 	// value.
-	TooSmall []string `json:"settingsTooSmall,omitempty"`
+	UndersizedSettings []string `json:"settingsTooSmall,omitempty"`
 }
 
 // Overview is the status of the whole site as seen by one node. Cluster is nil while no leader
@@ -83,12 +83,12 @@
 // ownStatus returns this node's status.
 func (n *Node) ownStatus() Status {
 	status := Status{
-		Label: n.settings.NodeName, Reachable: true, Version: n.version, Leads: n.leads(), CloudTokens: n.cloud.Tokens(),
-		Sockets: n.connections.usage(), Threads: threadCount(), MemoryMB: memoryMB(), TooSmall: n.undersizedSettings(),
+		Name: n.settings.NodeName, Reachable: true, Version: n.version, Leads: n.leads(), CloudTokens: n.cloud.Tokens(),
+		Sockets: n.connections.usage(), Threads: threadCount(), MemoryMB: memoryMB(), UndersizedSettings: n.undersizedSettings(),
 	}
 	status.Leader, status.Term = n.elector.Leader()
 	status.RequestTokens, status.WriteTokens = n.store.Budget.Available()
-	status.Scarce = n.scarceResources(status.MemoryMB)
+	status.ScarceResources = n.scarceResources(status.MemoryMB)
 	if term := n.leading.Load(); term != nil {
 		status.Failover = term.FailoverProgress()
 	}
@@ -127,7 +127,7 @@
 		received, err = decodeStatus(raw)
 	}
 	if err != nil {
-		o.Nodes = append(o.Nodes, Status{Label: label})
+		o.Nodes = append(o.Nodes, Status{Name: label})
 		return
 	}
 	o.Nodes = append(o.Nodes, received.Nodes[0])
--- a/internal/node/stored_formats.go
+++ b/internal/node/stored_formats.go
@@ -10,7 +10,7 @@
 // large log ring. Each node must confirm it in this call: one that does not answer might come
 // back with an older version.
 func (n *Node) allReadLargeRing(ctx context.Context) bool {
-	if len(n.settings.Peers)+1 < n.settings.Params.Count {
+	if len(n.settings.Peers)+1 < n.settings.Params.NodeCount {
 		return false
 	}
 	for _, peer := range n.settings.Peers {
--- a/internal/peers/client.go
+++ b/internal/peers/client.go
@@ -119,7 +119,7 @@
 // Progress returns the progress of the given jobs as known to a node.
 func (c *Client) Progress(ctx context.Context, node string, jobs []string) (map[string]TaskCounts, error) {
 	reply := new(ProgressReply)
-	if err := c.call(ctx, constants.MeshTimeout, node, methodProgress, ProgressArgs{jobs}, reply); err != nil {
+	if err := c.call(ctx, constants.PeerTimeout, node, methodProgress, ProgressArgs{jobs}, reply); err != nil {
 		return nil, err
 	}
 	return reply.Jobs, nil
@@ -128,7 +128,7 @@
 // Status returns the status of a node as JSON.
 func (c *Client) Status(ctx context.Context, node string) ([]byte, error) {
 	reply := new(StatusReply)
-	if err := c.call(ctx, constants.MeshTimeout, node, methodStatus, StatusArgs{}, reply); err != nil {
+	if err := c.call(ctx, constants.PeerTimeout, node, methodStatus, StatusArgs{}, reply); err != nil {
 		return nil, err
 	}
 	return reply.JSON, nil
@@ -137,7 +137,7 @@
 // Health reports whether the state service responds to a node.
 func (c *Client) Health(ctx context.Context, node string) (bool, error) {
 	reply := new(HealthReply)
-	if err := c.call(ctx, constants.MeshTimeout, node, methodHealth, HealthArgs{}, reply); err != nil {
+	if err := c.call(ctx, constants.PeerTimeout, node, methodHealth, HealthArgs{}, reply); err != nil {
 		return false, err
 	}
 	return reply.OK, nil
@@ -149,7 +149,7 @@
 	reply := new(VouchReply)
 	// Rounded up, so that the node covers at least the span.
 	args := VouchArgs{SpanMS: span.Milliseconds() + 1}
-	if err := c.call(ctx, constants.MeshTimeout, node, methodVouch, args, reply); err != nil {
+	if err := c.call(ctx, constants.PeerTimeout, node, methodVouch, args, reply); err != nil {
 		return nil, false
 	}
 	return reply.Cancelled, reply.OK
@@ -158,7 +158,7 @@
 // Formats returns the stored formats that a node's version can read.
 func (c *Client) Formats(ctx context.Context, node string) (FormatsReply, error) {
 	reply := new(FormatsReply)
-	if err := c.call(ctx, constants.MeshTimeout, node, methodFormats, FormatsArgs{}, reply); err != nil {
+	if err := c.call(ctx, constants.PeerTimeout, node, methodFormats, FormatsArgs{}, reply); err != nil {
 		return FormatsReply{}, err
 	}
 	return *reply, nil
--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -34,7 +34,7 @@
 
 // Progress calls LocalNode.Progress.
 func (s *rpcService) Progress(args ProgressArgs, reply *ProgressReply) error {
-	ctx, cancel := context.WithTimeout(context.Background(), constants.MeshTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), constants.PeerTimeout)
 	defer cancel()
 	reply.Jobs = s.node.Progress(ctx, args.Jobs)
 	return nil
@@ -62,7 +62,7 @@
 
 // Status calls LocalNode.Status.
 func (s *rpcService) Status(_ StatusArgs, reply *StatusReply) (err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), constants.MeshTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), constants.PeerTimeout)
 	defer cancel()
 	reply.JSON, err = s.node.Status(ctx)
 	return err
@@ -98,7 +98,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return err
 		default: // possibly temporary, such as too many open files
-			time.Sleep(constants.MinBackoff)
+			time.Sleep(constants.MinStateBackoff)
 			continue
 		}
 		conns.add(conn)
--- a/internal/placement/binpacking.go
+++ b/internal/placement/binpacking.go
@@ -23,12 +23,12 @@
 func (p *pass) score(machine *Machine, job *Job) float64 {
 	score := machine.imageDelayS(job)
 	if machine.hasReservedSlotFor(job) {
-		score -= constants.ReservedSlotBonus
+		score -= constants.ReservedSlotBonusS
 	}
 	if job.Spec.AllowSpot && !machine.Spot {
-		score += constants.OnDemandMachinePenalty
+		score += constants.OnDemandMachinePenaltyS
 		if !job.isGang() && machine.emptyOnDemand() && p.emptyOnDemand > 0 {
-			score += constants.LastWholeMachinePenalty / float64(p.emptyOnDemand)
+			score += constants.LastWholeMachinePenaltyS / float64(p.emptyOnDemand)
 		}
 	}
 	if !job.isGang() {
@@ -44,9 +44,9 @@
 	if _, imageKnown := machine.ImageWait[job.Spec.Image]; !imageKnown && machine.Spot {
 		// The image must be fetched in any case. Few gangs can use spot machines, so it is
 		// better to spread the tasks, and with them the image, over more of these machines.
-		return constants.SpotSpreadPenalty * utilization
+		return constants.SpotSpreadPenaltyS * utilization
 	}
-	return constants.PartlyUsedBonus * (1 - utilization)
+	return constants.UnusedCapacityPenaltyS * (1 - utilization)
 }
 
 // placeTask assigns one waiting task to a machine and updates the usage of the machine and the
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -18,9 +18,9 @@
 
 // Start places one task on a machine.
 type Start struct {
-	Job       *Job
-	TaskIndex int
-	Machine   *Machine
+	Job     *Job
+	Index   int
+	Machine *Machine
 }
 
 // Preemption stops a task to make room for another job.
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -86,7 +86,7 @@
 	p.plan.Preemptions = append(p.plan.Preemptions, Preemption{machine, victim, job})
 	for i := range machine.RunningTasks {
 		task := &machine.RunningTasks[i]
-		if task.Attempt == victim.Attempt && task.TaskIndex == victim.TaskIndex && task.Job == victim.Job {
+		if task.Attempt == victim.Attempt && task.Index == victim.Index && task.Job == victim.Job {
 			task.Stopping = true
 		}
 	}
@@ -134,10 +134,10 @@
 			break
 		}
 		freed = freed.Add(victims[i].Resources)
-		lost += time.Duration(float64(victims[i].StopCost) * victims[i].Resources.DominantShare(machine.Total) * constants.StopWeight)
+		lost += time.Duration(float64(victims[i].StopCost) * victims[i].Resources.DominantShare(machine.Total) * constants.StopLossWeight)
 		count++
 	}
-	option.costS = lost.Seconds() + machine.imageDelayS(s.job)*s.request.DominantShare(machine.Total)*constants.StopWeight
+	option.costS = lost.Seconds() + machine.imageDelayS(s.job)*s.request.DominantShare(machine.Total)*constants.StopLossWeight
 	if option.costS < maxCostS {
 		option.victims = slices.Clone(victims[:count])
 		option.tasks = freed.Count(s.request, s.tasks)
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -65,7 +65,7 @@
 // RunningTask is a task that uses resources of a machine.
 type RunningTask struct {
 	Job       *Job
-	TaskIndex int
+	Index     int
 	Attempt   uint64
 	Resources Resources
 	Stopping  bool // a stop was requested
--- a/internal/placement/starvation.go
+++ b/internal/placement/starvation.go
@@ -37,12 +37,12 @@
 		job.Boost = NoBoost
 		class := starving[job.Spec.Class]
 		if class.MinTasks > 0 && job.Spec.Tasks >= class.MinTasks && job.Spec.Kind == jobs.KindGang &&
-			len(job.WaitingTasks) > 0 && now.Sub(job.Submitted) > constants.BoostAfter {
+			len(job.WaitingTasks) > 0 && now.Sub(job.Submitted) > constants.GangBoostAfter {
 			overdue = append(overdue, job)
 		}
 	}
 	slices.SortFunc(overdue, func(a, b *Job) int { return cmp.Compare(a.SubmissionRevision, b.SubmissionRevision) })
-	for _, job := range overdue[:min(len(overdue), constants.MaxBoosted)] {
+	for _, job := range overdue[:min(len(overdue), constants.MaxBoostedGangs)] {
 		job.Boost = starving[job.Spec.Class].Boost
 	}
 }
--- a/internal/reservations/phase.go
+++ b/internal/reservations/phase.go
@@ -22,7 +22,7 @@
 
 // TaskFinished processes the end of a task of an upstream job and reports whether its slot is
 // now reserved (paper, III-B, algorithm 1).
-func (m *Manager) TaskFinished(finish TaskFinish) (reserved bool) {
+func (m *Manager) TaskFinished(finish FinishedTask) (reserved bool) {
 	if !m.options.Enabled {
 		return false
 	}
@@ -46,7 +46,7 @@
 
 // reserveOrRelease reserves the slot of a finished task and reports whether it did. If the
 // downstream jobs have fewer tasks (m > n), the first m-n slots are released instead.
-func (m *Manager) reserveOrRelease(upstream *phase, finish TaskFinish) (reserved bool) {
+func (m *Manager) reserveOrRelease(upstream *phase, finish FinishedTask) (reserved bool) {
 	surplus := finish.Tasks - finish.downstreamTasks()
 	switch {
 	case upstream.releasedSlots < surplus:
@@ -60,7 +60,7 @@
 
 // startPreReserving starts the reservation of n-m further slots if the downstream jobs have
 // more tasks (m < n) and the phase has just exceeded the threshold.
-func (m *Manager) startPreReserving(upstream *phase, finish TaskFinish) {
+func (m *Manager) startPreReserving(upstream *phase, finish FinishedTask) {
 	missing := finish.downstreamTasks() - finish.Tasks
 	if missing > 0 && !upstream.thresholdReached && float64(upstream.finishedTasks) > m.options.Threshold*float64(finish.Tasks) {
 		upstream.thresholdReached, upstream.slotsToPreReserve = true, missing
@@ -68,7 +68,7 @@
 }
 
 // downstreamTasks returns the total number of tasks of all downstream jobs: n in the paper.
-func (f TaskFinish) downstreamTasks() int {
+func (f FinishedTask) downstreamTasks() int {
 	n := 0
 	for _, downstream := range f.Downstreams {
 		n += downstream.tasksOrDefault(f.Tasks)
@@ -100,10 +100,10 @@
 	return false
 }
 
-// OfferFreed offers a slot that another job has released to the phases that pre-reserve
+// OfferFreedSlot offers a slot that another job has released to the phases that pre-reserve
 // (m < n), highest priority first, and reports whether it is now reserved. The function fits
 // reports whether a task of the downstream job can use the slot.
-func (m *Manager) OfferFreed(machine string, fits func(Downstream) bool, now time.Time) bool {
+func (m *Manager) OfferFreedSlot(machine string, fits func(Downstream) bool, now time.Time) bool {
 	for _, job := range m.preReservingJobs(now) {
 		upstream := m.phases[job]
 		// An unknown n is taken as m, for which no further slots are pre-reserved: hence 0.
--- a/internal/reservations/reservation.go
+++ b/internal/reservations/reservation.go
@@ -52,8 +52,8 @@
 	return d.Tasks
 }
 
-// TaskFinish describes the end of one task of an upstream job.
-type TaskFinish struct {
+// FinishedTask describes the end of one task of an upstream job.
+type FinishedTask struct {
 	Job               string
 	Tasks             int       // number of tasks of the upstream job: m in the paper
 	UpstreamStartedAt time.Time // when the upstream job's first task started
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -85,9 +85,9 @@
 	return c.machines[name] != nil
 }
 
-// Fail stops a machine and everything that runs on it. The cloud still lists the machine as
+// FailMachine stops a machine and everything that runs on it. The cloud still lists the machine as
 // running for failureListDelay, and then as failed.
-func (c *Cloud) Fail(name string) {
+func (c *Cloud) FailMachine(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	machine := c.machines[name]
--- a/internal/simulator/network_faults.go
+++ b/internal/simulator/network_faults.go
@@ -46,15 +46,15 @@
 	}
 }
 
-// Cut resets the host's connections to the given addresses and refuses new ones.
-func (h *Host) Cut(addrs ...string) {
+// Disconnect resets the host's connections to the given addresses and refuses new ones.
+func (h *Host) Disconnect(addrs ...string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, addr := range addrs {
-		h.cut[addr] = true
+		h.unreachable[addr] = true
 	}
 	for c, addr := range h.conns {
-		if h.cut[addr] {
+		if h.unreachable[addr] {
 			c.reset()
 			delete(h.conns, c)
 		}
@@ -65,7 +65,7 @@
 func (h *Host) Heal() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.cut = make(map[string]bool)
+	h.unreachable = make(map[string]bool)
 }
 
 // Side is one side of a network partition: its hosts and the addresses that they listen on.
@@ -78,10 +78,10 @@
 // can't reach each other. Connections of either side to other hosts are not affected.
 func Partition(a, b Side) {
 	for _, host := range a.Hosts {
-		host.Cut(b.Addrs...)
+		host.Disconnect(b.Addrs...)
 	}
 	for _, host := range b.Hosts {
-		host.Cut(a.Addrs...)
+		host.Disconnect(a.Addrs...)
 	}
 }
 
--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -39,7 +39,7 @@
 	state := NewStateService()
 	defer state.Close()
 	if lossShare > 0 {
-		state.SetFate(drawLostReplies(lossShare, log))
+		state.SetTxnFaults(drawLostReplies(lossShare, log))
 	}
 	cloud := NewCloud(ctx, siteCatalog(settings.Params.Zones), siteMachineCount, siteWorkerRunner(settings, nodes, state, log))
 	serveErrors := make(chan error, 2)
@@ -106,18 +106,18 @@
 // drawLostReplies returns a function that drops the reply to the given share of write
 // transactions, chosen at random. Of these, lateShare are applied some seconds late if their
 // conditions hold then; the others are applied immediately.
-func drawLostReplies(share float64, log *slog.Logger) func(caller string, writes int) Fate {
+func drawLostReplies(share float64, log *slog.Logger) func(caller string, writes int) TxnFault {
 	draw := rand.New(rand.NewPCG(lossSeed, lossSeed))
-	return func(_ string, writes int) Fate {
+	return func(_ string, writes int) TxnFault {
 		if writes == 0 || draw.Float64() >= share {
-			return Fate{}
+			return TxnFault{}
 		}
 		late := draw.Float64() < lateShare
 		log.Info("reply dropped", "late", late)
 		if !late {
-			return Fate{Lost: true}
+			return TxnFault{ReplyLost: true}
 		}
-		return Fate{Lost: true, After: config.Seconds(minLateDelayS + draw.Float64()*lateDelaySpreadS)}
+		return TxnFault{ReplyLost: true, After: config.Seconds(minLateDelayS + draw.Float64()*lateDelaySpreadS)}
 	}
 }
 
--- a/internal/simulator/state_faults.go
+++ b/internal/simulator/state_faults.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Fate is the fault injected into one transaction. The zero value injects none.
-type Fate struct {
-	// Lost drops the reply. The transaction is applied after the delay After, if its conditions
+// TxnFault is the fault injected into one transaction. The zero value injects none.
+type TxnFault struct {
+	// ReplyLost drops the reply. The transaction is applied after the delay After, if its conditions
 	// hold then.
-	Lost  bool
-	After time.Duration
-	// Slow delays the transaction and its reply, unless the reply is lost.
-	Slow time.Duration
+	ReplyLost bool
+	After     time.Duration
+	// Delay delays the transaction and its reply, unless the reply is lost.
+	Delay time.Duration
 }
 
 // FaultCounts counts the faults that took place, so that a test can check that the one it
 // injects did: requests refused with 503, lost replies, transactions that were due late and
-// were applied (LateDone) or not (LateFailed), and transactions over a size limit or the rate
+// were applied (LateApplied) or not (LateRejected), and transactions over a size limit or the rate
 // limit.
-type FaultCounts struct{ Refused, Lost, LateDone, LateFailed, TooLarge, RateLimited int }
+type FaultCounts struct{ Refused, ReplyLost, LateApplied, LateRejected, TooLarge, RateLimited int }
 
 // RequestLimits holds the limits that the service enforces; 0 means no limit.
 type RequestLimits struct {
@@ -67,8 +67,8 @@
 	s.wakeWatches()
 }
 
-// SetFate sets the function that chooses the fault of each transaction; nil injects none.
-func (s *StateService) SetFate(draw func(caller string, writes int) Fate) {
+// SetTxnFaults sets the function that chooses the fault of each transaction; nil injects none.
+func (s *StateService) SetTxnFaults(draw func(caller string, writes int) TxnFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = draw
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -24,7 +24,7 @@
 	// Fault injection.
 	outage       bool
 	refusedHosts map[string]bool // hosts whose requests fail
-	fault        func(caller string, writes int) Fate
+	fault        func(caller string, writes int) TxnFault
 	counts       FaultCounts
 
 	limits      RequestLimits
--- a/internal/simulator/worker_faults.go
+++ b/internal/simulator/worker_faults.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// CutIncoming starts or ends a cut of incoming traffic: the machine's heartbeats reach the
+// BlockIncoming starts or ends a cut of incoming traffic: the machine's heartbeats reach the
 // nodes, but it receives no replies and no direct commands.
-func (w *Worker) CutIncoming(cut bool) {
+func (w *Worker) BlockIncoming(cut bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.incomingCut = cut
+	w.incomingBlocked = cut
 }
 
-// CutOutgoing starts or ends a cut of outgoing heartbeats: the machine sends none, but still
+// BlockOutgoing starts or ends a cut of outgoing heartbeats: the machine sends none, but still
 // receives direct commands.
-func (w *Worker) CutOutgoing(cut bool) {
+func (w *Worker) BlockOutgoing(cut bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.outgoingCut = cut
+	w.outgoingBlocked = cut
 }
 
 // SetHanging makes the machine hang or resume. A hanging machine makes no progress on its tasks
@@ -51,7 +51,7 @@
 	w.faulty = faulty
 }
 
-// ResendHeartbeats sends copies of the last WorkerOptions.KeepHeartbeats heartbeats to a node,
+// ResendHeartbeats sends copies of the last WorkerOptions.MaxKeptHeartbeats heartbeats to a node,
 // as when the network delivers duplicates. It returns the number of copies.
 func (w *Worker) ResendHeartbeats(ctx context.Context, addr string) (sent int) {
 	w.mu.Lock()
--- a/internal/statestore/class.go
+++ b/internal/statestore/class.go
@@ -17,31 +17,31 @@
 	ClassSubmit
 	// ClassRecord is for the leader's writes to its log.
 	ClassRecord
-	// ClassPoll is for reads that serve user queries and refresh the replica of open jobs.
-	ClassPoll
+	// ClassStatusQuery is for reads that serve user queries and refresh the replica of open jobs.
+	ClassStatusQuery
 	// ClassOther is for calls that can wait longest, such as storing the last known catalog.
 	ClassOther
 )
 
 // Classes contains all classes, most important first.
-var Classes = [...]Class{ClassLease, ClassCancel, ClassSubmit, ClassRecord, ClassPoll, ClassOther}
+var Classes = [...]Class{ClassLease, ClassCancel, ClassSubmit, ClassRecord, ClassStatusQuery, ClassOther}
 
 // reserve returns the fraction of a full bucket that a call of the class must leave for
 // more important calls.
 func (c Class) reserve() float64 {
 	switch c {
 	case ClassLease:
-		return constants.ReserveLease
+		return constants.BudgetReserveLease
 	case ClassCancel:
-		return constants.ReserveCancel
+		return constants.BudgetReserveCancel
 	case ClassSubmit:
-		return constants.ReserveSubmit
+		return constants.BudgetReserveSubmit
 	case ClassRecord:
-		return constants.ReserveRecord
-	case ClassPoll:
-		return constants.ReservePoll
+		return constants.BudgetReserveRecord
+	case ClassStatusQuery:
+		return constants.BudgetReserveStatusQuery
 	default:
-		return constants.ReserveOther
+		return constants.BudgetReserveOther
 	}
 }
 
@@ -56,7 +56,7 @@
 		return "submit"
 	case ClassRecord:
 		return "record"
-	case ClassPoll:
+	case ClassStatusQuery:
 		return "poll"
 	default:
 		return "other"
--- a/internal/statestore/keys.go
+++ b/internal/statestore/keys.go
@@ -56,7 +56,7 @@
 	if err := c.Budget.Take(ctx, class, 0); err != nil {
 		return listPage{}, fmt.Errorf("list %s: %w: %w", prefix, ErrUnavailable, err)
 	}
-	query := url.Values{paramPrefix: {prefix}, paramLimit: {strconv.Itoa(constants.ListPage)}}
+	query := url.Values{paramPrefix: {prefix}, paramLimit: {strconv.Itoa(constants.StateListPageSize)}}
 	if afterKey != "" {
 		query.Set(paramFrom, afterKey)
 	}
--- a/internal/statestore/lease.go
+++ b/internal/statestore/lease.go
@@ -38,7 +38,7 @@
 		return fmt.Errorf("renew lease %d: %w: %w", lease, ErrUnavailable, err)
 	}
 	request := request{
-		class: ClassLease, timeout: constants.LeaseRenewInterval, // by then the next renewal is due
+		class: ClassLease, timeout: constants.LeaderLeaseRenewInterval, // by then the next renewal is due
 		method: http.MethodPost, path: leasePath(lease) + pathRenew,
 	}
 	response, err := c.call(ctx, request)
--- a/internal/userapi/cancellation.go
+++ b/internal/userapi/cancellation.go
@@ -34,7 +34,7 @@
 	if final, ok := s.finalRecords.Get(id); ok {
 		return final.Status, nil
 	}
-	for range constants.CancelAttempts {
+	for range constants.MaxCancelAttempts {
 		status, err = s.tryCancel(ctx, id)
 		var conflict *statestore.ConflictError
 		if !errors.As(err, &conflict) {
--- a/internal/userapi/records.go
+++ b/internal/userapi/records.go
@@ -26,7 +26,7 @@
 // job's records let at most one copy take effect (docs/design.md, Safety 9). Without the
 // resend the user would have to repeat the request, a second or more later.
 func (s *Server) runTxn(ctx context.Context, class statestore.Class, conditions []statestore.Condition, writes []statestore.Write) (revision uint64, err error) {
-	for range constants.UserTxnAttempts {
+	for range constants.MaxUserTxnAttempts {
 		revision, err = s.store.Txn(ctx, class, conditions, writes)
 		if !errors.Is(err, statestore.ErrOutcomeUnknown) || ctx.Err() != nil {
 			break
--- a/internal/userapi/replica.go
+++ b/internal/userapi/replica.go
@@ -153,7 +153,7 @@
 func (s *Server) FollowOpenJobs(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := s.loadReplica(ctx); err != nil {
-			sleep(ctx, constants.ReplicaUpdateInterval)
+			sleep(ctx, constants.MinReplicaUpdateInterval)
 			continue
 		}
 		s.followChanges(ctx)
@@ -164,7 +164,7 @@
 
 // loadReplica reloads the replica from a list of all open records.
 func (s *Server) loadReplica(ctx context.Context) error {
-	records, revision, err := s.store.List(ctx, statestore.ClassPoll, jobs.OpenPrefix)
+	records, revision, err := s.store.List(ctx, statestore.ClassStatusQuery, jobs.OpenPrefix)
 	if err != nil {
 		return err
 	}
@@ -176,7 +176,7 @@
 // must be reloaded because changes were missed.
 func (s *Server) followChanges(ctx context.Context) {
 	for ctx.Err() == nil {
-		sleep(ctx, constants.ReplicaUpdateInterval)
+		sleep(ctx, constants.MinReplicaUpdateInterval)
 		from := s.replica.revision()
 		to, changes, err := s.store.Watch(ctx, jobs.OpenPrefix, from, constants.ReplicaWatchWait)
 		if errors.Is(err, statestore.ErrCompacted) {
--- a/internal/userapi/responses.go
+++ b/internal/userapi/responses.go
@@ -106,7 +106,7 @@
 		failure = stateServiceUnavailable(err)
 	}
 	if failure.httpStatus == http.StatusServiceUnavailable {
-		w.Header().Set("Retry-After", strconv.Itoa(constants.RetryAfter))
+		w.Header().Set("Retry-After", strconv.Itoa(constants.RetryAfterSeconds))
 	}
 	WriteJSON(w, failure.httpStatus, failure.body)
 }
--- a/internal/userapi/server.go
+++ b/internal/userapi/server.go
@@ -75,7 +75,7 @@
 // NewServer returns a server. It answers status queries only while FollowOpenJobs and
 // ServeStatusQueries run.
 func NewServer(options Options) (*Server, error) {
-	finalRecords, err := lru.New[string, jobs.FinalRecord](constants.FinalCache)
+	finalRecords, err := lru.New[string, jobs.FinalRecord](constants.FinalRecordCacheSize)
 	if err != nil {
 		return nil, err
 	}
@@ -90,9 +90,9 @@
 		finalRecords:    finalRecords,
 		cancellationLog: attestation.NewCancellationLog(cancellationLogEntries(options.Limits.WriteRPS), time.Now()),
 		replica:         newOpenJobsReplica(),
-		queries:         make(chan statusQuery, constants.PollQueue),
+		queries:         make(chan statusQuery, constants.StatusQueryQueueSize),
 		submissionSlots: make(chan struct{}, max(options.MaxSubmissions, 1)),
-		maxConditions:   constants.CondsPerOp * maxWrites,
+		maxConditions:   constants.ConditionsPerOp * maxWrites,
 		maxWrites:       maxWrites,
 		maxValueBytes:   int(options.Limits.ValueKB * 1024),
 	}, nil
--- a/internal/userapi/status_proofs.go
+++ b/internal/userapi/status_proofs.go
@@ -79,8 +79,8 @@
 // conflict. On a conflict it answers none and returns them as partitioned by
 // partitionByConflict.
 func (s *Server) runCompareTxn(ctx context.Context, txn compareTxn) (conflicting, unproven []statusQuery) {
-	callCtx, cancel := context.WithTimeout(ctx, constants.PollTimeout)
-	_, err := s.runTxn(callCtx, statestore.ClassPoll, txn.conditions, nil)
+	callCtx, cancel := context.WithTimeout(ctx, constants.StatusQueryTimeout)
+	_, err := s.runTxn(callCtx, statestore.ClassStatusQuery, txn.conditions, nil)
 	cancel()
 	var conflict *statestore.ConflictError
 	switch {
--- a/internal/userapi/status_queries.go
+++ b/internal/userapi/status_queries.go
@@ -40,7 +40,7 @@
 		respondError(w, jobNotFound())
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), constants.PollTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), constants.StatusQueryTimeout)
 	defer cancel()
 	status, found, err := s.queryStatus(ctx, id)
 	switch {
@@ -80,11 +80,11 @@
 // or lost.
 func (s *Server) ServeStatusQueries(ctx context.Context) error {
 	batches, ctx := errgroup.WithContext(ctx)
-	batches.SetLimit(1 + constants.PollBatches)
+	batches.SetLimit(1 + constants.MaxStatusQueryBatches)
 	// Reads have their own limit: batches wait for reads, but reads never wait for batches, so
 	// they can't deadlock.
 	reads, ctx := errgroup.WithContext(ctx)
-	reads.SetLimit(constants.MaxPollReads)
+	reads.SetLimit(constants.MaxStatusQueryReads)
 	batches.Go(func() error {
 		for {
 			batch, err := s.nextBatch(ctx)
@@ -115,7 +115,7 @@
 	case first := <-s.queries:
 		batch = append(batch, first)
 	}
-	window := time.NewTimer(constants.PollBatchWindow)
+	window := time.NewTimer(constants.StatusQueryBatchWindow)
 	defer window.Stop()
 	for len(batch) < s.maxBatch() {
 		select {
@@ -150,7 +150,7 @@
 	}
 	for _, query := range s.proveBatch(ctx, provable) {
 		reads.Go(func() error {
-			status, found, err := s.lookUpStatus(query.ctx, query.id, statestore.ClassPoll)
+			status, found, err := s.lookUpStatus(query.ctx, query.id, statestore.ClassStatusQuery)
 			query.result <- statusResult{status, found, err}
 			return nil
 		})
@@ -161,7 +161,7 @@
 // them. The synced replica shows a moment after the queries arrived: its jobs were open then,
 // and any dependency that is cancelled was already cancelled then (docs/design.md, Safety 12).
 func (s *Server) answerDependents(ctx context.Context, batch []statusQuery) {
-	ctx, cancel := context.WithTimeout(ctx, constants.PollTimeout)
+	ctx, cancel := context.WithTimeout(ctx, constants.StatusQueryTimeout)
 	defer cancel()
 	if err := s.syncReplica(ctx); err != nil {
 		for _, query := range batch {
@@ -174,11 +174,11 @@
 	for _, query := range batch {
 		job := s.replica.job(query.id)
 		if job.revision == 0 {
-			status, found, err := s.lookUpFinalStatus(ctx, query.id, statestore.ClassPoll)
+			status, found, err := s.lookUpFinalStatus(ctx, query.id, statestore.ClassStatusQuery)
 			query.result <- statusResult{status, found, err}
 			continue
 		}
-		cancelled, err := s.cancelledByDependencyInReplica(ctx, query.id, job.dependencies, statestore.ClassPoll)
+		cancelled, err := s.cancelledByDependencyInReplica(ctx, query.id, job.dependencies, statestore.ClassStatusQuery)
 		switch {
 		case err != nil:
 			query.result <- statusResult{err: err}
@@ -216,7 +216,7 @@
 	if s.progress == nil || len(open) == 0 {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, constants.MeshTimeout)
+	ctx, cancel := context.WithTimeout(ctx, constants.PeerTimeout)
 	defer cancel()
 	return s.progress(ctx, open)
 }
--- a/internal/userapi/submission.go
+++ b/internal/userapi/submission.go
@@ -151,7 +151,7 @@
 	for next := 0; next < len(parts); {
 		var writes []statestore.Write
 		size := 0
-		for len(writes) < s.maxWrites && next < len(parts) && (size == 0 || size+len(parts[next]) <= constants.TxnBytes) {
+		for len(writes) < s.maxWrites && next < len(parts) && (size == 0 || size+len(parts[next]) <= constants.MaxTxnValueBytes) {
 			writes = append(writes, statestore.Write{Put: dependencies.Split.PartKey(id, next), Value: parts[next]})
 			size += len(parts[next])
 			next++
--- a/internal/workers/command_client.go
+++ b/internal/workers/command_client.go
@@ -19,7 +19,7 @@
 func NewCommandClient(dial func(ctx context.Context, network, addr string) (net.Conn, error)) *CommandClient {
 	return &CommandClient{&http.Client{Transport: &http.Transport{
 		DialContext:         dial,
-		MaxConnsPerHost:     constants.CommandConnsPerWorker,
+		MaxConnsPerHost:     constants.MaxCommandConnsPerWorker,
 		MaxIdleConnsPerHost: 1,
 		MaxIdleConns:        constants.MaxIdleCommandConns,
 		IdleConnTimeout:     constants.HeaderTimeout,
@@ -45,7 +45,7 @@
 		return nil, fmt.Errorf("send commands to %s: %w", endpoint, err)
 	}
 	defer func() { _ = response.Body.Close() }() // the body has been read by then
-	body, err := io.ReadAll(io.LimitReader(response.Body, constants.MaxCommandAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(response.Body, constants.MaxCommandResponseBytes))
 	if err != nil {
 		return nil, fmt.Errorf("send commands to %s: %w", endpoint, err)
 	}
