--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -39,7 +39,8 @@
 	// NodeCount is the number of nodes.
 	NodeCount int      `toml:"count"`
 	Zones     []string `toml:"zones"`
-	// MaxClockErrorMS is the maximum error of a node's wall clock in milliseconds. It is not used.
+	// MaxClockErrorMS is the maximum error of a node's wall clock in milliseconds. It is not
+	// used.
 	MaxClockErrorMS float64       `toml:"clock_off_ms"`
 	Teams           []Team        `toml:"teams"`
 	SLOs            []SLO         `toml:"objectives"`
@@ -69,8 +70,8 @@
 	LeaseS float64 `toml:"lease_s"`
 	// GangWaitS is how long a task of a gang waits for the others to start.
 	GangWaitS float64 `toml:"gang_wait_s"`
-	// GangPeerTimeoutS is the time within which a task of a gang detects that another one is gone,
-	// and how long it waits for the others in an orderly stop.
+	// GangPeerTimeoutS is the time within which a task of a gang detects that another one is
+	// gone, and how long it waits for the others in an orderly stop.
 	GangPeerTimeoutS float64 `toml:"gang_peer_s"`
 	// CancelWithinS is the maximum time between the confirmation of a job's cancellation to
 	// its user and the end of its last task.
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestSettingsOfLargeSiteAreAccepted checks that the settings of a large cluster are accepted: five nodes,
-// thousands of GPUs, small values and large transactions.
+// TestSettingsOfLargeSiteAreAccepted checks that the settings of a large cluster are accepted:
+// five nodes, thousands of GPUs, small values and large transactions.
 func TestSettingsOfLargeSiteAreAccepted(t *testing.T) {
 	text := strings.Replace(validSettings, "[services]", `[[known]]
 label = "rig-2"
--- a/internal/config/slo.go
+++ b/internal/config/slo.go
@@ -5,7 +5,7 @@
 const (
 	SLOWait       = "wait"      // the tasks of a job start within a time
 	SLOCompletion = "finished"  // a job completes within a time
-	SLODeadline   = "deadline"  // a job completes within a multiple of its due time
+	SLODeadline   = "deadline"  // a job completes within a multiple of its deadline
 	SLOGuarantee  = "guarantee" // tasks within the team's guarantee start within a time
 )
 
@@ -20,11 +20,11 @@
 	// Share is the fraction of jobs or tasks that must meet the objective, greater than 0 and
 	// at most 1.
 	Share *float64 `toml:"share"`
-	// DeadlineMultiple is the multiple of the due time for SLODeadline; 1 if nil.
+	// DeadlineMultiple is the multiple of the job's deadline for SLODeadline; 1 if nil.
 	DeadlineMultiple *float64 `toml:"times"`
 }
 
-// DeadlineFactor returns the multiple of its due time within which a job must complete, for
+// DeadlineFactor returns the multiple of its deadline within which a job must complete, for
 // SLODeadline.
 func (o SLO) DeadlineFactor() float64 {
 	if o.DeadlineMultiple == nil {
--- a/internal/constants/cloud.go
+++ b/internal/constants/cloud.go
@@ -9,23 +9,25 @@
 	// MinCloudBackoff and MaxCloudBackoff bound the exponential backoff after a failed request.
 	MinCloudBackoff = 500 * time.Millisecond
 	MaxCloudBackoff = 4 * time.Second
-	// MaxCloudConns and MaxIdleCloudConns are the maximum numbers of open and of idle connections
-	// to the cloud. There are only a few requests per second.
+	// MaxCloudConns and MaxIdleCloudConns are the maximum numbers of open and of idle
+	// connections to the cloud. There are only a few requests per second.
 	MaxCloudConns     = 4
 	MaxIdleCloudConns = 2
 	// CloudErrorExcerpt is the number of characters of an unexpected response that an error
 	// quotes.
 	CloudErrorExcerpt = 120
-	// CatalogRefreshInterval is the time between two reads of the catalog, which update the prices.
+	// CatalogRefreshInterval is the time between two reads of the catalog, which update the
+	// prices.
 	CatalogRefreshInterval = 60 * time.Second
 	// CatalogRetryDelay is the delay before the next attempt while no catalog is known.
 	CatalogRetryDelay = 1 * time.Second
 	// MinInstanceListInterval is the minimum time between two reads of the cloud's machine list.
 	MinInstanceListInterval = 3 * time.Second
-	// MaxInstanceListRateShare is the largest fraction of the cloud's request rate that reading the
-	// machine list should use. The rest is for renting and returning machines.
+	// MaxInstanceListRateShare is the largest fraction of the cloud's request rate that
+	// reading the machine list should use. The rest is for renting and returning machines.
 	MaxInstanceListRateShare = 0.5
-	// InstanceListPageSize is the number of machines per page of the list (protocol: at most 500).
+	// InstanceListPageSize is the number of machines per page of the list (protocol: at most
+	// 500).
 	InstanceListPageSize = 500
 	// MaxMachinesPerRent is the maximum number of machines in one rent request (protocol).
 	MaxMachinesPerRent = 50
--- a/internal/constants/health.go
+++ b/internal/constants/health.go
@@ -4,8 +4,8 @@
 
 // Failed tasks: attribution of failures to machines or jobs.
 const (
-	// MinTaskRetryDelay and MaxTaskRetryDelay bound the backoff before a failed task is retried. It doubles
-	// with each consecutive failure.
+	// MinTaskRetryDelay and MaxTaskRetryDelay bound the backoff before a failed task is
+	// retried. It doubles with each consecutive failure.
 	MinTaskRetryDelay = 1 * time.Second
 	MaxTaskRetryDelay = 60 * time.Second
 	// FaultyMachineMinJobs is the number of different jobs that must have failed on a machine
--- a/internal/constants/leadership.go
+++ b/internal/constants/leadership.go
@@ -4,15 +4,16 @@
 
 // Leader election and the leader's lease.
 const (
-	// LeaderLeaseTTL is the lifetime of the leader's lease in the state service, and so the longest
-	// time for which a dead leader goes unnoticed. It must be much shorter than the workers'
-	// lease, so that a new leader answers workers before their lease expires.
+	// LeaderLeaseTTL is the lifetime of the leader's lease in the state service, and so the
+	// longest time for which a dead leader goes unnoticed. It must be much shorter than the
+	// workers' lease, so that a new leader answers workers before their lease expires.
 	LeaderLeaseTTL = 2500 * time.Millisecond
-	// LeaderLeaseRenewInterval is the time between two renewals. Three attempts fit into LeaderLeaseTTL.
+	// LeaderLeaseRenewInterval is the time between two renewals. Three attempts fit into
+	// LeaderLeaseTTL.
 	LeaderLeaseRenewInterval = 700 * time.Millisecond
-	// LeaderWatchWait is the maximum wait of one watch request of the leader. Every response, even
-	// an empty one, renews the proof that the leader knows all cancellations, so the wait must
-	// be short compared with the setting cancel_s. One request per second is cheap.
+	// LeaderWatchWait is the maximum wait of one watch request of the leader. Every response,
+	// even an empty one, renews the proof that the leader knows all cancellations, so the wait
+	// must be short compared with the setting cancel_s. One request per second is cheap.
 	LeaderWatchWait = 1000 * time.Millisecond
 	// ElectionWatchWait is the maximum wait of one watch request for changes of the election
 	// on a node that does not lead. Nothing depends on frequent responses to it.
--- a/internal/constants/log.go
+++ b/internal/constants/log.go
@@ -10,9 +10,9 @@
 	// LogLargeRingSize is the number of keys in the ring for large fleets, which is used only
 	// if every node can read it.
 	LogLargeRingSize = 8192
-	// LargeRingPartsDivisor is the divisor of LogRingSize that gives the number of checkpoint parts
-	// above which the large ring is used. Such a checkpoint would have to be rewritten every
-	// few seconds in the small ring.
+	// LargeRingPartsDivisor is the divisor of LogRingSize that gives the number of checkpoint
+	// parts above which the large ring is used. Such a checkpoint would have to be rewritten
+	// every few seconds in the small ring.
 	LargeRingPartsDivisor = 4
 	// LargeRingCheckInterval is the time between two checks of whether all nodes can read
 	// the large ring.
@@ -20,7 +20,8 @@
 	// LogMaxFill is the largest fraction of the ring that may be in use when a checkpoint
 	// completes.
 	LogMaxFill = 0.9
-	// LogFreeKeys is the number of keys kept free in the ring for the entries of one transaction.
+	// LogFreeKeys is the number of keys kept free in the ring for the entries of one
+	// transaction.
 	LogFreeKeys = 8
 	// MinCheckpointEntries is the minimum number of log entries after a checkpoint before the
 	// next one starts. A failover has to replay them.
--- a/internal/constants/scheduling.go
+++ b/internal/constants/scheduling.go
@@ -12,11 +12,12 @@
 	PassIntervalFactor = 4
 	// MaxPassInterval is the upper limit of that time, however long the last pass took.
 	MaxPassInterval = 1200 * time.Millisecond
-	// MaxMachineViewAge is the age at which the placement view of an unchanged machine is rebuilt,
-	// because the remaining run times in it change over time.
+	// MaxMachineViewAge is the age at which the placement view of an unchanged machine is
+	// rebuilt, because the remaining run times in it change over time.
 	MaxMachineViewAge = 2 * time.Second
-	// MachineViewAgeBaseFleet is the number of machines up to which MaxMachineViewAge applies. For larger
-	// fleets the age grows with the fleet, so that the rebuilds per second stay the same.
+	// MachineViewAgeBaseFleet is the number of machines up to which MaxMachineViewAge applies.
+	// For larger fleets the age grows with the fleet, so that the rebuilds per second stay the
+	// same.
 	MachineViewAgeBaseFleet = 2000
 	// MaxPreemptionAttempts is the maximum number of waiting jobs for which one pass looks for
 	// tasks to preempt or machines to drain.
@@ -44,8 +45,8 @@
 	// MinRemainingEstimate is the minimum estimate of a task's remaining run time, used when
 	// the task has run for as long as expected.
 	MinRemainingEstimate = 5 * time.Second
-	// StopLossWeight is the weight of a second of a whole machine's lost work relative to a second
-	// of waiting for an image on that machine.
+	// StopLossWeight is the weight of a second of a whole machine's lost work relative to a
+	// second of waiting for an image on that machine.
 	StopLossWeight = 8.0
 )
 
@@ -68,10 +69,11 @@
 
 // Dependencies between jobs.
 const (
-	// DownstreamStartDelay is the time between the end of a job and the start of its downstream job: a
-	// heartbeat, two records and a command.
+	// DownstreamStartDelay is the time between the end of a job and the start of its
+	// downstream job: a heartbeat, two records and a command.
 	DownstreamStartDelay = 3 * time.Second
-	// MaxFinalRecordReads is the maximum number of concurrent reads of upstream jobs' final records.
+	// MaxFinalRecordReads is the maximum number of concurrent reads of upstream jobs' final
+	// records.
 	MaxFinalRecordReads = 6
 	// FinalRecordRetryDelay is the delay after such a read has failed.
 	FinalRecordRetryDelay = 500 * time.Millisecond
@@ -79,8 +81,9 @@
 
 // Speculative slot reservation.
 const (
-	// DefaultReservationAlpha, DefaultReservationP and DefaultReservationThreshold are the defaults of the operator settings
-	// holds.alpha, holds.p and holds.threshold (paper, section IV).
+	// DefaultReservationAlpha, DefaultReservationP and DefaultReservationThreshold are the
+	// defaults of the operator settings holds.alpha, holds.p and holds.threshold (paper,
+	// section IV).
 	DefaultReservationAlpha     = 1.6
 	DefaultReservationP         = 0.4
 	DefaultReservationThreshold = 0.8
--- a/internal/constants/scoring.go
+++ b/internal/constants/scoring.go
@@ -13,9 +13,9 @@
 	// that must fetch its image there. It spreads the image over more machines, where later
 	// tasks of the array find it.
 	SpotSpreadPenaltyS = 3.0
-	// UnusedCapacityPenaltyS is the advantage of a fully used machine over an empty one for a task of
-	// an array, unless SpotSpreadPenaltyS applies. It fills machines one after another and
-	// leaves others whole for gangs.
+	// UnusedCapacityPenaltyS is the penalty of an empty machine, compared with a fully used
+	// one, for a task of an array, unless SpotSpreadPenaltyS applies. It fills machines one
+	// after another and leaves others whole for gangs.
 	UnusedCapacityPenaltyS = 10.0
 	// LastWholeMachinePenaltyS divided by the number of empty on-demand machines is the penalty
 	// of placing a task that could use a spot machine on one of them, since gangs that can't
--- a/internal/constants/sizing.go
+++ b/internal/constants/sizing.go
@@ -40,10 +40,11 @@
 	// with 4,000 workers a limit of 200 MB was enough, of which 136 MB were used; with 160 MB
 	// garbage collection took most of the CPU.
 	MemoryPerWorkerMB = 0.045
-	// GoMemoryLimitShare is the fraction of the machine's memory that is set as the memory limit of
-	// the Go runtime. Threads and the binary need the rest.
+	// GoMemoryLimitShare is the fraction of the machine's memory that is set as the memory
+	// limit of the Go runtime. Threads and the binary need the rest.
 	GoMemoryLimitShare = 0.7
-	// ScarceMemoryShare is the fraction of memory in use above which memory is reported as scarce.
+	// ScarceMemoryShare is the fraction of memory in use above which memory is reported as
+	// scarce.
 	ScarceMemoryShare = 0.85
 	// GCPercent is the garbage collection target percentage. CPU time is usually scarcer
 	// than memory; where it is not, the memory limit triggers collection.
--- a/internal/constants/statestore.go
+++ b/internal/constants/statestore.go
@@ -39,8 +39,8 @@
 	// completion, while all nodes answer status queries.
 	LeaderShare      = 0.45
 	LeaderWriteShare = 0.72
-	// UsableBudgetShare is the fraction of the allowed rates that is used. The rest allows for clocks
-	// that disagree about when a second begins.
+	// UsableBudgetShare is the fraction of the allowed rates that is used. The rest allows for
+	// clocks that disagree about when a second begins.
 	UsableBudgetShare = 0.94
 	// BudgetRetryInterval is the interval at which a call that waits for budget checks again.
 	BudgetRetryInterval = 15 * time.Millisecond
@@ -72,7 +72,7 @@
 	// ConditionsPerOp times the setting txn_ops is the maximum number of conditions of a
 	// transaction (protocol).
 	ConditionsPerOp = 4
-	// MaxTxnValueBytes is the maximum size of the values in one transaction in bytes. The state service
-	// accepts 64 KiB including all keys and conditions.
+	// MaxTxnValueBytes is the maximum size of the values in one transaction in bytes. The
+	// state service accepts 64 KiB including all keys and conditions.
 	MaxTxnValueBytes = 36 << 10
 )
--- a/internal/constants/users.go
+++ b/internal/constants/users.go
@@ -18,14 +18,14 @@
 
 // User requests.
 const (
-	// RetryAfterSeconds is the value of the Retry-After header, in seconds, while the state service
-	// is unavailable.
+	// RetryAfterSeconds is the value of the Retry-After header, in seconds, while the state
+	// service is unavailable.
 	RetryAfterSeconds = 2
 	// UserRequestTimeout is the timeout for a submission or cancellation. Users give up
 	// after 5 s.
 	UserRequestTimeout = 3500 * time.Millisecond
-	// MaxCancelAttempts is the maximum number of attempts at a cancellation when the job's record
-	// changes concurrently. The job is final by then, which the second attempt finds.
+	// MaxCancelAttempts is the maximum number of attempts at a cancellation when the job's
+	// record changes concurrently. The job is final by then, which the second attempt finds.
 	MaxCancelAttempts = 3
 	// StatusQueryTimeout is the timeout for a status query. Users give up after 2 s.
 	StatusQueryTimeout = 1700 * time.Millisecond
@@ -42,19 +42,20 @@
 
 // Status queries, whose answers are proven by transactions on the state service.
 const (
-	// StatusQueryBatchWindow is how long status queries are collected for one transaction. It delays
-	// an answer by a fraction of a second at most.
+	// StatusQueryBatchWindow is how long status queries are collected for one transaction. It
+	// delays an answer by a fraction of a second at most.
 	StatusQueryBatchWindow = 120 * time.Millisecond
-	// StatusQueryQueueSize is the maximum number of status queries that wait for a batch. Further ones
-	// are told to retry later.
+	// StatusQueryQueueSize is the maximum number of status queries that wait for a batch.
+	// Further ones are told to retry later.
 	StatusQueryQueueSize = 512
-	// MaxStatusQueryBatches is the maximum number of concurrent batch transactions. The budget limits
-	// their rate, and each may take half a second before it times out.
+	// MaxStatusQueryBatches is the maximum number of concurrent batch transactions. The budget
+	// limits their rate, and each may take half a second before it times out.
 	MaxStatusQueryBatches = 8
-	// MaxStatusQueryReads is the maximum number of concurrent reads for queries whose proof failed.
+	// MaxStatusQueryReads is the maximum number of concurrent reads for queries whose proof
+	// failed.
 	MaxStatusQueryReads = 4
-	// MinReplicaUpdateInterval is the minimum time between two updates of the replica of the open
-	// jobs. An outdated replica only makes proofs fail, so updates are not urgent.
+	// MinReplicaUpdateInterval is the minimum time between two updates of the replica of the
+	// open jobs. An outdated replica only makes proofs fail, so updates are not urgent.
 	MinReplicaUpdateInterval = 1 * time.Second
 	// ReplicaWatchWait is the maximum wait of one watch request for such an update.
 	ReplicaWatchWait = 20 * time.Second
--- a/internal/constants/workers.go
+++ b/internal/constants/workers.go
@@ -34,8 +34,8 @@
 	// ProbeInterval is the time between two direct commands that probe a worker whose replies
 	// are lost.
 	ProbeInterval = 5 * time.Second
-	// MaxTokenPushesPerTick is the maximum number of workers that are sent a new fencing token in
-	// one tick.
+	// MaxTokenPushesPerTick is the maximum number of workers that are sent a new fencing token
+	// in one tick.
 	MaxTokenPushesPerTick = 24
 )
 
@@ -80,7 +80,8 @@
 	StopGrace = 2 * time.Second
 	// StopResendInterval is the interval at which a stop is sent directly again.
 	StopResendInterval = 2 * time.Second
-	// SilentStopResendInterval is that interval for a silent worker, to which commands usually hang.
+	// SilentStopResendInterval is that interval for a silent worker, to which commands usually
+	// hang.
 	SilentStopResendInterval = 10 * time.Second
 	// SilentAfterHeartbeats is the number of heartbeat intervals without a heartbeat after
 	// which a worker counts as silent.
--- a/internal/jobs/decode_test.go
+++ b/internal/jobs/decode_test.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// TestNullFieldEqualsOmitted checks that null means the same as omission for the optional fields.
+// TestNullFieldEqualsOmitted checks that null means the same as omission for the optional
+// fields.
 func TestNullFieldEqualsOmitted(t *testing.T) {
 	for _, field := range []string{"rigTypes", "hall", "dueS"} {
 		null, nullErr := DecodeSpec(jobstest.Edit(t, func(fields map[string]any) { fields[field] = nil }))
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -99,7 +99,8 @@
 	// CheckpointIntervalS is the progress, in seconds, after which a task saves a checkpoint.
 	// 0 means that the task never saves one, not even when it is stopped.
 	CheckpointIntervalS float64 `json:"snapshotS"`
-	// CheckpointSaveS is how long a task takes to save a checkpoint when it is stopped, in seconds.
+	// CheckpointSaveS is how long a task takes to save a checkpoint when it is stopped, in
+	// seconds.
 	CheckpointSaveS float64 `json:"stashS"`
 	// DeadlineS is the job's deadline in seconds after its submission; nil means none.
 	DeadlineS *float64 `json:"dueS,omitempty"`
--- a/internal/leader/demand_propagation.go
+++ b/internal/leader/demand_propagation.go
@@ -7,7 +7,7 @@
 	"thornnotch/internal/jobs"
 )
 
-// Users set a due time and a priority only on the last job of a chain. The jobs upstream of it
+// Users set a deadline and a priority only on the last job of a chain. The jobs upstream of it
 // inherit both, across all jobs that depend on them directly or indirectly: the highest
 // priority, and the latest start that still lets the rest of the chain finish in time. A job's
 // inherited values change only when its downstream jobs change.
@@ -15,7 +15,7 @@
 // demand is what the downstream jobs of a job require of it.
 type demand struct {
 	priority    int
-	latestStart time.Time // zero if no downstream job has a due time
+	latestStart time.Time // zero if no downstream job has a deadline
 }
 
 func (d demand) equal(other demand) bool {
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -75,7 +75,7 @@
 }
 
 // upstreamDone handles the completion of a job that this one depends on. This job's wait
-// counts from the recorded end of its last upstream job; its due time still counts from its
+// counts from the recorded end of its last upstream job; its deadline still counts from its
 // submission.
 func (l *Leader) upstreamDone(job *jobState, upstream string, final jobs.FinalRecord, now time.Time) {
 	job.upstreams.markDone(upstream)
--- a/internal/leader/health/failures.go
+++ b/internal/leader/health/failures.go
@@ -81,8 +81,8 @@
 	return backoff(h.failedRounds), false
 }
 
-// maxDoublings bounds the shift in backoff to avoid overflow. The pause reaches MaxTaskRetryDelay long
-// before.
+// maxDoublings bounds the shift in backoff to avoid overflow. The pause reaches
+// MaxTaskRetryDelay long before.
 const maxDoublings = 10
 
 // backoff returns the pause after the given number of failed rounds.
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -21,15 +21,15 @@
 	return wal.Resources{r.CPUs, r.GPUs, r.MemoryGB}
 }
 
-func reservationFromRecord(hold wal.SlotReservation, machine string) reservations.Reservation {
-	pipeline := placement.Pipeline{Team: hold.Team, Class: hold.Class}
-	if hold.UserDeclaredEdge {
-		pipeline.Downstream = hold.Downstream
+func reservationFromRecord(record wal.SlotReservation, machine string) reservations.Reservation {
+	pipeline := placement.Pipeline{Team: record.Team, Class: record.Class}
+	if record.UserDeclaredEdge {
+		pipeline.Downstream = record.Downstream
 	}
 	return reservations.Reservation{
 		Machine: machine, Pipeline: pipeline,
-		Upstream: hold.Upstream, Downstream: hold.Downstream, Priority: hold.Priority,
-		Resources: resourcesFromRecord(hold.Resources), ExpiresAt: time.UnixMilli(hold.Expires),
+		Upstream: record.Upstream, Downstream: record.Downstream, Priority: record.Priority,
+		Resources: resourcesFromRecord(record.Resources), ExpiresAt: time.UnixMilli(record.Expires),
 	}
 }
 
--- a/internal/leader/restore.go
+++ b/internal/leader/restore.go
@@ -24,23 +24,23 @@
 	for _, i := range record.Images {
 		machine.images = append(machine.images, cachedImage{name: i.Name, gb: i.GB, fetched: true})
 	}
-	for _, hold := range record.Reservations {
-		l.reservations.Restore(reservationFromRecord(hold, name))
+	for _, reservation := range record.Reservations {
+		l.reservations.Restore(reservationFromRecord(reservation, name))
 	}
 	return nil
 }
 
 // restoreAttempt restores an attempt that may be running on a machine. If its job has ended,
-// it is counted with the team and resources recorded in uses, and stopped.
-func (l *Leader) restoreAttempt(machine *machineState, record wal.Attempt, uses map[string]wal.JobUsage, now time.Time) error {
+// it is counted with the team and resources recorded in usageByJob, and stopped.
+func (l *Leader) restoreAttempt(machine *machineState, record wal.Attempt, usageByJob map[string]wal.JobUsage, now time.Time) error {
 	attempt, err := attemptFromRecord(record, now)
 	if err != nil {
 		return err
 	}
 	machine.agent.Attempts[attempt.ID] = attempt
 	if id := attempt.ID.Task.Job; l.jobs.get(id) == nil {
-		use := uses[id]
-		l.jobs.restoreAttemptOfEndedJob(id, use.Team, resourcesFromRecord(use.Resources))
+		usage := usageByJob[id]
+		l.jobs.restoreAttemptOfEndedJob(id, usage.Team, resourcesFromRecord(usage.Resources))
 		machine.agent.RequestStop(attempt, 0, now)
 	}
 	l.addAttempt(machine, attempt)
--- a/internal/leader/scaling_state_test.go
+++ b/internal/leader/scaling_state_test.go
@@ -101,8 +101,8 @@
 }
 
 // TestUnreachableZones checks that a zone is unreachable if a majority of its machines, and at
-// least UnreachableZoneMinSilent, are silent, and that it remains so for UnreachableZoneRecovery after
-// they report again.
+// least UnreachableZoneMinSilent, are silent, and that it remains so for
+// UnreachableZoneRecovery after they report again.
 func TestUnreachableZones(t *testing.T) {
 	now := time.Unix(1000, 0)
 	const minSilent = constants.UnreachableZoneMinSilent
@@ -150,8 +150,8 @@
 	}
 }
 
-// TestScalingMakesOneCloudCallAtATime checks that no tick makes a call to the cloud while another
-// is in flight, or during the pause after one that failed.
+// TestScalingMakesOneCloudCallAtATime checks that no tick makes a call to the cloud while
+// another is in flight, or during the pause after one that failed.
 func TestScalingMakesOneCloudCallAtATime(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := testLeader(t)
--- a/internal/leader/start_targets.go
+++ b/internal/leader/start_targets.go
@@ -11,8 +11,8 @@
 // startTargets returns, in ascending order, the latest starts at which a job still meets the
 // service-level objectives of its class. They are relative to the time when the job became
 // startable and leave time to fetch its image. A wait or completion objective is a fixed time;
-// a deadline objective is a multiple of the job's due time, which counts from submission, so
-// the time already waited is subtracted. Without any objective the due time itself is the
+// a deadline objective is a multiple of the job's deadline, which counts from submission, so
+// the time already waited is subtracted. Without any objective the deadline itself is the
 // target.
 func (l *Leader) startTargets(spec *jobs.Spec, waited time.Duration) (targets []time.Duration) {
 	fetchS := l.longestFetchS(spec)
@@ -53,7 +53,7 @@
 }
 
 // latestStart returns the latest time at which a job can start so that it and the jobs that
-// depend on it finish by their due times. It is zero if none of them has a due time.
+// depend on it finish by their deadlines. It is zero if none of them has a deadline.
 func (l *Leader) latestStart(job *jobState) (at time.Time) {
 	if job.spec.DeadlineS != nil {
 		at = job.acceptedAt.Add(config.Seconds(*job.spec.DeadlineS) - l.classes.runtimeRatios.expectedRuntime(job.spec))
--- a/internal/leader/unreachable_zones.go
+++ b/internal/leader/unreachable_zones.go
@@ -14,9 +14,9 @@
 // can't be reached, would be the worst reaction.
 type unreachableZones map[string]time.Time
 
-// update marks a zone as unreachable for UnreachableZoneRecovery if most of its machines are silent,
-// given the number of machines and of silent machines in each zone. It returns, for each zone
-// that was ever marked, whether it is unreachable now.
+// update marks a zone as unreachable for UnreachableZoneRecovery if most of its machines are
+// silent, given the number of machines and of silent machines in each zone. It returns, for
+// each zone that was ever marked, whether it is unreachable now.
 func (u unreachableZones) update(machines, silent map[string]int, now time.Time) map[string]bool {
 	for zone, n := range silent {
 		if n >= constants.UnreachableZoneMinSilent && 2*n > machines[zone] {
--- a/internal/leader/wal/damage_test.go
+++ b/internal/leader/wal/damage_test.go
@@ -10,8 +10,8 @@
 	"thornnotch/internal/statestore"
 )
 
-// TestReadReportsDamagedRecords checks that Read fails and names the record if a live record is damaged or
-// missing, and that a foreign key is listed and otherwise ignored.
+// TestReadReportsDamagedRecords checks that Read fails and names the record if a live record
+// is damaged or missing, and that a foreign key is listed and otherwise ignored.
 func TestReadReportsDamagedRecords(t *testing.T) {
 	store := newFakeStore()
 	writer := NewWriter(1, Limits{ValueBytes: 2000, TxnOps: 8}, Head{}, 0)
--- a/internal/node/resource_usage.go
+++ b/internal/node/resource_usage.go
@@ -61,7 +61,8 @@
 }
 
 // watchResources logs when a resource becomes scarce and when it recovers, and checks the
-// settings again whenever the expected number of machines has grown by constants.SizingCheckGrowth.
+// settings again whenever the expected number of machines has grown by
+// constants.SizingCheckGrowth.
 func (n *Node) watchResources(ctx context.Context) error {
 	ticker := time.NewTicker(constants.ResourceCheckInterval)
 	defer ticker.Stop()
--- a/internal/node/scenario_test.go
+++ b/internal/node/scenario_test.go
@@ -62,7 +62,7 @@
 	})
 }
 
-// submitNext submits a job under the next ID, and has a user poll it until it is final.
+// submitNext submits a job under the next ID, and has a user query its status until it is final.
 func (sc *scenario) submitNext(job *jobs.Spec) (id string) {
 	sc.t.Helper()
 	sc.lastJobNumber++
@@ -75,7 +75,7 @@
 	return job.ID
 }
 
-// jobStatusAt polls a job once and returns its status.
+// jobStatusAt queries a job's status once at a node.
 func (sc *scenario) jobStatusAt(node int, id string) (status string) {
 	_, status = sc.queryStatus(node, id)
 	return status
@@ -150,8 +150,8 @@
 	}
 }
 
-// checkFaultsOccurred fails the test unless ok says that the faults have occurred: without them the
-// scenario would test nothing.
+// checkFaultsOccurred fails the test unless ok says that the faults have occurred: without
+// them the scenario would test nothing.
 func (sc *scenario) checkFaultsOccurred(ok bool, format string, args ...any) {
 	sc.t.Helper()
 	if !ok {
@@ -168,9 +168,9 @@
 	}
 }
 
-// checkOutcome checks what must hold after any faults: every node answers a poll of every job
-// within 75 s, each job gets a final status within 4 minutes, and no rule was violated. The
-// users' checks make sure that cancelled jobs stay cancelled and no others are.
+// checkOutcome checks what must hold after any faults: every node answers a status query for
+// every job within 75 s, each job gets a final status within 4 minutes, and no rule was
+// violated. The users' checks make sure that cancelled jobs stay cancelled and no others are.
 func (sc *scenario) checkOutcome() {
 	sc.t.Helper()
 	faultsEndedAt := time.Now()
--- a/internal/node/site_failures_test.go
+++ b/internal/node/site_failures_test.go
@@ -8,10 +8,10 @@
 	"thornnotch/internal/jobs"
 )
 
-// TestAcceptedJobsCompleteDespiteFailures runs arrays and gangs on a whole site in fake time while the leader
-// is killed, a job is cancelled, the state service is down and every node is killed during
-// that outage. All other accepted jobs must complete, and no rule of the protocol may be
-// violated.
+// TestAcceptedJobsCompleteDespiteFailures runs arrays and gangs on a whole site in fake time
+// while the leader is killed, a job is cancelled, the state service is down and every node is
+// killed during that outage. All other accepted jobs must complete, and no rule of the
+// protocol may be violated.
 func TestAcceptedJobsCompleteDespiteFailures(t *testing.T) {
 	runSite(t, smallSiteOptions(), nil, func(s *site) {
 		ids := submitMixedJobs(s)
--- a/internal/node/site_faults_test.go
+++ b/internal/node/site_faults_test.go
@@ -8,8 +8,8 @@
 
 // Network faults between a site's nodes, machines and services.
 
-// isolateNode cuts a node off from the state service and from the other nodes, in both directions.
-// Workers and users still reach it.
+// isolateNode cuts a node off from the state service and from the other nodes, in both
+// directions. Workers and users still reach it.
 func (s *site) isolateNode(name string) {
 	number := nodeNumber(name)
 	for other, process := range s.nodes {
@@ -27,9 +27,9 @@
 	}
 }
 
-// isolateZoneOf isolates a node together with the machines of its zone: these machines and the other
-// nodes can't reach each other, and no machine of another zone reaches the node. The node still
-// reaches the cloud, and with direct commands the machines of other zones.
+// isolateZoneOf isolates a node together with the machines of its zone: these machines and the
+// other nodes can't reach each other, and no machine of another zone reaches the node. The
+// node still reaches the cloud, and with direct commands the machines of other zones.
 func (s *site) isolateZoneOf(name string) {
 	s.isolateNode(name)
 	zone := zones[nodeNumber(name)]
@@ -80,7 +80,7 @@
 	return side
 }
 
-// healPartitions ends all cuts between running nodes, machines and services. It leaves
+// healPartitions ends all partitions between running nodes, machines and services. It leaves
 // unreachableAddresses as they are.
 func (s *site) healPartitions() {
 	for _, process := range s.nodes {
@@ -134,8 +134,8 @@
 	return slices.Compact(names)
 }
 
-// runningMachinesOf returns the machine of each running task of a job, sorted. A machine appears once
-// for each task.
+// runningMachinesOf returns the machine of each running task of a job, sorted. A machine
+// appears once for each task.
 func (s *site) runningMachinesOf(job string) (machines []string) {
 	for task, machine := range s.rules.runningTasks() {
 		if task.Job == job {
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -35,8 +35,8 @@
 	MemoryMB float64 `json:"memoryMB"`
 	// ScarceResources names the resources that run short.
 	ScarceResources []string `json:"scarce,omitempty"`
-	// UndersizedSettings describes the settings that are too small for the fleet, each with its required
-	// value.
+	// UndersizedSettings describes the settings that are too small for the fleet, each with
+	// its required value.
 	UndersizedSettings []string `json:"settingsTooSmall,omitempty"`
 }
 
--- a/internal/node/users_test.go
+++ b/internal/node/users_test.go
@@ -164,8 +164,8 @@
 	}
 }
 
-// queryAllNodes polls a job at all nodes concurrently, several times within milliseconds, and
-// repeats its submission at each.
+// queryAllNodes queries a job's status at all nodes concurrently, several times within
+// milliseconds, and repeats its submission at each.
 func (u *users) queryAllNodes(id string) {
 	spec := u.specOf(id)
 	var wg sync.WaitGroup
@@ -181,7 +181,7 @@
 	wg.Wait()
 }
 
-// queryUntilFinal polls a job every few seconds until its status is final.
+// queryUntilFinal queries a job's status every few seconds until its status is final.
 func (u *users) queryUntilFinal(id string) {
 	u.goroutines.Go(func() {
 		for u.ctx.Err() == nil {
--- a/internal/placement/sizeclass_test.go
+++ b/internal/placement/sizeclass_test.go
@@ -5,10 +5,11 @@
 	"testing"
 )
 
-// TestLargeTaskSearchExaminesFewMachines guards against long passes: while small tasks wait, nearly
-// every machine of a full cluster has room for some task. In a trial with 6,000 machines, 60
-// gangs examined all of them in every pass, which took most of the pass's time. Gangs of whole
-// machines must examine only machines with room for them, however many others there are.
+// TestLargeTaskSearchExaminesFewMachines guards against long passes: while small tasks wait,
+// nearly every machine of a full cluster has room for some task. In a trial with 6,000
+// machines, 60 gangs examined all of them in every pass, which took most of the pass's time.
+// Gangs of whole machines must examine only machines with room for them, however many others
+// there are.
 func TestLargeTaskSearchExaminesFewMachines(t *testing.T) {
 	const gangs, empty = 50, 8
 	examined := make(map[int]int)
--- a/internal/reservations/manager_test.go
+++ b/internal/reservations/manager_test.go
@@ -35,8 +35,8 @@
 	return reserved
 }
 
-// TestReservedSlotCounts checks the number of reserved slots for m upstream and n downstream tasks
-// (paper, III-B, algorithm 1).
+// TestReservedSlotCounts checks the number of reserved slots for m upstream and n downstream
+// tasks (paper, III-B, algorithm 1).
 func TestReservedSlotCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, n := rapid.IntRange(1, 40).Draw(t, "m"), rapid.IntRange(0, 40).Draw(t, "n")
@@ -175,8 +175,8 @@
 	})
 }
 
-// TestWhenReservationsEnd checks that reservations end when they are used, when their slot is taken,
-// when their downstream job stops waiting, and at their deadline.
+// TestWhenReservationsEnd checks that reservations end when they are used, when their slot is
+// taken, when their downstream job stops waiting, and at their deadline.
 func TestWhenReservationsEnd(t *testing.T) {
 	next := Downstream{Pipeline: testPipeline, Job: "j-2", Tasks: 3, TaskResources: oneTask}
 	always := func(string) bool { return true }
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -85,8 +85,8 @@
 	return c.machines[name] != nil
 }
 
-// FailMachine stops a machine and everything that runs on it. The cloud still lists the machine as
-// running for failureListDelay, and then as failed.
+// FailMachine stops a machine and everything that runs on it. The cloud still lists the
+// machine as running for failureListDelay, and then as failed.
 func (c *Cloud) FailMachine(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/simulator/doc.go
+++ b/internal/simulator/doc.go
@@ -5,7 +5,7 @@
 //   - StateService is the consensus-backed key-value store, an http.Handler;
 //   - Cloud rents and returns machines, an http.Handler;
 //   - Worker is a machine that runs tasks, sends heartbeats and receives commands;
-//   - Network connects hosts within one process, and can cut and delay their connections;
+//   - Network connects hosts within one process, and can break and delay their connections;
 //   - ServeSite serves a whole site on loopback.
 //
 // The fakes keep all state in memory and enforce rate limits only if a test sets them. Their
--- a/internal/simulator/state_faults.go
+++ b/internal/simulator/state_faults.go
@@ -7,8 +7,8 @@
 
 // TxnFault is the fault injected into one transaction. The zero value injects none.
 type TxnFault struct {
-	// ReplyLost drops the reply. The transaction is applied after the delay After, if its conditions
-	// hold then.
+	// ReplyLost drops the reply. The transaction is applied after the delay After, if its
+	// conditions hold then.
 	ReplyLost bool
 	After     time.Duration
 	// Delay delays the transaction and its reply, unless the reply is lost.
@@ -17,8 +17,8 @@
 
 // FaultCounts counts the faults that took place, so that a test can check that the one it
 // injects did: requests refused with 503, lost replies, transactions that were due late and
-// were applied (LateApplied) or not (LateRejected), and transactions over a size limit or the rate
-// limit.
+// were applied (LateApplied) or not (LateRejected), and transactions over a size limit or the
+// rate limit.
 type FaultCounts struct{ Refused, ReplyLost, LateApplied, LateRejected, TooLarge, RateLimited int }
 
 // RequestLimits holds the limits that the service enforces; 0 means no limit.
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -57,7 +57,7 @@
 	FaultyRunTime = 500 * time.Millisecond
 	// replyTimeout is the timeout of a heartbeat request (protocol).
 	replyTimeout = 4 * time.Second
-	// defaultStepInterval is the default of WorkerOptions.Step.
+	// defaultStepInterval is the default of WorkerOptions.StepInterval.
 	defaultStepInterval = 100 * time.Millisecond
 )
 
--- a/internal/simulator/worker_faults.go
+++ b/internal/simulator/worker_faults.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// BlockIncoming starts or ends a cut of incoming traffic: the machine's heartbeats reach the
-// nodes, but it receives no replies and no direct commands.
-func (w *Worker) BlockIncoming(cut bool) {
+// BlockIncoming starts or ends the blocking of incoming traffic: the machine's heartbeats
+// reach the nodes, but it receives no replies and no direct commands.
+func (w *Worker) BlockIncoming(blocked bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.incomingBlocked = cut
+	w.incomingBlocked = blocked
 }
 
-// BlockOutgoing starts or ends a cut of outgoing heartbeats: the machine sends none, but still
-// receives direct commands.
-func (w *Worker) BlockOutgoing(cut bool) {
+// BlockOutgoing starts or ends the blocking of outgoing heartbeats: the machine sends none,
+// but still receives direct commands.
+func (w *Worker) BlockOutgoing(blocked bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.outgoingBlocked = cut
+	w.outgoingBlocked = blocked
 }
 
 // SetHanging makes the machine hang or resume. A hanging machine makes no progress on its tasks
@@ -51,8 +51,8 @@
 	w.faulty = faulty
 }
 
-// ResendHeartbeats sends copies of the last WorkerOptions.MaxKeptHeartbeats heartbeats to a node,
-// as when the network delivers duplicates. It returns the number of copies.
+// ResendHeartbeats sends copies of the last WorkerOptions.MaxKeptHeartbeats heartbeats to a
+// node, as when the network delivers duplicates. It returns the number of copies.
 func (w *Worker) ResendHeartbeats(ctx context.Context, addr string) (sent int) {
 	w.mu.Lock()
 	keptHeartbeats := slices.Clone(w.keptHeartbeats)
--- a/internal/simulator/worker_heartbeats.go
+++ b/internal/simulator/worker_heartbeats.go
@@ -76,7 +76,7 @@
 }
 
 // handleReply handles a node's reply to a heartbeat that was sent in the given epoch. It reports
-// false if a cut or a hang keeps the worker from receiving the reply.
+// false if blocked traffic or a hang keeps the worker from receiving the reply.
 func (w *Worker) handleReply(status int, body []byte, from string, epoch uint64, sentAt time.Time) (received bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/statestore/class.go
+++ b/internal/statestore/class.go
@@ -17,7 +17,8 @@
 	ClassSubmit
 	// ClassRecord is for the leader's writes to its log.
 	ClassRecord
-	// ClassStatusQuery is for reads that serve user queries and refresh the replica of open jobs.
+	// ClassStatusQuery is for reads that serve user queries and refresh the replica of open
+	// jobs.
 	ClassStatusQuery
 	// ClassOther is for calls that can wait longest, such as storing the last known catalog.
 	ClassOther
