--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -5,14 +5,14 @@
 // Operator contains the operators' settings. Every field has a default, so the file is
 // optional and may set only some of them.
 type Operator struct {
-	Holds   HoldSettings    `yaml:"holds"`
-	Budgets BudgetSettings  `yaml:"budgets"`
-	Scaling ScalingSettings `yaml:"renting"`
-	Log     LogSettings     `yaml:"log"`
+	Reservations ReservationSettings `yaml:"holds"`
+	Budgets      BudgetSettings      `yaml:"budgets"`
+	Scaling      ScalingSettings     `yaml:"renting"`
+	Log          LogSettings         `yaml:"log"`
 }
 
-// HoldSettings configure speculative slot reservation (paper, III-B and IV-B).
-type HoldSettings struct {
+// ReservationSettings configure speculative slot reservation (paper, III-B and IV-B).
+type ReservationSettings struct {
 	// Enabled turns slot reservation on; off allows a comparison without it.
 	Enabled bool `yaml:"enabled"`
 	// SubmissionOrder reserves slots even if jobs declare no dependencies: for the next job
@@ -33,18 +33,18 @@
 	// LeaderWriteShare is its fraction of the writes.
 	LeaderShare      float64 `yaml:"leader_share"`
 	LeaderWriteShare float64 `yaml:"leader_write_share"`
-	// Use is the fraction of each allowed rate that all nodes together use.
-	Use float64 `yaml:"use"`
+	// UsableShare is the fraction of each allowed rate that all nodes together use.
+	UsableShare float64 `yaml:"use"`
 }
 
 // ScalingSettings configure how many machines are rented.
 type ScalingSettings struct {
-	// Spare is the number of machines rented beyond the present demand, in units of the
+	// ScaleOutSpare is the number of machines rented beyond the present demand, in units of the
 	// square root of the demand that is expected to arrive while a machine boots.
-	Spare float64 `yaml:"spare"`
-	// Keep is the number of idle machines kept beyond the highest recent demand, in the
+	ScaleOutSpare float64 `yaml:"spare"`
+	// ScaleInKeep is the number of idle machines kept beyond the highest recent demand, in the
 	// same units.
-	Keep float64 `yaml:"keep"`
+	ScaleInKeep float64 `yaml:"keep"`
 }
 
 // LogSettings configure the leader's write-ahead log.
@@ -58,19 +58,19 @@
 // DefaultOperator returns the settings that apply without a file.
 func DefaultOperator() Operator {
 	return Operator{
-		Holds: HoldSettings{
+		Reservations: ReservationSettings{
 			Enabled:         true,
 			SubmissionOrder: true,
-			Alpha:           constants.HoldAlpha,
-			P:               constants.HoldP,
-			Threshold:       constants.HoldThreshold,
+			Alpha:           constants.DefaultReservationAlpha,
+			P:               constants.DefaultReservationP,
+			Threshold:       constants.DefaultReservationThreshold,
 		},
 		Budgets: BudgetSettings{
 			LeaderShare:      constants.LeaderShare,
 			LeaderWriteShare: constants.LeaderWriteShare,
-			Use:              constants.BudgetUse,
+			UsableShare:      constants.UsableBudgetShare,
 		},
-		Scaling: ScalingSettings{Spare: constants.ScaleOutSpare, Keep: constants.ScaleInSpare},
+		Scaling: ScalingSettings{ScaleOutSpare: constants.DefaultScaleOutSpare, ScaleInKeep: constants.DefaultScaleInKeep},
 		Log:     LogSettings{LargeRing: true},
 	}
 }
--- a/internal/leader/status_view.go
+++ b/internal/leader/status_view.go
@@ -17,7 +17,7 @@
 		Machines:      machines,
 		Queue:         l.queueStatus(),
 		Teams:         l.teamStatus(),
-		Holds:         l.reservationStatus(now),
+		Reservations:  l.reservationStatus(now),
 		Booting:       len(l.scaling.booting),
 		Leaving:       leaving,
 		Recording:     l.recordingStatus(now),
@@ -79,7 +79,7 @@
 	total := placement.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}
 	used := l.usedResources(machine)
 	pool.GPUs += used.GPUs
-	pool.Used += used.DominantShare(total)
+	pool.UsedMachines += used.DominantShare(total)
 }
 
 // compareBool orders false before true.
@@ -105,13 +105,13 @@
 		}
 		queue.Jobs++
 		if job.upstreams.blocked() {
-			queue.Blocked++
+			queue.BlockedJobs++
 			continue // its tasks do not wait for a machine
 		}
 		running := startedAttempts(job)
-		queue.Done += job.progress.completed()
-		queue.Running += running
-		queue.Waiting += max(0, job.progress.remaining()-running)
+		queue.DoneTasks += job.progress.completed()
+		queue.RunningTasks += running
+		queue.WaitingTasks += max(0, job.progress.remaining()-running)
 	}
 	for _, queue := range byPipeline {
 		queues = append(queues, *queue)
@@ -162,9 +162,9 @@
 	return teams
 }
 
-func (l *Leader) reservationStatus(now time.Time) (list []HoldStatus) {
+func (l *Leader) reservationStatus(now time.Time) (list []ReservationStatus) {
 	for _, reservation := range l.reservations.All() {
-		list = append(list, HoldStatus{
+		list = append(list, ReservationStatus{
 			Machine: reservation.Machine, Team: reservation.Pipeline.Team, Class: reservation.Pipeline.Class, Job: reservation.Downstream,
 			CPUs: reservation.Resources.CPUs, GPUs: reservation.Resources.GPUs,
 			ExpiresInS: reservation.ExpiresAt.Sub(now).Seconds(),
