--- a/internal/attestation/cancellation_log.go
+++ b/internal/attestation/cancellation_log.go
@@ -44,7 +44,8 @@
 }
 
 // Since lists the jobs added within the window before now, newest first. It reports false if
-// some may be missing, because the process started or dropped entries within that window.
+// some may be missing, because the process started within that window or has dropped entries
+// that were added within it.
 func (l *CancellationLog) Since(window time.Duration, now time.Time) (jobIDs []string, complete bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -147,7 +147,8 @@
 	return view, nil
 }
 
-// campaign tries to make this node the leader, under a new lease.
+// campaign tries to make this node the leader, under a new lease. If it wins, it returns the
+// lease and the view after the campaign.
 func (e *Elector) campaign(ctx context.Context, view View) (won View, lease uint64, err error) {
 	lease, err = e.store.GrantLease(ctx, constants.LeaderLeaseTTL)
 	if err != nil {
--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -19,8 +19,8 @@
 	// Tasks is the number of tasks of a job that is done.
 	Tasks int `json:"pieces"`
 	// FinishedAtMS is when the leader found the job done, in Unix milliseconds; 0 if unknown.
-	// A job that depends on this one counts its waiting time from the last such time, but its
-	// deadline from its own submission.
+	// The waiting time of a job that depends on others counts from the latest FinishedAtMS of
+	// those, but its deadline counts from its own submission.
 	FinishedAtMS int64 `json:"atMs,omitempty"`
 }
 
--- a/internal/leader/wal/checkpoint.go
+++ b/internal/leader/wal/checkpoint.go
@@ -73,9 +73,9 @@
 	}
 }
 
-// CheckpointDue reports whether the next checkpoint should be started. It balances the number
-// of entries that a failover has to read on top of the last checkpoint against the cost of
-// writing a new one.
+// CheckpointDue reports whether the next checkpoint should be started. A failover should have
+// few entries to read on top of the last checkpoint, but writing a new checkpoint must not cost
+// more than it saves.
 func (w *Writer) CheckpointDue() bool {
 	if w.checkpoint != nil {
 		return false
@@ -111,8 +111,8 @@
 	return reserved
 }
 
-// estimateRemainingParts estimates how many parts are still to be written. Before the first
-// part is written it returns the number of parts of the last checkpoint.
+// estimateRemainingParts estimates how many parts are still to be written, at least one. Before
+// the first part is written it assumes as many parts as the last checkpoint has.
 func (c *checkpoint) estimateRemainingParts(lastParts int) int {
 	if c.partsWritten == 0 {
 		return max(lastParts, 1)
@@ -179,7 +179,7 @@
 }
 
 // addMachines moves machines into the part until it is full. It reports whether all of them
-// fitted.
+// fit.
 func (c *checkpoint) addMachines(builder *partBuilder) bool {
 	for len(c.machines) > 0 {
 		name := c.machines[0]
--- a/internal/leader/wal/errors.go
+++ b/internal/leader/wal/errors.go
@@ -11,7 +11,7 @@
 
 func (e *MissingRecordError) Error() string { return fmt.Sprintf("record %s is missing", e.Key) }
 
-// UnreadableRecordError reports that a record can't be decoded.
+// UnreadableRecordError reports that a record can't be decoded, and why.
 type UnreadableRecordError struct {
 	Key string
 	Err error
--- a/internal/leader/wal/record.go
+++ b/internal/leader/wal/record.go
@@ -9,11 +9,11 @@
 // be able to read what earlier ones wrote: fields may be added, but no field may change its
 // name or meaning.
 
-// Attempt is one start of a task that may be on its machine.
+// Attempt is one attempt to run a task, which may be on its machine.
 type Attempt struct {
 	Task string `json:"p"`
-	// Number is unique for a task on a machine; Epoch is the agent epoch to which the start
-	// was addressed.
+	// Number is unique for a task on a machine; Epoch is the worker's epoch in which the
+	// attempt was placed.
 	Number uint64 `json:"t"`
 	Epoch  uint64 `json:"h"`
 }
@@ -53,7 +53,7 @@
 	Zone     string `json:"z,omitempty"`
 	Spot     bool   `json:"s,omitempty"`
 	Endpoint string `json:"e,omitempty"`
-	// Epoch is the agent's newest epoch.
+	// Epoch is the worker's newest epoch.
 	Epoch    uint64    `json:"h,omitempty"`
 	Leaving  bool      `json:"l,omitempty"`
 	Attempts []Attempt `json:"a,omitempty"`
@@ -72,7 +72,7 @@
 	Gone []Attempt `json:"x,omitempty"`
 	// Jobs holds the jobs of the attempts in Placed, by job ID.
 	Jobs map[string]JobUsage `json:"j,omitempty"`
-	// Removed is set once the cloud has taken the machine back.
+	// Removed is set once the cloud has confirmed that the machine was terminated.
 	Removed bool `json:"g,omitempty"`
 }
 
--- a/internal/leader/wal/ring.go
+++ b/internal/leader/wal/ring.go
@@ -2,10 +2,10 @@
 
 import "thornnotch/internal/constants"
 
-// mayAddEntry reports whether the ring has room for one more entry after the committed head
-// and the given number of added entries. New entries must never overwrite live ones. No entry
-// is added while the large ring is being abandoned, so that none is live once the checkpoint
-// is complete.
+// mayAddEntry reports whether the ring has room for one more entry in a transaction that
+// already adds the given number of entries to the committed ones. New entries must never
+// overwrite live ones. No entry is added while the log moves from the large ring back to the
+// small one, so that none is live once the checkpoint is complete.
 func (w *Writer) mayAddEntry(next Head, added int) bool {
 	if w.mustLeaveLargeRing(next) {
 		return false
--- a/internal/leader/wal/ring_test.go
+++ b/internal/leader/wal/ring_test.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// TestFullRingAcceptsNoEntries checks that without a checkpoint entries are written until
-// only the ring's slack is free and none after that, and that writing continues once a
-// checkpoint is committed.
+// TestFullRingAcceptsNoEntries checks that without a checkpoint entries are written until only
+// constants.LogFreeKeys slots of the ring are free and none after that, and that writing
+// continues once a checkpoint is committed.
 func TestFullRingAcceptsNoEntries(t *testing.T) {
 	fleet := newLoadedFleet(Limits{ValueBytes: 2048, TxnOps: 8}, 20, 10)
 	writer := fleet.writer
--- a/internal/leader/wal/transaction.go
+++ b/internal/leader/wal/transaction.go
@@ -106,8 +106,9 @@
 	}
 }
 
-// addParts adds the next checkpoint parts: as many as partOps allows, or one if the entries
-// have left room for it. With the last part the head switches to the new checkpoint.
+// addParts adds up to partOps of the next checkpoint parts, or up to one if partOps is 0 and
+// the entries have left room for it. With the last part the head switches to the new
+// checkpoint.
 func (w *Writer) addParts(txn *Txn, size *txnSize, partOps int) {
 	c := w.checkpoint
 	for added := 0; added < max(partOps, 1) && size.ops < w.limits.TxnOps && size.bytes < constants.MaxTxnValueBytes && !c.allPartsWritten; added++ {
--- a/internal/leader/wal/writer.go
+++ b/internal/leader/wal/writer.go
@@ -29,13 +29,13 @@
 //  2. The caller sends it, with the term's record as an additional condition.
 //  3. Once the transaction is known to have been carried out, the caller calls Committed:
 //     all its contents are durable, and the next transaction may be sent.
-//  4. While the outcome is unknown (no answer, or the service was unavailable), the caller
+//  4. While the outcome is unknown (no response, or the service was unavailable), the caller
 //     calls neither Committed nor Conflicted, but gets the transaction from Next again and
 //     resends it with the same contents. It may have been carried out, or may still be. If
 //     its changes were put into another transaction in the meantime, a late copy could be
 //     carried out first, and nobody would know what is committed.
-//  5. A conflict is not conclusive by itself, because an earlier try without an answer may
-//     have been carried out. The caller reads the head and calls WroteHead. If it returns
+//  5. A conflict is not conclusive by itself, because an earlier try without a response
+//     may have been carried out. The caller reads the head and calls WroteHead. If it returns
 //     true, the caller calls Committed with the revision of the head. If it returns false and
 //     the condition on HeadKey failed, another leader is writing the log and the term is
 //     over. Otherwise only conditions of job writes failed: the caller calls Conflicted, and
@@ -56,8 +56,8 @@
 	inFlight *Txn
 	// checkpoint is the checkpoint being written, or nil.
 	checkpoint *checkpoint
-	// partOpCredit is how many operations are due to the checkpoint but not reserved for it
-	// yet, because only whole operations can be.
+	// partOpCredit is the number of operations that are due to the checkpoint but not reserved
+	// for it yet: only whole operations can be reserved, and no more than a transaction has.
 	partOpCredit float64
 	stats        Stats
 
--- a/internal/peers/client.go
+++ b/internal/peers/client.go
@@ -144,7 +144,7 @@
 }
 
 // AttestCancellations returns the jobs whose cancellation a node has confirmed to users
-// within the last span. ok is false if the node does not know or can't be reached.
+// within the last span. ok is false if the node can't give a complete list or can't be reached.
 func (c *Client) AttestCancellations(ctx context.Context, node string, span time.Duration) (cancelled []string, ok bool) {
 	reply := new(VouchReply)
 	// Rounded up, so that the node covers at least the span.
--- a/internal/peers/doc.go
+++ b/internal/peers/doc.go
@@ -1,6 +1,7 @@
 // Package peers implements the calls between controller nodes over net/rpc: wire.go defines
 // the wire format, server.go the server and client.go the client.
 //
-// Nothing may be concluded from a node that can't be reached. Safety depends on these calls
-// in one case only: nodes attest to cancellations while the state service is unavailable.
+// That a node can't be reached proves nothing. Safety depends on these calls in one case only:
+// while the state service does not respond to the leader, the leader relies on the
+// cancellations to which the nodes attest.
 package peers
--- a/internal/peers/wire.go
+++ b/internal/peers/wire.go
@@ -49,8 +49,8 @@
 // SpanMS milliseconds.
 type VouchArgs struct{ SpanMS int64 }
 
-// VouchReply is the reply to VouchArgs. If OK is false, the node can't tell which
-// cancellations it has confirmed.
+// VouchReply is the reply to VouchArgs. If OK is false, the node can't give a
+// complete list of the cancellations that it has confirmed.
 type VouchReply struct {
 	OK        bool
 	Cancelled []string
--- a/internal/statestore/budget.go
+++ b/internal/statestore/budget.go
@@ -12,8 +12,8 @@
 
 // Budget limits this node's calls to its share of the state service's rate limits. It has a
 // token bucket for requests and one for writes (puts and deletes), each holding one second's
-// worth of tokens. A call takes tokens only if the reserve that its class leaves for more
-// important calls stays in the bucket. A Budget is safe for concurrent use.
+// worth of tokens. A call takes tokens only if the bucket then still holds the reserve that the
+// call's class must leave for more important calls. A Budget is safe for concurrent use.
 type Budget struct {
 	mu       sync.Mutex // guards the fields below; both buckets are charged atomically
 	requests *rate.Limiter
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -49,8 +49,8 @@
 	}}
 }
 
-// LastSuccess returns when the service last responded to a call other than by refusing it, or
-// the zero time if it never has.
+// LastSuccess returns when the service last gave a readable response that was not a refusal
+// (status 503 or 429), or the zero time if it never has.
 func (c *Client) LastSuccess() time.Time { return c.health.lastSuccess() }
 
 // FailingFor returns the time since the first failed call after LastSuccess, or 0 if no call
--- a/internal/statestore/client_test.go
+++ b/internal/statestore/client_test.go
@@ -87,8 +87,8 @@
 }
 
 // TestLeaseCallsUseSeparateConnections checks that lease calls complete while hanging calls
-// occupy all connections for other classes. If they shared connections, a slow service could
-// cost the leader its lease.
+// occupy all connections for other classes, before any of those calls times out. If they shared
+// connections, a slow service could cost the leader its lease.
 func TestLeaseCallsUseSeparateConnections(t *testing.T) {
 	release := make(chan struct{})
 	var blocked sync.WaitGroup
--- a/internal/userapi/replica.go
+++ b/internal/userapi/replica.go
@@ -24,7 +24,7 @@
 	appliedRevision uint64
 }
 
-// openJob is the replica of one open job. The zero value stands for a job that is not known to
+// openJob is one open job in the replica. The zero value stands for a job that is not known to
 // be open.
 type openJob struct {
 	// revision is the revision of the job's open record.
@@ -37,7 +37,7 @@
 	return &openJobsReplica{jobs: make(map[string]openJob)}
 }
 
-// job returns the replica of a job.
+// job returns a job from the replica, or the zero openJob if the replica does not hold it.
 func (r *openJobsReplica) job(id string) openJob {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/userapi/responses.go
+++ b/internal/userapi/responses.go
@@ -73,8 +73,8 @@
 	return &requestError{http.StatusServiceUnavailable, errorBody{Error: reason}, cause}
 }
 
-// stateServiceUnavailable returns the 503 error for a request that can't be proven because the
-// state service gave no usable answer.
+// stateServiceUnavailable returns the 503 error for a request whose response can't be proven,
+// because the state service gave no valid response.
 func stateServiceUnavailable(cause error) *requestError {
 	return serviceUnavailable("the state service can't be asked", cause)
 }
--- a/internal/userapi/server.go
+++ b/internal/userapi/server.go
@@ -124,8 +124,8 @@
 }
 
 // AttestCancellations returns all jobs that this process reported to users as cancelled within
-// the last span, and possibly further cancelled jobs. It returns ok = false if it can't vouch
-// that the list is complete.
+// the last span, and possibly further cancelled jobs. It returns ok = false if the list may be
+// incomplete.
 func (s *Server) AttestCancellations(span time.Duration) (ids []string, ok bool) {
 	return s.cancellationLog.Since(span, time.Now())
 }
--- a/internal/userapi/status_proofs.go
+++ b/internal/userapi/status_proofs.go
@@ -96,10 +96,10 @@
 	return nil, nil
 }
 
-// partitionByConflict separates the queries whose records conflicted from the unproven others,
-// which must be compared again, as only a transaction that succeeds proves anything. If the
-// conflict names none of the records, any of them may have caused it, so all queries count as
-// conflicting.
+// partitionByConflict separates the queries whose records conflicted from the others. The latter
+// are unproven and must be compared again, as only a transaction that succeeds proves anything.
+// If the conflict names none of the records, any of them may have caused it, so all queries
+// count as conflicting.
 func (c compareTxn) partitionByConflict(conflict *statestore.ConflictError) (conflicting, unproven []statusQuery) {
 	failed := make(map[string]bool, len(conflict.FailedKeys))
 	for _, key := range conflict.FailedKeys {
--- a/internal/userapi/status_queries.go
+++ b/internal/userapi/status_queries.go
@@ -76,7 +76,7 @@
 }
 
 // ServeStatusQueries answers status queries until ctx ends. It processes several batches
-// concurrently, because a transaction has room for few conditions and its answer may be slow
+// concurrently, because a transaction has room for few conditions and its response may be slow
 // or lost.
 func (s *Server) ServeStatusQueries(ctx context.Context) error {
 	batches, ctx := errgroup.WithContext(ctx)
--- a/internal/userapi/submission.go
+++ b/internal/userapi/submission.go
@@ -47,7 +47,7 @@
 
 // acquireSubmissionSlot reports false if as many submissions are in progress as can be
 // recorded before their users give up; further ones are rejected at once. Status queries and
-// cancellations have limits of their own.
+// cancellations need no slot.
 func (s *Server) acquireSubmissionSlot() bool {
 	select {
 	case s.submissionSlots <- struct{}{}:
--- a/internal/workers/agent_test.go
+++ b/internal/workers/agent_test.go
@@ -45,8 +45,8 @@
 }
 
 // TestIsDuplicate checks that late copies of heartbeats from the current or an older epoch are
-// detected, and that a heartbeat overtaken by the response to a direct command is not taken
-// for a duplicate.
+// detected, as these must not renew the worker's lease. A heartbeat overtaken by the response
+// to a direct command must not be taken for a duplicate.
 func TestIsDuplicate(t *testing.T) {
 	now := time.Unix(1000, 0)
 	agent := registeredAgent(now)
--- a/internal/workers/attempt.go
+++ b/internal/workers/attempt.go
@@ -53,14 +53,14 @@
 	// StartAllowed is set by the leader when `run` may be sent. The tasks of a gang wait until
 	// all of them are recorded.
 	StartAllowed bool
-	// FromEarlierTerm is set if an earlier term recorded the attempt. That term's reply with
-	// `run` may still be in flight.
+	// FromEarlierTerm is set if an earlier term recorded the attempt, or if no record contains
+	// it. An earlier term's reply with its `run` may still be in flight.
 	FromEarlierTerm bool
 	// PlacedAt is when the attempt was placed on this machine.
 	PlacedAt time.Time
 
 	// RunSent is set once a `run` was sent. RunSentSequence is the sequence number of the
-	// heartbeat whose reply carried the last `run`, RunSentAt is when the first was sent.
+	// heartbeat whose reply carried the last `run`; RunSentAt is when the first was sent.
 	RunSent         bool
 	RunSentSequence uint64
 	RunSentAt       time.Time
--- a/internal/workers/commands.go
+++ b/internal/workers/commands.go
@@ -53,7 +53,7 @@
 	return commands
 }
 
-// HasCommands reports whether Commands would return any for the reply to a heartbeat.
+// HasCommands reports whether Commands would return any command for the reply to a heartbeat.
 func (agent *Agent) HasCommands() bool {
 	for _, attempt := range agent.Attempts {
 		switch {
--- a/internal/workers/lost_replies.go
+++ b/internal/workers/lost_replies.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// StartOverdue reports whether the worker has not listed an attempt whose first `run` was sent
-// more than constants.StartOverdueAfter ago.
+// StartOverdue reports whether there is an attempt that the worker has never listed although
+// its first `run` was sent more than constants.StartOverdueAfter ago.
 func (agent *Agent) StartOverdue(now time.Time) bool {
 	for _, attempt := range agent.Attempts {
 		if attempt.RunSent && attempt.unreported() && !attempt.RunSentAt.IsZero() &&
--- a/internal/workers/lost_replies_test.go
+++ b/internal/workers/lost_replies_test.go
@@ -6,8 +6,9 @@
 )
 
 // TestMissedStartsRevealLostReplies checks that RepliesLost is set after two heartbeats without
-// a started attempt, that the second one proves the attempt gone, and that only the response
-// to a direct command, not a heartbeat, clears RepliesLost.
+// a started attempt, and that the second one proves the attempt gone. The worker gets no status
+// 200 while RepliesLost is set, so a heartbeat must not clear it, but the response to a direct
+// command must.
 func TestMissedStartsRevealLostReplies(t *testing.T) {
 	now := time.Unix(1000, 0)
 	agent := registeredAgent(now)
