--- a/cmd/thornnotch/logging.go
+++ b/cmd/thornnotch/logging.go
@@ -10,8 +10,8 @@
 // logLevelEnv is the environment variable that sets the minimum log level.
 const logLevelEnv = "LOG_LEVEL"
 
-// newLogger returns a logger that writes to standard error, at the level that the environment
-// sets or else at info.
+// newLogger returns a logger that writes to standard error, at the level that logLevelEnv sets
+// or at info if it is not set.
 func newLogger() (*slog.Logger, error) {
 	name := os.Getenv(logLevelEnv)
 	var level slog.Level
--- a/internal/node/attestations.go
+++ b/internal/node/attestations.go
@@ -8,9 +8,9 @@
 	"thornnotch/internal/attestation"
 )
 
-// AttestCancellations returns the cancellations that this process has confirmed to users
-// within the last span, for the node that leads. It reports false if it can't attest that the
-// list is complete.
+// AttestCancellations returns, for the leader, the IDs of the jobs whose cancellation this
+// process has confirmed to users within the last span. It reports false if it can't attest that
+// the list is complete.
 func (n *Node) AttestCancellations(span time.Duration) (cancelled []string, ok bool) {
 	if n.userServer == nil {
 		return nil, false // the process is still starting
@@ -18,8 +18,8 @@
 	return n.userServer.AttestCancellations(span)
 }
 
-// collectAttestations returns the cancellations that this node and all peers attest to, which
-// are queried concurrently. It reports false unless every node of the site has attested.
+// collectAttestations queries all peers concurrently and returns the cancellations that they and
+// this node attest to. It reports false unless every node of the site has attested.
 func (n *Node) collectAttestations(ctx context.Context, span time.Duration) (cancelled []string, ok bool) {
 	attestations := make([]attestation.Attestation, 1+len(n.settings.Peers))
 	var wg sync.WaitGroup
--- a/internal/node/catalog.go
+++ b/internal/node/catalog.go
@@ -25,7 +25,7 @@
 	leads func() bool
 	log   *slog.Logger
 
-	current atomic.Pointer[autoscaling.Catalog] // nil until one has been read
+	current atomic.Pointer[autoscaling.Catalog] // nil until a catalog has been read
 }
 
 // load returns the catalog, or nil if none has been read yet.
--- a/internal/node/combined_faults_cancellations_test.go
+++ b/internal/node/combined_faults_cancellations_test.go
@@ -9,7 +9,7 @@
 	"thornnotch/internal/workers"
 )
 
-// Tests of cancellations combined with other faults.
+// Tests of cancellations combined with faults.
 
 // fillQuotas runs long jobs that use up the quota of both teams, three of team a and two of
 // team b, and returns their IDs. It then submits more jobs, which have to wait.
@@ -148,7 +148,8 @@
 }
 
 // TestCombinedDelayedCommands: machines hang for seconds, so that commands to them or their
-// replies are delayed, and then resume.
+// replies are delayed, and then resume. Jobs that run there are cancelled meanwhile, and their
+// tasks must stop within cancel_s.
 func TestCombinedDelayedCommands(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		var ids []string
--- a/internal/node/combined_faults_leaders_test.go
+++ b/internal/node/combined_faults_leaders_test.go
@@ -32,7 +32,8 @@
 }
 
 // TestCombinedRepeatedFailovers: the leader is restarted several times in a row. Then all
-// nodes are killed and one of them starts again within a second.
+// nodes are killed and one of them starts again within a second. All jobs must still get a final
+// status.
 func TestCombinedRepeatedFailovers(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		sc.submitNext(longJob("a", jobs.KindArray, 5, 50))
@@ -55,8 +56,8 @@
 
 // TestCombinedFailoversDuringOutage: the leader, or another node if none leads, is restarted
 // ten times within two minutes, partly during an outage of the state service. Guards against a
-// leader that takes the tasks of a silent machine for stopped although an earlier leader may
-// have renewed the machine's lease.
+// leader that assumes that the tasks of a silent machine have stopped although an earlier leader
+// may have renewed the machine's lease.
 func TestCombinedFailoversDuringOutage(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		sc.submitNext(longJob("a", jobs.KindArray, 5, 100))
--- a/internal/node/combined_faults_machines_test.go
+++ b/internal/node/combined_faults_machines_test.go
@@ -88,7 +88,7 @@
 }
 
 // TestCombinedOldHeartbeatsDuringElection: old heartbeats reach every node while a new
-// leader is elected and starts its term. Guards against a new leader that takes them for the
+// leader is elected and starts its term. Guards against a new leader that treats them as the
 // machines' current state.
 func TestCombinedOldHeartbeatsDuringElection(t *testing.T) {
 	runScenario(t, func(s *site) { s.maxKeptHeartbeats = 2 }, func(sc *scenario) {
@@ -150,8 +150,8 @@
 }
 
 // TestCombinedDuplicateHeartbeats: delayed copies of heartbeats arrive after newer
-// heartbeats, some of them from an earlier epoch or attempt. Guards against a leader that takes
-// them for the machines' current state.
+// heartbeats, some of them from an earlier epoch or attempt. Guards against a leader that treats
+// them as the machines' current state.
 func TestCombinedDuplicateHeartbeats(t *testing.T) {
 	duplicateHeartbeats := func(s *site) {
 		s.heartbeatDuplicateDelays = []time.Duration{3 * time.Second, 9 * time.Second, 21 * time.Second}
@@ -179,8 +179,8 @@
 }
 
 // TestCombinedWorkersCannotReachNodes: workers can't connect to any node, while direct
-// commands still reach them. Guards against a leader that takes their replies to direct commands
-// for lease renewals: a lease counts from the last acknowledged heartbeat.
+// commands still reach them. Guards against a leader that treats their replies to direct
+// commands as lease renewals. A lease counts from the last acknowledged heartbeat.
 func TestCombinedWorkersCannotReachNodes(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		array := sc.submitNext(longJob("a", jobs.KindArray, 6, 30))
--- a/internal/node/combined_faults_statestore_test.go
+++ b/internal/node/combined_faults_statestore_test.go
@@ -129,7 +129,7 @@
 // TestTasksKeepRunningDuringOutage: the state service is down for far longer than a worker's
 // lease, and for far longer than a leader by itself can be certain that no cancellation was
 // confirmed. The nodes attest to each other which cancellations they confirmed, so the leader
-// can go on renewing leases: running tasks must continue, and none may be restarted.
+// can go on renewing leases. Running tasks must continue, and none may be restarted.
 func TestTasksKeepRunningDuringOutage(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		ids := []string{sc.submitNext(longJob("a", jobs.KindArray, 5, 150)), sc.submitNext(longJob("b", jobs.KindGang, 3, 150))}
@@ -169,7 +169,7 @@
 
 // TestCombinedLostStateReplies: all transactions are applied at once, but one in three with
 // writes loses its reply, while other nodes read what was written. Guards against a node that
-// takes a transaction without a reply for one that was not applied.
+// assumes that a transaction without a reply was not applied.
 func TestCombinedLostStateReplies(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		losesReply := sc.oneInEvery(3)
@@ -182,8 +182,8 @@
 	})
 }
 
-// runJobsWithLostReplies submits and cancels jobs, also just as a task completes, queries
-// them at all nodes and restarts the leader, while transactions lose their replies.
+// runJobsWithLostReplies submits jobs, cancels some of them, partly just as a task completes,
+// queries them at all nodes and restarts the leader, while transactions lose their replies.
 func (sc *scenario) runJobsWithLostReplies() {
 	sc.t.Helper()
 	sc.rules.setOnDone(func(task workers.TaskID) {
--- a/internal/node/combined_faults_users_test.go
+++ b/internal/node/combined_faults_users_test.go
@@ -11,8 +11,8 @@
 
 // Tests of high load and many user requests, combined with faults.
 
-// TestCombinedOverloadSlowLinks: more tasks than the machines can hold, in all priority
-// classes, over slow network links. Guards against teams that exceed their quota.
+// TestCombinedOverloadSlowLinks: users submit more tasks than the machines can hold, in all
+// priority classes, while network links are slow. Guards against teams that exceed their quota.
 func TestCombinedOverloadSlowLinks(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		sc.delayAllPackets(2*time.Millisecond, 60*time.Millisecond)
@@ -45,8 +45,8 @@
 
 // TestCombinedFrequentRequests: users query all nodes several times within milliseconds, and
 // repeat the submission, right after a job was accepted, completed or confirmed as cancelled.
-// Some jobs are cancelled immediately after submission. Guards against a node that answers with
-// an older state than another node has answered with.
+// Some jobs are cancelled immediately after submission. Guards against a node that reports an
+// older state than another node has already reported.
 func TestCombinedFrequentRequests(t *testing.T) {
 	runScenario(t, nil, func(sc *scenario) {
 		sc.rules.setOnDone(func(task workers.TaskID) {
@@ -73,7 +73,7 @@
 }
 
 // TestCombinedHighSubmissionRate: for a minute, four one-task jobs are submitted per second,
-// and a quarter of them are cancelled.
+// and a quarter of them are cancelled. All jobs must be accepted and get a final status.
 func TestCombinedHighSubmissionRate(t *testing.T) {
 	runScenarioOnce(t, smallSiteOptions(), 1, nil, func(sc *scenario) {
 		var cancelled atomic.Int64
--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -23,8 +23,8 @@
 	mu   sync.Mutex // guards the fields below
 	open map[net.Conn]*trackedConn
 	idle *list.List // idle user connections, longest idle first
-	// closedIdle counts the idle user connections that were closed to free sockets, refused
-	// the connections that were rejected at the limit.
+	// closedIdle counts the idle user connections that were closed to free sockets. refused
+	// counts the connections that were rejected at the limit.
 	closedIdle, refused uint64
 }
 
@@ -178,7 +178,7 @@
 	Open  int `json:"open"`
 	Limit int `json:"limit"` // 0 means unlimited
 	// ClosedIdle counts the idle user connections that were closed to free sockets since the
-	// process started, Refused the connections that were rejected at the limit.
+	// process started. Refused counts the connections that were rejected at the limit.
 	ClosedIdle uint64 `json:"ended"`
 	Refused    uint64 `json:"refused"`
 }
--- a/internal/node/dependencies_input_test.go
+++ b/internal/node/dependencies_input_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestDependencyListInput: any node accepts or rejects dependency lists by the same rules:
-// duplicates and empty lists are valid, unknown jobs and malformed IDs are not.
+// TestDependencyListInput: all nodes accept or reject dependency lists by the same rules.
+// Duplicates and empty lists are valid. Unknown jobs, malformed IDs and the job itself are not.
 func TestDependencyListInput(t *testing.T) {
 	options := smallSiteOptions()
 	options.params.State.ValueKB, options.params.State.TxnOps = 2, 4
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -13,17 +13,17 @@
 )
 
 // healthMonitor finds peers that can serve users while this node's requests to the state
-// service fail. The state service may refuse or be unreachable from a single node while it
-// serves the others. A node cannot distinguish that from an outage by itself, so it queries
-// its peers. As long as the state service answers one of them, users' requests are relayed
-// there instead of being rejected.
+// service fail. The state service may refuse a single node, or be unreachable from it, while it
+// serves the other nodes. A node cannot distinguish that from an outage by itself, so it queries
+// its peers. While the state service answers any of them, users' requests are relayed to such a
+// peer instead of being rejected.
 type healthMonitor struct {
 	store    *statestore.Client
 	peers    *peers.Client
 	settings *config.Settings
 
-	// healthyPeers are the peers that the state service answers; nil while it answers this
-	// node.
+	// healthyPeers holds the names of the peers that the state service answers. It is nil while
+	// the state service answers this node.
 	healthyPeers atomic.Pointer[[]string]
 	// isolated is set while neither the state service nor any peer answers, once the state
 	// service has been failing for longer than constants.IsolatedAfter. It is never set on a
@@ -66,8 +66,8 @@
 	m.isolated.Store(reached == 0 && len(m.settings.Peers) > 0 && failing > constants.IsolatedAfter)
 }
 
-// queryPeers queries all peers concurrently. It returns those that the state service answers,
-// and how many peers responded at all.
+// queryPeers queries all peers concurrently. It returns the names of the peers that the state
+// service answers, and the number of peers that responded.
 func (m *healthMonitor) queryPeers(ctx context.Context) (healthyPeers []string, reached int) {
 	var mu sync.Mutex // guards healthyPeers and reached
 	var wg sync.WaitGroup
@@ -88,7 +88,8 @@
 	return healthyPeers, reached
 }
 
-// relayTargets returns the peers that a user's request can be relayed to.
+// relayTargets returns the peers that a user's request can be relayed to, at most
+// constants.MaxRelayTargets.
 func (m *healthMonitor) relayTargets() []string {
 	healthyPeers := m.healthyPeers.Load()
 	if healthyPeers == nil {
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -13,11 +13,12 @@
 // metricPrefix is the common prefix of all metric names.
 const metricPrefix = "thornnotch_"
 
-// metricsCollector collects the metrics of a node on each scrape. Labels are bounded by a
-// site's teams, job classes and machine pools; none depends on single jobs or machines.
+// metricsCollector collects the metrics of a node on each scrape. The number of label values is
+// bounded by a site's teams, job classes and machine pools. No label identifies a single job or
+// machine.
 type metricsCollector struct{ node *Node }
 
-// Describe sends no descriptors: the set of metrics depends on the site.
+// Describe sends no descriptors, because the set of metrics depends on the site.
 func (c *metricsCollector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect sends this node's metrics and, if it leads, those of the cluster.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -19,7 +19,7 @@
 )
 
 // Node is one controller process. Run starts all its goroutines and waits for them. State that
-// they share is set before, is atomic, or is guarded by its own mutex.
+// the goroutines share is set before they start, is atomic, or is guarded by its own mutex.
 type Node struct {
 	network  Network
 	settings *config.Settings
@@ -90,25 +90,27 @@
 	}
 }
 
-// stateRates returns this node's share of the state service's rate limits.
+// stateRates returns this node's share of the state service's rate limits, in requests and in
+// writes per second.
 func (n *Node) stateRates(leads bool) (rps, writeRPS float64) {
 	rps, writeRPS = n.settings.Params.State.Rates(n.stateLimits.ratesLowered.Load())
 	budgets := n.operator.Budgets
 	return rps * n.rateShare(leads, budgets.LeaderShare), writeRPS * n.rateShare(leads, budgets.LeaderWriteShare)
 }
 
-// rateShare returns this node's fraction of a rate of which the leader gets leaderShare and
-// the other nodes split the rest evenly.
+// rateShare returns the fraction of a rate limit that this node may use. The leader gets
+// leaderShare of the usable part, and the other nodes split the remainder evenly. A node without
+// peers gets all of the usable part.
 func (n *Node) rateShare(leads bool, leaderShare float64) float64 {
-	use := n.operator.Budgets.UsableShare
+	usable := n.operator.Budgets.UsableShare
 	followers := n.settings.Params.NodeCount - 1
 	switch {
 	case followers <= 0:
-		return use
+		return usable
 	case leads:
-		return leaderShare * use
+		return leaderShare * usable
 	}
-	return (1 - leaderShare) / float64(followers) * use
+	return (1 - leaderShare) / float64(followers) * usable
 }
 
 // maxConcurrentSubmits returns how many submissions this node can write within the time that a
--- a/internal/node/rule_checker_test.go
+++ b/internal/node/rule_checker_test.go
@@ -23,7 +23,8 @@
 	storedValue func(key string) json.RawMessage
 
 	mu sync.Mutex // guards the fields below
-	// findJob returns the specification of a submitted job; nil: dependencies are not checked.
+	// findJob returns the specification of a submitted job. If findJob is nil, dependencies are
+	// not checked.
 	findJob     func(id string) (*jobs.Spec, bool)
 	running     map[workers.TaskID]string // machine of each running task
 	zoneOf      map[workers.TaskID]string // zone of each running task
@@ -100,8 +101,8 @@
 }
 
 // checkCancelDeadline checks that a task is not on a machine later than cancelWithin after the
-// cancellation of its job. event is the violation's verb for what the task did. The caller holds
-// mu.
+// cancellation of its job. event is the verb for the violation's text, such as "started". The
+// caller holds mu.
 func (c *ruleChecker) checkCancelDeadline(task workers.TaskID, machine, event string) {
 	if at, ok := c.cancelledAt[task.Job]; ok && time.Since(at) > c.cancelWithin {
 		c.addViolation("ran_cancelled: task %v %s on %s %v after its user was told of the cancellation", task, event, machine, time.Since(at))
--- a/internal/node/scenario_test.go
+++ b/internal/node/scenario_test.go
@@ -15,7 +15,7 @@
 // Rules are most likely to be violated where two faults coincide. Each test in
 // combined_faults_*_test.go injects one such combination into a whole site, several times with
 // different random timings, while users send requests to all nodes. It fails if a rule is
-// violated, if a user gets an answer older than one given before, if a job is forgotten or
+// violated, if a user gets an older status than one reported before, if a job is forgotten or
 // never ends, and also if the faults did not occur. docs/design.md has a table of the
 // combinations.
 
@@ -38,7 +38,7 @@
 }
 
 // runScenarioOnce runs a scenario with one seed. injectFaults is called while four jobs are
-// queued or running; after it all faults are ended and the outcome is checked.
+// queued or running. When it returns, all faults are ended and the outcome is checked.
 func runScenarioOnce(t *testing.T, options siteOptions, seed uint64, prepare func(*site), injectFaults func(*scenario)) {
 	t.Helper()
 	runSite(t, options, prepare, func(s *site) {
@@ -107,9 +107,9 @@
 func (sc *scenario) sleepPastCancelDeadline() { time.Sleep(sc.rules.cancelWithin + time.Second) }
 
 // oneInEvery returns a function that reports for each transaction whether to inject a fault
-// into it: into exactly one of every n successive transactions with writes, drawn at random.
-// With independent draws a scenario, which makes only few transactions, could end without any
-// fault.
+// into it. The function draws exactly one of every n successive transactions with writes at
+// random. A scenario makes only few transactions, so independent draws could leave it without
+// any fault.
 func (sc *scenario) oneInEvery(n int) func(writes int) bool {
 	var mu sync.Mutex // guards both counters
 	transactions, faulty := 0, 0
@@ -150,8 +150,8 @@
 	}
 }
 
-// checkFaultsOccurred fails the test unless ok says that the faults have occurred: without
-// them the scenario would test nothing.
+// checkFaultsOccurred fails the test if ok is false. ok tells whether the faults have occurred;
+// without them the scenario would test nothing.
 func (sc *scenario) checkFaultsOccurred(ok bool, format string, args ...any) {
 	sc.t.Helper()
 	if !ok {
--- a/internal/node/single_fault_scenario_test.go
+++ b/internal/node/single_fault_scenario_test.go
@@ -59,8 +59,8 @@
 	f.checkNoViolations()
 }
 
-// runLongJob submits a job with tasks of 400 s, which end only if it is cancelled first, and
-// waits until it runs.
+// runLongJob submits a job whose tasks take 400 s, so that they are still running when the test
+// cancels the job, and waits until the job runs.
 func (f *singleFaultScenario) runLongJob(limit time.Duration, job *jobs.Spec) {
 	f.t.Helper()
 	job.ExpectedS = 400
--- a/internal/node/sizing.go
+++ b/internal/node/sizing.go
@@ -25,8 +25,9 @@
 	return nil
 }
 
-// expectedMachines returns how many machines the settings must support: at least those that
-// the teams' guarantees need and, if this node leads, those that exist.
+// expectedMachines returns how many machines the settings must support. It is the greatest of
+// constants.MinWorkers, the number of machines that the teams' guarantees need and, if this node
+// leads, the number of machines that exist.
 func (n *Node) expectedMachines() int {
 	expected := max(constants.MinWorkers, n.guaranteedMachines())
 	if term := n.leading.Load(); term != nil {
--- a/internal/node/state_limits.go
+++ b/internal/node/state_limits.go
@@ -9,9 +9,9 @@
 	"thornnotch/internal/constants"
 )
 
-// stateLimits tracks reductions of the state service's limits, which come without notice.
-// Rates fall to values announced in the settings, which is detected from rejected calls. Sizes
-// may fall below any announced value.
+// stateLimits tracks reductions of the state service's limits. The service does not tell when it
+// reduces them. Rates fall to the values that the settings announce, which is detected from
+// rejected calls. Sizes may fall below every announced value.
 type stateLimits struct {
 	// ratesLowered is set once the lower rates apply. It is never reset.
 	ratesLowered atomic.Bool
@@ -24,7 +24,7 @@
 // recordRateLimited records that the state service's rate limit rejected a call, and reports
 // whether this switches to the lower rates, which happens once. A single rejection may be due
 // to nodes whose clocks disagree about when a second begins, but
-// constants.RateLimitedRefusals within constants.RateLimitedWindow are not.
+// constants.RateLimitedRefusals rejections within constants.RateLimitedWindow are not.
 func (l *stateLimits) recordRateLimited(now time.Time) (lowered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -30,7 +30,8 @@
 	// progress.
 	Failover string      `json:"takingOver,omitempty"`
 	Sockets  SocketUsage `json:"sockets"`
-	// Threads and MemoryMB are what the process uses now.
+	// Threads is the number of OS threads that the process has created. MemoryMB is the memory
+	// that it holds (MiB).
 	Threads  int     `json:"threads"`
 	MemoryMB float64 `json:"memoryMB"`
 	// ScarceResources names the resources that run short.
--- a/internal/node/stored_formats.go
+++ b/internal/node/stored_formats.go
@@ -7,8 +7,8 @@
 )
 
 // allReadLargeRing reports whether every node of the site runs a version that can read the
-// large log ring. Each node must confirm it in this call: one that does not answer might come
-// back with an older version.
+// large log ring. Each node must confirm it in this call, because a node that does not answer
+// might come back with an older version.
 func (n *Node) allReadLargeRing(ctx context.Context) bool {
 	if len(n.settings.Peers)+1 < n.settings.Params.NodeCount {
 		return false
--- a/internal/node/test_jobs_test.go
+++ b/internal/node/test_jobs_test.go
@@ -12,8 +12,8 @@
 	}
 }
 
-// longJob returns a job whose tasks run for so many seconds unless it is cancelled. Its ID
-// is assigned when a scenario submits it.
+// longJob returns a job whose tasks run for the given number of seconds unless it is cancelled.
+// Its ID is assigned when a scenario submits it.
 func longJob(team, kind string, tasks int, seconds float64) *jobs.Spec {
 	job := testJob(0, team, kind, tasks)
 	job.ExpectedS = seconds
